--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -37,7 +37,7 @@
     place: Place,
     addr: SocketAddr,
     serial: u64,
-    fence: u64,
+    fencing_token: u64,
     tasks: BTreeMap<String, Task>,
     state: State,
     /// The machine hangs, or is dead: nobody hears of it, and what runs there is counted until it is returned.
@@ -53,13 +53,15 @@
         let tasks: Vec<Value> = self.tasks.iter().map(|(name, t)| t.shown(name)).collect();
         json!({"host": self.place.id, "addr": self.addr.to_string(), "flavor": self.place.type_name,
             "region": self.place.zone, "preemptible": self.place.spot, "tenure": 1, "serial": self.serial,
-            "fence": self.fence, "warning_s": null, "shards": tasks})
+            "fence": self.fencing_token, "warning_s": null, "shards": tasks})
     }
 
     /// Takes an answer or a command, unless it is of an earlier leader.
     fn obey(&mut self, answer: &Value) -> bool {
-        let Some(fence) = answer["fence"].as_u64().filter(|f| *f >= self.fence) else { return false };
-        self.fence = fence;
+        let Some(fencing_token) = answer["fence"].as_u64().filter(|f| *f >= self.fencing_token) else {
+            return false;
+        };
+        self.fencing_token = fencing_token;
         for order in answer["orders"].as_array().into_iter().flatten() {
             let name = order["shard"].as_str().unwrap_or_default().to_string();
             let attempt = order["try"].as_u64().unwrap_or(0);
@@ -159,7 +161,8 @@
     state: State,
 ) -> std::io::Result<(SocketAddr, Worker, JoinHandle<()>)> {
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
-    let inner = Inner { place, addr, serial: 0, fence: 0, tasks: BTreeMap::new(), state, silent: false };
+    let inner =
+        Inner { place, addr, serial: 0, fencing_token: 0, tasks: BTreeMap::new(), state, silent: false };
     let worker = Worker(Arc::new(Mutex::new(inner)));
     let direct = worker.clone();
     let answer = move |body: Bytes| {
--- a/crates/homes/src/apart.rs
+++ b/crates/homes/src/apart.rs
@@ -5,7 +5,7 @@
 //! doesn't hear is alive, and that more workers are on the other side, where another node should lead. Nothing is
 //! proved by it: it only keeps machines from being returned, and lets a leader resign.
 
-use pearford_types::{Fence, MachineId, NodeName, Span, Stamp, Time, Zone};
+use pearford_types::{FencingToken, MachineId, NodeName, Span, Stamp, Time, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     /// Of the leader that it does not hear.
-    pub fence: Fence,
+    #[serde(rename = "fence")]
+    pub fencing_token: FencingToken,
     /// Workers that it answers, by zone.
     pub heard: BTreeMap<Zone, u32>,
 }
@@ -32,7 +33,7 @@
 pub struct Teller {
     answered: BTreeMap<MachineId, (Zone, Time)>,
     /// Under which fence it spoke last, and when it speaks again.
-    said: Fence,
+    said: FencingToken,
     next: Time,
     next_prune: Time,
 }
@@ -48,18 +49,25 @@
     }
 
     /// What to say now, if something is due: of whom it has answered in its `own` zone, and elsewhere `since` it is
-    /// apart. `fence`: of the leader that this node doesn't hear.
-    pub fn word(&mut self, fence: Fence, since: Time, own: &Zone, lease: Span, now: Time) -> Option<Word> {
-        if now < self.next && fence == self.said {
+    /// apart. `fencing_token`: of the leader that this node doesn't hear.
+    pub fn word(
+        &mut self,
+        fencing_token: FencingToken,
+        since: Time,
+        own: &Zone,
+        lease: Span,
+        now: Time,
+    ) -> Option<Word> {
+        if now < self.next && fencing_token == self.said {
             return None;
         }
         // Whose lease lives by an answer from here counts, though it is still on its way round nodes that don't answer.
         self.answered.retain(|_, (_, at)| now.since(*at) < lease);
-        (self.said, self.next) = (fence, now + SAY_EVERY);
+        (self.said, self.next) = (fencing_token, now + SAY_EVERY);
         let mut heard = BTreeMap::new();
         let apart = self.answered.values().filter(|(zone, at)| zone == own || *at >= since);
         apart.for_each(|(zone, _)| *heard.entry(zone.clone()).or_default() += 1);
-        Some(Word { fence, heard })
+        Some(Word { fencing_token, heard })
     }
 }
 
@@ -87,8 +95,8 @@
 
     /// Whether so many more workers are with nodes that are apart than the `mine` that the leader hears that one of
     /// those should lead. `mine` is counted only where somebody is apart.
-    pub fn outweigh(&self, mine: impl FnOnce() -> u32, fence: Fence, now: Time) -> bool {
-        let words = self.words(now).filter(|word| word.fence == fence);
+    pub fn outweigh(&self, mine: impl FnOnce() -> u32, fencing_token: FencingToken, now: Time) -> bool {
+        let words = self.words(now).filter(|word| word.fencing_token == fencing_token);
         let theirs = words.map(|word| word.heard.values().sum::<u32>()).max().unwrap_or(0);
         if theirs < AT_LEAST {
             return false;
--- a/crates/homes/src/apart/tests.rs
+++ b/crates/homes/src/apart/tests.rs
@@ -8,13 +8,17 @@
     let mut t = Teller::default();
     (0..5u64).for_each(|i| t.answered(&format!("m-{i}").as_str().into(), &"x".into(), LEASE, T(i * 1_000)));
     t.answered(&"m-9".into(), &"y".into(), LEASE, T(4_000));
-    let word = t.word(Fence(7), T(0), &"x".into(), LEASE, T(5_000)).expect("due");
+    let word = t.word(FencingToken(7), T(0), &"x".into(), LEASE, T(5_000)).expect("due");
     assert_eq!(word.heard, BTreeMap::from([("x".into(), 5), ("y".into(), 1)]));
-    assert_eq!(t.word(Fence(7), T(0), &"x".into(), LEASE, T(9_900)), None, "a change each: not more often");
-    let word = t.word(Fence(7), T(0), &"x".into(), LEASE, T(14_800)).expect("due");
+    assert_eq!(
+        t.word(FencingToken(7), T(0), &"x".into(), LEASE, T(9_900)),
+        None,
+        "a change each: not more often"
+    );
+    let word = t.word(FencingToken(7), T(0), &"x".into(), LEASE, T(14_800)).expect("due");
     assert_eq!(word.heard, BTreeMap::from([("x".into(), 2), ("y".into(), 1)]));
     let word = t
-        .word(Fence(8), T(4_500), &"x".into(), LEASE, T(14_900))
+        .word(FencingToken(8), T(4_500), &"x".into(), LEASE, T(14_900))
         .expect("another leader must hear it at once");
     assert_eq!(word.heard, BTreeMap::from([("x".into(), 2)]), "of others since it is apart");
 }
@@ -23,17 +27,20 @@
 #[test]
 fn a_leader_is_outweighed_by_fresh_words_of_its_own_time_only() {
     let mut told = Told::default();
-    let word = |fence, n| Word { fence: Fence(fence), heard: BTreeMap::from([("x".into(), n)]) };
+    let word = |fencing_token, n| Word {
+        fencing_token: FencingToken(fencing_token),
+        heard: BTreeMap::from([("x".into(), n)]),
+    };
     told.learn("b".into(), Stamp(20), word(7, 90), T(1_000));
-    assert!(told.outweigh(|| 10, Fence(7), T(2_000)) && told.alive(T(2_000)).contains(&"x".into()));
-    assert!(!told.outweigh(|| 72, Fence(7), T(2_000)), "hardly more");
-    assert!(!told.outweigh(|| 10, Fence(8), T(2_000)), "of another leader");
+    assert!(told.outweigh(|| 10, FencingToken(7), T(2_000)) && told.alive(T(2_000)).contains(&"x".into()));
+    assert!(!told.outweigh(|| 72, FencingToken(7), T(2_000)), "hardly more");
+    assert!(!told.outweigh(|| 10, FencingToken(8), T(2_000)), "of another leader");
     // Read again and again, it grows old all the same.
     told.learn("b".into(), Stamp(20), word(7, 90), T(12_000));
-    assert!(!told.outweigh(|| 10, Fence(7), T(13_000)) && told.alive(T(13_000)).is_empty());
+    assert!(!told.outweigh(|| 10, FencingToken(7), T(13_000)) && told.alive(T(13_000)).is_empty());
     told.learn("b".into(), Stamp(31), word(7, 90), T(13_500));
-    assert!(told.outweigh(|| 10, Fence(7), T(14_000)));
+    assert!(told.outweigh(|| 10, FencingToken(7), T(14_000)));
     // One that comes late says less than what was read before.
     told.learn("b".into(), Stamp(25), word(7, 1), T(14_000));
-    assert!(told.outweigh(|| 10, Fence(7), T(14_500)));
+    assert!(told.outweigh(|| 10, FencingToken(7), T(14_500)));
 }
--- a/crates/homes/src/delegate.rs
+++ b/crates/homes/src/delegate.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{Delegation, Digest, Full, Same, Stamped};
 use crate::{Homes, content_hash};
-use pearford_types::{Fence, MachineId, NodeName, Span, Time, Zone};
+use pearford_types::{FencingToken, MachineId, NodeName, Span, Time, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How old the last delegation may be for the leader to count as reachable from here.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
     /// A worker that has seen a higher fence is not answered by a lower one.
-    OlderFence,
+    OlderFencingToken,
     /// Answers end with this node's own look at the job records.
     OwnLook,
 }
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Turn {
     /// Answered with 200 by this fence.
-    Answer(Fence),
+    Answer(FencingToken),
     /// Sent to the node that is its home.
     Home(NodeName),
     /// Sent on to whichever node comes next.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 struct Held {
     leader: NodeName,
-    fence: Fence,
+    fencing_token: FencingToken,
     beat: u64,
     at: Time,
     ready: bool,
@@ -83,7 +83,7 @@
     me: NodeName,
     held: Option<Held>,
     /// The leader that all reports have been told in full.
-    told: Fence,
+    told: FencingToken,
     heard: BTreeMap<MachineId, Report>,
     /// To be told in full, and to be told as the same as before.
     changed: BTreeSet<MachineId>,
@@ -101,7 +101,7 @@
         Self {
             me,
             held: None,
-            told: Fence(0),
+            told: FencingToken(0),
             heard: BTreeMap::new(),
             changed: BTreeSet::new(),
             same: BTreeSet::new(),
@@ -120,8 +120,8 @@
     }
 
     /// The fence that it answers by.
-    pub fn fence(&self) -> Option<Fence> {
-        self.held.as_ref().map(|h| h.fence)
+    pub fn fencing_token(&self) -> Option<FencingToken> {
+        self.held.as_ref().map(|h| h.fencing_token)
     }
 
     /// Workers whose reports it has answered lately.
@@ -148,30 +148,38 @@
 
     /// A leader delegates. An older leader's word, however late, changes nothing.
     pub fn granted(&mut self, from: &NodeName, delegation: Delegation, now: Time) {
-        let Delegation { fence, beat, ready, homes } = delegation;
-        if self.held.as_ref().is_some_and(|h| (fence, beat) <= (h.fence, h.beat)) {
+        let Delegation { fencing_token, beat, ready, homes } = delegation;
+        if self.held.as_ref().is_some_and(|h| (fencing_token, beat) <= (h.fencing_token, h.beat)) {
             return;
         }
-        if ready && self.told < fence {
+        if ready && self.told < fencing_token {
             // A new leader knows nothing yet: what each node has heard spares it a rush of every worker.
-            self.told = fence;
+            self.told = fencing_token;
             self.heard.retain(|_, r| now.since(r.heard) < REMEMBERED);
             self.changed = self.heard.keys().cloned().collect();
             self.same.clear();
             self.next_changed = now;
         }
-        self.held = Some(Held { leader: from.clone(), fence, beat, at: now, ready, homes, only: None });
+        self.held =
+            Some(Held { leader: from.clone(), fencing_token, beat, at: now, ready, homes, only: None });
     }
 
     /// The state service says who leads, though no delegation comes from there: what the leader delegates to all alike,
     /// this node has. Nobody is home anywhere by it, and nothing is told to the leader: a worker is sent on once, as
     /// somebody else may reach the leader, and answered when it comes back; and only those of this node's zone, `only`,
     /// since others may reach more than this node, and what stays here the leader doesn't hear.
-    pub fn granted_by_record(&mut self, leader: &NodeName, fence: Fence, only: &Zone, now: Time) {
-        if self.held.as_ref().is_none_or(|h| h.fence < fence) {
+    pub fn granted_by_record(
+        &mut self,
+        leader: &NodeName,
+        fencing_token: FencingToken,
+        only: &Zone,
+        now: Time,
+    ) {
+        if self.held.as_ref().is_none_or(|h| h.fencing_token < fencing_token) {
             let at = now.before(FRESH);
             let (homes, only) = (Homes::default(), Some(only.clone()));
-            self.held = Some(Held { leader: leader.clone(), fence, beat: 0, at, ready: false, homes, only });
+            self.held =
+                Some(Held { leader: leader.clone(), fencing_token, beat: 0, at, ready: false, homes, only });
         }
     }
 
@@ -192,12 +200,12 @@
 
     /// Takes a report. `top`: the highest fence that this node knows of. `may_renew`: its own last look at the
     /// job records allows it to renew leases.
-    pub fn report(&mut self, ask: Ask<'_>, top: Fence, may_renew: bool, now: Time) -> Turn {
+    pub fn report(&mut self, ask: Ask<'_>, top: FencingToken, may_renew: bool, now: Time) -> Turn {
         let Some(held) = &self.held else { return Turn::NotOurs };
         // A worker drops an answer by a lower fence than it has seen, and stays here while its lease runs out.
         // (The second is the same guard: whoever has seen a higher one says so with its next report.)
-        let older = held.fence < ask.at.fence || held.fence < top;
-        if older && self.out != Some(Guard::OlderFence) {
+        let older = held.fencing_token < ask.at.fencing_token || held.fencing_token < top;
+        if older && self.out != Some(Guard::OlderFencingToken) {
             return Turn::NotOurs;
         }
         if held.only.as_ref().is_some_and(|zone| zone != ask.zone) {
@@ -207,12 +215,12 @@
         if !may_renew && self.out != Some(Guard::OwnLook) {
             return Turn::On;
         }
-        let fence = held.fence;
+        let fencing_token = held.fencing_token;
         if let Some(turn) = self.elsewhere(ask.machine, ask.zone, now) {
             return turn;
         }
         self.heard(ask, now);
-        Turn::Answer(fence)
+        Turn::Answer(fencing_token)
     }
 
     /// Where a worker is sent instead of being answered here, if it is.
@@ -263,8 +271,9 @@
         if known.is_some_and(|k| !ask.at.is_newer(&k.at)) {
             return; // an old one, that came late
         }
-        let like =
-            |k: &Report| k.hash == hash && (k.at.session, k.at.fence) == (ask.at.session, ask.at.fence);
+        let like = |k: &Report| {
+            k.hash == hash && (k.at.session, k.at.fencing_token) == (ask.at.session, ask.at.fencing_token)
+        };
         if known.is_some_and(like) && !self.changed.contains(ask.machine) {
             self.same.insert(ask.machine.clone());
         } else {
@@ -285,7 +294,8 @@
             return None;
         }
         self.next_changed = now + CHANGED_EVERY;
-        let mut digest = Digest { fence: held.fence, beat: held.beat, full: Vec::new(), same: Vec::new() };
+        let mut digest =
+            Digest { fencing_token: held.fencing_token, beat: held.beat, full: Vec::new(), same: Vec::new() };
         let mut bytes = 0;
         while bytes < DIGEST_BYTES
             && let Some(machine) = self.changed.pop_first()
--- a/crates/homes/src/delegate/tests.rs
+++ b/crates/homes/src/delegate/tests.rs
@@ -2,60 +2,69 @@
 use crate::Place;
 use pearford_types::Session;
 
-fn delegation(fence: u64, beat: u64, home: &str) -> Delegation {
+fn delegation(fencing_token: u64, beat: u64, home: &str) -> Delegation {
     let place = Place { node: home.into(), zone: "z".into(), weight: 100 };
-    Delegation { fence: Fence(fence), beat, ready: true, homes: Homes::new(vec![place]) }
+    Delegation {
+        fencing_token: FencingToken(fencing_token),
+        beat,
+        ready: true,
+        homes: Homes::new(vec![place]),
+    }
 }
 
-fn report(d: &mut Delegate, serial: u64, fence: u64, content: &str, top: u64, now: Time) -> Turn {
-    let at = Stamped { session: Session(1), serial, fence: Fence(fence) };
+fn report(d: &mut Delegate, serial: u64, fencing_token: u64, content: &str, top: u64, now: Time) -> Turn {
+    let at = Stamped { session: Session(1), serial, fencing_token: FencingToken(fencing_token) };
     let (machine, zone) = ("m".into(), "z".into());
     let ask = Ask { machine: &machine, zone: &zone, at, content: content.as_bytes().to_vec() };
-    d.report(ask, Fence(top), true, now)
+    d.report(ask, FencingToken(top), true, now)
 }
 
 const T: fn(u64) -> Time = Time::from_ms;
 
 /// The worker would drop the 200 and stay there while its lease runs out.
 #[test]
-fn a_worker_is_never_answered_by_a_lower_fence_than_it_has_seen() {
+fn a_worker_is_never_answered_by_a_lower_fencing_token_than_it_has_seen() {
     let mut d = Delegate::new("a".into());
     assert_eq!(report(&mut d, 1, 0, "", 0, T(1)), Turn::NotOurs);
     d.granted(&"l".into(), delegation(5, 1, "a"), T(1));
-    assert_eq!(report(&mut d, 1, 5, "", 5, T(2)), Turn::Answer(Fence(5)));
+    assert_eq!(report(&mut d, 1, 5, "", 5, T(2)), Turn::Answer(FencingToken(5)));
     assert_eq!(report(&mut d, 2, 6, "", 5, T(3)), Turn::NotOurs, "the worker has seen a later leader");
     assert_eq!(report(&mut d, 2, 5, "", 6, T(3)), Turn::NotOurs, "this node has heard of one");
     d.granted(&"k".into(), delegation(6, 1, "a"), T(4));
     d.granted(&"l".into(), delegation(5, 9, "a"), T(5));
-    assert_eq!(d.fence(), Some(Fence(6)), "held for long and late: changes nothing");
-    assert_eq!(report(&mut d, 3, 6, "", 6, T(6)), Turn::Answer(Fence(6)));
+    assert_eq!(d.fencing_token(), Some(FencingToken(6)), "held for long and late: changes nothing");
+    assert_eq!(report(&mut d, 3, 6, "", 6, T(6)), Turn::Answer(FencingToken(6)));
 }
 
 /// What others might reach must not stay with a node that the leader doesn't hear.
 #[test]
 fn by_the_leader_key_alone_only_workers_of_the_same_zone_are_answered() {
     let mut d = Delegate::new("a".into());
-    d.granted_by_record(&"l".into(), Fence(5), &"z".into(), T(9_000));
+    d.granted_by_record(&"l".into(), FencingToken(5), &"z".into(), T(9_000));
     assert_eq!(report(&mut d, 1, 5, "", 5, T(9_100)), Turn::On);
-    assert_eq!(report(&mut d, 2, 5, "", 5, T(13_000)), Turn::Answer(Fence(5)));
+    assert_eq!(report(&mut d, 2, 5, "", 5, T(13_000)), Turn::Answer(FencingToken(5)));
     let mut d = Delegate::new("a".into());
-    d.granted_by_record(&"l".into(), Fence(5), &"y".into(), T(9_000));
+    d.granted_by_record(&"l".into(), FencingToken(5), &"y".into(), T(9_000));
     for serial in 1..5 {
         assert_eq!(report(&mut d, serial, 5, "", 5, T(9_000 + 4_000 * serial)), Turn::NotOurs);
     }
     d.granted(&"l".into(), delegation(5, 1, "a"), T(30_000));
-    assert_eq!(report(&mut d, 6, 5, "", 5, T(30_100)), Turn::Answer(Fence(5)));
+    assert_eq!(report(&mut d, 6, 5, "", 5, T(30_100)), Turn::Answer(FencingToken(5)));
 }
 
 #[test]
 fn without_the_leader_a_worker_is_sent_on_once_and_answered_when_it_comes_back() {
     let mut d = Delegate::new("a".into());
     d.granted(&"l".into(), delegation(5, 1, "a"), T(0));
-    assert_eq!(report(&mut d, 1, 5, "", 5, T(2_900)), Turn::Answer(Fence(5)));
+    assert_eq!(report(&mut d, 1, 5, "", 5, T(2_900)), Turn::Answer(FencingToken(5)));
     assert_eq!(report(&mut d, 2, 5, "", 5, T(7_000)), Turn::On);
     for k in 0..20 {
         let now = T(17_000 + 5_000 * k);
-        assert_eq!(report(&mut d, 3 + k, 5, "", 5, now), Turn::Answer(Fence(5)), "nobody else was there");
+        assert_eq!(
+            report(&mut d, 3 + k, 5, "", 5, now),
+            Turn::Answer(FencingToken(5)),
+            "nobody else was there"
+        );
     }
     d.granted(&"l".into(), delegation(5, 2, "a"), T(120_000));
     assert_eq!(report(&mut d, 40, 5, "", 5, T(124_000)), Turn::On, "a new episode");
@@ -66,7 +75,7 @@
     let mut d = Delegate::new("a".into());
     d.granted(&"l".into(), delegation(5, 1, "b"), T(0));
     assert_eq!(report(&mut d, 1, 5, "", 5, T(1)), Turn::Home("b".into()));
-    assert_eq!(report(&mut d, 2, 5, "", 5, T(2_000)), Turn::Answer(Fence(5)));
+    assert_eq!(report(&mut d, 2, 5, "", 5, T(2_000)), Turn::Answer(FencingToken(5)));
     d.granted(&"l".into(), delegation(5, 2, "b"), T(31_000));
     assert_eq!(report(&mut d, 3, 5, "", 5, T(31_500)), Turn::Home("b".into()), "b may be back");
 }
@@ -79,7 +88,7 @@
     d.granted(&"l".into(), delegation(5, 1, "b"), T(0));
     assert_eq!(report(&mut d, 1, 5, "", 5, T(2_000)), Turn::Home("b".into()));
     assert_eq!(report(&mut d, 3, 5, "", 5, T(8_000)), Turn::On);
-    assert_eq!(report(&mut d, 4, 5, "", 5, T(20_000)), Turn::Answer(Fence(5)));
+    assert_eq!(report(&mut d, 4, 5, "", 5, T(20_000)), Turn::Answer(FencingToken(5)));
 }
 
 #[test]
@@ -99,7 +108,7 @@
     assert_eq!(d.digest(T(900)).expect("due").1.full[0].content, b"x");
     d.granted(&"k".into(), delegation(8, 1, "a"), T(1_000));
     let (to, all) = d.digest(T(1_001)).expect("at once");
-    assert_eq!((to.as_str(), all.full.len(), all.fence), ("k", 1, Fence(8)));
+    assert_eq!((to.as_str(), all.full.len(), all.fencing_token), ("k", 1, FencingToken(8)));
 }
 
 #[test]
@@ -109,9 +118,9 @@
     let mut moved = 0;
     for i in 0..1000u64 {
         let (machine, zone) = (format!("m-{i}").as_str().into(), "z".into());
-        let at = Stamped { session: Session(1), serial: 1, fence: Fence(5) };
+        let at = Stamped { session: Session(1), serial: 1, fencing_token: FencingToken(5) };
         let ask = Ask { machine: &machine, zone: &zone, at, content: Vec::new() };
-        moved += u32::from(d.report(ask, Fence(5), true, T(10)) == Turn::Home("b".into()));
+        moved += u32::from(d.report(ask, FencingToken(5), true, T(10)) == Turn::Home("b".into()));
     }
     assert_eq!(moved, MOVES_A_SECOND);
     assert_eq!(d.len(), 940, "the others are answered meanwhile");
--- a/crates/homes/src/hub.rs
+++ b/crates/homes/src/hub.rs
@@ -3,7 +3,7 @@
 use crate::messages::{Delegation, Digest, Full, Stamped};
 use crate::rule::{Homes, Place};
 use crate::{Delegate, Turn, content_hash};
-use pearford_types::{Fence, MachineId, NodeName, Span, Time, Zone};
+use pearford_types::{FencingToken, MachineId, NodeName, Span, Time, Zone};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const DELEGATE_EVERY: Span = Span::ms(1000);
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub struct Hub {
     me: NodeName,
-    fence: Fence,
+    fencing_token: FencingToken,
     beat: u64,
     sent: VecDeque<(u64, Time)>,
     next: Time,
@@ -67,11 +67,11 @@
 }
 
 impl Hub {
-    pub fn new(me: NodeName, fence: Fence, now: Time) -> Self {
+    pub fn new(me: NodeName, fencing_token: FencingToken, now: Time) -> Self {
         Self {
             own: Delegate::new(me.clone()),
             me,
-            fence,
+            fencing_token,
             beat: 0,
             sent: VecDeque::new(),
             next: now,
@@ -124,7 +124,7 @@
             Place { node: node.clone(), zone: zone.clone(), weight }
         };
         let homes = Homes::new(live.iter().map(place).collect());
-        let delegation = Delegation { fence: self.fence, beat: self.beat, ready, homes };
+        let delegation = Delegation { fencing_token: self.fencing_token, beat: self.beat, ready, homes };
         self.own.granted(&self.me.clone(), delegation.clone(), now);
         self.own.prune(now);
         Some(delegation)
@@ -221,7 +221,7 @@
     /// Takes a digest in. What it says is worth what the report said: newer ones than known only, and "the same
     /// as before" only of the content that is known here; else it is asked for.
     pub fn digest(&mut self, from: &NodeName, digest: Digest, now: Time) -> Vec<Heard> {
-        if digest.fence != self.fence {
+        if digest.fencing_token != self.fencing_token {
             return Vec::new();
         }
         // A digest that a cut has held back says with its beat how old it is at least.
@@ -242,7 +242,8 @@
                 Some(k)
                     if trusts
                         || (k.hash == same.hash
-                            && (k.at.session, k.at.fence) == (same.at.session, same.at.fence)) =>
+                            && (k.at.session, k.at.fencing_token)
+                                == (same.at.session, same.at.fencing_token)) =>
                 {
                     k.at = same.at;
                     k.node = from.clone();
--- a/crates/homes/src/hub/tests.rs
+++ b/crates/homes/src/hub/tests.rs
@@ -5,11 +5,11 @@
 const T: fn(u64) -> Time = Time::from_ms;
 
 fn stamped(serial: u64) -> Stamped {
-    Stamped { session: Session(1), serial, fence: Fence(7) }
+    Stamped { session: Session(1), serial, fencing_token: FencingToken(7) }
 }
 
 fn hub() -> (Hub, Delegation) {
-    let mut hub = Hub::new("l".into(), Fence(7), T(1_000));
+    let mut hub = Hub::new("l".into(), FencingToken(7), T(1_000));
     let live = [("l".into(), "x".into()), ("a".into(), "y".into()), ("b".into(), "z".into())];
     let delegation = hub.delegation(&live, true, T(1_000)).expect("due");
     (hub, delegation)
@@ -26,7 +26,7 @@
 }
 
 fn digest(full: Vec<Full>, same: Vec<Same>) -> Digest {
-    Digest { fence: Fence(7), beat: 1, full, same }
+    Digest { fencing_token: FencingToken(7), beat: 1, full, same }
 }
 
 /// A machine moved from a to b, said something else there, and came back to a, to which it says what it had
@@ -48,7 +48,7 @@
     assert!(hub.digest(&a, digest(vec![], vec![same(4, "runs x")]), T(1_700)).is_empty());
     assert!(hub.wants().is_empty());
     // Nor do those to another leader.
-    let other = Digest { fence: Fence(6), ..digest(vec![full(9, "")], vec![]) };
+    let other = Digest { fencing_token: FencingToken(6), ..digest(vec![full(9, "")], vec![]) };
     assert!(hub.digest(&a, other, T(1_800)).is_empty());
 }
 
--- a/crates/homes/src/messages.rs
+++ b/crates/homes/src/messages.rs
@@ -1,7 +1,7 @@
 //! What leader and delegates say to each other about reports.
 
 use crate::rule::Homes;
-use pearford_types::{Fence, MachineId, Session, Span};
+use pearford_types::{FencingToken, MachineId, Session, Span};
 use serde::{Deserialize, Serialize};
 
 /// Where in its life a worker made a report, and the highest fence it had seen then.
@@ -9,7 +9,7 @@
 pub struct Stamped {
     pub session: Session,
     pub serial: u64,
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
 }
 
 impl Stamped {
@@ -22,7 +22,7 @@
 /// From the leader, once a second: whoever gets it may answer reports by this fence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delegation {
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
     /// Counts the leader's delegations: a digest says which one its sender has had last.
     pub beat: u64,
     /// The leader has read all records and can judge what it is told.
@@ -54,7 +54,7 @@
 /// From a delegate: what it has heard since its last one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
     pub beat: u64,
     pub full: Vec<Full>,
     pub same: Vec<Same>,
--- a/crates/homes/src/renewal.rs
+++ b/crates/homes/src/renewal.rs
@@ -4,7 +4,7 @@
 //! is renewed only as long as it ends in time for every cancellation that this node can't know of, and for every start
 //! that may still arrive of a job whose cancellation it does know of. The argument is in the design ("Outages").
 
-use pearford_types::{Fence, MachineId, Span, Time};
+use pearford_types::{FencingToken, MachineId, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
 /// From the leader, with each delegation: where starts may still arrive that it can neither call back nor disprove.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Doubt {
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
     /// Of the delegation that it goes with.
     pub beat: u64,
     /// Machines to which a start is on its way, or has been sent without an answer in their present session; `None`:
@@ -30,15 +30,20 @@
 }
 
 impl Doubt {
-    pub fn new(fence: Fence, beat: u64, machines: Vec<MachineId>, never: Vec<MachineId>) -> Self {
+    pub fn new(
+        fencing_token: FencingToken,
+        beat: u64,
+        machines: Vec<MachineId>,
+        never: Vec<MachineId>,
+    ) -> Self {
         let machines = (machines.len() <= NAMED).then_some(machines);
-        Self { fence, beat, machines, never }
+        Self { fencing_token, beat, machines, never }
     }
 }
 
 #[derive(Debug, Clone)]
 struct Told {
-    fence: Fence,
+    fencing_token: FencingToken,
     beat: u64,
     at: Time,
     machines: Option<BTreeSet<MachineId>>,
@@ -111,13 +116,13 @@
 
     /// The leader tells where it has starts in doubt. An older word, however late, changes nothing.
     pub fn told(&mut self, doubt: Doubt, now: Time) {
-        let Doubt { fence, beat, machines, never } = doubt;
-        if self.told.as_ref().is_some_and(|t| (fence, beat) <= (t.fence, t.beat)) {
+        let Doubt { fencing_token, beat, machines, never } = doubt;
+        if self.told.as_ref().is_some_and(|t| (fencing_token, beat) <= (t.fencing_token, t.beat)) {
             return;
         }
         let machines = machines.map(|m| m.into_iter().collect());
         let never = never.into_iter().collect();
-        self.told = Some(Told { fence, beat, at: now, machines, never });
+        self.told = Some(Told { fencing_token, beat, at: now, machines, never });
     }
 
     /// Whether starts may leave by this node's look.
@@ -158,16 +163,22 @@
         self.allows(now) && (self.is_young(now) || !doubtful || self.out == Some(Without::Doubt))
     }
 
-    /// Whether this node may renew a machine's lease in the name of the leader with `fence`. `tells`: every version
+    /// Whether this node may renew a machine's lease in the name of the leader with `fencing_token`. `tells`: every version
     /// that may lead tells its doubts, so that a leader which has told none is one that this node has not heard.
-    pub fn by_delegate(&self, machine: &MachineId, fence: Fence, tells: bool, now: Time) -> bool {
+    pub fn by_delegate(
+        &self,
+        machine: &MachineId,
+        fencing_token: FencingToken,
+        tells: bool,
+        now: Time,
+    ) -> bool {
         if !self.allows(now) {
             return false;
         }
         if self.out == Some(Without::Doubt) {
             return true;
         }
-        match self.told.as_ref().filter(|t| t.fence == fence) {
+        match self.told.as_ref().filter(|t| t.fencing_token == fencing_token) {
             Some(told) if told.never.contains(machine) => false,
             _ if self.is_young(now) => true,
             // What was sent after the leader's last word was not cancelled `fresh` before that.
--- a/crates/homes/src/renewal/tests.rs
+++ b/crates/homes/src/renewal/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const T: fn(u64) -> Time = Time::from_ms;
-const F: Fence = Fence(7);
+const F: FencingToken = FencingToken(7);
 
 fn held() -> Renewal {
     let mut r = Renewal::new(Bounds::of(Span::ms(26_000)));
@@ -34,8 +34,8 @@
     // A word from before changes nothing, a leader that has told nothing is not trusted, unless it can't tell.
     r.told(Doubt::new(F, 2, Vec::new(), Vec::new()), T(1_006_000));
     assert!(!r.by_delegate(&m, F, true, T(1_007_000)));
-    assert!(!r.by_delegate(&other, Fence(8), true, T(1_007_000)));
-    assert!(r.by_delegate(&other, Fence(8), false, T(1_007_000)));
+    assert!(!r.by_delegate(&other, FencingToken(8), true, T(1_007_000)));
+    assert!(r.by_delegate(&other, FencingToken(8), false, T(1_007_000)));
 }
 
 #[test]
--- a/crates/homes/src/tests.rs
+++ b/crates/homes/src/tests.rs
@@ -5,7 +5,7 @@
 
 use crate::{Ask, Delegate, Delegation, Digest, Guard, Homes, Hub, Place, Stamped, Turn};
 use arbtest::arbtest;
-use pearford_types::{Fence, MachineId, NodeName, Session, Span, Time, Zone};
+use pearford_types::{FencingToken, MachineId, NodeName, Session, Span, Time, Zone};
 use std::collections::HashSet;
 
 const REPORTS: usize = 3;
@@ -20,7 +20,7 @@
     flying: Vec<(usize, Digest)>,
     /// What the worker said in each report.
     said: Vec<u8>,
-    fence: u64,
+    fencing_token: u64,
     digests: usize,
     /// The second leader has pushed its fence to the worker; has delegated.
     pushed: bool,
@@ -32,16 +32,16 @@
 }
 
 /// A delegation by which the node is home to all.
-fn delegation(fence: u64, beat: u64, i: usize) -> Delegation {
+fn delegation(fencing_token: u64, beat: u64, i: usize) -> Delegation {
     let homes = Homes::new(vec![Place { node: node(i), zone: "z".into(), weight: 1 }]);
-    Delegation { fence: Fence(fence), beat, ready: true, homes }
+    Delegation { fencing_token: FencingToken(fencing_token), beat, ready: true, homes }
 }
 
 impl Cell {
     /// `alone`: there is no second leader.
     fn new(alone: bool) -> Self {
         let now = Time::from_ms(1_000);
-        let mut hub = Hub::new("l".into(), Fence(1), now);
+        let mut hub = Hub::new("l".into(), FencingToken(1), now);
         hub.delegation(&[], true, now);
         let delegates = [0, 1].map(|i| {
             let mut d = Delegate::new(node(i));
@@ -54,7 +54,7 @@
             hub,
             flying: Vec::new(),
             said: Vec::new(),
-            fence: 1,
+            fencing_token: 1,
             digests: 0,
             pushed: alone,
             delegated: alone,
@@ -63,12 +63,16 @@
 
     fn report(&mut self, i: usize, content: u8) -> Result<(), String> {
         self.said.push(content);
-        let at = Stamped { session: Session(1), serial: self.said.len() as u64, fence: Fence(self.fence) };
+        let at = Stamped {
+            session: Session(1),
+            serial: self.said.len() as u64,
+            fencing_token: FencingToken(self.fencing_token),
+        };
         let (machine, zone): (MachineId, Zone) = ("m".into(), "z".into());
         let ask = Ask { machine: &machine, zone: &zone, at, content: vec![content] };
-        match self.delegates[i].report(ask, Fence(0), true, self.now) {
-            Turn::Answer(fence) if fence.0 < self.fence => {
-                Err(format!("answered by {fence} whoever has seen {}", self.fence))
+        match self.delegates[i].report(ask, FencingToken(0), true, self.now) {
+            Turn::Answer(fencing_token) if fencing_token.0 < self.fencing_token => {
+                Err(format!("answered by {fencing_token} whoever has seen {}", self.fencing_token))
             }
             _ => Ok(()),
         }
@@ -126,7 +130,7 @@
         }
         if !self.pushed {
             then(&|c| {
-                (c.pushed, c.fence) = (true, 2);
+                (c.pushed, c.fencing_token) = (true, 2);
                 Ok(())
             });
         }
@@ -181,7 +185,7 @@
     let (fault, _) = search(trusting, 9);
     assert!(fault.as_ref().is_some_and(|f| f.contains("taken for")), "{fault:?}");
     let mut older = Cell::new(false);
-    older.delegates.iter_mut().for_each(|d| d.take_out(Guard::OlderFence));
+    older.delegates.iter_mut().for_each(|d| d.take_out(Guard::OlderFencingToken));
     let (fault, _) = search(older, 5);
     assert!(fault.as_ref().is_some_and(|f| f.contains("answered by")), "{fault:?}");
 }
@@ -191,10 +195,14 @@
 fn hostile_messages_change_nothing_that_matters() {
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
-        let mut hub = Hub::new("l".into(), Fence(1), Time::from_ms(5));
+        let mut hub = Hub::new("l".into(), FencingToken(1), Time::from_ms(5));
         hub.delegation(&[], true, Time::from_ms(5));
         if let Ok(digest) = postcard::from_bytes::<Digest>(&bytes) {
-            hub.digest(&"a".into(), Digest { fence: Fence(1), beat: 1, ..digest }, Time::from_ms(9));
+            hub.digest(
+                &"a".into(),
+                Digest { fencing_token: FencingToken(1), beat: 1, ..digest },
+                Time::from_ms(9),
+            );
         }
         let mut delegate = Delegate::new("a".into());
         if let Ok(delegation) = postcard::from_bytes::<Delegation>(&bytes) {
--- a/crates/homes/tests/gap.rs
+++ b/crates/homes/tests/gap.rs
@@ -6,7 +6,7 @@
 //! Steps are of a second; what clocks add is counted to the millisecond, each clock at either end of the drift.
 
 use pearford_homes::{Bounds, Doubt, Renewal, Without};
-use pearford_types::{Fence, MachineId, Span, Time};
+use pearford_types::{FencingToken, MachineId, Span, Time};
 use std::collections::HashSet;
 
 /// In seconds, as they are to one another in the service or worse.
@@ -100,14 +100,14 @@
         if let Some(age) = s.nodes[i].looked {
             r.looked(self.ago(i, age), self.ago(i, age));
         }
-        let (now, fence, machine) = (Time::from_ms(NOW), Fence(1), MachineId::from("m"));
+        let (now, fencing_token, machine) = (Time::from_ms(NOW), FencingToken(1), MachineId::from("m"));
         if i == 0 {
             return r.by_leader(s.task == Task::OnItsWay, now);
         }
         let machines = if s.told.1 { vec![machine.clone()] } else { Vec::new() };
         let never = if s.told.2 { vec![machine.clone()] } else { Vec::new() };
-        r.told(Doubt::new(fence, 1, machines, never), self.ago(1, s.told.0));
-        r.by_delegate(&machine, fence, true, now)
+        r.told(Doubt::new(fencing_token, 1, machines, never), self.ago(1, s.told.0));
+        r.by_delegate(&machine, fencing_token, true, now)
     }
 
     fn tenure(s: &State) -> bool {
--- a/crates/nomad/src/door/upkeep.rs
+++ b/crates/nomad/src/door/upkeep.rs
@@ -8,7 +8,7 @@
 use crate::fault::Faults;
 use crate::translate::{Context, Job, translate};
 use pearford_scheduler::feature::{Action, Outcome, Share, View};
-use pearford_scheduler::types::{Fence, Span, Stamp, Time};
+use pearford_scheduler::types::{FencingToken, Span, Stamp, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 const EVERY: Span = Span::ms(500);
@@ -26,7 +26,7 @@
     /// Where the next look at the active ones begins.
     after: Option<NameHash>,
     health: Health,
-    fence: Option<Fence>,
+    fencing_token: Option<FencingToken>,
     committing: Option<u64>,
     next: Time,
     salt: u64,
@@ -68,9 +68,9 @@
         context: &dyn Fn() -> Context,
         tag: u64,
     ) -> Option<Action> {
-        if self.fence != view.leads {
+        if self.fencing_token != view.leads {
             // What an earlier leader saw counts for nothing: health is counted anew.
-            self.fence = view.leads;
+            self.fencing_token = view.leads;
             self.health.clear();
             self.committing = None;
         }
--- a/crates/recovery/src/table.rs
+++ b/crates/recovery/src/table.rs
@@ -69,7 +69,7 @@
     /// The report was made after the start that has left had run, if it ever ran.
     pub after_order: bool,
     /// The worker had seen this leader's fence as it made the report: no earlier leader's order can act any more.
-    pub under_fence: bool,
+    pub under_fencing_token: bool,
     /// The task is still wanted, and may start again on this machine with the same attempt.
     pub wanted_here: bool,
     /// A start of this attempt, carried out or not, may still come (again) in the worker's present session.
@@ -84,7 +84,7 @@
             stopping: false,
             said,
             after_order: false,
-            under_fence: false,
+            under_fencing_token: false,
             wanted_here: false,
             may_come,
         }
@@ -126,7 +126,7 @@
         (Planned | Ready | Direct, Absent) => Verdict::Unproved,
         // An earlier leader may have ordered the same attempt in a session that it knew of, and the order be on its
         // way. (Found by the search of all orders: a late report from the session before had it alive.)
-        _ if !case.under_fence => Verdict::Unproved,
+        _ if !case.under_fencing_token => Verdict::Unproved,
         (_, Ended(ending)) => Verdict::Gone(Outcome::Ended(ending)),
         (Sent, Absent) => match (case.after_order, case.stopping) {
             (false, _) => Verdict::Unproved,
--- a/crates/recovery/src/table/tests.rs
+++ b/crates/recovery/src/table/tests.rs
@@ -33,7 +33,7 @@
                     said: *said,
                     stopping: bit(0),
                     after_order: bit(1),
-                    under_fence: bit(2),
+                    under_fencing_token: bit(2),
                     wanted_here: bit(3),
                     may_come: bit(4),
                 });
@@ -49,12 +49,12 @@
     // An earlier leader's order acts as long as the worker hasn't seen a higher fence.
     let stored = !matches!(c.stored, Stored::Nothing | Stored::Planned | Stored::Done);
     match c.said {
-        Said::Ended(_) => stored && !c.under_fence,
+        Said::Ended(_) => stored && !c.under_fencing_token,
         Said::Absent => match c.stored {
             Stored::Nothing | Stored::Planned | Stored::Done => false,
             Stored::Direct => true,
-            Stored::Sent => !c.after_order || !c.under_fence,
-            Stored::Ready | Stored::Listed | Stored::Inherited => !c.under_fence,
+            Stored::Sent => !c.after_order || !c.under_fencing_token,
+            Stored::Ready | Stored::Listed | Stored::Inherited => !c.under_fencing_token,
         },
         _ => true,
     }
@@ -96,21 +96,21 @@
 
 /// With a row changed the walk above must notice: the guards are not there for show.
 #[test]
-fn without_the_fence_or_the_order_a_start_would_act_twice() {
+fn without_the_fencing_token_or_the_order_a_start_would_act_twice() {
     let unfenced = Case {
         stored: Stored::Inherited,
         stopping: false,
         said: Said::Absent,
         after_order: false,
-        under_fence: false,
+        under_fencing_token: false,
         wanted_here: true,
         may_come: false,
     };
     assert!(may_be_there(&unfenced) && square(&unfenced) == Verdict::Unproved);
-    let sent = Case { stored: Stored::Sent, under_fence: true, ..unfenced };
+    let sent = Case { stored: Stored::Sent, under_fencing_token: true, ..unfenced };
     assert!(may_be_there(&sent) && square(&sent) == Verdict::Unproved);
     let proved = Case { after_order: true, ..sent };
-    assert_eq!(square(&Case { under_fence: false, ..proved }), Verdict::Unproved);
+    assert_eq!(square(&Case { under_fencing_token: false, ..proved }), Verdict::Unproved);
     assert_eq!(square(&proved), Verdict::StartHere);
     assert_eq!(square(&Case { stopping: true, ..proved }), Verdict::Gone(Outcome::NeverStarted));
 }
--- a/crates/recovery/tests/every_order.rs
+++ b/crates/recovery/tests/every_order.rs
@@ -22,7 +22,7 @@
 struct Worker {
     session: u8,
     serial: u8,
-    fence: u8,
+    fencing_token: u8,
     has: Has,
 }
 
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Order {
     to: usize,
-    fence: u8,
+    fencing_token: u8,
     session: u8,
     attempt: u8,
     start: bool,
@@ -42,7 +42,7 @@
     from: usize,
     session: u8,
     serial: u8,
-    fence: u8,
+    fencing_token: u8,
     has: Has,
 }
 
@@ -57,7 +57,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Leader {
-    fence: u8,
+    fencing_token: u8,
     /// It has read the records.
     ready: bool,
     entries: [Option<Entry>; MACHINES],
@@ -69,7 +69,7 @@
     workers: [Worker; MACHINES],
     /// The records: attempt stored on each machine, and the fence under which commits pass.
     stored: [Option<u8>; MACHINES],
-    store_fence: u8,
+    store_fencing_token: u8,
     leaders: Vec<Leader>,
     orders: Vec<Order>,
     reports: Vec<Report>,
@@ -82,7 +82,7 @@
 enum Out {
     Nothing,
     /// Absence is taken for a proof whatever fence the worker had seen.
-    Fence,
+    FencingToken,
     /// A start without an answer is taken for one that did not arrive.
     Doubt,
     /// A commit passes whoever leads.
@@ -97,11 +97,11 @@
 type Way = (Out, bool);
 
 fn first() -> State {
-    let worker = Worker { session: 1, serial: 0, fence: 0, has: Has::Nothing };
+    let worker = Worker { session: 1, serial: 0, fencing_token: 0, has: Has::Nothing };
     State {
         workers: [worker; MACHINES],
         stored: [None; MACHINES],
-        store_fence: 1,
+        store_fencing_token: 1,
         leaders: vec![lead(1, true)],
         orders: Vec::new(),
         reports: Vec::new(),
@@ -110,8 +110,8 @@
     }
 }
 
-fn lead(fence: u8, ready: bool) -> Leader {
-    Leader { fence, ready, entries: [None; MACHINES], known: [(0, 0); MACHINES] }
+fn lead(fencing_token: u8, ready: bool) -> Leader {
+    Leader { fencing_token, ready, entries: [None; MACHINES], known: [(0, 0); MACHINES] }
 }
 
 /// The verdict of the table for what a leader has and a report says.
@@ -132,7 +132,7 @@
         stopping: !wanted_here,
         said,
         after_order: out == Out::Doubt || entry.is_some_and(|e| report.session > e.sent_in),
-        under_fence: out == Out::Fence || report.fence == mine,
+        under_fencing_token: out == Out::FencingToken || report.fencing_token == mine,
         wanted_here,
         may_come: false,
     })
@@ -163,14 +163,20 @@
             let mut n = s.clone();
             n.workers[m].serial += 1;
             let serial = w.serial + 1;
-            n.reports.push(Report { from: m, session: w.session, serial, fence: w.fence, has: w.has });
+            n.reports.push(Report {
+                from: m,
+                session: w.session,
+                serial,
+                fencing_token: w.fencing_token,
+                has: w.has,
+            });
             all.push(n);
         }
     }
     // The second leader takes the lead, and later reads the records.
     if s.leaders.len() == 1 {
         let mut n = s.clone();
-        n.store_fence = 2;
+        n.store_fencing_token = 2;
         n.leaders.push(lead(2, false));
         all.push(n);
     }
@@ -194,16 +200,16 @@
         }
         // A fence is told to a worker, by an answer to a report.
         for m in 0..MACHINES {
-            if s.workers[m].fence < l.fence {
+            if s.workers[m].fencing_token < l.fencing_token {
                 let mut n = s.clone();
-                n.workers[m].fence = l.fence;
+                n.workers[m].fencing_token = l.fencing_token;
                 all.push(n);
             }
         }
         // It plans the task on a machine, if no entry has it, and writes that if it still leads.
         if l.entries.iter().all(Option::is_none) && s.attempts < ATTEMPTS {
             for m in 0..MACHINES {
-                if s.store_fence != l.fence && out != Out::Commit {
+                if s.store_fencing_token != l.fencing_token && out != Out::Commit {
                     continue;
                 }
                 let mut n = s.clone();
@@ -221,7 +227,13 @@
                 let mut n = s.clone();
                 let session = l.known[m].0;
                 n.leaders[i].entries[m] = Some(Entry { state: Stored::Sent, sent_in: session, ..e });
-                n.orders.push(Order { to: m, fence: l.fence, session, attempt: e.attempt, start: true });
+                n.orders.push(Order {
+                    to: m,
+                    fencing_token: l.fencing_token,
+                    session,
+                    attempt: e.attempt,
+                    start: true,
+                });
                 n.orders.sort();
                 all.push(n);
             }
@@ -232,8 +244,8 @@
         let mut n = s.clone();
         let o = n.orders.remove(k);
         let w = &mut n.workers[o.to];
-        if o.fence >= w.fence && o.session == w.session {
-            w.fence = o.fence;
+        if o.fencing_token >= w.fencing_token && o.session == w.session {
+            w.fencing_token = o.fencing_token;
             match (o.start, w.has) {
                 (true, Has::Nothing) => w.has = Has::Runs(o.attempt),
                 (false, Has::Runs(a)) if a == o.attempt => w.has = Has::Ended(a),
@@ -262,8 +274,8 @@
             }
             l.known[r.from] = (r.session, r.serial);
             let entry = l.entries[r.from];
-            let (leads, fence) = (n.store_fence == l.fence, l.fence);
-            match (verdict(entry, &r, fence, way), entry) {
+            let (leads, fencing_token) = (n.store_fencing_token == l.fencing_token, l.fencing_token);
+            match (verdict(entry, &r, fencing_token, way), entry) {
                 (Verdict::There, Some(e)) => l.entries[r.from] = Some(Entry { state: Stored::Listed, ..e }),
                 (Verdict::StartHere, Some(e)) => {
                     l.entries[r.from] = Some(Entry { state: Stored::Ready, ..e })
@@ -274,7 +286,7 @@
                     let doubt = entry.is_some_and(|e| e.sent_in == r.session) && out != Out::Forget;
                     // The answer gets there or not; the removal is written late, or never: all are followed.
                     let mut answered = n.clone();
-                    forget(&mut answered.workers[r.from], &r, fence, doubt);
+                    forget(&mut answered.workers[r.from], &r, fencing_token, doubt);
                     for mut n in [n.clone(), answered] {
                         all.push(n.clone());
                         if leads {
@@ -288,7 +300,13 @@
                     if let Has::Runs(attempt) = r.has
                         && n.orders.len() < 2
                     {
-                        n.orders.push(Order { to: r.from, fence, session: r.session, attempt, start: false });
+                        n.orders.push(Order {
+                            to: r.from,
+                            fencing_token,
+                            session: r.session,
+                            attempt,
+                            start: false,
+                        });
                         n.orders.sort();
                     }
                 }
@@ -301,9 +319,11 @@
 }
 
 /// The answer to a report that lists an ended task lets the worker forget it, and tells it the fence.
-fn forget(worker: &mut Worker, report: &Report, fence: u8, doubt: bool) {
-    if (worker.session, worker.serial) == (report.session, report.serial) && fence >= worker.fence {
-        worker.fence = fence;
+fn forget(worker: &mut Worker, report: &Report, fencing_token: u8, doubt: bool) {
+    if (worker.session, worker.serial) == (report.session, report.serial)
+        && fencing_token >= worker.fencing_token
+    {
+        worker.fencing_token = fencing_token;
         if matches!(worker.has, Has::Ended(_)) && worker.has == report.has && !doubt {
             worker.has = Has::Nothing;
         }
@@ -337,7 +357,7 @@
 
 #[test]
 fn with_a_guard_out_there_is_such_an_order() {
-    for out in [Out::Fence, Out::Doubt, Out::Commit, Out::Forget, Out::Superseded] {
+    for out in [Out::FencingToken, Out::Doubt, Out::Commit, Out::Forget, Out::Superseded] {
         assert!([false, true].iter().any(|wanted| search((out, *wanted)).is_err()), "{out:?} is not needed?");
     }
 }
--- a/crates/scheduler/src/blocks/mod.rs
+++ b/crates/scheduler/src/blocks/mod.rs
@@ -2,7 +2,7 @@
 //! proposes inside its own. Also what controllers say to each other.
 
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
-use crate::types::{Fence, JobId, MachineId, NodeName, Span, Time, Zone};
+use crate::types::{FencingToken, JobId, MachineId, NodeName, Span, Time, Zone};
 use crate::wire::workers::Order;
 use pearford_homes::{Delegation, Digest, Doubt, Relayed, RelayedCall};
 use serde::{Deserialize, Serialize};
@@ -24,33 +24,39 @@
     /// leader, as far as I know.
     Ping {
         state_ok: bool,
-        fence_seen: Fence,
-        beat_at: (Fence, u64),
+        fencing_token_seen: FencingToken,
+        beat_at: (FencingToken, u64),
         hears_workers: bool,
         zones_heard: Vec<(Zone, Span)>,
     },
     /// From the leader: it leads, how jobs stand that have moved since its last beat, and what was
     /// learned of machines.
-    Beat { fence: Fence, beat: u64, jobs: Vec<(JobId, u32, u32)>, learned: Vec<Learned> },
+    Beat { fencing_token: FencingToken, beat: u64, jobs: Vec<(JobId, u32, u32)>, learned: Vec<Learned> },
     /// From the leader: all of that as of a beat, for a controller that missed some.
-    Table { fence: Fence, beat: u64, jobs: Vec<(JobId, u32, u32)>, counts: Counts },
+    Table { fencing_token: FencingToken, beat: u64, jobs: Vec<(JobId, u32, u32)>, counts: Counts },
     /// From the leader: a round's work inside the receiver's block.
-    Offer { fence: Fence, block: u64, round: u64, machines: Vec<MachineView>, asks: Vec<TaskAsk> },
+    Offer {
+        fencing_token: FencingToken,
+        block: u64,
+        round: u64,
+        machines: Vec<MachineView>,
+        asks: Vec<TaskAsk>,
+    },
     /// The controller's answer.
-    Proposals { fence: Fence, block: u64, round: u64, proposals: Vec<Proposal> },
+    Proposals { fencing_token: FencingToken, block: u64, round: u64, proposals: Vec<Proposal> },
     // What follows is understood from level `HOMES` on, and is sent from then on only.
     /// From the leader: the receiver may answer workers' reports.
     Delegation(Delegation),
     /// To the leader: what was heard of workers.
     Digest(Digest),
     /// From the leader: it lacks what these machines last said.
-    Want { fence: Fence, machines: Vec<MachineId> },
+    Want { fencing_token: FencingToken, machines: Vec<MachineId> },
     /// From the leader: direct orders to pass on.
-    Relay { fence: Fence, calls: Vec<RelayedCall> },
+    Relay { fencing_token: FencingToken, calls: Vec<RelayedCall> },
     /// To the leader: what became of them.
-    Relayed { fence: Fence, calls: Vec<Relayed> },
+    Relayed { fencing_token: FencingToken, calls: Vec<Relayed> },
     /// From the leader: orders to go out with the answers to the next reports.
-    Errands { fence: Fence, orders: Vec<(MachineId, Vec<Order>)> },
+    Errands { fencing_token: FencingToken, orders: Vec<(MachineId, Vec<Order>)> },
     /// From the leader, before each delegation: where its starts may still arrive. Versions before level `DOUBTS` drop
     /// it unread, and hold on as they did.
     Doubt(Doubt),
--- a/crates/scheduler/src/blocks/tests.rs
+++ b/crates/scheduler/src/blocks/tests.rs
@@ -25,14 +25,14 @@
         &"n0".into(),
         PeerMessage::Ping {
             state_ok: true,
-            fence_seen: Fence(4),
-            beat_at: (Fence(4), 9),
+            fencing_token_seen: FencingToken(4),
+            beat_at: (FencingToken(4), 9),
             hears_workers: false,
             zones_heard: vec![("z".into(), Span::ms(1200))],
         },
     );
     let back = decode(&bytes).expect("readable");
-    assert!(matches!(back.message, PeerMessage::Ping { fence_seen: Fence(4), .. }));
+    assert!(matches!(back.message, PeerMessage::Ping { fencing_token_seen: FencingToken(4), .. }));
     assert!(decode(&bytes[..3]).is_none());
     assert!(decode(&[0xff; 40]).is_none());
 }
--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/compat/mod.rs
@@ -7,7 +7,7 @@
 //! `docs/design.md` ("Upgrades") has the argument.
 
 use crate::leader;
-use crate::types::{Fence, NodeName, Span, Stamp, Time};
+use crate::types::{FencingToken, NodeName, Span, Stamp, Time};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -89,13 +89,13 @@
         })
     }
 
-    /// The next request to the state service, if one is due. `fence`: this node validly leads.
-    pub fn tick(&mut self, now: Time, fence: Option<Fence>) -> Option<StateRequest> {
+    /// The next request to the state service, if one is due. `fencing_token`: this node validly leads.
+    pub fn tick(&mut self, now: Time, fencing_token: Option<FencingToken>) -> Option<StateRequest> {
         if self.under_way.is_some() || now < self.next {
             return None;
         }
         let all = self.nodes().map(|(_, level, _)| level).min().unwrap_or(0).min(OURS);
-        let (step, request) = match fence {
+        let (step, request) = match fencing_token {
             // What an earlier run wrote needs no change. (Each restart wrote it anew; after all nodes had crashed that
             // was refused for a minute while others used up the changes, and the new leader delegated to nobody:
             // four times the andina fleet.)
@@ -106,9 +106,9 @@
                 let put = Change::Put { key, value, permit: None };
                 (Step::Announce, StateRequest::Commit { conditions: Vec::new(), changes: vec![put] })
             }
-            Some(fence) if all > self.reached => {
+            Some(fencing_token) if all > self.reached => {
                 let conditions =
-                    vec![(leader::KEY.into(), Stamp(fence.0)), (MARK.to_string(), self.mark_stamp)];
+                    vec![(leader::KEY.into(), Stamp(fencing_token.0)), (MARK.to_string(), self.mark_stamp)];
                 let put = Change::Put { key: MARK.into(), value: all.to_string(), permit: None };
                 (Step::Mark(all), StateRequest::Commit { conditions, changes: vec![put] })
             }
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/compat/tests.rs
@@ -84,21 +84,21 @@
         fetch_gb_per_s: 0.2,
         held_for: Some("req-000001".into()),
     };
-    let (fence, beat) = (Fence(412), 10);
+    let (fencing_token, beat) = (FencingToken(412), 10);
     let jobs = vec![("req-000412".into(), 3, 13)];
     let proposal = Proposal { job: "req-000412".into(), task: 300, machine: "m-000231".into() };
     vec![
         PeerMessage::Ping {
             state_ok: true,
-            fence_seen: fence,
-            beat_at: (fence, 9),
+            fencing_token_seen: fencing_token,
+            beat_at: (fencing_token, 9),
             hears_workers: false,
             zones_heard: vec![("z0".into(), Span::ms(1200))],
         },
-        PeerMessage::Beat { fence, beat, jobs: jobs.clone(), learned: learned() },
-        PeerMessage::Table { fence, beat, jobs, counts: counts() },
-        PeerMessage::Offer { fence, block: 7, round: 8, machines: vec![view], asks: vec![ask] },
-        PeerMessage::Proposals { fence, block: 7, round: 8, proposals: vec![proposal] },
+        PeerMessage::Beat { fencing_token, beat, jobs: jobs.clone(), learned: learned() },
+        PeerMessage::Table { fencing_token, beat, jobs, counts: counts() },
+        PeerMessage::Offer { fencing_token, block: 7, round: 8, machines: vec![view], asks: vec![ask] },
+        PeerMessage::Proposals { fencing_token, block: 7, round: 8, proposals: vec![proposal] },
     ]
 }
 
@@ -177,17 +177,17 @@
     let mut l = Levels::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
     let mut now = Time::from_ms(1);
     assert!(
-        matches!(l.tick(now, Some(Fence(9))), Some(StateRequest::Range { .. })),
+        matches!(l.tick(now, Some(FencingToken(9))), Some(StateRequest::Range { .. })),
         "it looks what is stored"
     );
     l.reply(now, StateReply::Pairs { pairs: Vec::new(), more: false, epoch: 1 });
-    let first = l.tick(now, Some(Fence(9))).expect("it announces itself first");
+    let first = l.tick(now, Some(FencingToken(9))).expect("it announces itself first");
     assert!(matches!(&first, StateRequest::Commit { changes, .. } if changes[0].key() == "level/node/n0"));
     l.reply(now, StateReply::Committed { epoch: 2 });
     let mut seen = vec![pair("level/node/n0", "{\"level\":1}"), pair("level/node/n2", "{\"level\":1}")];
     for _ in 0..5000 {
         now = now + Span::ms(1000);
-        let request = l.tick(now, Some(Fence(9))).expect("it looks");
+        let request = l.tick(now, Some(FencingToken(9))).expect("it looks");
         assert!(matches!(request, StateRequest::Range { .. }), "n1 hasn't shown up: {request:?}");
         l.reply(now, StateReply::Pairs { pairs: seen.clone(), more: false, epoch: 3 });
     }
@@ -201,7 +201,7 @@
     assert!(matches!(l.tick(now, None), Some(StateRequest::Range { .. })), "only the leader marks");
     l.reply(now, StateReply::Unknown);
     now = now + Span::ms(1000);
-    let Some(StateRequest::Commit { conditions, .. }) = l.tick(now, Some(Fence(9))) else {
+    let Some(StateRequest::Commit { conditions, .. }) = l.tick(now, Some(FencingToken(9))) else {
         panic!("the leader marks it")
     };
     assert_eq!(conditions[0], ("leader".to_string(), Stamp(9)));
--- a/crates/scheduler/src/feature/mod.rs
+++ b/crates/scheduler/src/feature/mod.rs
@@ -9,7 +9,7 @@
 use crate::jobs::{Admission, Mirror};
 use crate::ledger::MachineRecord;
 use crate::settings::Settings;
-use crate::types::{Fence, JobId, MachineId, NodeName, OpId, Room, TeamName, Time, Wall};
+use crate::types::{FencingToken, JobId, MachineId, NodeName, OpId, Room, TeamName, Time, Wall};
 use crate::wire::state::Change;
 
 /// What a node and a feature have in common for a step.
@@ -23,7 +23,7 @@
     /// The copy of the feature's own records.
     pub records: &'a Records,
     /// This node validly leads, by this fence.
-    pub leads: Option<Fence>,
+    pub leads: Option<FencingToken>,
     /// What a submission is checked by, whichever door it comes through.
     pub admission: Admission<'a>,
     pub(crate) standing: &'a dyn Fn(&JobId) -> Option<(u32, u32)>,
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -83,9 +83,9 @@
     }
 
     /// A request name that no other request has: fences are unique to one leadership.
-    pub fn claim(&mut self, fence: crate::types::Fence) -> String {
+    pub fn claim(&mut self, fencing_token: crate::types::FencingToken) -> String {
         self.next_claim += 1;
-        format!("pf-{fence}-{}", self.next_claim)
+        format!("pf-{fencing_token}-{}", self.next_claim)
     }
 
     /// What to rent so that `needs` fit, given the machines that are `coming` already. `per_zone`
--- a/crates/scheduler/src/gangs/mod.rs
+++ b/crates/scheduler/src/gangs/mod.rs
@@ -1,7 +1,7 @@
 //! Gangs: all tasks of an attempt run at the same time or none does.
 
 use crate::jobs::{JobSpec, Run};
-use crate::types::{Attempt, Fence};
+use crate::types::{Attempt, FencingToken};
 
 /// Numbers for attempts, unique over all leaders: the fence is in the upper bits, so a number is
 /// never used again even though the counter lives in memory only.
@@ -13,8 +13,8 @@
 const COUNTER_BITS: u32 = 20;
 
 impl Attempts {
-    pub fn new(fence: Fence) -> Self {
-        Self { next: fence.0 << COUNTER_BITS }
+    pub fn new(fencing_token: FencingToken) -> Self {
+        Self { next: fencing_token.0 << COUNTER_BITS }
     }
     pub fn issue(&mut self) -> Attempt {
         self.next += 1;
--- a/crates/scheduler/src/leader/mod.rs
+++ b/crates/scheduler/src/leader/mod.rs
@@ -4,7 +4,7 @@
 //! for clock drift; past that it commits and orders nothing, but may go on answering reports for
 //! a while ("holding") so that workers' leases survive an outage of the state service.
 
-use crate::types::{Fence, NodeName, OpId, Permit, Span, Stamp, Time};
+use crate::types::{FencingToken, NodeName, OpId, Permit, Span, Stamp, Time};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Turn {
     Nothing,
-    Won(Fence),
+    Won(FencingToken),
     Lost,
 }
 
@@ -58,14 +58,14 @@
     life: Span,
     renew_every: Span,
     stage: Stage,
-    fence: Fence,
+    fencing_token: FencingToken,
     valid_until: Time,
     next_try: Time,
     op: Option<OpId>,
     /// It doesn't stand for the lead before; it looks who has it all the same.
     stands_from: Time,
     /// Who else leads, as the key said when this node last looked.
-    other: Option<(NodeName, Fence, Time)>,
+    other: Option<(NodeName, FencingToken, Time)>,
 }
 
 impl Seat {
@@ -75,7 +75,7 @@
             life,
             renew_every,
             stage: Stage::Idle,
-            fence: Fence(0),
+            fencing_token: FencingToken(0),
             valid_until: Time::default(),
             next_try: Time::default(),
             op: None,
@@ -96,17 +96,17 @@
     pub fn valid(&self, now: Time) -> bool {
         self.leads() && now < self.valid_until
     }
-    pub fn fence(&self) -> Fence {
-        self.fence
+    pub fn fencing_token(&self) -> FencingToken {
+        self.fencing_token
     }
     pub fn valid_until(&self) -> Time {
         self.valid_until
     }
 
     /// Another node that holds the key, by a look not longer ago than `within`.
-    pub fn other(&self, within: Span, now: Time) -> Option<(&NodeName, Fence)> {
+    pub fn other(&self, within: Span, now: Time) -> Option<(&NodeName, FencingToken)> {
         let other = self.other.as_ref().filter(|(.., at)| now.since(*at) <= within && !self.leads());
-        other.map(|(node, fence, _)| (node, *fence))
+        other.map(|(node, fencing_token, _)| (node, *fencing_token))
     }
 
     /// The next request to the state service, if one is due. `quiet`: somebody else leads and
@@ -148,7 +148,7 @@
         if let (Stage::Looking, StateReply::Found(pair)) = (self.stage, &reply) {
             let holder = serde_json::from_str::<KeyValue>(&pair.value).ok().map(|value| value.node);
             let holder = holder.filter(|node| *node != self.node);
-            self.other = holder.map(|node| (node, Fence(pair.stamp.0), now));
+            self.other = holder.map(|node| (node, FencingToken(pair.stamp.0), now));
         }
         match (self.stage, reply) {
             (Stage::Looking, _) if now < self.stands_from => {
@@ -177,7 +177,7 @@
                 (Turn::Nothing, Some(StateRequest::Commit { conditions, changes: vec![put] }))
             }
             (Stage::Taking { permit, sent }, StateReply::Committed { epoch }) => {
-                self.win(now, permit, sent, Fence(epoch))
+                self.win(now, permit, sent, FencingToken(epoch))
             }
             (Stage::Taking { permit, sent }, StateReply::Unknown) => {
                 self.stage = Stage::Checking { permit, sent };
@@ -185,7 +185,7 @@
             }
             (Stage::Checking { permit, sent }, reply) => match reply {
                 StateReply::Found(pair) if self.is_mine(&pair, permit) => {
-                    self.win(now, permit, sent, Fence(pair.stamp.0))
+                    self.win(now, permit, sent, FencingToken(pair.stamp.0))
                 }
                 // Until the grant has surely ended, the lost request may still set the key.
                 StateReply::Refused | StateReply::Unknown if now < self.tenure_from(sent) => {
@@ -220,7 +220,7 @@
 
     /// Whether the key was set by an earlier run of this node: this one has not led yet.
     fn is_left_over(&self, pair: &Pair) -> bool {
-        self.fence == Fence(0)
+        self.fencing_token == FencingToken(0)
             && serde_json::from_str::<KeyValue>(&pair.value).is_ok_and(|v| v.node == self.node)
     }
 
@@ -228,12 +228,18 @@
         serde_json::from_str::<KeyValue>(&pair.value).is_ok_and(|v| v.node == self.node && v.permit == permit)
     }
 
-    fn win(&mut self, now: Time, permit: Permit, sent: Time, fence: Fence) -> (Turn, Option<StateRequest>) {
+    fn win(
+        &mut self,
+        now: Time,
+        permit: Permit,
+        sent: Time,
+        fencing_token: FencingToken,
+    ) -> (Turn, Option<StateRequest>) {
         self.stage = Stage::Leading { permit, renewing: None };
-        self.fence = fence;
+        self.fencing_token = fencing_token;
         self.valid_until = self.tenure_from(sent);
         self.next_try = now;
-        (Turn::Won(fence), None)
+        (Turn::Won(fencing_token), None)
     }
 
     /// Gives up leadership; it isn't sought again for a moment, so that another node gets it.
--- a/crates/scheduler/src/leader/tests.rs
+++ b/crates/scheduler/src/leader/tests.rs
@@ -9,7 +9,7 @@
     assert!(matches!(next, Some(StateRequest::Grant { .. })));
     s.reply(t(900), StateReply::Granted(Permit(7)));
     let (change, _) = s.reply(t(1800), StateReply::Committed { epoch: 41 });
-    assert_eq!(change, Turn::Won(Fence(41)));
+    assert_eq!(change, Turn::Won(FencingToken(41)));
     s
 }
 
@@ -44,7 +44,7 @@
     let (_, next) = s.reply(t(920), StateReply::Granted(Permit(7)));
     let Some(StateRequest::Commit { conditions, .. }) = next else { panic!("it takes the key") };
     assert_eq!(conditions, [(KEY.to_string(), Stamp(12))], "if it is still that one");
-    assert_eq!(s.reply(t(930), StateReply::Committed { epoch: 41 }).0, Turn::Won(Fence(41)));
+    assert_eq!(s.reply(t(930), StateReply::Committed { epoch: 41 }).0, Turn::Won(FencingToken(41)));
     // Once it has led, its name in the key says nothing: it may have given the lead up itself.
     s.step_down(t(2000));
     s.tick(t(3000), false, Span::ms(0)).expect("looks");
@@ -62,7 +62,7 @@
     s.tick(t(4_600), false, Span::ms(0)).expect("looks again");
     let key = Pair { key: KEY.into(), value: r#"{"node":"n1","permit":9}"#.into(), stamp: Stamp(52) };
     s.reply(t(4_610), StateReply::Found(key));
-    assert_eq!(s.other(Span::ms(3_000), t(5_000)), Some((&"n1".into(), Fence(52))));
+    assert_eq!(s.other(Span::ms(3_000), t(5_000)), Some((&"n1".into(), FencingToken(52))));
     s.tick(t(23_100), false, Span::ms(0)).expect("looks");
     assert!(s.reply(t(23_110), StateReply::Missing { epoch: 60 }).1.is_some(), "stands again");
 }
@@ -80,5 +80,5 @@
     let mut other = Seat { stage: s.stage, ..Seat::new("n0".into(), Span::ms(4000), Span::ms(1000)) };
     assert_eq!(other.reply(Time::from_ms(901), StateReply::Found(theirs)).0, Turn::Nothing);
     let mine = Pair { key: KEY.into(), value: r#"{"node":"n0","permit":7}"#.into(), stamp: Stamp(5) };
-    assert_eq!(s.reply(Time::from_ms(901), StateReply::Found(mine)).0, Turn::Won(Fence(5)));
+    assert_eq!(s.reply(Time::from_ms(901), StateReply::Found(mine)).0, Turn::Won(FencingToken(5)));
 }
--- a/crates/scheduler/src/ledger/journal.rs
+++ b/crates/scheduler/src/ledger/journal.rs
@@ -5,7 +5,7 @@
 //! has the same conditions, so only one of the two can win; the loser is told which key moved,
 //! reads it, and carries on from there.
 
-use crate::types::{Fence, Stamp};
+use crate::types::{FencingToken, Stamp};
 use crate::wire::state::Change;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Journal {
     leader_key: String,
-    fence: Fence,
+    fencing_token: FencingToken,
     docs: BTreeMap<String, Doc>,
     first: VecDeque<String>,
     urgent: VecDeque<String>,
@@ -67,10 +67,10 @@
 const MAX_BYTES: usize = 56 * 1024;
 
 impl Journal {
-    pub fn new(leader_key: &str, fence: Fence, max_ops: usize) -> Self {
+    pub fn new(leader_key: &str, fencing_token: FencingToken, max_ops: usize) -> Self {
         Self {
             leader_key: leader_key.into(),
-            fence,
+            fencing_token,
             docs: BTreeMap::new(),
             first: VecDeque::new(),
             urgent: VecDeque::new(),
@@ -164,7 +164,7 @@
         let turn = self.turn_of_the_rest();
         self.batches += 1;
         let mut batch = Batch {
-            conditions: vec![(self.leader_key.clone(), Stamp(self.fence.0))],
+            conditions: vec![(self.leader_key.clone(), Stamp(self.fencing_token.0))],
             changes: Vec::new(),
             versions: Vec::new(),
         };
--- a/crates/scheduler/src/node/core/features.rs
+++ b/crates/scheduler/src/node/core/features.rs
@@ -155,7 +155,7 @@
 
     fn step_feature(&mut self, slot: usize, input: Input<'_>) -> Vec<Action> {
         let Some(mut feature) = self.features[slot].feature.take() else { return Vec::new() };
-        let fence = self.seat.valid(self.now).then(|| self.seat.fence());
+        let fencing_token = self.seat.valid(self.now).then(|| self.seat.fencing_token());
         let (master, standings) = (&self.master, &self.standings);
         let view = View {
             now: self.now,
@@ -164,7 +164,7 @@
             settings: &self.settings,
             jobs: &self.mirror,
             records: &self.features[slot].records,
-            leads: fence.filter(|_| master.is_some()),
+            leads: fencing_token.filter(|_| master.is_some()),
             admission: self.admission(),
             standing: &|id| match master {
                 Some(master) => master.standing_of(id),
@@ -242,7 +242,7 @@
             Share::Users => self.user_writes.take(changes.len() as f64, self.now),
             Share::Upkeep => {
                 let valid = self.seat.valid(self.now);
-                conditions.push((leader::KEY.into(), Stamp(self.seat.fence().0)));
+                conditions.push((leader::KEY.into(), Stamp(self.seat.fencing_token().0)));
                 let now = self.now;
                 valid && self.master.as_mut().is_some_and(|m| m.spare_writes(changes.len(), now))
             }
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -18,7 +18,7 @@
 use crate::placement::{self, COUNTS_PREFIX, Counts, Factors};
 use crate::settings::Settings;
 use crate::store::Budget;
-use crate::types::{Fence, JobId, NodeName, OpId, Span, Stamp, Time, Wall};
+use crate::types::{FencingToken, JobId, NodeName, OpId, Span, Stamp, Time, Wall};
 use crate::wire::cloud::CloudReply;
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::workers::{self, Report};
@@ -55,15 +55,15 @@
     next_ping: Time,
     /// Last report that this node, not leading, had to turn away.
     heard_worker: Time,
-    leader_hint: Option<(Fence, NodeName, Time)>,
-    top_fence: Fence,
+    leader_hint: Option<(FencingToken, NodeName, Time)>,
+    highest_fencing_token: FencingToken,
     /// The state service's revision, as far as this node has ever known.
     revision: u64,
     catalogue: Catalogue,
     /// How jobs stand, as the leader told last.
     standings: BTreeMap<JobId, (u32, u32)>,
     counts: Counts,
-    beat_at: (Fence, u64),
+    beat_at: (FencingToken, u64),
     counts_loaded: bool,
     user_writes: Budget,
     levels: Levels,
@@ -104,12 +104,12 @@
             next_ping: Time::default(),
             heard_worker: Time::default(),
             leader_hint: None,
-            top_fence: Fence(0),
+            highest_fencing_token: FencingToken(0),
             revision: 0,
             catalogue: Catalogue::default(),
             standings: BTreeMap::new(),
             counts: Counts::default(),
-            beat_at: (Fence(0), 0),
+            beat_at: (FencingToken(0), 0),
             counts_loaded: false,
             user_writes,
             levels: Levels::new(settings.node.clone(), settings.peers.iter().map(|p| p.name.clone())),
@@ -168,8 +168,8 @@
         } else {
             self.pump();
         }
-        let fence = self.seat.fence();
-        self.out.take(fence)
+        let fencing_token = self.seat.fencing_token();
+        self.out.take(fencing_token)
     }
 
     /// The leader's part and what it may use, if this node has it.
@@ -205,7 +205,7 @@
             let zones = self.peers.zones_heard().iter();
             let ping = PeerMessage::Ping {
                 state_ok: self.state_ok(),
-                fence_seen: self.top_fence,
+                fencing_token_seen: self.highest_fencing_token,
                 beat_at: self.beat_at,
                 hears_workers: now.since(self.heard_worker) < Span::ms(3000),
                 zones_heard: zones.map(|(z, at)| (z.clone(), now.since(*at))).collect(),
@@ -215,7 +215,7 @@
             }
         }
         let quiet = self.leader_hint.as_ref().is_some_and(|(f, n, at)| {
-            *f >= self.top_fence && *n != self.settings.node && now.since(*at) < Span::ms(2000)
+            *f >= self.highest_fencing_token && *n != self.settings.node && now.since(*at) < Span::ms(2000)
         });
         let jitter = Span::ms(self.rng.random_range(0..300));
         if let Some(request) = self.seat.tick(now, quiet || self.mirror.epoch().is_none(), jitter) {
@@ -238,8 +238,8 @@
         if self.old {
             return;
         }
-        let fence = self.seat.valid(self.now).then(|| self.seat.fence());
-        if let Some(request) = self.levels.tick(self.now, fence) {
+        let fencing_token = self.seat.valid(self.now).then(|| self.seat.fencing_token());
+        if let Some(request) = self.levels.tick(self.now, fencing_token) {
             self.out.ask_state(request, Pending::Levels);
         }
     }
@@ -318,7 +318,7 @@
                 self.seat_sends(request);
             }
             match turn {
-                Turn::Won(fence) => self.take_over(fence),
+                Turn::Won(fencing_token) => self.take_over(fencing_token),
                 Turn::Lost => self.step_down("the grant has ended"),
                 Turn::Nothing => {}
             }
@@ -361,9 +361,13 @@
                     }
                 }
             }
-            Some(Pending::Leader(fence, op)) => {
+            Some(Pending::Leader(fencing_token, op)) => {
                 let leave = self.leading().and_then(|(master, mut ctx)| {
-                    if master.fence() == fence { master.state(&mut ctx, op, reply) } else { None }
+                    if master.fencing_token() == fencing_token {
+                        master.state(&mut ctx, op, reply)
+                    } else {
+                        None
+                    }
                 });
                 self.leave(leave);
             }
@@ -386,13 +390,13 @@
 
     // ---- taking and losing the lead ----
 
-    fn take_over(&mut self, fence: Fence) {
-        tracing::info!(%fence, "leads now");
-        self.revision = self.revision.max(fence.0);
-        self.saw_fence(fence);
+    fn take_over(&mut self, fencing_token: FencingToken) {
+        tracing::info!(%fencing_token, "leads now");
+        self.revision = self.revision.max(fencing_token.0);
+        self.saw_fencing_token(fencing_token);
         let types = self.catalogue.types().to_vec();
         let early = self.delegate.leads(self.now);
-        self.master = Some(Master::new(self.settings.clone(), fence, self.now, types, early));
+        self.master = Some(Master::new(self.settings.clone(), fencing_token, self.now, types, early));
         if let Some((master, mut ctx)) = self.leading() {
             master.load(&mut ctx);
         }
@@ -414,12 +418,12 @@
                 self.step_down(why);
             }
             Some(Leave::Resign(why)) => {
-                let fence = self.seat.fence();
+                let fencing_token = self.seat.fencing_token();
                 let request = StateRequest::Commit {
-                    conditions: vec![(leader::KEY.into(), Stamp(fence.0))],
+                    conditions: vec![(leader::KEY.into(), Stamp(fencing_token.0))],
                     changes: vec![Change::Delete { key: leader::KEY.into() }],
                 };
-                self.out.ask_state(request, Pending::Leader(fence, LeaderOp::Resign));
+                self.out.ask_state(request, Pending::Leader(fencing_token, LeaderOp::Resign));
                 self.seat.shun(self.now, SHUN);
                 self.step_down(why);
             }
@@ -435,36 +439,36 @@
             return;
         }
         match message {
-            PeerMessage::Ping { state_ok, fence_seen, beat_at, hears_workers, zones_heard } => {
-                self.saw_fence(fence_seen);
+            PeerMessage::Ping { state_ok, fencing_token_seen, beat_at, hears_workers, zones_heard } => {
+                self.saw_fencing_token(fencing_token_seen);
                 for (zone, age) in zones_heard {
                     self.peers.heard_zone(&zone, self.now.before(age));
                 }
                 self.peers.pinged(from, state_ok, beat_at, hears_workers, self.now);
             }
-            PeerMessage::Beat { fence, beat, jobs, learned } => {
-                if !self.heed(fence, &from) {
+            PeerMessage::Beat { fencing_token, beat, jobs, learned } => {
+                if !self.heed(fencing_token, &from) {
                     return;
                 }
                 // Only an unbroken run of beats is taken in; a gap is mended by a table.
-                if self.beat_at == (fence, beat.wrapping_sub(1)) {
+                if self.beat_at == (fencing_token, beat.wrapping_sub(1)) {
                     self.beat_at.1 = beat;
                     learned.iter().for_each(|l| self.counts.learn(l));
                     self.take_standings(jobs);
-                } else if self.beat_at != (fence, beat) {
-                    self.beat_at = (Fence(0), 0);
+                } else if self.beat_at != (fencing_token, beat) {
+                    self.beat_at = (FencingToken(0), 0);
                 }
             }
-            PeerMessage::Table { fence, beat, jobs, counts } => {
-                if self.heed(fence, &from) {
+            PeerMessage::Table { fencing_token, beat, jobs, counts } => {
+                if self.heed(fencing_token, &from) {
                     self.counts = counts;
-                    self.beat_at = (fence, beat);
+                    self.beat_at = (fencing_token, beat);
                     self.standings.clear();
                     self.take_standings(jobs);
                 }
             }
-            PeerMessage::Offer { fence, block, round, mut machines, asks } => {
-                if !self.heed(fence, &from) {
+            PeerMessage::Offer { fencing_token, block, round, mut machines, asks } => {
+                if !self.heed(fencing_token, &from) {
                     return;
                 }
                 let proposals = placement::round(
@@ -474,11 +478,11 @@
                     &Factors::of(&self.settings.operator),
                     &mut self.rng,
                 );
-                self.out.tell(&from, PeerMessage::Proposals { fence, block, round, proposals });
+                self.out.tell(&from, PeerMessage::Proposals { fencing_token, block, round, proposals });
             }
-            PeerMessage::Proposals { fence, block, round, proposals } => {
+            PeerMessage::Proposals { fencing_token, block, round, proposals } => {
                 if let Some((master, mut ctx)) = self.leading() {
-                    master.proposals(&mut ctx, &from, fence, block, round, proposals);
+                    master.proposals(&mut ctx, &from, fencing_token, block, round, proposals);
                 }
             }
             message => self.about_reports(&from, message),
@@ -489,33 +493,34 @@
         self.standings.extend(jobs.into_iter().map(|(id, done, running)| (id, (done, running))));
     }
 
-    /// Whether to listen to a leader with `fence`; remembers it for redirects.
-    fn heed(&mut self, fence: Fence, from: &NodeName) -> bool {
-        self.saw_fence(fence);
-        if fence < self.top_fence || !self.is_possible(fence) {
+    /// Whether to listen to a leader with `fencing_token`; remembers it for redirects.
+    fn heed(&mut self, fencing_token: FencingToken, from: &NodeName) -> bool {
+        self.saw_fencing_token(fencing_token);
+        if fencing_token < self.highest_fencing_token || !self.is_possible(fencing_token) {
             return false;
         }
-        self.leader_hint = Some((fence, from.clone(), self.now));
+        self.leader_hint = Some((fencing_token, from.clone(), self.now));
         true
     }
 
     /// Whether the state service can have given a fence: fences are its revisions, and each change is one at most. One
     /// report that named 2^64 - 1 would else have every leader step down, for good. A node that has read nothing yet
     /// can't tell, and notes none.
-    fn is_possible(&self, fence: Fence) -> bool {
+    fn is_possible(&self, fencing_token: FencingToken) -> bool {
         if self.revision == 0 {
             return true;
         }
         let since = self.now.since(self.follower.fresh_at()).as_secs() + 2.0;
         let more = 2.0 * self.settings.state.write_rps * since;
-        fence.0 <= self.top_fence.0.max(self.revision).saturating_add(more as u64)
+        fencing_token.0 <= self.highest_fencing_token.0.max(self.revision).saturating_add(more as u64)
     }
 
     /// A higher fence means that somebody else has led since: stop at once. What can't be one says nothing.
-    fn saw_fence(&mut self, fence: Fence) {
-        if fence > self.top_fence && self.revision > 0 && self.is_possible(fence) {
-            self.top_fence = fence;
-            if self.seat.leads() && self.seat.fence() < fence {
+    fn saw_fencing_token(&mut self, fencing_token: FencingToken) {
+        if fencing_token > self.highest_fencing_token && self.revision > 0 && self.is_possible(fencing_token)
+        {
+            self.highest_fencing_token = fencing_token;
+            if self.seat.leads() && self.seat.fencing_token() < fencing_token {
                 self.seat.step_down(self.now);
                 self.step_down("a higher fence was seen");
             }
@@ -527,7 +532,7 @@
     pub(crate) fn metrics(&self) -> String {
         let mut lines = vec![
             format!("pearford_leads {}", u8::from(self.seat.leads())),
-            format!("pearford_fence {}", self.top_fence),
+            format!("pearford_fence {}", self.highest_fencing_token),
             format!("pearford_jobs_known {}", self.mirror.len()),
             format!("pearford_state_requests_open {}", self.out.open()),
             format!("pearford_peer_messages_dropped {}", self.dropped),
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -35,9 +35,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Passing {
     /// Direct orders under way, for whom, and as what they know it.
-    calls: BTreeMap<OpId, (NodeName, Fence, u64)>,
+    calls: BTreeMap<OpId, (NodeName, FencingToken, u64)>,
     /// Orders that go out with the answers to the next reports.
-    errands: BTreeMap<MachineId, (Fence, Vec<Order>)>,
+    errands: BTreeMap<MachineId, (FencingToken, Vec<Order>)>,
     /// Reports that came while no leader was known, in their order.
     parked: VecDeque<(Time, OpId, Report)>,
     /// Guard out: starts of what is over are passed on.
@@ -51,11 +51,11 @@
             Ok(report) => report,
             Err(error) => return self.out.refuse(request, 400, &error.to_string()),
         };
-        if !self.is_possible(report.fence) {
-            tracing::warn!(machine = %report.machine, fence = %report.fence, "a report names a fence that nobody can have given");
+        if !self.is_possible(report.fencing_token) {
+            tracing::warn!(machine = %report.machine, fencing_token = %report.fencing_token, "a report names a fence that nobody can have given");
             return self.out.refuse(request, 400, "fence: no controller can have given it");
         }
-        self.saw_fence(report.fence);
+        self.saw_fencing_token(report.fencing_token);
         if !self.answer_report(request, &report) {
             self.heard_worker = self.now;
             // Where no peer is heard, it may be this node that is apart: others may reach a leader.
@@ -98,10 +98,13 @@
 
     /// Answers in the leader's name, or sends the worker where it belongs; false: this node has no delegation.
     fn report_to_delegate(&mut self, request: OpId, report: &Report) -> bool {
-        let Some(fence) = self.delegate.fence().filter(|_| !self.seat.leads()) else { return false };
+        let Some(fencing_token) = self.delegate.fencing_token().filter(|_| !self.seat.leads()) else {
+            return false;
+        };
         let (machine, zone) = (&report.machine, &report.zone);
         let tells = self.levels.reached() >= compat::DOUBTS;
-        let (top, may_renew) = (self.top_fence, self.renewal.by_delegate(machine, fence, tells, self.now));
+        let (top, may_renew) =
+            (self.highest_fencing_token, self.renewal.by_delegate(machine, fencing_token, tells, self.now));
         let ask = Ask { machine, zone, at: report.stamped(), content: report.content() };
         match self.delegate.report(ask, top, may_renew, self.now) {
             Whose::NotOurs => return false,
@@ -110,18 +113,18 @@
                 self.heard_worker = self.now;
                 self.out.answer(request, 421, workers::redirect(None));
             }
-            Whose::Answer(fence) => {
+            Whose::Answer(fencing_token) => {
                 self.teller.answered(machine, zone, Span::secs(self.settings.workers.lease_s), self.now);
                 // No start ever goes this way; what the leader sends on its own goes directly.
                 let mut orders = match self.passing.errands.remove(&report.machine) {
-                    Some((of, errands)) if of == fence => errands,
+                    Some((of, errands)) if of == fencing_token => errands,
                     _ => Vec::new(),
                 };
                 let mirror = &self.mirror;
                 if self.renewal.stops() {
                     stop_what_is_over(report, |job| mirror.verdict(job).is_some(), &mut orders);
                 }
-                self.out.answer(request, 200, workers::answer(fence, &orders));
+                self.out.answer(request, 200, workers::answer(fencing_token, &orders));
             }
         }
         true
@@ -130,7 +133,8 @@
     /// Who leads, if that is known.
     fn known_leader(&self) -> Option<&NodeName> {
         let known = self.leader_hint.as_ref();
-        let known = known.filter(|(f, _, at)| *f >= self.top_fence && self.now.since(*at) < Span::ms(3000));
+        let known = known
+            .filter(|(f, _, at)| *f >= self.highest_fencing_token && self.now.since(*at) < Span::ms(3000));
         known.map(|(_, leader, _)| leader)
     }
 
@@ -145,12 +149,12 @@
     pub(super) fn worker(&mut self, op: OpId, status: u16, body: &[u8]) {
         let at = serde_json::from_slice::<Report>(body).ok().map(|r| r.stamped());
         match self.passing.calls.remove(&op) {
-            Some((leader, fence, call)) => {
+            Some((leader, fencing_token, call)) => {
                 if let Some(at) = at {
-                    self.saw_fence(at.fence);
+                    self.saw_fencing_token(at.fencing_token);
                 }
                 let calls = vec![Relayed { call, status, at }];
-                self.out.tell(&leader, PeerMessage::Relayed { fence, calls });
+                self.out.tell(&leader, PeerMessage::Relayed { fencing_token, calls });
             }
             None => self.worker_answered(op, status, at),
         }
@@ -158,35 +162,39 @@
 
     fn worker_answered(&mut self, op: OpId, status: u16, at: Option<Stamped>) {
         let seen = self.leading().and_then(|(master, ctx)| master.worker(op, status, at, ctx.now));
-        if let Some(fence) = seen {
-            self.saw_fence(fence);
+        if let Some(fencing_token) = seen {
+            self.saw_fencing_token(fencing_token);
         }
     }
 
     /// What nodes say to one another about reports.
     pub(super) fn about_reports(&mut self, from: &NodeName, message: PeerMessage) {
         match message {
-            PeerMessage::Delegation(d) if self.heed(d.fence, from) && !self.seat.leads() => {
+            PeerMessage::Delegation(d) if self.heed(d.fencing_token, from) && !self.seat.leads() => {
                 self.delegate.granted(from, d, self.now);
             }
-            PeerMessage::Doubt(doubt) if doubt.fence >= self.top_fence => self.renewal.told(doubt, self.now),
-            PeerMessage::Want { fence, machines } if self.delegate.fence() == Some(fence) => {
+            PeerMessage::Doubt(doubt) if doubt.fencing_token >= self.highest_fencing_token => {
+                self.renewal.told(doubt, self.now)
+            }
+            PeerMessage::Want { fencing_token, machines }
+                if self.delegate.fencing_token() == Some(fencing_token) =>
+            {
                 self.delegate.wanted(machines);
             }
-            PeerMessage::Errands { fence, orders } if fence >= self.top_fence => {
+            PeerMessage::Errands { fencing_token, orders } if fencing_token >= self.highest_fencing_token => {
                 for (machine, orders) in orders {
                     if self.passing.errands.len() < ERRANDS {
-                        self.passing.errands.insert(machine, (fence, orders));
+                        self.passing.errands.insert(machine, (fencing_token, orders));
                     }
                 }
             }
-            PeerMessage::Relay { fence, calls } => self.pass_on(from, fence, calls),
+            PeerMessage::Relay { fencing_token, calls } => self.pass_on(from, fencing_token, calls),
             PeerMessage::Digest(digest) => {
                 if let Some((master, mut ctx)) = self.leading() {
                     master.digest(&mut ctx, from, digest);
                 }
             }
-            PeerMessage::Relayed { fence, calls } if fence == self.seat.fence() => {
+            PeerMessage::Relayed { fencing_token, calls } if fencing_token == self.seat.fencing_token() => {
                 for Relayed { call, status, at } in calls {
                     if self.out.relay_answered(OpId(call)) {
                         self.worker_answered(OpId(call), status, at);
@@ -199,7 +207,7 @@
 
     /// Passes a leader's direct orders on. One that a cut has held back is as good as one that was late on its
     /// way to the worker: it names session and fence, and its sender has long counted it as in doubt.
-    fn pass_on(&mut self, from: &NodeName, fence: Fence, calls: Vec<RelayedCall>) {
+    fn pass_on(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCall>) {
         let mut refused = Vec::new();
         for RelayedCall { call, addr, mut body, patience } in calls {
             // The leader may not know yet what this node has told a user: that a job is withdrawn.
@@ -207,7 +215,7 @@
             let passed = workers::without_starts(&body, |job| mirror.verdict(job).is_some());
             #[cfg(any(test, feature = "world"))]
             let passed = if self.passing.passes_all { Passed::AsItIs } else { passed };
-            let late = fence < self.top_fence || passed == Passed::Nothing;
+            let late = fencing_token < self.highest_fencing_token || passed == Passed::Nothing;
             if let Passed::Without(rest) = passed {
                 body = rest;
             }
@@ -216,10 +224,10 @@
                 continue;
             }
             let op = self.out.ask_worker(addr, body, patience);
-            self.passing.calls.insert(op, (from.clone(), fence, call));
+            self.passing.calls.insert(op, (from.clone(), fencing_token, call));
         }
         if !refused.is_empty() {
-            self.out.tell(from, PeerMessage::Relayed { fence, calls: refused });
+            self.out.tell(from, PeerMessage::Relayed { fencing_token, calls: refused });
         }
     }
 
@@ -229,16 +237,16 @@
     fn apart_tick(&mut self) {
         let lease = Span::secs(self.settings.workers.lease_s);
         let on = homes_on(&self.settings, self.levels.reached()) && self.known_leader().is_none();
-        let Some((leader, fence)) = self.seat.other(LOOKED, self.now).filter(|_| on) else { return };
+        let Some((leader, fencing_token)) = self.seat.other(LOOKED, self.now).filter(|_| on) else { return };
         let leader = leader.clone();
-        self.saw_fence(fence);
-        self.delegate.granted_by_record(&leader, fence, &self.settings.zone, self.now);
+        self.saw_fencing_token(fencing_token);
+        self.delegate.granted_by_record(&leader, fencing_token, &self.settings.zone, self.now);
         let up_for = self.now.since(self.started_at.unwrap_or(self.now));
         if self.delegate.is_fresh(self.now) || up_for < LOOKED {
             return;
         }
         if let Some(word) =
-            self.teller.word(fence, self.delegate.heard_at(), &self.settings.zone, lease, self.now)
+            self.teller.word(fencing_token, self.delegate.heard_at(), &self.settings.zone, lease, self.now)
         {
             let key = format!("{APART}{}", self.settings.node);
             let value = serde_json::to_string(&word).unwrap_or_default();
@@ -258,9 +266,9 @@
         {
             self.out.tell(&leader, PeerMessage::Digest(digest));
         }
-        let (top, errands) = (self.top_fence, &mut self.passing.errands);
-        if errands.values().any(|(fence, _)| *fence < top) {
-            errands.retain(|_, (fence, _)| *fence >= top);
+        let (top, errands) = (self.highest_fencing_token, &mut self.passing.errands);
+        if errands.values().any(|(fencing_token, _)| *fencing_token < top) {
+            errands.retain(|_, (fencing_token, _)| *fencing_token >= top);
         }
     }
 }
--- a/crates/scheduler/src/node/master/apart.rs
+++ b/crates/scheduler/src/node/master/apart.rs
@@ -18,7 +18,7 @@
         }
         self.next_told = ctx.now + ASK_EVERY;
         let request = StateRequest::Range { prefix: PREFIX, after: None, most: MOST };
-        ctx.out.ask_state(request, Pending::Leader(self.fence, LeaderOp::Apart));
+        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::Apart));
     }
 
     pub(super) fn apart_told(&mut self, ctx: &mut Ctx, reply: StateReply) {
@@ -27,7 +27,7 @@
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
             // Said before this leader's time, perhaps long before: read as new, a word of a minute ago kept a zone that
             // was cut off altogether for 20 s too long (andina grown, rough).
-            if pair.stamp.0 <= self.fence.0 {
+            if pair.stamp.0 <= self.fencing_token.0 {
                 continue;
             }
             match serde_json::from_str::<Word>(&pair.value) {
@@ -47,6 +47,6 @@
             return false;
         }
         let heard = |m: &&Machine| m.heard() && m.last_report.is_some_and(|at| now.since(at) <= interval);
-        self.told.outweigh(|| self.machines.values().filter(heard).count() as u32, self.fence, now)
+        self.told.outweigh(|| self.machines.values().filter(heard).count() as u32, self.fencing_token, now)
     }
 }
--- a/crates/scheduler/src/node/master/beat.rs
+++ b/crates/scheduler/src/node/master/beat.rs
@@ -23,10 +23,10 @@
             ids.filter_map(|id| self.standing_of(id).map(|(d, r)| (id.clone(), d, r))).collect()
         };
         let jobs = standings(&mut touched.iter());
-        let (fence, beat) = (self.fence, self.beats);
+        let (fencing_token, beat) = (self.fencing_token, self.beats);
         // A controller that has missed a beat gets everything instead; an answer may be under way.
         let in_step: Vec<bool> =
-            ctx.peers.names().iter().map(|name| ctx.peers.in_step(name, fence, beat)).collect();
+            ctx.peers.names().iter().map(|name| ctx.peers.in_step(name, fencing_token, beat)).collect();
         let all = match in_step.iter().all(|in_step| *in_step) {
             true => Vec::new(),
             false => standings(&mut self.runs.keys()),
@@ -41,9 +41,9 @@
         }
         for (peer, in_step) in ctx.peers.names().iter().zip(in_step) {
             let message = if in_step {
-                PeerMessage::Beat { fence, beat, jobs: jobs.clone(), learned: learned.clone() }
+                PeerMessage::Beat { fencing_token, beat, jobs: jobs.clone(), learned: learned.clone() }
             } else {
-                PeerMessage::Table { fence, beat, jobs: all.clone(), counts: ctx.counts.clone() }
+                PeerMessage::Table { fencing_token, beat, jobs: all.clone(), counts: ctx.counts.clone() }
             };
             ctx.out.tell(peer, message);
         }
@@ -64,10 +64,10 @@
                 permit: None,
             };
             let request = StateRequest::Commit {
-                conditions: vec![(leader::KEY.into(), Stamp(self.fence.0))],
+                conditions: vec![(leader::KEY.into(), Stamp(self.fencing_token.0))],
                 changes: parts.iter().map(put).collect(),
             };
-            ctx.out.ask_state(request, Pending::Leader(self.fence, LeaderOp::SaveCounts));
+            ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::SaveCounts));
         }
     }
 }
--- a/crates/scheduler/src/node/master/calls.rs
+++ b/crates/scheduler/src/node/master/calls.rs
@@ -49,7 +49,7 @@
         if ctx.renewal.stops() {
             stop_what_is_over(report, |job| mirror.verdict(job).is_some(), &mut orders);
         }
-        ctx.out.answer(request, 200, workers::answer(self.fence, &orders));
+        ctx.out.answer(request, 200, workers::answer(self.fencing_token, &orders));
         true
     }
 
@@ -60,7 +60,7 @@
         status: u16,
         report: Option<Stamped>,
         now: Time,
-    ) -> Option<Fence> {
+    ) -> Option<FencingToken> {
         if let Some(call) = self.directs.remove(&op) {
             let at = match (&report, status) {
                 (Some(r), 200) => Some(Some((r.session, r.serial))),
@@ -70,7 +70,7 @@
             if let Some(m) = self.machines.get_mut(&call.machine) {
                 m.direct_answered(call.starts, call.session, at);
             }
-            return report.map(|r| r.fence);
+            return report.map(|r| r.fencing_token);
         }
         if let Some(machine) = self.probes.remove(&op) {
             if let Some(m) = self.machines.get_mut(&machine) {
@@ -88,13 +88,13 @@
         let report = report?;
         if let Some(m) = self.machines.get_mut(&machine)
             && status == 409
-            && report.fence < self.fence
+            && report.fencing_token < self.fencing_token
             && report.session > m.session
         {
             m.push_session = report.session;
             self.to_push.insert(machine);
         }
-        Some(report.fence)
+        Some(report.fencing_token)
     }
 
     /// Sends something straight to a worker, by way of the node that hears it if that is another one.
@@ -112,13 +112,15 @@
 
     /// Tells workers the fence that have not reported yet. A few at a time: most learn it by their
     /// next report before their turn comes.
-    pub(super) fn push_fence(&mut self, ctx: &mut Ctx) {
+    pub(super) fn push_fencing_token(&mut self, ctx: &mut Ctx) {
         while self.pushes.len() < PUSHES_AT_ONCE
             && let Some(id) = self.to_push.pop_first()
         {
-            let Some(m) = self.machines.get(&id).filter(|m| m.fence < self.fence) else { continue };
+            let Some(m) = self.machines.get(&id).filter(|m| m.fencing_token < self.fencing_token) else {
+                continue;
+            };
             let Some(addr) = m.addr.clone() else { continue };
-            let body = workers::command(self.fence, m.session.max(m.push_session), &[]);
+            let body = workers::command(self.fencing_token, m.session.max(m.push_session), &[]);
             let op = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
             self.pushes.insert(op, id);
         }
@@ -126,16 +128,16 @@
 
     /// Orders that needn't wait for a worker's next report go straight to it.
     pub(super) fn send_directs(&mut self, ctx: &mut Ctx) {
-        let (may_start, fence) = (self.may_start(ctx), self.fence);
+        let (may_start, fencing_token) = (self.may_start(ctx), self.fencing_token);
         let at_once = DIRECTS_AT_ONCE.min(self.settings.limits.orders());
         while self.directs.len() < at_once
             && let Some(id) = self.to_direct.pop_first()
         {
-            let Some(m) = self.machines.get_mut(&id).filter(|m| m.reachable(fence)) else { continue };
+            let Some(m) = self.machines.get_mut(&id).filter(|m| m.reachable(fencing_token)) else { continue };
             let (orders, starts) = m.direct_orders(may_start, ctx.now);
             if let (false, Some(addr)) = (orders.is_empty(), m.addr.clone()) {
-                self.phases.ordered(self.fence, self.since, ctx.now);
-                let body = workers::command(fence, m.session, &orders);
+                self.phases.ordered(self.fencing_token, self.since, ctx.now);
+                let body = workers::command(fencing_token, m.session, &orders);
                 let session = m.session;
                 let op = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
                 self.directs.insert(op, DirectCall { machine: id, session, starts });
--- a/crates/scheduler/src/node/master/homes.rs
+++ b/crates/scheduler/src/node/master/homes.rs
@@ -17,14 +17,14 @@
 }
 
 impl Phases {
-    fn told(once: &mut bool, phase: &str, fence: Fence, since: Time, now: Time) {
+    fn told(once: &mut bool, phase: &str, fencing_token: FencingToken, since: Time, now: Time) {
         if !std::mem::replace(once, true) {
-            tracing::info!(%fence, after_ms = now.since(since).0, phase, "take-over");
+            tracing::info!(%fencing_token, after_ms = now.since(since).0, phase, "take-over");
         }
     }
 
-    pub(super) fn ordered(&mut self, fence: Fence, since: Time, now: Time) {
-        Self::told(&mut self.order, "first order", fence, since, now);
+    pub(super) fn ordered(&mut self, fencing_token: FencingToken, since: Time, now: Time) {
+        Self::told(&mut self.order, "first order", fencing_token, since, now);
     }
 }
 
@@ -48,7 +48,13 @@
         }
         let up = || self.machines.values().filter(|m| m.standing == Standing::Up);
         if !self.phases.heard && self.loaded() && up().next().is_some() && up().all(Machine::heard) {
-            Phases::told(&mut self.phases.heard, "all machines heard", self.fence, self.since, ctx.now);
+            Phases::told(
+                &mut self.phases.heard,
+                "all machines heard",
+                self.fencing_token,
+                self.since,
+                ctx.now,
+            );
         }
     }
 
@@ -62,7 +68,7 @@
                 never.push(m.id.clone());
             }
         }
-        Doubt::new(self.fence, beat, machines, never)
+        Doubt::new(self.fencing_token, beat, machines, never)
     }
 
     /// What another node has heard of workers.
@@ -70,12 +76,12 @@
         if !self.loaded() || !ctx.holds {
             return; // told again once all records are read
         }
-        Phases::told(&mut self.phases.digest, "first digest", self.fence, self.since, ctx.now);
+        Phases::told(&mut self.phases.digest, "first digest", self.fencing_token, self.since, ctx.now);
         for heard in self.hub.digest(from, digest, ctx.now) {
             self.heard_elsewhere(ctx, from, heard);
         }
         for (node, machines) in self.hub.wants() {
-            ctx.out.tell(&node, PeerMessage::Want { fence: self.fence, machines });
+            ctx.out.tell(&node, PeerMessage::Want { fencing_token: self.fencing_token, machines });
         }
     }
 
@@ -126,7 +132,7 @@
         }
         if let (false, Some(addr)) = (again.is_empty(), m.addr.clone()) {
             // In doubt until the worker's session ends, whatever becomes of this one.
-            let body = workers::command(self.fence, m.session, &again);
+            let body = workers::command(self.fencing_token, m.session, &again);
             let (machine, session) = (id.clone(), m.session);
             let op = self.ask(ctx, &machine, addr, body, calls::WORKER_PATIENCE);
             self.directs.insert(op, DirectCall { machine, session, starts: Vec::new() });
@@ -137,7 +143,7 @@
         for (node, mut orders) in std::mem::take(&mut self.errands) {
             while !orders.is_empty() {
                 let rest = orders.split_off(orders.len().min(ERRANDS_AT_ONCE));
-                ctx.out.tell(&node, PeerMessage::Errands { fence: self.fence, orders });
+                ctx.out.tell(&node, PeerMessage::Errands { fencing_token: self.fencing_token, orders });
                 orders = rest;
             }
         }
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -15,7 +15,7 @@
 
     fn load_page(&self, ctx: &mut Ctx, prefix: &'static str, after: Option<String>, op: LeaderOp) {
         let request = StateRequest::Range { prefix, after, most: PAGE };
-        ctx.out.ask_state(request, Pending::Leader(self.fence, op));
+        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, op));
     }
 
     pub(super) fn loaded_page(&mut self, ctx: &mut Ctx, op: LeaderOp, reply: StateReply) {
@@ -91,7 +91,7 @@
         let (heard, all) = up.fold((0, 0), |(heard, all), m| (heard + usize::from(m.heard()), all + 1));
         if let Some(phase) = self.gathering.heard(heard, all, now) {
             let after_ms = now.since(self.since).0;
-            tracing::info!(fence = %self.fence, after_ms, ?phase, heard, of = all, "take-over");
+            tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "take-over");
             self.room_version += 1;
         }
     }
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -35,8 +35,8 @@
 use crate::settings::Settings;
 use crate::store::Budget;
 use crate::types::{
-    Attempt, Fence, Image, JobId, MachineId, NodeName, OpId, Room, Session, Span, Stamp, TaskId, TeamName,
-    Time, Zone,
+    Attempt, FencingToken, Image, JobId, MachineId, NodeName, OpId, Room, Session, Span, Stamp, TaskId,
+    TeamName, Time, Zone,
 };
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
@@ -121,7 +121,7 @@
 #[derive(Debug)]
 pub(super) struct Master {
     settings: Arc<Settings>,
-    fence: Fence,
+    fencing_token: FencingToken,
     since: Time,
     machines_loaded: bool,
     progress_loaded: bool,
@@ -332,7 +332,7 @@
 impl Master {
     pub(in crate::node) fn new(
         settings: Arc<Settings>,
-        fence: Fence,
+        fencing_token: FencingToken,
         now: Time,
         types: Vec<MachineType>,
         early: Vec<Full>,
@@ -343,7 +343,7 @@
         let own_share = 1.0 - o.user_write_share / 2.0;
         let market = Market::new(types);
         Self {
-            fence,
+            fencing_token,
             since: now,
             machines_loaded: false,
             progress_loaded: false,
@@ -356,7 +356,7 @@
             guaranteed: None,
             tombs: BTreeMap::new(),
             runs: BTreeMap::new(),
-            journal: Journal::new(leader::KEY, fence, settings.state.txn_ops),
+            journal: Journal::new(leader::KEY, fencing_token, settings.state.txn_ops),
             dirty: BTreeSet::new(),
             recorded: BTreeMap::new(),
             correcting: 0,
@@ -364,7 +364,7 @@
             writes: Budget::new(settings.state.write_rps * own_share),
             market,
             blocks: Blocks::default(),
-            attempts: Attempts::new(fence),
+            attempts: Attempts::new(fencing_token),
             offers: BTreeMap::new(),
             slow_until: BTreeMap::new(),
             next_round: 0,
@@ -392,7 +392,7 @@
             probes: BTreeMap::new(),
             to_direct: BTreeSet::new(),
             directs: BTreeMap::new(),
-            hub: Hub::new(settings.node.clone(), fence, now),
+            hub: Hub::new(settings.node.clone(), fencing_token, now),
             told: Told::default(),
             next_told: now,
             cut: BTreeSet::new(),
@@ -424,8 +424,8 @@
 }
 
 impl Master {
-    pub(super) fn fence(&self) -> Fence {
-        self.fence
+    pub(super) fn fencing_token(&self) -> FencingToken {
+        self.fencing_token
     }
 
     /// The step that is over took `cost`.
@@ -514,7 +514,7 @@
             return;
         }
         self.stock_taken(ctx);
-        self.push_fence(ctx);
+        self.push_fencing_token(ctx);
         if !self.loaded() {
             return;
         }
--- a/crates/scheduler/src/node/master/offers.rs
+++ b/crates/scheduler/src/node/master/offers.rs
@@ -21,7 +21,7 @@
         live.insert(me.clone());
         for (node, block, mut machines, asks) in self.build_rounds(&live, &me, now) {
             self.next_round += 1;
-            let (round, fence) = (self.next_round, self.fence);
+            let (round, fencing_token) = (self.next_round, self.fencing_token);
             if node == me {
                 let factors = Factors::of(&self.settings.operator);
                 let proposals = placement::round(&mut machines, &asks, ctx.counts, &factors, ctx.rng);
@@ -29,7 +29,7 @@
             } else {
                 let outstanding = Outstanding { round, sent: now, asks: asks.clone() };
                 self.offers.insert(node.clone(), outstanding);
-                ctx.out.tell(&node, PeerMessage::Offer { fence, block, round, machines, asks });
+                ctx.out.tell(&node, PeerMessage::Offer { fencing_token, block, round, machines, asks });
             }
         }
     }
@@ -38,12 +38,12 @@
         &mut self,
         ctx: &mut Ctx,
         from: &NodeName,
-        fence: Fence,
+        fencing_token: FencingToken,
         block: u64,
         round: u64,
         proposals: Vec<Proposal>,
     ) {
-        if fence != self.fence || self.offers.get(from).is_none_or(|o| o.round != round) {
+        if fencing_token != self.fencing_token || self.offers.get(from).is_none_or(|o| o.round != round) {
             return; // an answer that came too late
         }
         let Some(offer) = self.offers.remove(from) else { return };
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -252,11 +252,11 @@
             self.machines.insert(report.machine.clone(), m);
             self.dirty.insert(report.machine.clone());
         }
-        let fence = self.fence;
+        let fencing_token = self.fencing_token;
         let again = self.start_again(report);
         let Some(m) = self.machines.get_mut(&report.machine) else { return };
         let was = (m.standing, m.session, m.addr.is_some());
-        let digest = m.digest(report, fence, &again, now);
+        let digest = m.digest(report, fencing_token, &again, now);
         if digest.stale {
             return;
         }
@@ -277,7 +277,7 @@
     fn start_again(&self, report: &Report) -> Vec<TaskId> {
         let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
         let may_be_gone = |e: &Entry| match e.state.stored() {
-            Stored::Inherited => report.fence == self.fence,
+            Stored::Inherited => report.fencing_token == self.fencing_token,
             Stored::Listed => report.session > m.session,
             _ => false,
         };
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/master/stock/tests.rs
@@ -28,7 +28,7 @@
 
 pub fn master() -> Master {
     let settings = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
-    Master::new(Arc::new(settings), Fence(9), Time::from_ms(1), Vec::new(), Vec::new())
+    Master::new(Arc::new(settings), FencingToken(9), Time::from_ms(1), Vec::new(), Vec::new())
 }
 
 /// The removal of an old entry had not been written when the leader crashed, the task's new
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -289,7 +289,7 @@
         silent.sort_by_cached_key(|m| !over(m));
         let most = PROBES_AT_ONCE.max(self.machines.len() / PROBES_PART).saturating_sub(asked.len());
         let question = |m: &Machine| {
-            let body = workers::command(self.fence, m.session.max(m.push_session), &[]);
+            let body = workers::command(self.fencing_token, m.session.max(m.push_session), &[]);
             m.addr.clone().map(|addr| (m.id.clone(), addr, body))
         };
         silent.into_iter().filter_map(question).take(most).collect()
@@ -540,7 +540,7 @@
             }
             let number = number.min(most);
             let request = CloudRequest::Rent {
-                claim: self.market.claim(self.fence),
+                claim: self.market.claim(self.fencing_token),
                 type_name: offer.type_name.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -3,7 +3,7 @@
 use super::Effect;
 use crate::blocks::{self, PeerMessage};
 use crate::jobs::{OpenJob, Waiting};
-use crate::types::{Fence, NodeName, OpId, Span, Time};
+use crate::types::{FencingToken, NodeName, OpId, Span, Time};
 use crate::wire::cloud::CloudRequest;
 use crate::wire::state::{Change, StateRequest};
 use crate::wire::users;
@@ -50,7 +50,7 @@
         tag: u64,
     },
     /// The leader's own, void when its fence has passed.
-    Leader(Fence, LeaderOp),
+    Leader(FencingToken, LeaderOp),
 }
 
 /// Whose records a copy is of.
@@ -109,10 +109,10 @@
         }
     }
 
-    /// The effects of the step that ends. `fence`: of the orders that go by way of other nodes.
-    pub fn take(&mut self, fence: Fence) -> Vec<Effect> {
+    /// The effects of the step that ends. `fencing_token`: of the orders that go by way of other nodes.
+    pub fn take(&mut self, fencing_token: FencingToken) -> Vec<Effect> {
         for (node, calls) in std::mem::take(&mut self.relays) {
-            self.tell(&node, PeerMessage::Relay { fence, calls });
+            self.tell(&node, PeerMessage::Relay { fencing_token, calls });
         }
         std::mem::take(&mut self.effects)
     }
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -1,7 +1,7 @@
 //! The other controllers, as their pings show them.
 
 use crate::settings::Peer;
-use crate::types::{Fence, NodeName, Span, Time, Zone};
+use crate::types::{FencingToken, NodeName, Span, Time, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Silence after which a peer counts as away.
@@ -13,7 +13,7 @@
 struct State {
     heard: Time,
     state_ok: bool,
-    beat_at: (Fence, u64),
+    beat_at: (FencingToken, u64),
     hears_workers: bool,
 }
 
@@ -41,7 +41,7 @@
         &mut self,
         from: NodeName,
         state_ok: bool,
-        beat_at: (Fence, u64),
+        beat_at: (FencingToken, u64),
         hears_workers: bool,
         now: Time,
     ) {
@@ -66,9 +66,11 @@
         self.there(now).any(|(_, p)| p.hears_workers)
     }
 
-    /// Whether `name` has taken in the beats of `fence` up to about `beat`.
-    pub fn in_step(&self, name: &NodeName, fence: Fence, beat: u64) -> bool {
-        self.states.get(name).is_some_and(|p| p.beat_at.0 == fence && p.beat_at.1 + BEATS_UNDER_WAY >= beat)
+    /// Whether `name` has taken in the beats of `fencing_token` up to about `beat`.
+    pub fn in_step(&self, name: &NodeName, fencing_token: FencingToken, beat: u64) -> bool {
+        self.states
+            .get(name)
+            .is_some_and(|p| p.beat_at.0 == fencing_token && p.beat_at.1 + BEATS_UNDER_WAY >= beat)
     }
 
     pub fn zones_heard(&self) -> &BTreeMap<Zone, Time> {
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -1,6 +1,6 @@
 //! Workers <-> controller nodes.
 
-use crate::types::{Attempt, Fence, JobId, MachineId, NodeName, Session, TaskId, TypeName, Zone};
+use crate::types::{Attempt, FencingToken, JobId, MachineId, NodeName, Session, TaskId, TypeName, Zone};
 use pearford_homes::Stamped;
 use pearford_recovery::{Ending, Said};
 use serde::{Deserialize, Serialize};
@@ -19,8 +19,8 @@
     #[serde(rename = "tenure")]
     pub session: Session,
     pub serial: u64,
-    #[serde(default)]
-    pub fence: Fence,
+    #[serde(rename = "fence", default)]
+    pub fencing_token: FencingToken,
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "shards", default)]
@@ -40,7 +40,7 @@
 
 impl Report {
     pub fn stamped(&self) -> Stamped {
-        Stamped { session: self.session, serial: self.serial, fence: self.fence }
+        Stamped { session: self.session, serial: self.serial, fencing_token: self.fencing_token }
     }
 
     /// Its content, as nodes tell it one another.
@@ -67,7 +67,7 @@
             spot: c.spot,
             session: at.session,
             serial: at.serial,
-            fence: at.fence,
+            fencing_token: at.fencing_token,
             notice_s: c.notice_s,
             tasks: c.tasks,
         })
@@ -172,26 +172,28 @@
 }
 
 /// The answer to a report.
-pub fn answer(fence: Fence, orders: &[Order]) -> String {
+pub fn answer(fencing_token: FencingToken, orders: &[Order]) -> String {
     #[derive(Serialize)]
     struct Answer {
-        fence: Fence,
+        #[serde(rename = "fence")]
+        fencing_token: FencingToken,
         orders: Vec<WireOrder>,
     }
     let orders = orders.iter().map(Order::to_wire).collect();
-    serde_json::to_string(&Answer { fence, orders }).unwrap_or_default()
+    serde_json::to_string(&Answer { fencing_token, orders }).unwrap_or_default()
 }
 
 /// A direct command.
-pub fn command(fence: Fence, session: Session, orders: &[Order]) -> String {
+pub fn command(fencing_token: FencingToken, session: Session, orders: &[Order]) -> String {
     #[derive(Serialize)]
     struct Command {
-        fence: Fence,
+        #[serde(rename = "fence")]
+        fencing_token: FencingToken,
         tenure: Session,
         orders: Vec<WireOrder>,
     }
     let orders = orders.iter().map(Order::to_wire).collect();
-    serde_json::to_string(&Command { fence, tenure: session, orders }).unwrap_or_default()
+    serde_json::to_string(&Command { fencing_token, tenure: session, orders }).unwrap_or_default()
 }
 
 /// What is left of a direct command without the starts of jobs that are over.
--- a/crates/scheduler/src/wire/workers/tests.rs
+++ b/crates/scheduler/src/wire/workers/tests.rs
@@ -23,7 +23,7 @@
         Order::Forget { task, attempt: Attempt(1) },
     ];
     assert_eq!(
-        answer(Fence(41), &orders),
+        answer(FencingToken(41), &orders),
         r#"{"fence":41,"orders":[{"verb":"start","shard":"req-000412/4","try":2},{"verb":"stop","shard":"req-000412/4","try":1,"drain_s":10.0},{"verb":"forget","shard":"req-000412/4","try":1}]}"#
     );
     assert_eq!(redirect(None), "{}");
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -2,7 +2,8 @@
 
 use crate::ledger::{Entry, EntryState, MachineRecord, Stop};
 use crate::types::{
-    Attempt, Fence, Image, JobId, MachineId, Room, Session, Span, TaskId, TeamName, Time, TypeName, Zone,
+    Attempt, FencingToken, Image, JobId, MachineId, Room, Session, Span, TaskId, TeamName, Time, TypeName,
+    Zone,
 };
 use crate::wire::workers::{Order, Report, ReportedTask, TaskPhase};
 pub use pearford_recovery::Outcome;
@@ -64,7 +65,7 @@
     pub answered_at: Time,
     pub session: Session,
     pub serial: u64,
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
     /// When the cloud will take it away.
     pub taken_at: Option<Time>,
     pub entries: BTreeMap<TaskId, Entry>,
@@ -145,7 +146,7 @@
             answered_at: Time::default(),
             session: Session(0),
             serial: 0,
-            fence: Fence(0),
+            fencing_token: FencingToken(0),
             taken_at: None,
             entries: BTreeMap::new(),
             free: total,
@@ -302,7 +303,7 @@
 
     /// Takes in a report. `mine` is this leader's fence; `again`: tasks that are to start again
     /// right here if they are not there any more.
-    pub fn digest(&mut self, report: &Report, mine: Fence, again: &[TaskId], now: Time) -> Digest {
+    pub fn digest(&mut self, report: &Report, mine: FencingToken, again: &[TaskId], now: Time) -> Digest {
         let mut digest = Digest::default();
         if (report.session, report.serial) <= (self.session, self.serial) {
             digest.stale = true;
@@ -315,7 +316,7 @@
         self.sent.retain(|_, at| now.since(*at) < COMES_AGAIN);
         let was = std::mem::replace(&mut self.session, report.session);
         self.serial = report.serial;
-        self.fence = report.fence;
+        self.fencing_token = report.fencing_token;
         self.addr = Some(report.addr.clone());
         self.last_report = Some(now);
         self.unanswered = 0;
@@ -359,7 +360,7 @@
                 stopping: entry.stop.is_some(),
                 said: reported.map_or(Said::Absent, |r| r.said()),
                 after_order: entry.state.is_before(report.session, report.serial),
-                under_fence: report.fence == mine,
+                under_fencing_token: report.fencing_token == mine,
                 wanted_here: open && again.contains(&task),
                 may_come: false,
             };
@@ -495,8 +496,8 @@
 
 impl Machine {
     /// Whether a direct command may reach the worker.
-    pub fn reachable(&self, mine: Fence) -> bool {
-        self.addr.is_some() && self.standing == Standing::Up && self.fence == mine
+    pub fn reachable(&self, mine: FencingToken) -> bool {
+        self.addr.is_some() && self.standing == Standing::Up && self.fencing_token == mine
     }
 
     /// Orders to send straight to the worker: starts that are durable now, and new stops.
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -9,15 +9,15 @@
     (m, task)
 }
 
-fn report(session: u64, serial: u64, fence: u64, tasks: &str) -> Report {
+fn report(session: u64, serial: u64, fencing_token: u64, tasks: &str) -> Report {
     serde_json::from_str(&format!(
         r#"{{"host":"m-1","addr":"1.1.1.1:1","flavor":"t","region":"z","preemptible":false,
-            "tenure":{session},"serial":{serial},"fence":{fence},"shards":[{tasks}]}}"#
+            "tenure":{session},"serial":{serial},"fence":{fencing_token},"shards":[{tasks}]}}"#
     ))
     .expect("valid")
 }
 
-const MINE: Fence = Fence(9);
+const MINE: FencingToken = FencingToken(9);
 
 /// A new leader placed tasks on machines that its predecessor had returned a minute before, whose
 /// records were still there, and waited for them to be given up (andina, inc-72db).
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn silence_about_an_inherited_task_proves_nothing_until_the_worker_saw_the_fence() {
+fn silence_about_an_inherited_task_proves_nothing_until_the_worker_saw_the_fencing_token() {
     let (mut m, _) = machine_with(EntryState::Inherited);
     assert!(m.digest(&report(1, 1, 8, ""), MINE, &[], Time::from_ms(1)).gone.is_empty());
     assert_eq!(m.digest(&report(1, 2, 9, ""), MINE, &[], Time::from_ms(2)).gone[0].2, Outcome::Vanished);
--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/world/bad_records.rs
@@ -6,7 +6,7 @@
 use super::{Event, Fault, NODES, World, job};
 use crate::blocks::{self, PeerMessage};
 use crate::node::{Input, Method};
-use crate::types::Fence;
+use crate::types::FencingToken;
 use serde_json::{Value, json};
 
 const BAD: [&str; 5] = ["{\"open\":{\"spec\":7}}", "torn {", "{\"later\":{\"form\":2}}", "", "[]"];
@@ -120,7 +120,7 @@
     let leader = w.leader().expect("somebody leads");
     for (n, from) in ["n9", "", "stranger"].into_iter().enumerate() {
         let message = PeerMessage::Table {
-            fence: Fence(u64::MAX - n as u64),
+            fencing_token: FencingToken(u64::MAX - n as u64),
             beat: 1,
             jobs: Vec::new(),
             counts: Default::default(),
@@ -158,9 +158,9 @@
         task("req-000000/4000000000", 1, "running"),
         task("req-000000/", 1, "ended"),
     ]);
-    let fence = w.state.stamp(crate::leader::KEY).map_or(0, |s| s.0);
+    let fencing_token = w.state.stamp(crate::leader::KEY).map_or(0, |s| s.0);
     let body = json!({"host": "m-999999", "addr": "10.9.9.9:1", "flavor": "small", "region": "z0", "preemptible": false,
-        "tenure": 1, "serial": 1, "fence": fence, "shards": shards});
+        "tenure": 1, "serial": 1, "fence": fencing_token, "shards": shards});
     assert!(w.ask(leader, 1, Method::Post, "/v1/report", &body.to_string()));
     w.run_until(13_000);
     assert_eq!(w.answers.len(), 1);
--- a/crates/scheduler/src/world/meetings.rs
+++ b/crates/scheduler/src/world/meetings.rs
@@ -253,22 +253,22 @@
 
 /// A report that names a fence, a serial or an attempt which nobody can have given changes nothing for the others.
 #[test]
-fn impossible_numbers_in_a_report_are_refused_and_move_no_fence() {
+fn impossible_numbers_in_a_report_are_refused_and_move_no_fencing_token() {
     let mut w = day(4_990, |_| {});
     w.run_until(20_000);
     let leader = w.leader().expect("somebody leads");
     let top = u64::MAX;
-    for (tag, (fence, serial, tenure, attempt)) in
+    for (tag, (fencing_token, serial, tenure, attempt)) in
         [(top, 1, 1, 1), (top - 1, top, top, top), (1, top, top, top), (0, 0, 0, 0)].into_iter().enumerate()
     {
         let task = json!({"shard": "req-999999/0", "try": attempt, "phase": "running"});
         let body = json!({"host": "m-999999", "addr": "10.9.9.9:1", "flavor": "small", "region": "z0",
-            "preemptible": false, "tenure": tenure, "serial": serial, "fence": fence, "shards": [task, task]});
+            "preemptible": false, "tenure": tenure, "serial": serial, "fence": fencing_token, "shards": [task, task]});
         for i in 0..NODES {
             assert!(w.ask(i, tag as u64, Method::Post, "/v1/report", &body.to_string()));
         }
         w.run_until(w.now + 1_000);
-        assert_eq!(w.leader(), Some(leader), "fence {fence}");
+        assert_eq!(w.leader(), Some(leader), "fence {fencing_token}");
     }
     let refused = w.answers.iter().filter(|a| a.tag < 2);
     assert!(refused.clone().count() == 2 * NODES && refused.clone().all(|a| a.status == 400));
--- a/crates/scheduler/src/world/workers.rs
+++ b/crates/scheduler/src/world/workers.rs
@@ -52,7 +52,7 @@
     session: u64,
     session_began: u64,
     serial: u64,
-    pub fence: u64,
+    pub fencing_token: u64,
     pub tasks: Vec<Task>,
     node: usize,
     next_report: u64,
@@ -107,7 +107,7 @@
             .collect();
         let notice = self.taken_at.map(|t| t.saturating_sub(now) as f64 / 1000.0);
         json!({"host": self.id, "addr": self.addr, "flavor": self.type_name, "region": self.zone,
-            "preemptible": self.spot, "tenure": self.session, "serial": self.serial, "fence": self.fence,
+            "preemptible": self.spot, "tenure": self.session, "serial": self.serial, "fence": self.fencing_token,
             "warning_s": notice, "shards": shards})
     }
 }
@@ -131,7 +131,7 @@
             session: 1,
             session_began: boots_at,
             serial: 0,
-            fence: 0,
+            fencing_token: 0,
             tasks: Vec::new(),
             node: self.rng.random_range(0..self.settings.len()),
             next_report: boots_at,
@@ -317,11 +317,11 @@
         let w = &mut self.workers[m];
         w.in_flight = None;
         w.next_report = self.now + jitter;
-        let fence = value["fence"].as_u64().unwrap_or(0);
-        if w.session != session || (fence < w.fence && !w.gullible) {
+        let fencing_token = value["fence"].as_u64().unwrap_or(0);
+        if w.session != session || (fencing_token < w.fencing_token && !w.gullible) {
             return;
         }
-        w.fence = w.fence.max(fence);
+        w.fencing_token = w.fencing_token.max(fencing_token);
         w.answered_sent = w.answered_sent.max(sent);
         self.obey(m, &value["orders"]);
     }
@@ -338,16 +338,16 @@
         }
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let w = &mut self.workers[m];
-        let fence = value["fence"].as_u64().unwrap_or(0);
-        let ok = fence >= w.fence && value["tenure"].as_u64() == Some(w.session);
+        let fencing_token = value["fence"].as_u64().unwrap_or(0);
+        let ok = fencing_token >= w.fencing_token && value["tenure"].as_u64() == Some(w.session);
         if ok {
             if w.muted_until > self.now && body.contains("\"start\"") {
                 *self.met.entry("a direct start at a mute machine").or_default() += 1;
             }
-            if fence > w.fence {
+            if fencing_token > w.fencing_token {
                 w.next_report = self.now;
             }
-            w.fence = fence;
+            w.fencing_token = fencing_token;
             self.obey(m, &value["orders"]);
         }
         let body = self.workers[m].report(self.now).to_string().into_bytes();
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -84,7 +84,7 @@
 
 number_type!(
     /// Shows workers who may give orders: the revision of the leader key.
-    Fence
+    FencingToken
 );
 number_type!(
     /// Revision of a key in the state service; 0 means that it does not exist.
