--- a/crates/cell/src/state.rs
+++ b/crates/cell/src/state.rs
@@ -14,7 +14,7 @@
 
 #[derive(Default)]
 struct Store {
-    epoch: u64,
+    store_revision: u64,
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     grants: BTreeMap<u64, (Duration, Instant)>,
     next_grant: u64,
@@ -49,19 +49,19 @@
         let keys: Vec<String> =
             self.keys.iter().filter(|(_, v)| v.2 == Some(grant)).map(|(k, _)| k.clone()).collect();
         if !keys.is_empty() {
-            self.epoch += 1;
+            self.store_revision += 1;
         }
         keys.into_iter().for_each(|key| self.drop_key(key));
     }
 
     fn drop_key(&mut self, key: String) {
         self.keys.remove(&key);
-        let epoch = self.epoch;
-        self.tell(json!({"drop": key, "stamp": epoch}));
+        let store_revision = self.store_revision;
+        self.tell(json!({"drop": key, "stamp": store_revision}));
     }
 
     fn tell(&mut self, news: Value) {
-        self.news.push((self.epoch, news));
+        self.news.push((self.store_revision, news));
         if self.news.len() > HISTORY {
             self.news.remove(0);
         }
@@ -70,32 +70,33 @@
     fn multi(&mut self, body: &Value) -> (u16, Value) {
         let empty = Vec::new();
         let list = |key: &str| body[key].as_array().unwrap_or(&empty);
-        let stamp = |key: &str| self.keys.get(key).map_or(0, |v| v.1);
+        let revision = |key: &str| self.keys.get(key).map_or(0, |v| v.1);
         let failed: Vec<&str> = list("if")
             .iter()
             .filter_map(|c| Some((c["k"].as_str()?, c["stamp"].as_u64()?)))
-            .filter(|(key, at)| stamp(key) != *at)
+            .filter(|(key, at)| revision(key) != *at)
             .map(|(key, _)| key)
             .collect();
         if list("apply").iter().any(|c| c["permit"].as_u64().is_some_and(|p| !self.grants.contains_key(&p))) {
             return (400, json!({"error": "no such lease"}));
         }
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "epoch": self.epoch}));
+            return (409, json!({"failed": failed, "epoch": self.store_revision}));
         }
         if !list("apply").is_empty() {
-            self.epoch += 1;
+            self.store_revision += 1;
         }
-        let epoch = self.epoch;
+        let store_revision = self.store_revision;
         for change in list("apply") {
             if let Some(key) = change["set"].as_str() {
-                self.keys.insert(key.into(), (change["v"].clone(), epoch, change["permit"].as_u64()));
-                self.tell(json!({"set": key, "v": change["v"], "stamp": epoch}));
+                self.keys
+                    .insert(key.into(), (change["v"].clone(), store_revision, change["permit"].as_u64()));
+                self.tell(json!({"set": key, "v": change["v"], "stamp": store_revision}));
             } else if let Some(key) = change["drop"].as_str() {
                 self.drop_key(key.into());
             }
         }
-        (200, json!({"epoch": epoch}))
+        (200, json!({"epoch": store_revision}))
     }
 
     fn range(&self, query: &Query) -> Value {
@@ -111,7 +112,7 @@
             .collect();
         let more = pairs.len() > most;
         pairs.truncate(most);
-        json!({"pairs": pairs, "more": more, "epoch": self.epoch})
+        json!({"pairs": pairs, "more": more, "epoch": self.store_revision})
     }
 
     /// What changed under a prefix after a revision; none if that is too long ago.
@@ -142,14 +143,14 @@
         let until = Instant::now() + Duration::from_millis(number("block_ms").min(60_000));
         loop {
             let changed = self.changed.notified();
-            let (epoch, news) = {
+            let (store_revision, news) = {
                 let store = self.lock();
-                (store.epoch, store.since(&under, number("from")))
+                (store.store_revision, store.since(&under, number("from")))
             };
             match news {
-                None => return reply(410, &json!({"epoch": epoch})),
+                None => return reply(410, &json!({"epoch": store_revision})),
                 Some(news) if !news.is_empty() || Instant::now() >= until => {
-                    return reply(200, &json!({"epoch": epoch, "news": news}));
+                    return reply(200, &json!({"epoch": store_revision, "news": news}));
                 }
                 Some(_) => {
                     let left =
@@ -167,7 +168,7 @@
             ("GET", path) if path.starts_with("kv/") => {
                 match store.keys.get_key_value(&path["kv/".len()..]) {
                     Some((k, v)) => (200, json!({"k": k, "v": v.0, "stamp": v.1, "permit": v.2})),
-                    None => (404, json!({"epoch": store.epoch})),
+                    None => (404, json!({"epoch": store.store_revision})),
                 }
             }
             ("POST", "multi") => store.multi(body),
--- a/crates/homes/src/apart.rs
+++ b/crates/homes/src/apart.rs
@@ -5,7 +5,7 @@
 //! doesn't hear is alive, and that more workers are on the other side, where another node should lead. Nothing is
 //! proved by it: it only keeps machines from being returned, and lets a leader resign.
 
-use pearford_types::{FencingToken, MachineId, NodeName, Span, Stamp, Time, Zone};
+use pearford_types::{FencingToken, MachineId, NodeName, Revision, Span, Time, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,18 +73,18 @@
 
 /// The leader's part: what it was told.
 #[derive(Debug, Default)]
-pub struct Told(BTreeMap<NodeName, (Stamp, Time, Word)>);
+pub struct Told(BTreeMap<NodeName, (Revision, Time, Word)>);
 
 impl Told {
     /// A word as it was read. One that was there before says nothing new, however often it is read.
-    pub fn learn(&mut self, node: NodeName, stamp: Stamp, word: Word, now: Time) {
-        if self.0.get(&node).is_none_or(|(known, ..)| *known < stamp) {
-            self.0.insert(node, (stamp, now, word));
+    pub fn learn(&mut self, node: NodeName, revision: Revision, word: Word, now: Time) {
+        if self.0.get(&node).is_none_or(|(known, ..)| *known < revision) {
+            self.0.insert(node, (revision, now, word));
         }
     }
 
     fn words(&self, now: Time) -> impl Iterator<Item = &Word> {
-        let holds = move |(_, at, _): &&(Stamp, Time, Word)| now.since(*at) < HOLDS;
+        let holds = move |(_, at, _): &&(Revision, Time, Word)| now.since(*at) < HOLDS;
         self.0.values().filter(holds).map(|(_, _, word)| word)
     }
 
--- a/crates/homes/src/apart/tests.rs
+++ b/crates/homes/src/apart/tests.rs
@@ -31,16 +31,16 @@
         fencing_token: FencingToken(fencing_token),
         heard: BTreeMap::from([("x".into(), n)]),
     };
-    told.learn("b".into(), Stamp(20), word(7, 90), T(1_000));
+    told.learn("b".into(), Revision(20), word(7, 90), T(1_000));
     assert!(told.outweigh(|| 10, FencingToken(7), T(2_000)) && told.alive(T(2_000)).contains(&"x".into()));
     assert!(!told.outweigh(|| 72, FencingToken(7), T(2_000)), "hardly more");
     assert!(!told.outweigh(|| 10, FencingToken(8), T(2_000)), "of another leader");
     // Read again and again, it grows old all the same.
-    told.learn("b".into(), Stamp(20), word(7, 90), T(12_000));
+    told.learn("b".into(), Revision(20), word(7, 90), T(12_000));
     assert!(!told.outweigh(|| 10, FencingToken(7), T(13_000)) && told.alive(T(13_000)).is_empty());
-    told.learn("b".into(), Stamp(31), word(7, 90), T(13_500));
+    told.learn("b".into(), Revision(31), word(7, 90), T(13_500));
     assert!(told.outweigh(|| 10, FencingToken(7), T(14_000)));
     // One that comes late says less than what was read before.
-    told.learn("b".into(), Stamp(25), word(7, 1), T(14_000));
+    told.learn("b".into(), Revision(25), word(7, 1), T(14_000));
     assert!(told.outweigh(|| 10, FencingToken(7), T(14_500)));
 }
--- a/crates/nomad/src/door/answers.rs
+++ b/crates/nomad/src/door/answers.rs
@@ -81,8 +81,8 @@
 
 /// Revision of the newest record that it is told by: never falls, as names' records are never removed.
 pub fn index(view: &View<'_>, head: &Head) -> u64 {
-    let own = view.records.get(&head.hash().key()).map_or(0, |(stamp, _)| stamp.0);
-    let jobs = head.parts().filter_map(|p| view.jobs.get(&p.id)).map(|k| k.stamp.0);
+    let own = view.records.get(&head.hash().key()).map_or(0, |(revision, _)| revision.0);
+    let jobs = head.parts().filter_map(|p| view.jobs.get(&p.id)).map(|k| k.revision.0);
     jobs.chain([own, 1]).max().unwrap_or(1)
 }
 
@@ -99,7 +99,7 @@
 }
 
 fn created(view: &View<'_>, head: &Head) -> u64 {
-    let own = || view.records.get(&head.hash().key()).map_or(0, |(stamp, _)| stamp.0);
+    let own = || view.records.get(&head.hash().key()).map_or(0, |(revision, _)| revision.0);
     if head.created > 0 { head.created } else { own() }
 }
 
@@ -118,7 +118,7 @@
 
 /// A version's job as it was registered, with what the server adds.
 fn version_job(view: &View<'_>, head: &Head, version: u64) -> Option<Value> {
-    let (stamp, record) = view.records.get(&head.hash().version_key(version))?;
+    let (revision, record) = view.records.get(&head.hash().version_key(version))?;
     let record: VersionRecord = serde_json::from_str(record).ok()?;
     let mut job = record.job()?;
     let map = job.as_object_mut()?;
@@ -134,8 +134,8 @@
         ("StatusDescription", json!(if newest { description(view, head) } else { String::new() })),
         ("SubmitTime", json!(record.submitted_ms * 1_000_000)),
         ("CreateIndex", json!(created(view, head))),
-        ("ModifyIndex", json!(if newest { index(view, head) } else { stamp.0 })),
-        ("JobModifyIndex", json!(stamp.0)),
+        ("ModifyIndex", json!(if newest { index(view, head) } else { revision.0 })),
+        ("JobModifyIndex", json!(revision.0)),
         ("Stable", json!(newest && head.ended == Some(Ended::Successful))),
     ] {
         map.insert(key.into(), value);
--- a/crates/nomad/src/door/mod.rs
+++ b/crates/nomad/src/door/mod.rs
@@ -238,7 +238,7 @@
 
     /// Answers a question, or lets it wait for a change.
     fn ask(&mut self, view: &View<'_>, request: OpId, asked: Request) -> Vec<Action> {
-        if view.records.epoch().is_none() || view.jobs.epoch().is_none() {
+        if view.records.store_revision().is_none() || view.jobs.store_revision().is_none() {
             return vec![send(request, Reply::error(503, "records are not read yet; come back"))];
         }
         let reply = self.answer(view, &asked);
@@ -368,7 +368,7 @@
                 )
             }
             Ask::Health => {
-                let ok = view.records.epoch().is_some() && view.jobs.epoch().is_some();
+                let ok = view.records.store_revision().is_some() && view.jobs.store_revision().is_some();
                 let message = if ok { "ok" } else { "records are not read yet" };
                 Reply::json(
                     if ok { 200 } else { 503 },
@@ -410,8 +410,8 @@
     /// Takes in the records as they are now.
     fn learn(&mut self, view: &View<'_>, key: &str) {
         let Some(hash) = NameHash::from_key(key) else { return };
-        let Some((stamp, head)) = versions::head_of(view, &hash) else { return };
-        self.newest = self.newest.max(stamp.0);
+        let Some((revision, head)) = versions::head_of(view, &hash) else { return };
+        self.newest = self.newest.max(revision.0);
         if let Some(old) = self.heads.get(&hash) {
             old.jobs().for_each(|id| {
                 self.owners.remove(id);
@@ -421,8 +421,8 @@
             self.owners.insert(id.clone(), hash.clone());
             // Job records may have been read before the name's: lists must not be told an older index then
             // than other nodes have told.
-            let stamp = view.jobs.get(id).map_or(0, |k| k.stamp.0);
-            self.newest = self.newest.max(stamp);
+            let revision = view.jobs.get(id).map_or(0, |k| k.revision.0);
+            self.newest = self.newest.max(revision);
         }
         self.by_name.insert((head.namespace.clone(), head.name.clone()), hash.clone());
         self.upkeep.learned(&hash, &head);
@@ -434,8 +434,8 @@
         for id in ids {
             if let Some(hash) = self.owners.get(id) {
                 self.queries.changed(hash.clone());
-                let stamp = view.jobs.get(id).map_or(0, |k| k.stamp.0);
-                self.newest = self.newest.max(stamp);
+                let revision = view.jobs.get(id).map_or(0, |k| k.revision.0);
+                self.newest = self.newest.max(revision);
             }
         }
     }
--- a/crates/nomad/src/door/retry.rs
+++ b/crates/nomad/src/door/retry.rs
@@ -46,7 +46,7 @@
         // doesn't know may have been registered at another one a moment ago: then a read follows.
         let known = view.records.get(&write.change.hash().key()).is_some();
         let registers = matches!(write.change, Change::Register { plan: false, .. });
-        if view.records.epoch().is_none() || view.jobs.epoch().is_none() {
+        if view.records.store_revision().is_none() || view.jobs.store_revision().is_none() {
             return vec![send(request, Reply::error(503, "records are not read yet; come back"))];
         }
         // A refusal stands only after the read: what was accepted elsewhere keeps its answer. (Repeats got
--- a/crates/nomad/src/door/tests/rolls.rs
+++ b/crates/nomad/src/door/tests/rolls.rs
@@ -185,8 +185,8 @@
         let mut roll = Roll::begin(seed, 2, |_| {});
         let index = {
             let key = NameHash::of("red", "quotes").version_key(0);
-            let stamp = roll.w.state.stamp(&key).expect("registered");
-            stamp.0
+            let revision = roll.w.state.revision(&key).expect("registered");
+            revision.0
         };
         for (node, run) in [(0, 1), (1, 2)] {
             let body =
--- a/crates/nomad/src/door/upkeep.rs
+++ b/crates/nomad/src/door/upkeep.rs
@@ -8,7 +8,7 @@
 use crate::fault::Faults;
 use crate::translate::{Context, Job, translate};
 use pearford_scheduler::feature::{Action, Outcome, Share, View};
-use pearford_scheduler::types::{FencingToken, Span, Stamp, Time};
+use pearford_scheduler::types::{FencingToken, Revision, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 const EVERY: Span = Span::ms(500);
@@ -121,7 +121,7 @@
         head: &Head,
         context: &dyn Fn() -> Context,
     ) -> Option<Writes> {
-        let (stamp, _) = view.records.get(&hash.key())?;
+        let (revision, _) = view.records.get(&hash.key())?;
         let roll = head.roll.as_ref()?;
         let mut parts = BTreeMap::new();
         for group in &head.groups {
@@ -152,30 +152,36 @@
             Step::Withdraw(id) => {
                 self.health.touched(hash.as_str(), view.now);
                 let next = rolls::without(head, &id, view.wall.0);
-                Some(versions::write_roll(view, stamp, &next, Some(&id)))
+                Some(versions::write_roll(view, revision, &next, Some(&id)))
             }
             Step::Finish => {
                 let ended =
                     if head.ended == Some(Ended::Reverted) { Ended::Reverted } else { Ended::Successful };
                 let next = Head { roll: None, ended: Some(ended), ..head.clone() };
                 tracing::info!(job = head.name, version = head.version, "the new version runs alone");
-                Some(versions::write_roll(view, stamp, &next, None))
+                Some(versions::write_roll(view, revision, &next, None))
             }
             Step::Fail => {
                 self.failed += 1;
-                Some(self.fail(view, stamp, head, context))
+                Some(self.fail(view, revision, head, context))
             }
         }
     }
 
     /// A failed roll goes back where it is to and can; else it is kept as it stands.
-    fn fail(&self, view: &View<'_>, stamp: Stamp, head: &Head, context: &dyn Fn() -> Context) -> Writes {
+    fn fail(
+        &self,
+        view: &View<'_>,
+        revision: Revision,
+        head: &Head,
+        context: &dyn Fn() -> Context,
+    ) -> Writes {
         let reverts = head.groups.iter().any(|g| g.update.is_some_and(|u| u.auto_revert));
         // A way back that fails too is not turned once more.
         if reverts
             && head.ended != Some(Ended::Reverted)
             && let Some(before) = before(view, head, context)
-            && let Some(writes) = versions::revert(view, stamp, head, &before, self.salt)
+            && let Some(writes) = versions::revert(view, revision, head, &before, self.salt)
         {
             tracing::warn!(job = head.name, version = head.version, "the roll has failed; goes back");
             return writes;
@@ -186,7 +192,7 @@
             roll.kept = true;
         }
         next.ended = Some(Ended::Failed);
-        versions::write_roll(view, stamp, &next, None)
+        versions::write_roll(view, revision, &next, None)
     }
 
     pub fn metrics(&self, lines: &mut Vec<String>) {
--- a/crates/nomad/src/door/versions.rs
+++ b/crates/nomad/src/door/versions.rs
@@ -6,21 +6,21 @@
 use crate::translate::Job;
 use pearford_scheduler::feature::View;
 use pearford_scheduler::jobs::{self, Record};
-use pearford_scheduler::types::{JobId, Stamp};
+use pearford_scheduler::types::{JobId, Revision};
 use pearford_scheduler::wire::state::Change;
 use serde_json::Value;
 
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Writes {
-    pub conditions: Vec<(String, Stamp)>,
+    pub conditions: Vec<(String, Revision)>,
     pub changes: Vec<Change>,
 }
 
 impl Writes {
-    fn put(&mut self, key: String, stamp: Stamp, value: String) {
-        self.conditions.push((key.clone(), stamp));
-        self.changes.push(Change::Put { key, value, permit: None });
+    fn put(&mut self, key: String, revision: Revision, value: String) {
+        self.conditions.push((key.clone(), revision));
+        self.changes.push(Change::Put { key, value, lease: None });
     }
 
     /// Withdraws a native job, if it has no final answer yet: then the same transaction fails where it
@@ -29,7 +29,7 @@
         if holds(Guard::Withdrawal)
             && let Some(known) = view.jobs.get(id).filter(|k| k.record.is_open())
         {
-            self.put(jobs::key(id), known.stamp, Record::Withdrawn.to_value());
+            self.put(jobs::key(id), known.revision, Record::Withdrawn.to_value());
         }
     }
 
@@ -57,10 +57,10 @@
 }
 
 /// The name's record as this node knows it.
-pub fn head_of(view: &View<'_>, hash: &NameHash) -> Option<(Stamp, Head)> {
-    let (stamp, value) = view.records.get(&hash.key())?;
+pub fn head_of(view: &View<'_>, hash: &NameHash) -> Option<(Revision, Head)> {
+    let (revision, value) = view.records.get(&hash.key())?;
     match serde_json::from_str(value) {
-        Ok(head) => Some((stamp, head)),
+        Ok(head) => Some((revision, head)),
         Err(error) => {
             tracing::error!(key = hash.key(), %error, "a name's record can't be read");
             None
@@ -70,7 +70,7 @@
 
 /// Revision of the last registration or stop: what clients call the job's modify index.
 pub fn modify_index(view: &View<'_>, head: &Head) -> u64 {
-    view.records.get(&head.hash().version_key(head.version)).map_or(0, |(stamp, _)| stamp.0)
+    view.records.get(&head.hash().version_key(head.version)).map_or(0, |(revision, _)| revision.0)
 }
 
 pub fn is_open(view: &View<'_>, id: &JobId) -> bool {
@@ -150,12 +150,12 @@
         ending: Vec::new(),
     };
     let mut leaving = Vec::new();
-    if let Some((stamp, old)) = &known {
-        head.created = if old.created > 0 { old.created } else { stamp.0 };
+    if let Some((revision, old)) = &known {
+        head.created = if old.created > 0 { old.created } else { revision.0 };
         succeed(view, old, &mut head, &mut leaving);
     }
     let record = VersionRecord::new(&digest, view.wall.0, json).to_value();
-    let stamp = known.as_ref().map_or(Stamp(0), |(stamp, _)| *stamp);
+    let revision = known.as_ref().map_or(Revision(0), |(revision, _)| *revision);
     let spare = ops - 2 - made.len();
     head.ending.extend(writes.withdraw_some(view, leaving, spare));
     for (what, value) in [("its record", &head.to_value()), ("the job", &record)] {
@@ -167,9 +167,9 @@
             return refuse(422, why);
         }
     }
-    made.into_iter().for_each(|(key, value)| writes.put(key, Stamp(0), value));
-    writes.put(hash.key(), stamp, head.to_value());
-    writes.put(hash.version_key(version), Stamp(0), record);
+    made.into_iter().for_each(|(key, value)| writes.put(key, Revision(0), value));
+    writes.put(hash.key(), revision, head.to_value());
+    writes.put(hash.version_key(version), Revision(0), record);
     Decision::Write(writes)
 }
 
@@ -194,7 +194,7 @@
 
 /// Stops a job: no new version, and all of its native jobs withdrawn, those of a roll included.
 pub fn deregister(view: &View<'_>, hash: &NameHash, purge: bool) -> Decision {
-    let Some((stamp, mut head)) = head_of(view, hash) else {
+    let Some((revision, mut head)) = head_of(view, hash) else {
         return refuse(404, "there is no such job in this namespace");
     };
     if head.stopped && (head.purged || !purge) {
@@ -209,19 +209,19 @@
     let mut writes = Writes::default();
     // The version's record is written again: its revision is the index that clients compare.
     let version_key = hash.version_key(head.version);
-    let version = view.records.get(&version_key).map(|(stamp, value)| (stamp, value.to_string()));
+    let version = view.records.get(&version_key).map(|(revision, value)| (revision, value.to_string()));
     let at_once = view.settings.state.txn_ops - 1 - usize::from(version.is_some());
     head.ending = writes.withdraw_some(view, open, at_once);
-    writes.put(hash.key(), stamp, head.to_value());
-    if let Some((stamp, value)) = version {
-        writes.put(version_key, stamp, value);
+    writes.put(hash.key(), revision, head.to_value());
+    if let Some((revision, value)) = version {
+        writes.put(version_key, revision, value);
     }
     Decision::Write(writes)
 }
 
 /// Withdraws what a stop or a new version could not withdraw at once.
 pub fn end_some(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
-    let (stamp, mut head) = head_of(view, hash)?;
+    let (revision, mut head) = head_of(view, hash)?;
     if head.ending.is_empty() {
         return None;
     }
@@ -229,7 +229,7 @@
     let at_once = view.settings.state.txn_ops - 1;
     let open: Vec<JobId> = head.ending.iter().filter(|id| is_open(view, id)).cloned().collect();
     head.ending = writes.withdraw_some(view, open, at_once);
-    writes.put(hash.key(), stamp, head.to_value());
+    writes.put(hash.key(), revision, head.to_value());
     Some(writes)
 }
 
@@ -238,7 +238,7 @@
 
 /// Removes the oldest version's record beyond those that are kept.
 pub fn tidy(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
-    let (stamp, head) = head_of(view, hash)?;
+    let (revision, head) = head_of(view, hash)?;
     let from = hash.versions_from();
     let (key, old, _) = view.records.iter_from(&from).next().filter(|(key, ..)| key.starts_with(&from))?;
     let version: u64 = key.rsplit('/').next()?.parse().ok()?;
@@ -249,24 +249,24 @@
     let key = key.to_string();
     Some(Writes {
         // As it was looked at: a roll that goes back could need it by now.
-        conditions: vec![(hash.key(), stamp), (key.clone(), old)],
+        conditions: vec![(hash.key(), revision), (key.clone(), old)],
         changes: vec![Change::Delete { key }],
     })
 }
 
 /// How a roll goes on, as the leader decided.
-pub fn write_roll(view: &View<'_>, stamp: Stamp, head: &Head, withdraw: Option<&JobId>) -> Writes {
+pub fn write_roll(view: &View<'_>, revision: Revision, head: &Head, withdraw: Option<&JobId>) -> Writes {
     let mut writes = Writes::default();
     if let Some(id) = withdraw {
         writes.withdraw(view, id);
     }
-    writes.put(head.hash().key(), stamp, head.to_value());
+    writes.put(head.hash().key(), revision, head.to_value());
     writes
 }
 
 /// Goes back to the version before a roll that has failed: its parts that are still there go on, those that
 /// have gone come anew, and what the failed version has is rolled away.
-pub fn revert(view: &View<'_>, stamp: Stamp, failed: &Head, before: &Job, salt: u64) -> Option<Writes> {
+pub fn revert(view: &View<'_>, revision: Revision, failed: &Head, before: &Job, salt: u64) -> Option<Writes> {
     let roll = failed.roll.as_ref()?;
     let hash = failed.hash();
     let (_, record) = view.records.get(&hash.version_key(roll.from))?;
@@ -284,7 +284,7 @@
             let mut spec = group.spec.clone();
             spec.tasks = missing;
             let value = Record::Open(view.admission.open(&spec)).to_value();
-            writes.put(jobs::key(&id), Stamp(0), value);
+            writes.put(jobs::key(&id), Revision(0), value);
             parts.push(Part { id, tasks: missing });
         }
         let update = Some(group.update);
@@ -309,7 +309,7 @@
         ended: Some(Ended::Reverted),
         ..failed.clone()
     };
-    writes.put(hash.key(), stamp, head.to_value());
-    writes.put(hash.version_key(version), Stamp(0), record.to_value());
+    writes.put(hash.key(), revision, head.to_value());
+    writes.put(hash.version_key(version), Revision(0), record.to_value());
     (writes.changes.len() <= view.settings.state.txn_ops).then_some(writes)
 }
--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/compat/mod.rs
@@ -7,7 +7,7 @@
 //! `docs/design.md` ("Upgrades") has the argument.
 
 use crate::leader;
-use crate::types::{FencingToken, NodeName, Span, Stamp, Time};
+use crate::types::{FencingToken, NodeName, Revision, Span, Time};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     /// What is stored was read once since this node started.
     looked: bool,
     reached: Level,
-    mark_stamp: Stamp,
+    mark_revision: Revision,
     seen: BTreeMap<NodeName, NodeValue>,
     under_way: Option<Step>,
     next: Time,
@@ -69,7 +69,7 @@
             announced: false,
             looked: false,
             reached: 0,
-            mark_stamp: Stamp(0),
+            mark_revision: Revision(0),
             seen: BTreeMap::new(),
             under_way: None,
             next: Time::default(),
@@ -103,13 +103,15 @@
                 let value = NodeValue { level: OURS, version: VERSION.into() };
                 let value = serde_json::to_string(&value).unwrap_or_default();
                 let key = format!("{NODES}{}", self.node);
-                let put = Change::Put { key, value, permit: None };
+                let put = Change::Put { key, value, lease: None };
                 (Step::Announce, StateRequest::Commit { conditions: Vec::new(), changes: vec![put] })
             }
             Some(fencing_token) if all > self.reached => {
-                let conditions =
-                    vec![(leader::KEY.into(), Stamp(fencing_token.0)), (MARK.to_string(), self.mark_stamp)];
-                let put = Change::Put { key: MARK.into(), value: all.to_string(), permit: None };
+                let conditions = vec![
+                    (leader::KEY.into(), Revision(fencing_token.0)),
+                    (MARK.to_string(), self.mark_revision),
+                ];
+                let put = Change::Put { key: MARK.into(), value: all.to_string(), lease: None };
                 (Step::Mark(all), StateRequest::Commit { conditions, changes: vec![put] })
             }
             _ => (Step::Look, StateRequest::Range { prefix: PREFIX, after: None, most: 500 }),
@@ -136,10 +138,10 @@
                     (true, false) => now + PAUSE,
                 };
             }
-            (Step::Mark(level), StateReply::Committed { epoch }) => {
+            (Step::Mark(level), StateReply::Committed { store_revision }) => {
                 tracing::info!(level, "every node understands this level now");
                 self.reached = level;
-                self.mark_stamp = Stamp(epoch);
+                self.mark_revision = Revision(store_revision);
             }
             // Somebody else's mark, or a change of leader: look again.
             (Step::Mark(_), _) => self.seen.clear(),
@@ -159,7 +161,7 @@
 
     fn learn(&mut self, pair: &Pair) {
         if pair.key == MARK {
-            self.mark_stamp = pair.stamp;
+            self.mark_revision = pair.revision;
             match serde_json::from_str::<Level>(&pair.value) {
                 // What was reached once stays so.
                 Ok(level) => self.reached = self.reached.max(level),
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/compat/tests.rs
@@ -169,7 +169,7 @@
 }
 
 fn pair(key: &str, value: &str) -> Pair {
-    Pair { key: key.into(), value: value.into(), stamp: Stamp(3) }
+    Pair { key: key.into(), value: value.into(), revision: Revision(3) }
 }
 
 #[test]
@@ -180,23 +180,23 @@
         matches!(l.tick(now, Some(FencingToken(9))), Some(StateRequest::Range { .. })),
         "it looks what is stored"
     );
-    l.reply(now, StateReply::Pairs { pairs: Vec::new(), more: false, epoch: 1 });
+    l.reply(now, StateReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
     let first = l.tick(now, Some(FencingToken(9))).expect("it announces itself first");
     assert!(matches!(&first, StateRequest::Commit { changes, .. } if changes[0].key() == "level/node/n0"));
-    l.reply(now, StateReply::Committed { epoch: 2 });
+    l.reply(now, StateReply::Committed { store_revision: 2 });
     let mut seen = vec![pair("level/node/n0", "{\"level\":1}"), pair("level/node/n2", "{\"level\":1}")];
     for _ in 0..5000 {
         now = now + Span::ms(1000);
         let request = l.tick(now, Some(FencingToken(9))).expect("it looks");
         assert!(matches!(request, StateRequest::Range { .. }), "n1 hasn't shown up: {request:?}");
-        l.reply(now, StateReply::Pairs { pairs: seen.clone(), more: false, epoch: 3 });
+        l.reply(now, StateReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
     }
     // Nodes that aren't configured don't stand in for one that is.
     seen.push(pair("level/node/n7", "{\"level\":1}"));
     seen.push(pair("level/node/n1", "{\"level\":1,\"version\":\"x\"}"));
     now = now + Span::ms(1000);
     l.tick(now, None).expect("it looks");
-    l.reply(now, StateReply::Pairs { pairs: seen, more: false, epoch: 4 });
+    l.reply(now, StateReply::Pairs { pairs: seen, more: false, store_revision: 4 });
     now = now + Span::ms(1000);
     assert!(matches!(l.tick(now, None), Some(StateRequest::Range { .. })), "only the leader marks");
     l.reply(now, StateReply::Unknown);
@@ -204,9 +204,9 @@
     let Some(StateRequest::Commit { conditions, .. }) = l.tick(now, Some(FencingToken(9))) else {
         panic!("the leader marks it")
     };
-    assert_eq!(conditions[0], ("leader".to_string(), Stamp(9)));
+    assert_eq!(conditions[0], ("leader".to_string(), Revision(9)));
     assert_eq!(l.reached(), 0, "not before that is durable");
-    l.reply(now, StateReply::Committed { epoch: 5 });
+    l.reply(now, StateReply::Committed { store_revision: 5 });
     assert_eq!(l.reached(), 1);
 }
 
@@ -219,7 +219,7 @@
         l.tick(now, None).expect("it looks");
         let value = format!("{{\"level\":{stored},\"version\":\"{VERSION}\"}}");
         let pairs = vec![pair("level/node/n0", &value), pair(MARK, &OURS.to_string())];
-        l.reply(now, StateReply::Pairs { pairs, more: false, epoch: 3 });
+        l.reply(now, StateReply::Pairs { pairs, more: false, store_revision: 3 });
         assert_eq!(l.reached(), OURS);
         let next = l.tick(now + PAUSE, None);
         assert_eq!(matches!(next, Some(StateRequest::Commit { .. })), says, "{stored}: {next:?}");
--- a/crates/scheduler/src/feature/mod.rs
+++ b/crates/scheduler/src/feature/mod.rs
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     Done {
-        epoch: u64,
+        store_revision: u64,
     },
     /// These keys are no longer as the conditions have them.
     Conflict(Vec<String>),
@@ -149,7 +149,7 @@
         body: String,
     },
     /// One transaction over own keys and job records.
-    Commit { tag: u64, share: Share, conditions: Vec<(String, crate::types::Stamp)>, changes: Vec<Change> },
+    Commit { tag: u64, share: Share, conditions: Vec<(String, crate::types::Revision)>, changes: Vec<Change> },
     /// A read of the job records and its own, begun from now on.
     Read { tag: u64 },
     /// A read of the ledger's records, which no node but the leader keeps a copy of: for operators now and
--- a/crates/scheduler/src/jobs/graph/tests.rs
+++ b/crates/scheduler/src/jobs/graph/tests.rs
@@ -1,6 +1,6 @@
 use super::super::{Mirror, OpenJob, Record};
 use super::*;
-use crate::types::{Stamp, Wall};
+use crate::types::{Revision, Wall};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -50,8 +50,8 @@
         }
         records.shuffle(&mut rng);
         let mut m = Mirror::default();
-        for (i, stamp, record) in records {
-            m.learn(id(i), Stamp(stamp), record);
+        for (i, revision, record) in records {
+            m.learn(id(i), Revision(revision), record);
         }
         let mut expected = verdict.clone();
         for i in 0..n {
@@ -70,15 +70,15 @@
 #[test]
 fn priority_is_lent_along_the_chain_and_taken_back() {
     let mut m = Mirror::default();
-    m.learn(id(0), Stamp(1), open(&[], Priority::Low));
-    m.learn(id(1), Stamp(2), open(&[0], Priority::Low));
-    m.learn(id(9), Stamp(3), open(&[0], Priority::Normal));
+    m.learn(id(0), Revision(1), open(&[], Priority::Low));
+    m.learn(id(1), Revision(2), open(&[0], Priority::Low));
+    m.learn(id(9), Revision(3), open(&[0], Priority::Normal));
     assert_eq!(m.priority(&id(0)), Priority::Normal);
     m.take_changed();
-    m.learn(id(2), Stamp(4), open(&[1], Priority::High));
+    m.learn(id(2), Revision(4), open(&[1], Priority::High));
     assert!(m.take_changed().contains(&id(0)), "the leader must look at it again");
     assert_eq!((m.priority(&id(0)), m.priority(&id(1))), (Priority::High, Priority::High));
-    m.learn(id(2), Stamp(5), Record::Withdrawn);
+    m.learn(id(2), Revision(5), Record::Withdrawn);
     assert!(m.take_changed().contains(&id(0)));
     assert_eq!((m.priority(&id(0)), m.priority(&id(1))), (Priority::Normal, Priority::Low));
 }
@@ -87,18 +87,18 @@
 #[test]
 fn long_chains_and_wide_fans_are_walked_in_linear_time() {
     let mut m = Mirror::default();
-    m.learn(id(0), Stamp(1), open(&[], Priority::Low));
-    m.learn(id(1), Stamp(1), open(&[], Priority::Low));
+    m.learn(id(0), Revision(1), open(&[], Priority::Low));
+    m.learn(id(1), Revision(1), open(&[], Priority::Low));
     for level in 1..60 {
         let needs = [2 * level - 2, 2 * level - 1];
-        m.learn(id(2 * level), Stamp(1), open(&needs, Priority::Low));
-        m.learn(id(2 * level + 1), Stamp(1), open(&needs, Priority::Low));
+        m.learn(id(2 * level), Revision(1), open(&needs, Priority::Low));
+        m.learn(id(2 * level + 1), Revision(1), open(&needs, Priority::Low));
     }
     for i in 1000..20_000 {
-        m.learn(id(i), Stamp(1), open(&[118], Priority::High));
+        m.learn(id(i), Revision(1), open(&[118], Priority::High));
     }
     assert_eq!(m.priority(&id(0)), Priority::High);
-    m.learn(id(0), Stamp(2), Record::Withdrawn);
+    m.learn(id(0), Revision(2), Record::Withdrawn);
     assert_eq!(m.verdict(&id(19_999)), Some(Phase::Withdrawn));
     assert_eq!(m.verdict(&id(1)), None);
 }
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -12,7 +12,7 @@
 pub use served::{Served, Stage};
 
 use crate::settings::Settings;
-use crate::types::{Image, JobId, Kind, NodeName, Room, Span, Stamp, TeamName, TypeName, Wall, Zone};
+use crate::types::{Image, JobId, Kind, NodeName, Revision, Room, Span, TeamName, TypeName, Wall, Zone};
 use crate::wire::cloud::MachineType;
 use crate::wire::state::{Event, Pair};
 use graph::Graph;
@@ -203,26 +203,26 @@
 
 #[derive(Debug, Clone)]
 pub struct Known {
-    pub stamp: Stamp,
+    pub revision: Revision,
     pub record: Record,
 }
 
-/// This node's copy of all job records, as of `epoch`.
+/// This node's copy of all job records, as of `store_revision`.
 ///
-/// A watch from `epoch` that returns at once brings it up to date in one request, so an answer
+/// A watch from `store_revision` that returns at once brings it up to date in one request, so an answer
 /// to any number of waiting users costs one read begun after their requests.
 #[derive(Debug, Default)]
 pub struct Mirror {
     jobs: BTreeMap<JobId, Known>,
     /// All changes up to this revision are in `jobs`; `None` until the first full read is over.
-    epoch: Option<u64>,
+    store_revision: Option<u64>,
     /// Who waits for whom, kept in line with `jobs`.
     graph: Graph,
     /// Ids whose records changed since the last `take_changed`, or for whom others' records change
     /// something: free to run, withdrawn, or of another priority.
     changed: Vec<JobId>,
     /// Jobs whose record can't be read, and its version.
-    bad: BTreeMap<JobId, Stamp>,
+    bad: BTreeMap<JobId, Revision>,
     /// As the version before dependencies does.
     #[cfg(any(test, feature = "world"))]
     pub(crate) skip_dependent: bool,
@@ -264,15 +264,15 @@
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Known)> {
         self.jobs.iter()
     }
-    pub fn epoch(&self) -> Option<u64> {
-        self.epoch
+    pub fn store_revision(&self) -> Option<u64> {
+        self.store_revision
     }
-    pub fn forget_epoch(&mut self) {
-        self.epoch = None;
+    pub fn forget_store_revision(&mut self) {
+        self.store_revision = None;
     }
-    pub fn reach(&mut self, epoch: u64) {
-        if self.epoch.is_none_or(|e| e < epoch) {
-            self.epoch = Some(epoch);
+    pub fn reach(&mut self, store_revision: u64) {
+        if self.store_revision.is_none_or(|e| e < store_revision) {
+            self.store_revision = Some(store_revision);
         }
     }
     pub fn take_changed(&mut self) -> Vec<JobId> {
@@ -280,13 +280,13 @@
     }
 
     /// Takes in a record read or written; older ones than the known one are ignored.
-    pub fn learn(&mut self, id: JobId, stamp: Stamp, record: Record) {
-        if self.bad.get(&id).is_some_and(|bad| *bad < stamp) {
+    pub fn learn(&mut self, id: JobId, revision: Revision, record: Record) {
+        if self.bad.get(&id).is_some_and(|bad| *bad < revision) {
             self.bad.remove(&id);
         }
         match self.jobs.get(&id) {
             // A terminal verdict is final: no late answer may reopen it.
-            Some(known) if known.stamp >= stamp || !known.record.is_open() => {}
+            Some(known) if known.revision >= revision || !known.record.is_open() => {}
             _ => {
                 let jobs = &self.jobs;
                 let verdict = |id: &JobId| jobs.get(id).and_then(|k| k.record.terminal());
@@ -297,7 +297,7 @@
                 };
                 self.changed.push(id.clone());
                 self.changed.extend(affected);
-                self.jobs.insert(id, Known { stamp, record });
+                self.jobs.insert(id, Known { revision, record });
             }
         }
     }
@@ -309,7 +309,7 @@
             return;
         }
         match serde_json::from_str(&pair.value) {
-            Ok(record) if Record::is_possible(&record) => self.learn(id.into(), pair.stamp, record),
+            Ok(record) if Record::is_possible(&record) => self.learn(id.into(), pair.revision, record),
             Ok(_) => self.cannot_read(pair, "says what nobody can have stored"),
             Err(error) => self.cannot_read(pair, &error.to_string()),
         }
@@ -319,7 +319,7 @@
     /// record again that can be read.
     fn cannot_read(&mut self, pair: &Pair, why: &str) {
         let id: JobId = pair.key[PREFIX.len()..].into();
-        if self.bad.insert(id, pair.stamp) != Some(pair.stamp) {
+        if self.bad.insert(id, pair.revision) != Some(pair.revision) {
             tracing::error!(key = pair.key, why, "job record can't be read; put a right one there");
         }
     }
@@ -334,14 +334,14 @@
         self.bad.len()
     }
 
-    pub fn learn_events(&mut self, epoch: u64, events: &[Event]) {
+    pub fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
         for event in events {
             if let Event::Put(pair) = event {
                 self.learn_pair(pair);
             }
         }
-        if self.epoch.is_some() {
-            self.reach(epoch);
+        if self.store_revision.is_some() {
+            self.reach(store_revision);
         }
     }
 }
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -28,10 +28,10 @@
     let mut m = Mirror::default();
     let id = JobId::from("req-1");
     let open = Record::Open(Arc::new(OpenJob { spec: spec(), submitted: Wall(1), home: "n0".into() }));
-    m.learn(id.clone(), Stamp(5), open.clone());
-    m.learn(id.clone(), Stamp(7), Record::Done);
-    m.learn(id.clone(), Stamp(6), open.clone());
-    m.learn(id.clone(), Stamp(9), open);
+    m.learn(id.clone(), Revision(5), open.clone());
+    m.learn(id.clone(), Revision(7), Record::Done);
+    m.learn(id.clone(), Revision(6), open.clone());
+    m.learn(id.clone(), Revision(9), open);
     assert_eq!(m.get(&id).map(|k| k.record.terminal()), Some(Some(Phase::Done)));
 }
 
--- a/crates/scheduler/src/leader/mod.rs
+++ b/crates/scheduler/src/leader/mod.rs
@@ -4,7 +4,7 @@
 //! for clock drift; past that it commits and orders nothing, but may go on answering reports for
 //! a while ("holding") so that workers' leases survive an outage of the state service.
 
-use crate::types::{FencingToken, NodeName, OpId, Permit, Span, Stamp, Time};
+use crate::types::{FencingToken, LeaseId, NodeName, OpId, Revision, Span, Time};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct KeyValue {
     node: NodeName,
-    permit: Permit,
+    #[serde(rename = "permit")]
+    lease: LeaseId,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -27,19 +28,19 @@
     /// `over`: the version of the key that is to be replaced, 0 if there is none.
     Granting {
         sent: Time,
-        over: Stamp,
+        over: Revision,
     },
     Taking {
-        permit: Permit,
+        lease: LeaseId,
         sent: Time,
     },
     /// The answer to `Taking` was lost: look whether the key is ours.
     Checking {
-        permit: Permit,
+        lease: LeaseId,
         sent: Time,
     },
     Leading {
-        permit: Permit,
+        lease: LeaseId,
         renewing: Option<Time>,
     },
 }
@@ -116,10 +117,10 @@
             return None;
         }
         match self.stage {
-            Stage::Leading { permit, .. } if now >= self.next_try => {
-                self.stage = Stage::Leading { permit, renewing: Some(now) };
+            Stage::Leading { lease, .. } if now >= self.next_try => {
+                self.stage = Stage::Leading { lease, renewing: Some(now) };
                 self.next_try = now + self.renew_every;
-                Some(StateRequest::Renew { permit })
+                Some(StateRequest::RenewLease { lease })
             }
             Stage::Idle if !quiet && now >= self.next_try => {
                 self.next_try = now + Span::ms(500) + jitter;
@@ -148,7 +149,7 @@
         if let (Stage::Looking, StateReply::Found(pair)) = (self.stage, &reply) {
             let holder = serde_json::from_str::<KeyValue>(&pair.value).ok().map(|value| value.node);
             let holder = holder.filter(|node| *node != self.node);
-            self.other = holder.map(|node| (node, FencingToken(pair.stamp.0), now));
+            self.other = holder.map(|node| (node, FencingToken(pair.revision.0), now));
         }
         match (self.stage, reply) {
             (Stage::Looking, _) if now < self.stands_from => {
@@ -156,36 +157,36 @@
                 (Turn::Nothing, None)
             }
             (Stage::Looking, StateReply::Missing { .. }) => {
-                self.stage = Stage::Granting { sent: now, over: Stamp(0) };
-                (Turn::Nothing, Some(StateRequest::Grant { life_ms: self.life.0 }))
+                self.stage = Stage::Granting { sent: now, over: Revision(0) };
+                (Turn::Nothing, Some(StateRequest::GrantLease { life_ms: self.life.0 }))
             }
             // The key of this node's run before: that run is over, and nobody need wait until its grant is. Were it
             // not over (two processes of one name), it would lose the key as to any other leader.
             (Stage::Looking, StateReply::Found(pair)) if self.is_left_over(&pair) => {
-                self.stage = Stage::Granting { sent: now, over: pair.stamp };
-                (Turn::Nothing, Some(StateRequest::Grant { life_ms: self.life.0 }))
+                self.stage = Stage::Granting { sent: now, over: pair.revision };
+                (Turn::Nothing, Some(StateRequest::GrantLease { life_ms: self.life.0 }))
             }
-            (Stage::Granting { sent, over }, StateReply::Granted(permit)) => {
-                self.stage = Stage::Taking { permit, sent };
-                let value = KeyValue { node: self.node.clone(), permit };
+            (Stage::Granting { sent, over }, StateReply::LeaseGranted(lease)) => {
+                self.stage = Stage::Taking { lease, sent };
+                let value = KeyValue { node: self.node.clone(), lease };
                 let put = Change::Put {
                     key: KEY.into(),
                     value: serde_json::to_string(&value).unwrap_or_default(),
-                    permit: Some(permit),
+                    lease: Some(lease),
                 };
                 let conditions = vec![(KEY.to_string(), over)];
                 (Turn::Nothing, Some(StateRequest::Commit { conditions, changes: vec![put] }))
             }
-            (Stage::Taking { permit, sent }, StateReply::Committed { epoch }) => {
-                self.win(now, permit, sent, FencingToken(epoch))
+            (Stage::Taking { lease, sent }, StateReply::Committed { store_revision }) => {
+                self.win(now, lease, sent, FencingToken(store_revision))
             }
-            (Stage::Taking { permit, sent }, StateReply::Unknown) => {
-                self.stage = Stage::Checking { permit, sent };
+            (Stage::Taking { lease, sent }, StateReply::Unknown) => {
+                self.stage = Stage::Checking { lease, sent };
                 (Turn::Nothing, None)
             }
-            (Stage::Checking { permit, sent }, reply) => match reply {
-                StateReply::Found(pair) if self.is_mine(&pair, permit) => {
-                    self.win(now, permit, sent, FencingToken(pair.stamp.0))
+            (Stage::Checking { lease, sent }, reply) => match reply {
+                StateReply::Found(pair) if self.is_mine(&pair, lease) => {
+                    self.win(now, lease, sent, FencingToken(pair.revision.0))
                 }
                 // Until the grant has surely ended, the lost request may still set the key.
                 StateReply::Refused | StateReply::Unknown if now < self.tenure_from(sent) => {
@@ -196,13 +197,13 @@
                     (Turn::Nothing, None)
                 }
             },
-            (Stage::Leading { permit, renewing }, reply) => match reply {
-                StateReply::Renewed => {
+            (Stage::Leading { lease, renewing }, reply) => match reply {
+                StateReply::LeaseRenewed => {
                     self.valid_until = self.valid_until.max(self.tenure_from(renewing.unwrap_or_default()));
-                    self.stage = Stage::Leading { permit, renewing: None };
+                    self.stage = Stage::Leading { lease, renewing: None };
                     (Turn::Nothing, None)
                 }
-                StateReply::NoGrant => {
+                StateReply::LeaseExpired => {
                     self.step_down(now);
                     (Turn::Lost, None)
                 }
@@ -224,18 +225,18 @@
             && serde_json::from_str::<KeyValue>(&pair.value).is_ok_and(|v| v.node == self.node)
     }
 
-    fn is_mine(&self, pair: &Pair, permit: Permit) -> bool {
-        serde_json::from_str::<KeyValue>(&pair.value).is_ok_and(|v| v.node == self.node && v.permit == permit)
+    fn is_mine(&self, pair: &Pair, lease: LeaseId) -> bool {
+        serde_json::from_str::<KeyValue>(&pair.value).is_ok_and(|v| v.node == self.node && v.lease == lease)
     }
 
     fn win(
         &mut self,
         now: Time,
-        permit: Permit,
+        lease: LeaseId,
         sent: Time,
         fencing_token: FencingToken,
     ) -> (Turn, Option<StateRequest>) {
-        self.stage = Stage::Leading { permit, renewing: None };
+        self.stage = Stage::Leading { lease, renewing: None };
         self.fencing_token = fencing_token;
         self.valid_until = self.tenure_from(sent);
         self.next_try = now;
--- a/crates/scheduler/src/ledger/journal.rs
+++ b/crates/scheduler/src/ledger/journal.rs
@@ -5,7 +5,7 @@
 //! has the same conditions, so only one of the two can win; the loser is told which key moved,
 //! reads it, and carries on from there.
 
-use crate::types::{FencingToken, Stamp};
+use crate::types::{FencingToken, Revision};
 use crate::wire::state::Change;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,7 +24,7 @@
 
 #[derive(Debug, Default)]
 struct Doc {
-    stamp: Stamp,
+    revision: Revision,
     /// Wanted value; `None` deletes the key.
     value: Option<String>,
     wanted: u64,
@@ -41,7 +41,7 @@
 
 #[derive(Debug)]
 pub struct Batch {
-    pub conditions: Vec<(String, Stamp)>,
+    pub conditions: Vec<(String, Revision)>,
     pub changes: Vec<Change>,
     versions: Vec<(String, u64)>,
 }
@@ -85,9 +85,9 @@
     }
 
     /// Takes note of a key read from the state service.
-    pub fn loaded(&mut self, key: &str, stamp: Stamp) {
+    pub fn loaded(&mut self, key: &str, revision: Revision) {
         let doc = self.docs.entry(key.into()).or_default();
-        doc.stamp = doc.stamp.max(stamp);
+        doc.revision = doc.revision.max(revision);
     }
 
     /// Whether `key` is stored, or waits to be.
@@ -95,8 +95,8 @@
         self.docs.contains_key(key)
     }
 
-    pub fn stamp(&self, key: &str) -> Stamp {
-        self.docs.get(key).map(|d| d.stamp).unwrap_or_default()
+    pub fn revision(&self, key: &str) -> Revision {
+        self.docs.get(key).map(|d| d.revision).unwrap_or_default()
     }
 
     /// Wants `value` under `key`; returns the version that `Settled` will name.
@@ -164,7 +164,7 @@
         let turn = self.turn_of_the_rest();
         self.batches += 1;
         let mut batch = Batch {
-            conditions: vec![(self.leader_key.clone(), Stamp(self.fencing_token.0))],
+            conditions: vec![(self.leader_key.clone(), Revision(self.fencing_token.0))],
             changes: Vec::new(),
             versions: Vec::new(),
         };
@@ -193,7 +193,7 @@
                 continue;
             }
             let change = match &doc.value {
-                Some(value) => Change::Put { key: key.clone(), value: value.clone(), permit: None },
+                Some(value) => Change::Put { key: key.clone(), value: value.clone(), lease: None },
                 None => Change::Delete { key: key.clone() },
             };
             if bytes > 0 && bytes + change.size() > MAX_BYTES {
@@ -202,7 +202,7 @@
                 break;
             }
             bytes += change.size();
-            batch.conditions.push((key.clone(), doc.stamp));
+            batch.conditions.push((key.clone(), doc.revision));
             batch.versions.push((key.clone(), doc.wanted));
             batch.changes.push(change);
         }
@@ -213,13 +213,13 @@
         Some(batch)
     }
 
-    pub fn committed(&mut self, epoch: u64) -> Settled {
+    pub fn committed(&mut self, store_revision: u64) -> Settled {
         let keys = self.in_flight.take().unwrap_or_default();
         self.singly = self.singly.saturating_sub(1);
         for (key, version) in &keys {
             let Some(doc) = self.docs.get_mut(key) else { continue };
             doc.saved = *version;
-            doc.stamp = Stamp(epoch);
+            doc.revision = Revision(store_revision);
             if doc.value.is_none() && doc.wanted == *version {
                 self.docs.remove(key);
             }
@@ -256,9 +256,9 @@
     }
 
     /// What a key turned out to be after a conflict.
-    pub fn corrected(&mut self, key: &str, stamp: Stamp) {
+    pub fn corrected(&mut self, key: &str, revision: Revision) {
         if let Some(doc) = self.docs.get_mut(key) {
-            doc.stamp = stamp;
+            doc.revision = revision;
         }
     }
 }
--- a/crates/scheduler/src/node/core/features.rs
+++ b/crates/scheduler/src/node/core/features.rs
@@ -9,7 +9,7 @@
 use crate::node::follower::Follower;
 use crate::node::outbox::{Pending, Read, Whose};
 use crate::store::Budget;
-use crate::types::{JobId, MachineId, OpId, Span, Stamp, Time};
+use crate::types::{JobId, MachineId, OpId, Revision, Span, Time};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -84,7 +84,7 @@
         for slot in 0..self.features.len() {
             let s = &mut self.features[slot];
             let wanted = s.reads.iter().any(|a| s.follower.is_past(a.own).is_none());
-            s.follower.pump(self.now, s.records.epoch(), wanted, &mut self.out);
+            s.follower.pump(self.now, s.records.store_revision(), wanted, &mut self.out);
             let changed = s.records.take_changed();
             if !changed.is_empty() {
                 self.hand(slot, Input::Records(&changed));
@@ -121,12 +121,12 @@
         reply: StateReply,
     ) {
         let outcome = match reply {
-            StateReply::Committed { epoch } => {
+            StateReply::Committed { store_revision } => {
                 // Known here at once, not only when the watch brings it.
                 for change in &changes {
-                    self.learn_change(slot, epoch, change);
+                    self.learn_change(slot, store_revision, change);
                 }
-                Outcome::Done { epoch }
+                Outcome::Done { store_revision }
             }
             StateReply::Conflict { failed } => Outcome::Conflict(failed),
             StateReply::Malformed => Outcome::Malformed,
@@ -135,16 +135,18 @@
         self.hand(slot, Input::Committed { tag, outcome });
     }
 
-    fn learn_change(&mut self, slot: usize, epoch: u64, change: &Change) {
+    fn learn_change(&mut self, slot: usize, store_revision: u64, change: &Change) {
         match change {
             Change::Put { key, value, .. } => match key.strip_prefix(jobs::PREFIX) {
                 Some(id) => match serde_json::from_str(value) {
-                    Ok(record) => self.mirror.learn(JobId::from(id), Stamp(epoch), record),
+                    Ok(record) => self.mirror.learn(JobId::from(id), Revision(store_revision), record),
                     Err(error) => tracing::error!(key, %error, "a job record written here can't be read"),
                 },
-                None => self.features[slot].records.learn(key, Stamp(epoch), value),
+                None => self.features[slot].records.learn(key, Revision(store_revision), value),
             },
-            Change::Delete { key } => self.features[slot].records.learn_removed(key, Stamp(epoch)),
+            Change::Delete { key } => {
+                self.features[slot].records.learn_removed(key, Revision(store_revision))
+            }
         }
     }
 
@@ -235,14 +237,14 @@
         slot: usize,
         tag: u64,
         share: Share,
-        mut conditions: Vec<(String, Stamp)>,
+        mut conditions: Vec<(String, Revision)>,
         changes: Vec<Change>,
     ) {
         let paid = match share {
             Share::Users => self.user_writes.take(changes.len() as f64, self.now),
             Share::Upkeep => {
                 let valid = self.seat.valid(self.now);
-                conditions.push((leader::KEY.into(), Stamp(self.seat.fencing_token().0)));
+                conditions.push((leader::KEY.into(), Revision(self.seat.fencing_token().0)));
                 let now = self.now;
                 valid && self.master.as_mut().is_some_and(|m| m.spare_writes(changes.len(), now))
             }
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -18,7 +18,7 @@
 use crate::placement::{self, COUNTS_PREFIX, Counts, Factors};
 use crate::settings::Settings;
 use crate::store::Budget;
-use crate::types::{FencingToken, JobId, NodeName, OpId, Span, Stamp, Time, Wall};
+use crate::types::{FencingToken, JobId, NodeName, OpId, Revision, Span, Time, Wall};
 use crate::wire::cloud::CloudReply;
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::workers::{self, Report};
@@ -58,7 +58,7 @@
     leader_hint: Option<(FencingToken, NodeName, Time)>,
     highest_fencing_token: FencingToken,
     /// The state service's revision, as far as this node has ever known.
-    revision: u64,
+    latest_revision: u64,
     catalogue: Catalogue,
     /// How jobs stand, as the leader told last.
     standings: BTreeMap<JobId, (u32, u32)>,
@@ -105,7 +105,7 @@
             heard_worker: Time::default(),
             leader_hint: None,
             highest_fencing_token: FencingToken(0),
-            revision: 0,
+            latest_revision: 0,
             catalogue: Catalogue::default(),
             standings: BTreeMap::new(),
             counts: Counts::default(),
@@ -150,7 +150,7 @@
             Input::Peer(envelope) => self.peer(envelope),
             Input::Call { slot, request, call } => self.call(slot, request, call),
         }
-        self.revision = self.revision.max(self.mirror.epoch().unwrap_or(0));
+        self.latest_revision = self.latest_revision.max(self.mirror.store_revision().unwrap_or(0));
         let changed = self.mirror.take_changed();
         if !changed.is_empty() {
             for id in &changed {
@@ -218,7 +218,7 @@
             *f >= self.highest_fencing_token && *n != self.settings.node && now.since(*at) < Span::ms(2000)
         });
         let jitter = Span::ms(self.rng.random_range(0..300));
-        if let Some(request) = self.seat.tick(now, quiet || self.mirror.epoch().is_none(), jitter) {
+        if let Some(request) = self.seat.tick(now, quiet || self.mirror.store_revision().is_none(), jitter) {
             self.seat_sends(request);
         }
         self.catalogue.tick(now, &mut self.out);
@@ -255,7 +255,7 @@
         let fresh_at = self.follower.fresh_at();
         let stocking = self.master.as_ref().is_some_and(|m| m.wants_jobs(fresh_at));
         let wanted = self.desk.wants_read() || stocking || self.features_want_read();
-        if self.follower.pump(self.now, self.mirror.epoch(), wanted, &mut self.out) {
+        if self.follower.pump(self.now, self.mirror.store_revision(), wanted, &mut self.out) {
             self.desk.read_begins();
         }
         self.features_pump();
@@ -265,7 +265,7 @@
     }
 
     fn state_ok(&self) -> bool {
-        self.mirror.epoch().is_some() && self.now.since(self.state_ok_at) < Span::ms(2500)
+        self.mirror.store_revision().is_some() && self.now.since(self.state_ok_at) < Span::ms(2500)
     }
 
     // ---- HTTP ----
@@ -297,7 +297,7 @@
     /// This node can take requests if it reaches the state service, or if no node does: then
     /// being passed over would help nobody, and every answer says when to come back.
     fn up(&mut self, request: OpId) {
-        let loaded = self.mirror.epoch().is_some();
+        let loaded = self.mirror.store_revision().is_some();
         if loaded && (self.state_ok() || !self.peers.reach_state(self.now)) {
             self.out.answer(request, 200, "{}".into());
         } else {
@@ -392,7 +392,7 @@
 
     fn take_over(&mut self, fencing_token: FencingToken) {
         tracing::info!(%fencing_token, "leads now");
-        self.revision = self.revision.max(fencing_token.0);
+        self.latest_revision = self.latest_revision.max(fencing_token.0);
         self.saw_fencing_token(fencing_token);
         let types = self.catalogue.types().to_vec();
         let early = self.delegate.leads(self.now);
@@ -420,7 +420,7 @@
             Some(Leave::Resign(why)) => {
                 let fencing_token = self.seat.fencing_token();
                 let request = StateRequest::Commit {
-                    conditions: vec![(leader::KEY.into(), Stamp(fencing_token.0))],
+                    conditions: vec![(leader::KEY.into(), Revision(fencing_token.0))],
                     changes: vec![Change::Delete { key: leader::KEY.into() }],
                 };
                 self.out.ask_state(request, Pending::Leader(fencing_token, LeaderOp::Resign));
@@ -507,17 +507,19 @@
     /// report that named 2^64 - 1 would else have every leader step down, for good. A node that has read nothing yet
     /// can't tell, and notes none.
     fn is_possible(&self, fencing_token: FencingToken) -> bool {
-        if self.revision == 0 {
+        if self.latest_revision == 0 {
             return true;
         }
         let since = self.now.since(self.follower.fresh_at()).as_secs() + 2.0;
         let more = 2.0 * self.settings.state.write_rps * since;
-        fencing_token.0 <= self.highest_fencing_token.0.max(self.revision).saturating_add(more as u64)
+        fencing_token.0 <= self.highest_fencing_token.0.max(self.latest_revision).saturating_add(more as u64)
     }
 
     /// A higher fence means that somebody else has led since: stop at once. What can't be one says nothing.
     fn saw_fencing_token(&mut self, fencing_token: FencingToken) {
-        if fencing_token > self.highest_fencing_token && self.revision > 0 && self.is_possible(fencing_token)
+        if fencing_token > self.highest_fencing_token
+            && self.latest_revision > 0
+            && self.is_possible(fencing_token)
         {
             self.highest_fencing_token = fencing_token;
             if self.seat.leads() && self.seat.fencing_token() < fencing_token {
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -250,7 +250,7 @@
         {
             let key = format!("{APART}{}", self.settings.node);
             let value = serde_json::to_string(&word).unwrap_or_default();
-            let changes = vec![Change::Put { key, value, permit: None }];
+            let changes = vec![Change::Put { key, value, lease: None }];
             self.out.ask_state(StateRequest::Commit { conditions: Vec::new(), changes }, Pending::Apart);
         }
     }
--- a/crates/scheduler/src/node/core/users.rs
+++ b/crates/scheduler/src/node/core/users.rs
@@ -7,7 +7,7 @@
 use super::Core;
 use crate::compat;
 use crate::jobs::{self, Admission, Ask, OpenJob, Phase, Record, Waiting};
-use crate::types::{JobId, OpId, Stamp};
+use crate::types::{JobId, OpId, Revision};
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::users;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
         if let Some(phase) = self.mirror.verdict(&id) {
             return self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
         }
-        if self.mirror.epoch().is_none() {
+        if self.mirror.store_revision().is_none() {
             return self.out.refuse(request, 503, "job records are not read yet; come back");
         }
         if self.desk.len() >= self.settings.operator.max_waiting_requests {
@@ -93,21 +93,21 @@
         let key = jobs::key(&waiting.id);
         let value = Record::Open(job.clone()).to_value();
         let request = StateRequest::Commit {
-            conditions: vec![(key.clone(), Stamp(0))],
-            changes: vec![Change::Put { key, value, permit: None }],
+            conditions: vec![(key.clone(), Revision(0))],
+            changes: vec![Change::Put { key, value, lease: None }],
         };
         self.out.ask_state(request, Pending::Create { waiting, job });
     }
 
     fn withdraw(&mut self, waiting: Waiting) {
-        let Some(stamp) = self.mirror.get(&waiting.id).map(|k| k.stamp) else { return };
+        let Some(revision) = self.mirror.get(&waiting.id).map(|k| k.revision) else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(waiting.request, 429, "too many withdrawals at once; come back");
         }
         let key = jobs::key(&waiting.id);
         let request = StateRequest::Commit {
-            conditions: vec![(key.clone(), stamp)],
-            changes: vec![Change::Put { key, value: Record::Withdrawn.to_value(), permit: None }],
+            conditions: vec![(key.clone(), revision)],
+            changes: vec![Change::Put { key, value: Record::Withdrawn.to_value(), lease: None }],
         };
         self.out.ask_state(request, Pending::Withdraw { waiting });
     }
@@ -164,9 +164,9 @@
 
     pub(super) fn created(&mut self, waiting: Waiting, job: Arc<OpenJob>, reply: StateReply) {
         match reply {
-            StateReply::Committed { epoch } => {
+            StateReply::Committed { store_revision } => {
                 let id = waiting.id.clone();
-                self.mirror.learn(id.clone(), Stamp(epoch), Record::Open(job.clone()));
+                self.mirror.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
                 tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "accepted");
                 self.served.count(jobs::Stage::Accepted, &job.spec);
                 // Withdrawn at once, if one that it names is.
@@ -187,9 +187,9 @@
 
     pub(super) fn withdrawn(&mut self, waiting: Waiting, reply: StateReply) {
         match reply {
-            StateReply::Committed { epoch } => {
+            StateReply::Committed { store_revision } => {
                 let id = waiting.id.clone();
-                self.mirror.learn(id.clone(), Stamp(epoch), Record::Withdrawn);
+                self.mirror.learn(id.clone(), Revision(store_revision), Record::Withdrawn);
                 tracing::info!(job = %id, "withdrawn");
                 self.out.answer(waiting.request, 200, users::status(&id, Phase::Withdrawn, None));
             }
--- a/crates/scheduler/src/node/follower.rs
+++ b/crates/scheduler/src/node/follower.rs
@@ -17,11 +17,11 @@
 /// Where what was read goes.
 pub(super) trait Replica {
     /// All changes up to this revision are in it, if not later ones.
-    fn reach(&mut self, epoch: u64);
+    fn reach(&mut self, store_revision: u64);
     /// Everything has to be read again.
-    fn forget_epoch(&mut self);
+    fn forget_store_revision(&mut self);
     fn learn_pair(&mut self, pair: &Pair);
-    fn learn_events(&mut self, epoch: u64, events: &[Event]);
+    fn learn_events(&mut self, store_revision: u64, events: &[Event]);
 }
 
 /// What an answer led to.
@@ -93,8 +93,8 @@
 
     /// Sends what is due; whether a read began that answers all that was asked so far. `wanted`:
     /// something waits for one.
-    pub fn pump(&mut self, now: Time, epoch: Option<u64>, wanted: bool, out: &mut Outbox) -> bool {
-        let Some(from) = epoch else {
+    pub fn pump(&mut self, now: Time, store_revision: Option<u64>, wanted: bool, out: &mut Outbox) -> bool {
+        let Some(from) = store_revision else {
             if !self.listing && now >= self.next_list {
                 self.page(None, None, out);
             }
@@ -122,10 +122,10 @@
         out.ask_state(request, Pending::Follow(self.whose, read));
     }
 
-    fn page(&mut self, after: Option<String>, first_epoch: Option<u64>, out: &mut Outbox) {
+    fn page(&mut self, after: Option<String>, first_store_revision: Option<u64>, out: &mut Outbox) {
         self.listing = true;
         let request = StateRequest::Range { prefix: self.prefix, after, most: PAGE };
-        out.ask_state(request, Pending::Follow(self.whose, Read::Page { first_epoch }));
+        out.ask_state(request, Pending::Follow(self.whose, Read::Page { first_store_revision }));
     }
 
     pub fn reply(
@@ -138,11 +138,11 @@
         out: &mut Outbox,
     ) -> Turn {
         match (read, reply) {
-            (Read::Page { first_epoch }, StateReply::Pairs { pairs, more, epoch }) => {
+            (Read::Page { first_store_revision }, StateReply::Pairs { pairs, more, store_revision }) => {
                 self.listing = false;
                 pairs.iter().for_each(|p| replica.learn_pair(p));
                 // What changed while the pages were read is learned again by watching from the first.
-                let first = first_epoch.unwrap_or(epoch);
+                let first = first_store_revision.unwrap_or(store_revision);
                 match pairs.last() {
                     Some(last) if more => self.page(Some(last.key.clone()), Some(first), out),
                     _ => replica.reach(first),
@@ -155,14 +155,16 @@
             (Read::Watch, reply) => {
                 self.watching = false;
                 match reply {
-                    StateReply::Events { epoch, events } => replica.learn_events(epoch, &events),
-                    StateReply::TooOld => replica.forget_epoch(),
+                    StateReply::Events { store_revision, events } => {
+                        replica.learn_events(store_revision, &events)
+                    }
+                    StateReply::TooOld => replica.forget_store_revision(),
                     _ => self.next_list = now + Span::ms(rng.random_range(200..500)),
                 }
             }
-            (Read::Sync { began }, StateReply::Events { epoch, events }) => {
+            (Read::Sync { began }, StateReply::Events { store_revision, events }) => {
                 self.syncing = false;
-                replica.learn_events(epoch, &events);
+                replica.learn_events(store_revision, &events);
                 self.fresh_at = self.fresh_at.max(began);
                 self.up_to = self.begun;
                 return Turn::ReadEnds(true);
@@ -171,7 +173,7 @@
                 self.syncing = false;
                 self.failed = self.begun;
                 if reply == StateReply::TooOld {
-                    replica.forget_epoch();
+                    replica.forget_store_revision();
                 }
                 self.next_sync = now + Span::ms(rng.random_range(50..150));
                 return Turn::ReadEnds(false);
@@ -182,31 +184,31 @@
 }
 
 impl Replica for Mirror {
-    fn reach(&mut self, epoch: u64) {
-        Mirror::reach(self, epoch);
+    fn reach(&mut self, store_revision: u64) {
+        Mirror::reach(self, store_revision);
     }
-    fn forget_epoch(&mut self) {
-        Mirror::forget_epoch(self);
+    fn forget_store_revision(&mut self) {
+        Mirror::forget_store_revision(self);
     }
     fn learn_pair(&mut self, pair: &Pair) {
         Mirror::learn_pair(self, pair);
     }
-    fn learn_events(&mut self, epoch: u64, events: &[Event]) {
-        Mirror::learn_events(self, epoch, events);
+    fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
+        Mirror::learn_events(self, store_revision, events);
     }
 }
 
 impl Replica for Records {
-    fn reach(&mut self, epoch: u64) {
-        Records::reach(self, epoch);
+    fn reach(&mut self, store_revision: u64) {
+        Records::reach(self, store_revision);
     }
-    fn forget_epoch(&mut self) {
-        Records::forget_epoch(self);
+    fn forget_store_revision(&mut self) {
+        Records::forget_store_revision(self);
     }
     fn learn_pair(&mut self, pair: &Pair) {
-        self.learn(&pair.key, pair.stamp, &pair.value);
+        self.learn(&pair.key, pair.revision, &pair.value);
     }
-    fn learn_events(&mut self, epoch: u64, events: &[Event]) {
-        Records::learn_events(self, epoch, events);
+    fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
+        Records::learn_events(self, store_revision, events);
     }
 }
--- a/crates/scheduler/src/node/master/apart.rs
+++ b/crates/scheduler/src/node/master/apart.rs
@@ -27,11 +27,11 @@
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
             // Said before this leader's time, perhaps long before: read as new, a word of a minute ago kept a zone that
             // was cut off altogether for 20 s too long (andina grown, rough).
-            if pair.stamp.0 <= self.fencing_token.0 {
+            if pair.revision.0 <= self.fencing_token.0 {
                 continue;
             }
             match serde_json::from_str::<Word>(&pair.value) {
-                Ok(word) => self.told.learn(node.into(), pair.stamp, word, ctx.now),
+                Ok(word) => self.told.learn(node.into(), pair.revision, word, ctx.now),
                 Err(error) => tracing::error!(key = pair.key, %error, "a node's word can't be read"),
             }
         }
--- a/crates/scheduler/src/node/master/beat.rs
+++ b/crates/scheduler/src/node/master/beat.rs
@@ -61,10 +61,10 @@
             let put = |(part, value): &(u32, String)| Change::Put {
                 key: format!("{}{part}", placement::COUNTS_PREFIX),
                 value: value.clone(),
-                permit: None,
+                lease: None,
             };
             let request = StateRequest::Commit {
-                conditions: vec![(leader::KEY.into(), Stamp(self.fencing_token.0))],
+                conditions: vec![(leader::KEY.into(), Revision(self.fencing_token.0))],
                 changes: parts.iter().map(put).collect(),
             };
             ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::SaveCounts));
--- a/crates/scheduler/src/node/master/commits.rs
+++ b/crates/scheduler/src/node/master/commits.rs
@@ -29,15 +29,15 @@
         let now = ctx.now;
         let pause = Span::ms(ctx.rng.random_range(80..250));
         match reply {
-            StateReply::Committed { epoch } => {
-                let settled = self.journal.committed(epoch);
+            StateReply::Committed { store_revision } => {
+                let settled = self.journal.committed(store_revision);
                 for (key, version) in settled.keys {
                     if let Some(id) = self.settle(&key, version, now) {
-                        ctx.mirror.learn(id, Stamp(epoch), Record::Done);
+                        ctx.mirror.learn(id, Revision(store_revision), Record::Done);
                     } else if let Some(id) = key.strip_prefix(jobs::PREFIX).map(JobId::from)
                         && ctx.mirror.graph().doomed(&id)
                     {
-                        ctx.mirror.learn(id, Stamp(epoch), Record::Withdrawn);
+                        ctx.mirror.learn(id, Revision(store_revision), Record::Withdrawn);
                     }
                 }
             }
@@ -79,7 +79,7 @@
         self.correcting = self.correcting.saturating_sub(1);
         match reply {
             StateReply::Found(pair) => {
-                self.journal.corrected(key, pair.stamp);
+                self.journal.corrected(key, pair.revision);
                 ctx.mirror.learn_pair(&pair);
                 let over = key
                     .strip_prefix(jobs::PREFIX)
@@ -92,7 +92,7 @@
                     self.journal.give_up(key);
                 }
             }
-            StateReply::Missing { .. } => self.journal.corrected(key, Stamp(0)),
+            StateReply::Missing { .. } => self.journal.corrected(key, Revision(0)),
             _ => {
                 self.correcting += 1;
                 self.recheck.push((ctx.now + CORRECT_AGAIN, key.to_string()));
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -26,7 +26,7 @@
             return;
         };
         for pair in &pairs {
-            self.journal.loaded(&pair.key, pair.stamp);
+            self.journal.loaded(&pair.key, pair.revision);
             if !machines {
                 self.progress.push(pair.clone());
                 continue;
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -35,7 +35,7 @@
 use crate::settings::Settings;
 use crate::store::Budget;
 use crate::types::{
-    Attempt, FencingToken, Image, JobId, MachineId, NodeName, OpId, Room, Session, Span, Stamp, TaskId,
+    Attempt, FencingToken, Image, JobId, MachineId, NodeName, OpId, Revision, Room, Session, Span, TaskId,
     TeamName, Time, Zone,
 };
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -156,11 +156,11 @@
                 // Withdrawn with a job that it needs. Status says so already; the record follows when
                 // nothing urgent waits.
                 let key = jobs::key(id);
-                self.journal.loaded(&key, known.stamp);
+                self.journal.loaded(&key, known.revision);
                 self.journal.put(&key, Some(Record::Withdrawn.to_value()), Haste::Soon);
             }
         } else if let Some(job) = known.record.open().filter(|_| mirror.ready(id)) {
-            self.journal.loaded(&jobs::key(id), known.stamp);
+            self.journal.loaded(&jobs::key(id), known.revision);
             let run = self.runs.entry(id.clone()).or_insert_with(|| {
                 self.guaranteed = None;
                 Run::new(job.clone(), now)
@@ -227,7 +227,7 @@
         for chunk in 0..run.job.spec.tasks.div_ceil(jobs::CHUNK) {
             let key = format!("{PROGRESS_PREFIX}{id}/{chunk}");
             self.recorded.remove(&key);
-            if self.journal.stamp(&key) > Stamp(0) {
+            if self.journal.revision(&key) > Revision(0) {
                 self.journal.put(&key, None, Haste::Soon);
             }
         }
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/master/stock/tests.rs
@@ -42,7 +42,7 @@
         let mut mirror = jobs::Mirror::default();
         let job =
             jobs::OpenJob { spec: jobs::tests::spec(), submitted: crate::types::Wall(1), home: "n0".into() };
-        mirror.learn("req-1".into(), Stamp(1), Record::Open(Arc::new(job)));
+        mirror.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
         m.take_stock(&mirror, now);
         let dead = if live == "m-1" { "m-2" } else { "m-1" };
         m.take_report(&report(dead, "z0", 8), Time::from_ms(2));
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Read {
     /// A page of all keys; changes since the first page's revision are watched for afterwards.
-    Page { first_epoch: Option<u64> },
+    Page { first_store_revision: Option<u64> },
     /// A watch that waits for changes.
     Watch,
     /// A watch that returns at once: what it says holds for all that was asked before `began`.
--- a/crates/scheduler/src/wire/state.rs
+++ b/crates/scheduler/src/wire/state.rs
@@ -1,6 +1,6 @@
 //! Controller nodes -> state service.
 
-use crate::types::{Permit, Stamp};
+use crate::types::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    Put { key: String, value: Value, permit: Option<Permit> },
+    Put { key: String, value: Value, lease: Option<LeaseId> },
     Delete { key: String },
 }
 
@@ -31,9 +31,9 @@
 pub enum StateRequest {
     Get { key: String },
     Range { prefix: &'static str, after: Option<String>, most: u32 },
-    Commit { conditions: Vec<(String, Stamp)>, changes: Vec<Change> },
-    Grant { life_ms: u64 },
-    Renew { permit: Permit },
+    Commit { conditions: Vec<(String, Revision)>, changes: Vec<Change> },
+    GrantLease { life_ms: u64 },
+    RenewLease { lease: LeaseId },
     Watch { prefix: &'static str, from: u64, block_ms: u64 },
 }
 
@@ -41,39 +41,39 @@
 pub struct Pair {
     pub key: String,
     pub value: Value,
-    pub stamp: Stamp,
+    pub revision: Revision,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     Put(Pair),
-    Delete { key: String, stamp: Stamp },
+    Delete { key: String, revision: Revision },
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateReply {
     Found(Pair),
     Missing {
-        epoch: u64,
+        store_revision: u64,
     },
     Pairs {
         pairs: Vec<Pair>,
         more: bool,
-        epoch: u64,
+        store_revision: u64,
     },
     Committed {
-        epoch: u64,
+        store_revision: u64,
     },
     /// The conditions on these keys did not hold; nothing was changed.
     Conflict {
         failed: Vec<String>,
     },
-    Granted(Permit),
-    Renewed,
+    LeaseGranted(LeaseId),
+    LeaseRenewed,
     /// The grant has ended.
-    NoGrant,
+    LeaseExpired,
     Events {
-        epoch: u64,
+        store_revision: u64,
         events: Vec<Event>,
     },
     /// The watch's start is too old: read the keys again.
@@ -89,7 +89,8 @@
 #[derive(Serialize)]
 struct Condition<'a> {
     k: &'a str,
-    stamp: Stamp,
+    #[serde(rename = "stamp")]
+    revision: Revision,
 }
 
 #[derive(Serialize)]
@@ -98,8 +99,8 @@
     Set {
         set: &'a str,
         v: &'a RawValue,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        permit: Option<Permit>,
+        #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
+        lease: Option<LeaseId>,
     },
     Drop {
         drop: &'a str,
@@ -135,21 +136,21 @@
                     .iter()
                     .zip(&raw)
                     .map(|(change, raw)| match (change, raw) {
-                        (Change::Put { key, permit, .. }, Some(v)) => {
-                            Apply::Set { set: key, v, permit: *permit }
+                        (Change::Put { key, lease, .. }, Some(v)) => {
+                            Apply::Set { set: key, v, lease: *lease }
                         }
                         _ => Apply::Drop { drop: change.key() },
                     })
                     .collect();
-                let conditions = conditions.iter().map(|(k, s)| Condition { k, stamp: *s }).collect();
+                let conditions = conditions.iter().map(|(k, s)| Condition { k, revision: *s }).collect();
                 let body = serde_json::to_vec(&Multi { conditions, apply }).unwrap_or_default();
                 (Method::POST, "/multi".into(), body)
             }
-            StateRequest::Grant { life_ms } => {
+            StateRequest::GrantLease { life_ms } => {
                 (Method::POST, "/grants".into(), format!("{{\"life_ms\":{life_ms}}}").into_bytes())
             }
-            StateRequest::Renew { permit } => {
-                (Method::POST, format!("/grants/{permit}/renew"), b"{}".to_vec())
+            StateRequest::RenewLease { lease } => {
+                (Method::POST, format!("/grants/{lease}/renew"), b"{}".to_vec())
             }
             StateRequest::Watch { prefix, from, block_ms } => {
                 (Method::GET, format!("/watch?under={prefix}&from={from}&block_ms={block_ms}"), Vec::new())
@@ -164,7 +165,8 @@
             k: String,
             #[serde(borrow)]
             v: &'a RawValue,
-            stamp: Stamp,
+            #[serde(rename = "stamp")]
+            revision: Revision,
         }
         #[derive(Deserialize)]
         struct Pairs<'a> {
@@ -172,11 +174,13 @@
             pairs: Vec<WirePair<'a>>,
             #[serde(default)]
             more: bool,
-            epoch: u64,
+            #[serde(rename = "epoch")]
+            store_revision: u64,
         }
         #[derive(Deserialize)]
-        struct Epoch {
-            epoch: u64,
+        struct StoreRevision {
+            #[serde(rename = "epoch")]
+            store_revision: u64,
         }
         #[derive(Deserialize)]
         struct Failed {
@@ -184,8 +188,9 @@
             failed: Vec<String>,
         }
         #[derive(Deserialize)]
-        struct Granted {
-            permit: Permit,
+        struct LeaseGranted {
+            #[serde(rename = "permit")]
+            lease: LeaseId,
         }
         #[derive(Deserialize)]
         struct WireEvent<'a> {
@@ -195,16 +200,18 @@
             v: Option<&'a RawValue>,
             #[serde(default)]
             drop: Option<String>,
-            stamp: Stamp,
+            #[serde(rename = "stamp")]
+            revision: Revision,
         }
         #[derive(Deserialize)]
         struct Events<'a> {
-            epoch: u64,
+            #[serde(rename = "epoch")]
+            store_revision: u64,
             #[serde(default, borrow)]
             news: Vec<WireEvent<'a>>,
         }
         fn pair(p: WirePair) -> Pair {
-            Pair { key: p.k, value: p.v.get().to_string(), stamp: p.stamp }
+            Pair { key: p.k, value: p.v.get().to_string(), revision: p.revision }
         }
         // A body that can't be read leaves open what happened.
         let read = || -> Option<StateReply> {
@@ -212,40 +219,44 @@
                 (StateRequest::Get { .. }, 200) => {
                     StateReply::Found(pair(serde_json::from_slice(body).ok()?))
                 }
-                (StateRequest::Get { .. }, 404) => {
-                    StateReply::Missing { epoch: serde_json::from_slice::<Epoch>(body).ok()?.epoch }
-                }
+                (StateRequest::Get { .. }, 404) => StateReply::Missing {
+                    store_revision: serde_json::from_slice::<StoreRevision>(body).ok()?.store_revision,
+                },
                 (StateRequest::Range { .. }, 200) => {
                     let p: Pairs = serde_json::from_slice(body).ok()?;
                     let pairs = p.pairs.into_iter().map(pair).collect();
-                    StateReply::Pairs { pairs, more: p.more, epoch: p.epoch }
-                }
-                (StateRequest::Commit { .. }, 200) => {
-                    StateReply::Committed { epoch: serde_json::from_slice::<Epoch>(body).ok()?.epoch }
+                    StateReply::Pairs { pairs, more: p.more, store_revision: p.store_revision }
                 }
+                (StateRequest::Commit { .. }, 200) => StateReply::Committed {
+                    store_revision: serde_json::from_slice::<StoreRevision>(body).ok()?.store_revision,
+                },
                 (StateRequest::Commit { .. }, 409) => {
                     StateReply::Conflict { failed: serde_json::from_slice::<Failed>(body).ok()?.failed }
                 }
-                (StateRequest::Commit { .. }, 400) if memmem(body, b"no such lease") => StateReply::NoGrant,
-                (StateRequest::Grant { .. }, 200) => {
-                    StateReply::Granted(serde_json::from_slice::<Granted>(body).ok()?.permit)
+                (StateRequest::Commit { .. }, 400) if memmem(body, b"no such lease") => {
+                    StateReply::LeaseExpired
+                }
+                (StateRequest::GrantLease { .. }, 200) => {
+                    StateReply::LeaseGranted(serde_json::from_slice::<LeaseGranted>(body).ok()?.lease)
                 }
-                (StateRequest::Renew { .. }, 200) => StateReply::Renewed,
-                (StateRequest::Renew { .. }, 404) => StateReply::NoGrant,
+                (StateRequest::RenewLease { .. }, 200) => StateReply::LeaseRenewed,
+                (StateRequest::RenewLease { .. }, 404) => StateReply::LeaseExpired,
                 (StateRequest::Watch { .. }, 200) => {
                     let e: Events = serde_json::from_slice(body).ok()?;
                     let events = e
                         .news
                         .into_iter()
                         .filter_map(|n| match (n.set, n.v, n.drop) {
-                            (Some(key), Some(v), _) => {
-                                Some(Event::Put(Pair { key, value: v.get().to_string(), stamp: n.stamp }))
-                            }
-                            (_, _, Some(key)) => Some(Event::Delete { key, stamp: n.stamp }),
+                            (Some(key), Some(v), _) => Some(Event::Put(Pair {
+                                key,
+                                value: v.get().to_string(),
+                                revision: n.revision,
+                            })),
+                            (_, _, Some(key)) => Some(Event::Delete { key, revision: n.revision }),
                             _ => None,
                         })
                         .collect();
-                    StateReply::Events { epoch: e.epoch, events }
+                    StateReply::Events { store_revision: e.store_revision, events }
                 }
                 (_, 410) => StateReply::TooOld,
                 (_, 429 | 503) => StateReply::Refused,
--- a/crates/scheduler/src/wire/state/tests.rs
+++ b/crates/scheduler/src/wire/state/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn commits_are_written_as_the_protocol_says() {
     let r = StateRequest::Commit {
-        conditions: vec![("a/b".into(), Stamp(0))],
+        conditions: vec![("a/b".into(), Revision(0))],
         changes: vec![
-            Change::Put { key: "a/b".into(), value: "{\"x\":1}".into(), permit: Some(Permit(7)) },
+            Change::Put { key: "a/b".into(), value: "{\"x\":1}".into(), lease: Some(LeaseId(7)) },
             Change::Delete { key: "c/d".into() },
         ],
     };
@@ -19,7 +19,7 @@
         r.reply(409, br#"{"failed":["a/b"],"epoch":431}"#),
         StateReply::Conflict { failed: vec!["a/b".into()] }
     );
-    assert_eq!(r.reply(400, br#"{"error":"no such lease"}"#), StateReply::NoGrant);
+    assert_eq!(r.reply(400, br#"{"error":"no such lease"}"#), StateReply::LeaseExpired);
     assert_eq!(r.reply(200, b"garbage"), StateReply::Unknown);
     assert_eq!(r.reply(503, b""), StateReply::Refused);
 }
@@ -31,8 +31,8 @@
         200,
         br#"{"epoch":433,"news":[{"set":"c/9","v":{"y":2},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
     );
-    let StateReply::Events { epoch, events } = reply else { panic!("must be events") };
-    assert_eq!((epoch, events.len()), (433, 2));
-    assert_eq!(events[1], Event::Delete { key: "c/d".into(), stamp: Stamp(432) });
+    let StateReply::Events { store_revision, events } = reply else { panic!("must be events") };
+    assert_eq!((store_revision, events.len()), (433, 2));
+    assert_eq!(events[1], Event::Delete { key: "c/d".into(), revision: Revision(432) });
     assert_eq!(r.reply(410, b""), StateReply::TooOld);
 }
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -315,7 +315,7 @@
     lost_answers: f64,
     copies_for_next: f64,
     /// Copies of reports, and under which leader key they were made.
-    kept_copies: Vec<(Option<crate::types::Stamp>, Event)>,
+    kept_copies: Vec<(Option<crate::types::Revision>, Event)>,
     fast_boots: bool,
     cancel_at_end: f64,
     close_looks: bool,
@@ -324,7 +324,7 @@
     /// How often each meeting took place.
     pub met: BTreeMap<&'static str, u64>,
     /// The leader key's version, and since when it has had that.
-    led_by: (Option<crate::types::Stamp>, u64),
+    led_by: (Option<crate::types::Revision>, u64),
     state_slow: u64,
     pub rules: Rules,
     /// Orders that a report on its way would have made needless: living machines returned with work on them.
--- a/crates/scheduler/src/world/state.rs
+++ b/crates/scheduler/src/world/state.rs
@@ -3,14 +3,14 @@
 use super::{Event, Host, Input, World};
 use crate::jobs::{self, Record};
 use crate::store::Limits;
-use crate::types::{OpId, Permit, Stamp};
+use crate::types::{LeaseId, OpId, Revision};
 use crate::wire::state::{Change, Event as News, Pair, StateReply, StateRequest};
 use crate::wire::users;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-struct Grant {
+struct GrantLease {
     ends: u64,
     life: u64,
 }
@@ -26,9 +26,9 @@
 
 #[derive(Debug)]
 pub struct Service {
-    epoch: u64,
-    keys: BTreeMap<String, (String, Stamp, Option<Permit>)>,
-    grants: BTreeMap<Permit, Grant>,
+    store_revision: u64,
+    keys: BTreeMap<String, (String, Revision, Option<LeaseId>)>,
+    grants: BTreeMap<LeaseId, GrantLease>,
     history: Vec<News>,
     watches: BTreeMap<u64, Open>,
     next: u64,
@@ -41,17 +41,17 @@
     pub careless: bool,
 }
 
-fn news_key(n: &News) -> (&str, Stamp) {
+fn news_key(n: &News) -> (&str, Revision) {
     match n {
-        News::Put(p) => (&p.key, p.stamp),
-        News::Delete { key, stamp } => (key, *stamp),
+        News::Put(p) => (&p.key, p.revision),
+        News::Delete { key, revision } => (key, *revision),
     }
 }
 
 impl Service {
     pub fn new(limits: Limits) -> Self {
         Self {
-            epoch: 0,
+            store_revision: 0,
             keys: BTreeMap::new(),
             grants: BTreeMap::new(),
             history: Vec::new(),
@@ -71,14 +71,14 @@
 
     /// Somebody writes a value past all conditions.
     pub fn overwrite(&mut self, key: &str, value: &str) {
-        self.epoch += 1;
-        let stamp = Stamp(self.epoch);
-        self.keys.insert(key.into(), (value.into(), stamp, None));
-        self.history.push(News::Put(Pair { key: key.into(), value: value.into(), stamp }));
+        self.store_revision += 1;
+        let revision = Revision(self.store_revision);
+        self.keys.insert(key.into(), (value.into(), revision, None));
+        self.history.push(News::Put(Pair { key: key.into(), value: value.into(), revision }));
     }
 
-    pub fn stamp(&self, key: &str) -> Option<Stamp> {
-        self.keys.get(key).map(|(_, stamp, _)| *stamp)
+    pub fn revision(&self, key: &str) -> Option<Revision> {
+        self.keys.get(key).map(|(_, revision, _)| *revision)
     }
 
     /// How many changes were made under a prefix so far.
@@ -103,17 +103,17 @@
         if self.away {
             return;
         }
-        let ended: Vec<Permit> = self.grants.iter().filter(|(_, g)| g.ends < now).map(|(p, _)| *p).collect();
-        for permit in ended {
-            self.grants.remove(&permit);
+        let ended: Vec<LeaseId> = self.grants.iter().filter(|(_, g)| g.ends < now).map(|(p, _)| *p).collect();
+        for lease in ended {
+            self.grants.remove(&lease);
             let keys: Vec<String> =
-                self.keys.iter().filter(|(_, v)| v.2 == Some(permit)).map(|(k, _)| k.clone()).collect();
+                self.keys.iter().filter(|(_, v)| v.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
             if !keys.is_empty() {
-                self.epoch += 1;
+                self.store_revision += 1;
             }
             for key in keys {
                 self.keys.remove(&key);
-                self.history.push(News::Delete { key, stamp: Stamp(self.epoch) });
+                self.history.push(News::Delete { key, revision: Revision(self.store_revision) });
             }
         }
     }
@@ -123,7 +123,7 @@
         self.history[start..].iter().filter(|n| news_key(n).0.starts_with(prefix)).cloned().collect()
     }
 
-    fn commit(&mut self, conditions: &[(String, Stamp)], changes: Vec<Change>) -> StateReply {
+    fn commit(&mut self, conditions: &[(String, Revision)], changes: Vec<Change>) -> StateReply {
         let over = changes.iter().find_map(|c| match c {
             Change::Put { key, value, .. } if value.len() > self.limits.value_bytes => Some(key.clone()),
             _ => None,
@@ -133,42 +133,42 @@
             self.too_large.push(what);
             return StateReply::Malformed;
         }
-        let stamp = |k: &String| self.keys.get(k).map(|v| v.1).unwrap_or_default();
+        let revision = |k: &String| self.keys.get(k).map(|v| v.1).unwrap_or_default();
         let failed: Vec<String> =
-            conditions.iter().filter(|(k, s)| stamp(k) != *s).map(|(k, _)| k.clone()).collect();
+            conditions.iter().filter(|(k, s)| revision(k) != *s).map(|(k, _)| k.clone()).collect();
         let no_grant = changes
             .iter()
-            .any(|c| matches!(c, Change::Put { permit: Some(p), .. } if !self.grants.contains_key(p)));
+            .any(|c| matches!(c, Change::Put { lease: Some(p), .. } if !self.grants.contains_key(p)));
         if no_grant {
-            return StateReply::NoGrant;
+            return StateReply::LeaseExpired;
         }
         if !failed.is_empty() && !self.careless {
             return StateReply::Conflict { failed };
         }
-        self.epoch += 1;
-        let stamp = Stamp(self.epoch);
+        self.store_revision += 1;
+        let revision = Revision(self.store_revision);
         for change in changes {
             match change {
-                Change::Put { key, value, permit } => {
-                    self.keys.insert(key.clone(), (value.clone(), stamp, permit));
-                    self.history.push(News::Put(Pair { key, value, stamp }));
+                Change::Put { key, value, lease } => {
+                    self.keys.insert(key.clone(), (value.clone(), revision, lease));
+                    self.history.push(News::Put(Pair { key, value, revision }));
                 }
                 Change::Delete { key } => {
                     self.keys.remove(&key);
-                    self.history.push(News::Delete { key, stamp });
+                    self.history.push(News::Delete { key, revision });
                 }
             }
         }
-        StateReply::Committed { epoch: self.epoch }
+        StateReply::Committed { store_revision: self.store_revision }
     }
 
     fn answer(&mut self, request: StateRequest, now: u64) -> StateReply {
         match request {
             StateRequest::Get { key } => match self.keys.get(&key) {
-                Some((value, stamp, _)) => {
-                    StateReply::Found(Pair { key, value: value.clone(), stamp: *stamp })
+                Some((value, revision, _)) => {
+                    StateReply::Found(Pair { key, value: value.clone(), revision: *revision })
                 }
-                None => StateReply::Missing { epoch: self.epoch },
+                None => StateReply::Missing { store_revision: self.store_revision },
             },
             StateRequest::Range { prefix, after, most } => {
                 let after = after.unwrap_or_default();
@@ -177,28 +177,28 @@
                     .iter()
                     .filter(|(k, _)| k.starts_with(prefix) && **k > after)
                     .take(most as usize + 1)
-                    .map(|(k, v)| Pair { key: k.clone(), value: v.0.clone(), stamp: v.1 })
+                    .map(|(k, v)| Pair { key: k.clone(), value: v.0.clone(), revision: v.1 })
                     .collect();
                 let more = pairs.len() > most as usize;
                 pairs.truncate(most as usize);
-                StateReply::Pairs { pairs, more, epoch: self.epoch }
+                StateReply::Pairs { pairs, more, store_revision: self.store_revision }
             }
             StateRequest::Commit { conditions, changes } => self.commit(&conditions, changes),
-            StateRequest::Grant { life_ms } => {
+            StateRequest::GrantLease { life_ms } => {
                 self.next += 1;
-                let permit = Permit(self.next);
-                self.grants.insert(permit, Grant { ends: now + life_ms, life: life_ms });
-                StateReply::Granted(permit)
+                let lease = LeaseId(self.next);
+                self.grants.insert(lease, GrantLease { ends: now + life_ms, life: life_ms });
+                StateReply::LeaseGranted(lease)
             }
-            StateRequest::Renew { permit } => match self.grants.get_mut(&permit) {
+            StateRequest::RenewLease { lease } => match self.grants.get_mut(&lease) {
                 Some(g) => {
                     g.ends = now + g.life;
-                    StateReply::Renewed
+                    StateReply::LeaseRenewed
                 }
-                None => StateReply::NoGrant,
+                None => StateReply::LeaseExpired,
             },
             StateRequest::Watch { prefix, from, .. } => {
-                StateReply::Events { epoch: self.epoch, events: self.since(prefix, from) }
+                StateReply::Events { store_revision: self.store_revision, events: self.since(prefix, from) }
             }
         }
     }
@@ -285,10 +285,10 @@
 
     /// Users who come through a feature upload their jobs' descriptions for the workers, as others do.
     fn upload_descriptions(&mut self) {
-        if self.feature.is_none() || self.state.epoch == self.described {
+        if self.feature.is_none() || self.state.store_revision == self.described {
             return;
         }
-        self.described = self.state.epoch;
+        self.described = self.state.store_revision;
         let mut new = Vec::new();
         for (key, value) in self.state.under(jobs::PREFIX) {
             let id = &key[jobs::PREFIX.len()..];
@@ -308,9 +308,9 @@
         }
         if let Some(w) = self.state.watches.remove(&id) {
             let events = self.state.since(w.prefix, w.since);
-            let epoch = self.state.epoch;
+            let store_revision = self.state.store_revision;
             let aside = self.feature_prefix.as_ref().is_some_and(|own| *own == w.prefix);
-            self.reply(w.from, w.life, w.op, StateReply::Events { epoch, events }, aside);
+            self.reply(w.from, w.life, w.op, StateReply::Events { store_revision, events }, aside);
         }
     }
 }
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/world/tests.rs
@@ -330,7 +330,7 @@
                     effect
                 {
                     reads += 1;
-                    let reply = StateReply::Events { epoch: from, events: Vec::new() };
+                    let reply = StateReply::Events { store_revision: from, events: Vec::new() };
                     inputs.push(Input::State { op, reply });
                 }
             }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -88,11 +88,11 @@
 );
 number_type!(
     /// Revision of a key in the state service; 0 means that it does not exist.
-    Stamp
+    Revision
 );
 number_type!(
     /// A grant (lease) of the state service.
-    Permit
+    LeaseId
 );
 number_type!(
     /// Tells one start of a task from another; shared by the tasks of a gang's attempt.
