--- a/crates/homes/src/apart.rs
+++ b/crates/homes/src/apart.rs
@@ -5,14 +5,14 @@
 //! doesn't hear is alive, and that more workers are on the other side, where another node should lead. Nothing is
 //! proved by it: it only keeps machines from being returned, and lets a leader resign.
 
-use pearford_types::{FencingToken, MachineId, NodeName, Revision, Span, Time, Zone};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Revision, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often a node says it: a change of the state service each.
-const SAY_EVERY: Span = Span::ms(5_000);
+const SAY_EVERY: Duration = Duration::from_millis(5_000);
 /// How long a word holds: one more may be late.
-const HOLDS: Span = Span::ms(12_000);
+const HOLDS: Duration = Duration::from_millis(12_000);
 /// Workers that the others must hear beyond a leader's own for it to resign: a few more say nothing, and each change of
 /// the lead costs seconds.
 const MORE: f64 = 1.25;
@@ -31,16 +31,16 @@
 /// Every node's part: whom it answers, and when to say so.
 #[derive(Debug, Default)]
 pub struct Teller {
-    answered: BTreeMap<MachineId, (Zone, Time)>,
+    answered: BTreeMap<MachineId, (Zone, MonotonicTime)>,
     /// Under which fence it spoke last, and when it speaks again.
     said: FencingToken,
-    next: Time,
-    next_prune: Time,
+    next: MonotonicTime,
+    next_prune: MonotonicTime,
 }
 
 impl Teller {
     /// It has answered a worker's report.
-    pub fn answered(&mut self, machine: &MachineId, zone: &Zone, lease: Span, now: Time) {
+    pub fn answered(&mut self, machine: &MachineId, zone: &Zone, lease: Duration, now: MonotonicTime) {
         self.answered.insert(machine.clone(), (zone.clone(), now));
         if now >= self.next_prune {
             self.next_prune = now + SAY_EVERY;
@@ -53,10 +53,10 @@
     pub fn word(
         &mut self,
         fencing_token: FencingToken,
-        since: Time,
+        since: MonotonicTime,
         own: &Zone,
-        lease: Span,
-        now: Time,
+        lease: Duration,
+        now: MonotonicTime,
     ) -> Option<Word> {
         if now < self.next && fencing_token == self.said {
             return None;
@@ -73,29 +73,34 @@
 
 /// The leader's part: what it was told.
 #[derive(Debug, Default)]
-pub struct Told(BTreeMap<NodeName, (Revision, Time, Word)>);
+pub struct Told(BTreeMap<NodeName, (Revision, MonotonicTime, Word)>);
 
 impl Told {
     /// A word as it was read. One that was there before says nothing new, however often it is read.
-    pub fn learn(&mut self, node: NodeName, revision: Revision, word: Word, now: Time) {
+    pub fn learn(&mut self, node: NodeName, revision: Revision, word: Word, now: MonotonicTime) {
         if self.0.get(&node).is_none_or(|(known, ..)| *known < revision) {
             self.0.insert(node, (revision, now, word));
         }
     }
 
-    fn words(&self, now: Time) -> impl Iterator<Item = &Word> {
-        let holds = move |(_, at, _): &&(Revision, Time, Word)| now.since(*at) < HOLDS;
+    fn words(&self, now: MonotonicTime) -> impl Iterator<Item = &Word> {
+        let holds = move |(_, at, _): &&(Revision, MonotonicTime, Word)| now.since(*at) < HOLDS;
         self.0.values().filter(holds).map(|(_, _, word)| word)
     }
 
     /// Zones whose workers are answered by nodes that are apart, whichever leader they speak of: their leases live on.
-    pub fn alive(&self, now: Time) -> BTreeSet<Zone> {
+    pub fn alive(&self, now: MonotonicTime) -> BTreeSet<Zone> {
         self.words(now).flat_map(|word| word.heard.keys().cloned()).collect()
     }
 
     /// Whether so many more workers are with nodes that are apart than the `mine` that the leader hears that one of
     /// those should lead. `mine` is counted only where somebody is apart.
-    pub fn outweigh(&self, mine: impl FnOnce() -> u32, fencing_token: FencingToken, now: Time) -> bool {
+    pub fn outweigh(
+        &self,
+        mine: impl FnOnce() -> u32,
+        fencing_token: FencingToken,
+        now: MonotonicTime,
+    ) -> bool {
         let words = self.words(now).filter(|word| word.fencing_token == fencing_token);
         let theirs = words.map(|word| word.heard.values().sum::<u32>()).max().unwrap_or(0);
         if theirs < AT_LEAST {
--- a/crates/homes/src/apart/tests.rs
+++ b/crates/homes/src/apart/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-const T: fn(u64) -> Time = Time::from_ms;
-const LEASE: Span = Span::ms(12_500);
+const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
+const LEASE: Duration = Duration::from_millis(12_500);
 
 #[test]
 fn whom_a_node_answers_is_said_now_and_then_and_forgotten_with_the_lease() {
--- a/crates/homes/src/delegate.rs
+++ b/crates/homes/src/delegate.rs
@@ -2,22 +2,22 @@
 
 use crate::messages::{Delegation, Digest, Full, Same, Stamped};
 use crate::{Homes, content_hash};
-use pearford_types::{FencingToken, MachineId, NodeName, Span, Time, Zone};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How old the last delegation may be for the leader to count as reachable from here.
-const FRESH: Span = Span::ms(3000);
+const FRESH: Duration = Duration::from_millis(3000);
 /// A worker that comes back within this, after it was sent elsewhere, is answered: it found nobody there.
-const COMES_BACK: Span = Span::ms(30_000);
+const COMES_BACK: Duration = Duration::from_millis(30_000);
 /// How long what has changed waits for more of it, and what is the same as before.
-const CHANGED_EVERY: Span = Span::ms(100);
-const SAME_EVERY: Span = Span::ms(500);
+const CHANGED_EVERY: Duration = Duration::from_millis(100);
+const SAME_EVERY: Duration = Duration::from_millis(500);
 /// Bytes of content in one digest; what is more goes with the next.
 const DIGEST_BYTES: usize = 128 * 1024;
 /// Workers sent home in a second: moved a few at a time, never all at once.
 const MOVES_A_SECOND: u32 = 60;
 /// What was heard longer ago than this is not told to a new leader: the machine may have moved on.
-const REMEMBERED: Span = Span::ms(15_000);
+const REMEMBERED: Duration = Duration::from_millis(15_000);
 
 /// Guards that tests take out, to prove that what checks them can fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     leader: NodeName,
     fencing_token: FencingToken,
     beat: u64,
-    at: Time,
+    at: MonotonicTime,
     ready: bool,
     homes: Homes,
     /// Workers of this zone alone are answered by it.
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 struct Report {
     at: Stamped,
-    heard: Time,
+    heard: MonotonicTime,
     content: Vec<u8>,
     hash: u64,
 }
@@ -73,9 +73,9 @@
 /// When a worker was sent elsewhere, and why.
 #[derive(Debug, Clone, Copy)]
 struct SentOn {
-    at: Time,
+    at: MonotonicTime,
     /// To its home; else on, as no delegation had come since this time.
-    alone_since: Option<Time>,
+    alone_since: Option<MonotonicTime>,
 }
 
 #[derive(Debug, Clone)]
@@ -89,10 +89,10 @@
     changed: BTreeSet<MachineId>,
     same: BTreeSet<MachineId>,
     sent_on: BTreeMap<MachineId, SentOn>,
-    moves: (Time, u32),
-    next_changed: Time,
-    next_same: Time,
-    next_prune: Time,
+    moves: (MonotonicTime, u32),
+    next_changed: MonotonicTime,
+    next_same: MonotonicTime,
+    next_prune: MonotonicTime,
     out: Option<Guard>,
 }
 
@@ -106,10 +106,10 @@
             changed: BTreeSet::new(),
             same: BTreeSet::new(),
             sent_on: BTreeMap::new(),
-            moves: (Time::default(), 0),
-            next_changed: Time::default(),
-            next_same: Time::default(),
-            next_prune: Time::default(),
+            moves: (MonotonicTime::default(), 0),
+            next_changed: MonotonicTime::default(),
+            next_same: MonotonicTime::default(),
+            next_prune: MonotonicTime::default(),
             out: None,
         }
     }
@@ -134,7 +134,7 @@
     }
 
     /// This node leads now: it answers in its own right. What it has heard as a delegate is for itself.
-    pub fn leads(&mut self, now: Time) -> Vec<Full> {
+    pub fn leads(&mut self, now: MonotonicTime) -> Vec<Full> {
         self.held = None;
         self.changed.clear();
         self.same.clear();
@@ -147,7 +147,7 @@
     }
 
     /// A leader delegates. An older leader's word, however late, changes nothing.
-    pub fn granted(&mut self, from: &NodeName, delegation: Delegation, now: Time) {
+    pub fn granted(&mut self, from: &NodeName, delegation: Delegation, now: MonotonicTime) {
         let Delegation { fencing_token, beat, ready, homes } = delegation;
         if self.held.as_ref().is_some_and(|h| (fencing_token, beat) <= (h.fencing_token, h.beat)) {
             return;
@@ -173,7 +173,7 @@
         leader: &NodeName,
         fencing_token: FencingToken,
         only: &Zone,
-        now: Time,
+        now: MonotonicTime,
     ) {
         if self.held.as_ref().is_none_or(|h| h.fencing_token < fencing_token) {
             let at = now.before(FRESH);
@@ -189,18 +189,18 @@
     }
 
     /// When it heard of the leader last.
-    pub fn heard_at(&self) -> Time {
+    pub fn heard_at(&self) -> MonotonicTime {
         self.held.as_ref().map(|h| h.at).unwrap_or_default()
     }
 
     /// Whether the leader counts as reachable from here.
-    pub fn is_fresh(&self, now: Time) -> bool {
+    pub fn is_fresh(&self, now: MonotonicTime) -> bool {
         self.held.as_ref().is_some_and(|h| now.since(h.at) < FRESH)
     }
 
     /// Takes a report. `top`: the highest fence that this node knows of. `may_renew`: its own last look at the
     /// job records allows it to renew leases.
-    pub fn report(&mut self, ask: Ask<'_>, top: FencingToken, may_renew: bool, now: Time) -> Turn {
+    pub fn report(&mut self, ask: Ask<'_>, top: FencingToken, may_renew: bool, now: MonotonicTime) -> Turn {
         let Some(held) = &self.held else { return Turn::NotOurs };
         // A worker drops an answer by a lower fence than it has seen, and stays here while its lease runs out.
         // (The second is the same guard: whoever has seen a higher one says so with its next report.)
@@ -224,7 +224,7 @@
     }
 
     /// Where a worker is sent instead of being answered here, if it is.
-    pub(crate) fn elsewhere(&mut self, machine: &MachineId, zone: &Zone, now: Time) -> Option<Turn> {
+    pub(crate) fn elsewhere(&mut self, machine: &MachineId, zone: &Zone, now: MonotonicTime) -> Option<Turn> {
         let held = self.held.as_ref()?;
         let fresh = now.since(held.at) < FRESH;
         let home = held.homes.home_of(machine, zone).filter(|home| fresh && **home != self.me).cloned();
@@ -250,22 +250,22 @@
     /// home and comes from there because that node has lost the leader too has not: it must go on until it
     /// meets the leader (440 machines were answered by nodes that the leader did not hear, and given up; andina
     /// fleet, apart).
-    fn came_back(&self, machine: &MachineId, alone_since: Option<Time>, now: Time) -> bool {
+    fn came_back(&self, machine: &MachineId, alone_since: Option<MonotonicTime>, now: MonotonicTime) -> bool {
         self.sent_on.get(machine).is_some_and(|s| match alone_since {
             Some(_) => s.alone_since == alone_since,
             None => s.alone_since.is_none() && now.since(s.at) < COMES_BACK,
         })
     }
 
-    fn may_move(&mut self, now: Time) -> bool {
-        if now.since(self.moves.0) >= Span::ms(1000) {
+    fn may_move(&mut self, now: MonotonicTime) -> bool {
+        if now.since(self.moves.0) >= Duration::from_millis(1000) {
             self.moves = (now, 0);
         }
         self.moves.1 += 1;
         self.moves.1 <= MOVES_A_SECOND
     }
 
-    fn heard(&mut self, ask: Ask<'_>, now: Time) {
+    fn heard(&mut self, ask: Ask<'_>, now: MonotonicTime) {
         let hash = content_hash(&ask.content);
         let known = self.heard.get(ask.machine);
         if known.is_some_and(|k| !ask.at.is_newer(&k.at)) {
@@ -285,7 +285,7 @@
     }
 
     /// What the leader is to be told now, and which node that is.
-    pub fn digest(&mut self, now: Time) -> Option<(NodeName, Digest)> {
+    pub fn digest(&mut self, now: MonotonicTime) -> Option<(NodeName, Digest)> {
         self.prune(now);
         let held = self.held.as_ref().filter(|h| h.ready)?;
         let changed = !self.changed.is_empty() && now >= self.next_changed;
@@ -316,11 +316,11 @@
     }
 
     /// Forgets machines that have not been heard for long, here or after they were sent elsewhere.
-    pub(crate) fn prune(&mut self, now: Time) {
+    pub(crate) fn prune(&mut self, now: MonotonicTime) {
         if now < self.next_prune {
             return;
         }
-        self.next_prune = now + Span::ms(5000);
+        self.next_prune = now + Duration::from_millis(5000);
         self.heard.retain(|_, r| now.since(r.heard) < COMES_BACK);
         let delegated = self.held.as_ref().map(|h| h.at);
         let lasts = |s: &SentOn| s.alone_since.is_some() && s.alone_since == delegated;
--- a/crates/homes/src/delegate/tests.rs
+++ b/crates/homes/src/delegate/tests.rs
@@ -12,14 +12,21 @@
     }
 }
 
-fn report(d: &mut Delegate, serial: u64, fencing_token: u64, content: &str, top: u64, now: Time) -> Turn {
+fn report(
+    d: &mut Delegate,
+    serial: u64,
+    fencing_token: u64,
+    content: &str,
+    top: u64,
+    now: MonotonicTime,
+) -> Turn {
     let at = Stamped { session: Session(1), serial, fencing_token: FencingToken(fencing_token) };
     let (machine, zone) = ("m".into(), "z".into());
     let ask = Ask { machine: &machine, zone: &zone, at, content: content.as_bytes().to_vec() };
     d.report(ask, FencingToken(top), true, now)
 }
 
-const T: fn(u64) -> Time = Time::from_ms;
+const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
 
 /// The worker would drop the 200 and stay there while its lease runs out.
 #[test]
@@ -101,7 +108,7 @@
     report(&mut d, 2, 5, "x", 5, T(600));
     let (_, second) = d.digest(T(700)).expect("due");
     assert_eq!((second.full.len(), second.same.len()), (0, 1));
-    assert_eq!((second.same[0].at.serial, second.same[0].age), (2, Span::ms(100)));
+    assert_eq!((second.same[0].at.serial, second.same[0].age), (2, Duration::from_millis(100)));
     assert_eq!(second.same[0].hash, content_hash(b"x"));
     // What the leader lacks, and what a new leader doesn't know, is told in full.
     d.wanted(vec!["m".into(), "unknown".into()]);
--- a/crates/homes/src/hub.rs
+++ b/crates/homes/src/hub.rs
@@ -3,24 +3,24 @@
 use crate::messages::{Delegation, Digest, Full, Stamped};
 use crate::rule::{Homes, Place};
 use crate::{Delegate, Turn, content_hash};
-use pearford_types::{FencingToken, MachineId, NodeName, Span, Time, Zone};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const DELEGATE_EVERY: Span = Span::ms(1000);
+const DELEGATE_EVERY: Duration = Duration::from_millis(1000);
 /// A digest that left before this delegation came is at most so much younger than the next one.
-const SLACK: Span = Span::ms(1500);
+const SLACK: Duration = Duration::from_millis(1500);
 /// Delegations whose time is remembered.
 const BEATS: usize = 128;
 /// How old a node's last digest may be for orders to go through it, and the delegation that it names.
-const FRESH: Span = Span::ms(1500);
-const DELEGATED: Span = Span::ms(3500);
+const FRESH: Duration = Duration::from_millis(1500);
+const DELEGATED: Duration = Duration::from_millis(3500);
 /// How long a node has to send its first digest before it is home to none.
-const GRACE: Span = Span::ms(4000);
+const GRACE: Duration = Duration::from_millis(4000);
 /// Weight of a node; the leader has its rounds and commits besides.
 const WEIGHT: u16 = 100;
 const LEADERS_WEIGHT: u16 = 40;
 /// How often weights follow the numbers of machines, and by how much at a time.
-const BALANCE_EVERY: Span = Span::ms(10_000);
+const BALANCE_EVERY: Duration = Duration::from_millis(10_000);
 const STEP: f64 = 0.8;
 /// A node with more than this many times its share gets less.
 const UNEVEN: f64 = 1.25;
@@ -31,7 +31,7 @@
     pub machine: MachineId,
     pub at: Stamped,
     /// When the report was heard, by the leader's clock, and rather too early than too late.
-    pub heard: Time,
+    pub heard: MonotonicTime,
     /// What it says is new; else it is what the last one said.
     pub new: bool,
 }
@@ -50,16 +50,16 @@
     me: NodeName,
     fencing_token: FencingToken,
     beat: u64,
-    sent: VecDeque<(u64, Time)>,
-    next: Time,
+    sent: VecDeque<(u64, MonotonicTime)>,
+    next: MonotonicTime,
     /// When a node's last digest came, and when the delegation had left that it named.
-    digests: BTreeMap<NodeName, (Time, Time)>,
+    digests: BTreeMap<NodeName, (MonotonicTime, MonotonicTime)>,
     /// Since when nodes have been there for a leader that is ready.
-    listed: BTreeMap<NodeName, Time>,
+    listed: BTreeMap<NodeName, MonotonicTime>,
     known: BTreeMap<MachineId, Known>,
     wanted: BTreeMap<NodeName, BTreeSet<MachineId>>,
     weights: BTreeMap<NodeName, u16>,
-    next_balance: Time,
+    next_balance: MonotonicTime,
     /// Decides about the leader's own reports, as any node does.
     own: Delegate,
     #[cfg(test)]
@@ -67,7 +67,7 @@
 }
 
 impl Hub {
-    pub fn new(me: NodeName, fencing_token: FencingToken, now: Time) -> Self {
+    pub fn new(me: NodeName, fencing_token: FencingToken, now: MonotonicTime) -> Self {
         Self {
             own: Delegate::new(me.clone()),
             me,
@@ -101,7 +101,12 @@
 
     /// The delegation to send to all, if one is due. `live`: the nodes that are there, this one among them, and
     /// their zones.
-    pub fn delegation(&mut self, live: &[(NodeName, Zone)], ready: bool, now: Time) -> Option<Delegation> {
+    pub fn delegation(
+        &mut self,
+        live: &[(NodeName, Zone)],
+        ready: bool,
+        now: MonotonicTime,
+    ) -> Option<Delegation> {
         if now < self.next {
             return None;
         }
@@ -136,7 +141,7 @@
 
     /// Lowers the weight of nodes that have far more machines than the others, and raises it where it was
     /// lowered too far: zones differ in how many machines they have.
-    fn balance(&mut self, live: &[(NodeName, Zone)], now: Time) {
+    fn balance(&mut self, live: &[(NodeName, Zone)], now: MonotonicTime) {
         if now < self.next_balance {
             return;
         }
@@ -168,22 +173,24 @@
     }
 
     /// The node to which a worker is sent that reports to the leader itself, if it is not answered here.
-    pub fn elsewhere(&mut self, machine: &MachineId, zone: &Zone, now: Time) -> Option<NodeName> {
+    pub fn elsewhere(&mut self, machine: &MachineId, zone: &Zone, now: MonotonicTime) -> Option<NodeName> {
         match self.own.elsewhere(machine, zone, now) {
             Some(Turn::Home(home)) if self.is_fresh(&home, now) => Some(home),
             _ => None,
         }
     }
 
-    fn is_fresh(&self, node: &NodeName, now: Time) -> bool {
-        let fresh = |(at, beat): &(Time, Time)| now.since(*at) < FRESH && now.since(*beat) < DELEGATED;
+    fn is_fresh(&self, node: &NodeName, now: MonotonicTime) -> bool {
+        let fresh = |(at, beat): &(MonotonicTime, MonotonicTime)| {
+            now.since(*at) < FRESH && now.since(*beat) < DELEGATED
+        };
         self.digests.get(node).is_some_and(fresh)
     }
 
     /// Whether a node that is there does not get what is sent to it, or what it sends gets lost: then it must be
     /// home to none. (Connections to a node were refused that had one back: it answered, told of it under a
     /// delegation long past, and 440 machines that it heard were given up; andina fleet, apart.)
-    fn is_deaf(&self, node: &NodeName, now: Time) -> bool {
+    fn is_deaf(&self, node: &NodeName, now: MonotonicTime) -> bool {
         *node != self.me
             && self.listed.get(node).is_some_and(|since| now.since(*since) >= GRACE)
             && !self.is_fresh(node, now)
@@ -204,13 +211,13 @@
     }
 
     /// The node through which orders reach a machine; none: straight from here.
-    pub fn route(&self, machine: &MachineId, now: Time) -> Option<&NodeName> {
+    pub fn route(&self, machine: &MachineId, now: MonotonicTime) -> Option<&NodeName> {
         let node = &self.known.get(machine)?.node;
         (*node != self.me && self.is_fresh(node, now)).then_some(node)
     }
 
     /// Another way than the usual one: a node that is heard, or straight from here.
-    pub fn detour(&self, machine: &MachineId, now: Time) -> Option<&NodeName> {
+    pub fn detour(&self, machine: &MachineId, now: MonotonicTime) -> Option<&NodeName> {
         if self.route(machine, now).is_some() {
             return None;
         }
@@ -220,7 +227,7 @@
 
     /// Takes a digest in. What it says is worth what the report said: newer ones than known only, and "the same
     /// as before" only of the content that is known here; else it is asked for.
-    pub fn digest(&mut self, from: &NodeName, digest: Digest, now: Time) -> Vec<Heard> {
+    pub fn digest(&mut self, from: &NodeName, digest: Digest, now: MonotonicTime) -> Vec<Heard> {
         if digest.fencing_token != self.fencing_token {
             return Vec::new();
         }
@@ -229,7 +236,7 @@
             return Vec::new();
         };
         self.digests.insert(from.clone(), (now, beat));
-        let heard = |age: Span| now.before(age).min(beat + SLACK);
+        let heard = |age: Duration| now.before(age).min(beat + SLACK);
         let mut out = Vec::new();
         for full in digest.full {
             let at = heard(full.age);
@@ -263,13 +270,13 @@
     }
 
     /// Takes in what this node heard before it led, as of `since`.
-    pub fn seed(&mut self, own: Vec<Full>, since: Time, now: Time) -> Vec<Heard> {
+    pub fn seed(&mut self, own: Vec<Full>, since: MonotonicTime, now: MonotonicTime) -> Vec<Heard> {
         let me = self.me.clone();
         let heard = |f: &Full| since.before(f.age).min(now);
         own.into_iter().filter_map(|full| self.take_full(&me, heard(&full), full)).collect()
     }
 
-    fn take_full(&mut self, from: &NodeName, heard: Time, full: Full) -> Option<Heard> {
+    fn take_full(&mut self, from: &NodeName, heard: MonotonicTime, full: Full) -> Option<Heard> {
         if self.known.get(&full.machine).is_some_and(|k| !full.at.is_newer(&k.at)) {
             return None;
         }
--- a/crates/homes/src/hub/tests.rs
+++ b/crates/homes/src/hub/tests.rs
@@ -2,7 +2,7 @@
 use crate::messages::Same;
 use pearford_types::Session;
 
-const T: fn(u64) -> Time = Time::from_ms;
+const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
 
 fn stamped(serial: u64) -> Stamped {
     Stamped { session: Session(1), serial, fencing_token: FencingToken(7) }
@@ -16,13 +16,13 @@
 }
 
 fn full(serial: u64, content: &str) -> Full {
-    let (age, content) = (Span::ms(0), content.as_bytes().to_vec());
+    let (age, content) = (Duration::from_millis(0), content.as_bytes().to_vec());
     Full { machine: "m".into(), at: stamped(serial), age, content }
 }
 
 fn same(serial: u64, content: &str) -> Same {
     let hash = content_hash(content.as_bytes());
-    Same { machine: "m".into(), at: stamped(serial), age: Span::ms(0), hash }
+    Same { machine: "m".into(), at: stamped(serial), age: Duration::from_millis(0), hash }
 }
 
 fn digest(full: Vec<Full>, same: Vec<Same>) -> Digest {
--- a/crates/homes/src/messages.rs
+++ b/crates/homes/src/messages.rs
@@ -1,7 +1,7 @@
 //! What leader and delegates say to each other about reports.
 
 use crate::rule::Homes;
-use pearford_types::{FencingToken, MachineId, Session, Span};
+use pearford_types::{Duration, FencingToken, MachineId, Session};
 use serde::{Deserialize, Serialize};
 
 /// Where in its life a worker made a report, and the highest fence it had seen then.
@@ -36,7 +36,7 @@
     pub machine: MachineId,
     pub at: Stamped,
     /// How long ago it was heard when the digest left.
-    pub age: Span,
+    pub age: Duration,
     /// What it says, in the form of the node's own.
     pub content: Vec<u8>,
 }
@@ -46,7 +46,7 @@
 pub struct Same {
     pub machine: MachineId,
     pub at: Stamped,
-    pub age: Span,
+    pub age: Duration,
     /// Of the content: whoever has another one for this machine must not take it for that.
     pub hash: u64,
 }
@@ -66,7 +66,7 @@
     pub call: u64,
     pub addr: String,
     pub body: String,
-    pub patience: Span,
+    pub patience: Duration,
 }
 
 /// What became of one: the worker's status (0: no answer came; it may still run) and where in its life the
--- a/crates/homes/src/renewal.rs
+++ b/crates/homes/src/renewal.rs
@@ -4,14 +4,14 @@
 //! is renewed only as long as it ends in time for every cancellation that this node can't know of, and for every start
 //! that may still arrive of a job whose cancellation it does know of. The argument is in the design ("Outages").
 
-use pearford_types::{FencingToken, MachineId, Span, Time};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 /// How old a leader's look at the job records may be for starts to leave.
-const FRESH: Span = Span::ms(5_000);
+const FRESH: Duration = Duration::from_millis(5_000);
 /// A node with a look as young has not lost the state service.
-const YOUNG: Span = Span::ms(3_000);
+const YOUNG: Duration = Duration::from_millis(3_000);
 /// Machines that are named in one message; if there are more, none counts as free of doubt.
 const NAMED: usize = 256;
 
@@ -45,7 +45,7 @@
 struct Told {
     fencing_token: FencingToken,
     beat: u64,
-    at: Time,
+    at: MonotonicTime,
     machines: Option<BTreeSet<MachineId>>,
     never: BTreeSet<MachineId>,
 }
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Without {
     /// The margin for drift and for what is under way.
-    Margin(Span),
+    Margin(Duration),
     /// A look counts from when it was begun, not from its answer.
     Beginning,
     /// A node that has not looked yet renews nothing.
@@ -69,15 +69,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// `cancel_s` less the lease and a margin.
-    pub hold: Span,
+    pub hold: Duration,
     /// How old a leader's look may be for starts to leave.
-    pub fresh: Span,
+    pub fresh: Duration,
     /// With a look as young a node has not lost the state service.
-    pub young: Span,
+    pub young: Duration,
 }
 
 impl Bounds {
-    pub fn of(hold: Span) -> Self {
+    pub fn of(hold: Duration) -> Self {
         Self { hold, fresh: FRESH, young: YOUNG }
     }
 }
@@ -87,7 +87,7 @@
 pub struct Renewal {
     bounds: Bounds,
     /// Beginning of the newest look at the job records that was answered.
-    look: Option<Time>,
+    look: Option<MonotonicTime>,
     told: Option<Told>,
     out: Option<Without>,
 }
@@ -104,7 +104,7 @@
 
     /// A look at the job records that began at `began` has brought the copy up to date. Only one that the state service
     /// carried out after `began`: what it answers is as of then or later.
-    pub fn looked(&mut self, began: Time, now: Time) {
+    pub fn looked(&mut self, began: MonotonicTime, now: MonotonicTime) {
         let from = if self.out == Some(Without::Beginning) { now } else { began };
         self.look = self.look.max(Some(from));
     }
@@ -115,7 +115,7 @@
     }
 
     /// The leader tells where it has starts in doubt. An older word, however late, changes nothing.
-    pub fn told(&mut self, doubt: Doubt, now: Time) {
+    pub fn told(&mut self, doubt: Doubt, now: MonotonicTime) {
         let Doubt { fencing_token, beat, machines, never } = doubt;
         if self.told.as_ref().is_some_and(|t| (fencing_token, beat) <= (t.fencing_token, t.beat)) {
             return;
@@ -126,31 +126,31 @@
     }
 
     /// Whether starts may leave by this node's look.
-    pub fn is_fresh(&self, now: Time) -> bool {
-        !self.is_blind_for(Span::ms(0), now)
+    pub fn is_fresh(&self, now: MonotonicTime) -> bool {
+        !self.is_blind_for(Duration::from_millis(0), now)
     }
 
     /// Whether its look has been too old for starts for so long already.
-    pub fn is_blind_for(&self, time: Span, now: Time) -> bool {
+    pub fn is_blind_for(&self, time: Duration, now: MonotonicTime) -> bool {
         self.look.is_none_or(|look| now.since(look) >= self.bounds.fresh + time)
     }
 
     /// Whether this node's look is so young that it has not lost the state service: whoever leads can still return a
     /// machine where a start is in doubt.
-    fn is_young(&self, now: Time) -> bool {
+    fn is_young(&self, now: MonotonicTime) -> bool {
         self.look.is_some_and(|look| now.since(look) < self.bounds.young)
     }
 
-    fn within(&self, from: Time, now: Time) -> bool {
+    fn within(&self, from: MonotonicTime, now: MonotonicTime) -> bool {
         let more = match self.out {
             Some(Without::Margin(margin)) => margin,
-            _ => Span::ms(0),
+            _ => Duration::from_millis(0),
         };
-        now.since(from) < Span::ms(self.bounds.hold.0 + more.0)
+        now.since(from) < Duration::from_millis(self.bounds.hold.0 + more.0)
     }
 
     /// Whether it may renew leases at all.
-    pub fn allows(&self, now: Time) -> bool {
+    pub fn allows(&self, now: MonotonicTime) -> bool {
         match self.look {
             Some(look) => self.within(look, now),
             None => self.out == Some(Without::FirstLook),
@@ -159,7 +159,7 @@
 
     /// Whether the leader, in its tenure or holding on, may renew a machine's lease. `doubtful`: a start of its own may
     /// still arrive there.
-    pub fn by_leader(&self, doubtful: bool, now: Time) -> bool {
+    pub fn by_leader(&self, doubtful: bool, now: MonotonicTime) -> bool {
         self.allows(now) && (self.is_young(now) || !doubtful || self.out == Some(Without::Doubt))
     }
 
@@ -170,7 +170,7 @@
         machine: &MachineId,
         fencing_token: FencingToken,
         tells: bool,
-        now: Time,
+        now: MonotonicTime,
     ) -> bool {
         if !self.allows(now) {
             return false;
--- a/crates/homes/src/renewal/tests.rs
+++ b/crates/homes/src/renewal/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-const T: fn(u64) -> Time = Time::from_ms;
+const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
 const F: FencingToken = FencingToken(7);
 
 fn held() -> Renewal {
-    let mut r = Renewal::new(Bounds::of(Span::ms(26_000)));
+    let mut r = Renewal::new(Bounds::of(Duration::from_millis(26_000)));
     r.looked(T(1_000_000), T(1_001_500));
     r
 }
 
 #[test]
 fn a_look_counts_from_its_beginning_and_none_counts_for_nothing() {
-    let mut r = Renewal::new(Bounds::of(Span::ms(26_000)));
+    let mut r = Renewal::new(Bounds::of(Duration::from_millis(26_000)));
     assert!(!r.allows(T(1_000)) && !r.by_leader(false, T(1_000)), "just started");
     r.looked(T(2_000), T(9_000));
     r.looked(T(1_000), T(9_500));
--- a/crates/homes/src/tests.rs
+++ b/crates/homes/src/tests.rs
@@ -5,7 +5,7 @@
 
 use crate::{Ask, Delegate, Delegation, Digest, Guard, Homes, Hub, Place, Stamped, Turn};
 use arbtest::arbtest;
-use pearford_types::{FencingToken, MachineId, NodeName, Session, Span, Time, Zone};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Session, Zone};
 use std::collections::HashSet;
 
 const REPORTS: usize = 3;
@@ -14,7 +14,7 @@
 
 #[derive(Debug, Clone)]
 struct Cell {
-    now: Time,
+    now: MonotonicTime,
     delegates: [Delegate; 2],
     hub: Hub,
     flying: Vec<(usize, Digest)>,
@@ -40,7 +40,7 @@
 impl Cell {
     /// `alone`: there is no second leader.
     fn new(alone: bool) -> Self {
-        let now = Time::from_ms(1_000);
+        let now = MonotonicTime::from_millis(1_000);
         let mut hub = Hub::new("l".into(), FencingToken(1), now);
         hub.delegation(&[], true, now);
         let delegates = [0, 1].map(|i| {
@@ -107,7 +107,7 @@
             }
             if self.digests < DIGESTS && self.flying.len() < IN_FLIGHT {
                 then(&|c| {
-                    c.now = c.now + Span::ms(500);
+                    c.now = c.now + Duration::from_millis(500);
                     c.digests += 1;
                     if let Some((_, digest)) = c.delegates[i].digest(c.now) {
                         c.flying.push((i, digest));
@@ -195,19 +195,19 @@
 fn hostile_messages_change_nothing_that_matters() {
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
-        let mut hub = Hub::new("l".into(), FencingToken(1), Time::from_ms(5));
-        hub.delegation(&[], true, Time::from_ms(5));
+        let mut hub = Hub::new("l".into(), FencingToken(1), MonotonicTime::from_millis(5));
+        hub.delegation(&[], true, MonotonicTime::from_millis(5));
         if let Ok(digest) = postcard::from_bytes::<Digest>(&bytes) {
             hub.digest(
                 &"a".into(),
                 Digest { fencing_token: FencingToken(1), beat: 1, ..digest },
-                Time::from_ms(9),
+                MonotonicTime::from_millis(9),
             );
         }
         let mut delegate = Delegate::new("a".into());
         if let Ok(delegation) = postcard::from_bytes::<Delegation>(&bytes) {
-            delegate.granted(&"l".into(), delegation, Time::from_ms(9));
-            let _ = delegate.digest(Time::from_ms(900));
+            delegate.granted(&"l".into(), delegation, MonotonicTime::from_millis(9));
+            let _ = delegate.digest(MonotonicTime::from_millis(900));
         }
         Ok(())
     })
--- a/crates/homes/tests/gap.rs
+++ b/crates/homes/tests/gap.rs
@@ -6,7 +6,7 @@
 //! Steps are of a second; what clocks add is counted to the millisecond, each clock at either end of the drift.
 
 use pearford_homes::{Bounds, Doubt, Renewal, Without};
-use pearford_types::{FencingToken, MachineId, Span, Time};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime};
 use std::collections::HashSet;
 
 /// In seconds, as they are to one another in the service or worse.
@@ -85,14 +85,14 @@
 
 impl Search {
     /// What node `i`'s clock said `age` ago.
-    fn ago(&self, i: usize, age: u32) -> Time {
+    fn ago(&self, i: usize, age: u32) -> MonotonicTime {
         let by_clock = i64::from(age) * (1_000_000 - self.slow[i]) / 1_000;
-        Time::from_ms(NOW - by_clock as u64)
+        MonotonicTime::from_millis(NOW - by_clock as u64)
     }
 
     /// Whether node `i` renews the lease of a report that it gets now.
     fn renews(&self, s: &State, i: usize) -> bool {
-        let [hold, fresh, young] = [HOLD, FRESH, YOUNG].map(|s| Span::ms(u64::from(s) * 1_000));
+        let [hold, fresh, young] = [HOLD, FRESH, YOUNG].map(|s| Duration::from_millis(u64::from(s) * 1_000));
         let mut r = Renewal::new(Bounds { hold, fresh, young });
         if let Some(without) = self.out {
             r.take_out(without);
@@ -100,7 +100,8 @@
         if let Some(age) = s.nodes[i].looked {
             r.looked(self.ago(i, age), self.ago(i, age));
         }
-        let (now, fencing_token, machine) = (Time::from_ms(NOW), FencingToken(1), MachineId::from("m"));
+        let (now, fencing_token, machine) =
+            (MonotonicTime::from_millis(NOW), FencingToken(1), MachineId::from("m"));
         if i == 0 {
             return r.by_leader(s.task == Task::OnItsWay, now);
         }
@@ -313,7 +314,7 @@
 
 #[test]
 fn without_a_guard_the_search_finds_how_it_does() {
-    let margin = Without::Margin(Span::ms(u64::from(MARGIN) * 1_000));
+    let margin = Without::Margin(Duration::from_millis(u64::from(MARGIN) * 1_000));
     let guards = [margin, Without::Beginning, Without::FirstLook, Without::Doubt, Without::Stops];
     for out in guards.map(Some) {
         let way = Search { out, slow: [500, 500] }.run();
--- a/crates/nomad/src/door/limits.rs
+++ b/crates/nomad/src/door/limits.rs
@@ -2,13 +2,13 @@
 
 use super::names::NameHash;
 use super::requests::Request;
-use pearford_scheduler::types::{OpId, Span, Time};
+use pearford_scheduler::types::{Duration, MonotonicTime, OpId};
 use std::collections::BTreeSet;
 
 /// Answered in one step, so that a change that wakes many does not hold up the node.
 const WOKEN_AT_ONCE: usize = 16;
 /// Lists are told of changes this often at most: each is as long as there are names.
-const LISTS_EVERY: Span = Span::ms(500);
+const LISTS_EVERY: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct Query {
@@ -16,7 +16,7 @@
     asked: Request,
     /// The name whose changes it waits for; none: any.
     name: Option<NameHash>,
-    until: Time,
+    until: MonotonicTime,
 }
 
 #[derive(Debug, Default)]
@@ -24,11 +24,11 @@
     most: usize,
     waiting: Vec<Query>,
     /// When the first of them has waited long enough.
-    next_overdue: Time,
+    next_overdue: MonotonicTime,
     /// Names that changed since the last look.
     changed: BTreeSet<NameHash>,
     any_changed: bool,
-    next_lists: Time,
+    next_lists: MonotonicTime,
 }
 
 impl Queries {
@@ -41,7 +41,7 @@
     }
 
     /// Lets a query wait; false: too many do.
-    pub fn wait(&mut self, request: OpId, asked: Request, now: Time) -> bool {
+    pub fn wait(&mut self, request: OpId, asked: Request, now: MonotonicTime) -> bool {
         if self.waiting.len() >= self.most {
             return false;
         }
@@ -61,7 +61,7 @@
 
     /// Goes through those that may have something new, or have waited long enough. `answer` says whether it
     /// has answered; it must if the query is overdue.
-    pub fn wake(&mut self, now: Time, mut answer: impl FnMut(OpId, &Request, bool) -> bool) {
+    pub fn wake(&mut self, now: MonotonicTime, mut answer: impl FnMut(OpId, &Request, bool) -> bool) {
         let lists = self.any_changed && now >= self.next_lists;
         let idle = self.changed.is_empty() && !lists && now < self.next_overdue;
         if self.waiting.is_empty() || idle {
--- a/crates/nomad/src/door/mod.rs
+++ b/crates/nomad/src/door/mod.rs
@@ -26,7 +26,7 @@
 use limits::Queries;
 use names::{Head, NameHash, PREFIX};
 use pearford_scheduler::feature::{Action, Call, Feature, Input, View};
-use pearford_scheduler::types::{JobId, OpId, Span};
+use pearford_scheduler::types::{Duration, JobId, OpId};
 use requests::{Ask, Page, Query, Request, Route};
 use retry::{Change, Write};
 use serde_json::{Value, json};
@@ -34,7 +34,7 @@
 use tokens::Tokens;
 use upkeep::Upkeep;
 
-const DEFAULT_WAIT: Span = Span::ms(300_000);
+const DEFAULT_WAIT: Duration = Duration::from_millis(300_000);
 
 /// An answer before it is sent.
 struct Reply {
@@ -140,7 +140,7 @@
                     Err(why) => return vec![send(request, Reply::error(400, why))],
                 };
                 let wait = query.duration("wait").unwrap_or(DEFAULT_WAIT);
-                let wait = Span::ms(wait.0.min((self.settings.max_wait_s * 1000.0) as u64));
+                let wait = Duration::from_millis(wait.0.min((self.settings.max_wait_s * 1000.0) as u64));
                 if let Some(asked) = machines::Asked::of(&ask, &page, caller.may_read("*")) {
                     return self.read_machines(request, asked);
                 }
--- a/crates/nomad/src/door/requests.rs
+++ b/crates/nomad/src/door/requests.rs
@@ -6,7 +6,7 @@
 use crate::source;
 use crate::translate::Context;
 use pearford_scheduler::feature::Verb;
-use pearford_scheduler::types::Span;
+use pearford_scheduler::types::Duration;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
@@ -74,7 +74,7 @@
     pub page: Page,
     /// Only what is newer than this.
     pub index: Option<u64>,
-    pub wait: Span,
+    pub wait: Duration,
 }
 
 pub enum Route {
@@ -126,8 +126,8 @@
         self.get(key)?.parse().ok()
     }
 
-    pub fn duration(&self, key: &str) -> Option<Span> {
-        decode::duration(self.get(key)?).ok().map(Span::secs)
+    pub fn duration(&self, key: &str) -> Option<Duration> {
+        decode::duration(self.get(key)?).ok().map(Duration::from_secs_f64)
     }
 }
 
--- a/crates/nomad/src/door/rolls.rs
+++ b/crates/nomad/src/door/rolls.rs
@@ -6,12 +6,12 @@
 
 use super::guards::{Guard, holds};
 use super::names::{Head, Roll};
-use pearford_scheduler::types::{JobId, Room, Span, Time};
+use pearford_scheduler::types::{Duration, JobId, MonotonicTime, Room};
 use std::collections::BTreeMap;
 
 /// How long the limit must have been in the way before an old part goes first: what was just placed or
 /// stopped takes a while to show.
-const PATIENCE: Span = Span::ms(4000);
+const PATIENCE: Duration = Duration::from_millis(4000);
 
 /// What the leader sees of a new part.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -30,7 +30,7 @@
     /// Whether the old part's job is still open.
     pub open: &'a dyn Fn(&JobId) -> bool,
     /// How long nothing has changed that this leader has seen.
-    pub unchanged: Span,
+    pub unchanged: Duration,
     pub wall_ms: u64,
 }
 
@@ -108,9 +108,9 @@
 /// When each part became healthy, as this leader has seen it: a new leader counts anew.
 #[derive(Debug, Default)]
 pub struct Health {
-    full_since: BTreeMap<JobId, Time>,
+    full_since: BTreeMap<JobId, MonotonicTime>,
     running: BTreeMap<JobId, u32>,
-    changed_at: BTreeMap<String, Time>,
+    changed_at: BTreeMap<String, MonotonicTime>,
 }
 
 impl Health {
@@ -121,8 +121,8 @@
         id: &JobId,
         (running, waiting): (u32, u32),
         tasks: u32,
-        min: Span,
-        now: Time,
+        min: Duration,
+        now: MonotonicTime,
     ) -> Seen {
         if self.running.insert(id.clone(), running) != Some(running) {
             self.changed_at.insert(name.into(), now);
@@ -136,11 +136,11 @@
     }
 
     /// How long nothing has changed under a name.
-    pub fn unchanged(&self, name: &str, now: Time) -> Span {
-        self.changed_at.get(name).map_or(Span::ms(0), |at| now.since(*at))
+    pub fn unchanged(&self, name: &str, now: MonotonicTime) -> Duration {
+        self.changed_at.get(name).map_or(Duration::from_millis(0), |at| now.since(*at))
     }
 
-    pub fn touched(&mut self, name: &str, now: Time) {
+    pub fn touched(&mut self, name: &str, now: MonotonicTime) {
         self.changed_at.insert(name.into(), now);
     }
 
--- a/crates/nomad/src/door/upkeep.rs
+++ b/crates/nomad/src/door/upkeep.rs
@@ -8,12 +8,12 @@
 use crate::fault::Faults;
 use crate::translate::{Context, Job, translate};
 use pearford_scheduler::feature::{Action, Outcome, Share, View};
-use pearford_scheduler::types::{FencingToken, Revision, Span, Time};
+use pearford_scheduler::types::{Duration, FencingToken, MonotonicTime, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 
-const EVERY: Span = Span::ms(500);
+const EVERY: Duration = Duration::from_millis(500);
 /// After a commit that came to nothing.
-const PAUSE: Span = Span::ms(1000);
+const PAUSE: Duration = Duration::from_millis(1000);
 /// Names looked at for a roll in one step.
 const ROLLS_AT_ONCE: usize = 64;
 
@@ -28,7 +28,7 @@
     health: Health,
     fencing_token: Option<FencingToken>,
     committing: Option<u64>,
-    next: Time,
+    next: MonotonicTime,
     salt: u64,
     steps: u64,
     failed: u64,
@@ -46,7 +46,7 @@
         }
     }
 
-    pub fn committed(&mut self, tag: u64, outcome: &Outcome, now: Time) {
+    pub fn committed(&mut self, tag: u64, outcome: &Outcome, now: MonotonicTime) {
         if self.committing != Some(tag) {
             return;
         }
@@ -145,13 +145,13 @@
             fits: &fits,
             open: &|id| versions::is_open(view, id),
             unchanged: self.health.unchanged(hash.as_str(), view.now),
-            wall_ms: view.wall.0,
+            wall_ms: view.wall_time.0,
         };
         match rolls::next(head, roll, &facts) {
             Step::Wait => None,
             Step::Withdraw(id) => {
                 self.health.touched(hash.as_str(), view.now);
-                let next = rolls::without(head, &id, view.wall.0);
+                let next = rolls::without(head, &id, view.wall_time.0);
                 Some(versions::write_roll(view, revision, &next, Some(&id)))
             }
             Step::Finish => {
--- a/crates/nomad/src/door/versions.rs
+++ b/crates/nomad/src/door/versions.rs
@@ -140,7 +140,7 @@
         digest: digest.clone(),
         service: job.service,
         priority: job.priority,
-        submitted_ms: view.wall.0,
+        submitted_ms: view.wall_time.0,
         created: 0,
         groups,
         stopped: false,
@@ -154,7 +154,7 @@
         head.created = if old.created > 0 { old.created } else { revision.0 };
         succeed(view, old, &mut head, &mut leaving);
     }
-    let record = VersionRecord::new(&digest, view.wall.0, json).to_value();
+    let record = VersionRecord::new(&digest, view.wall_time.0, json).to_value();
     let revision = known.as_ref().map_or(Revision(0), |(revision, _)| *revision);
     let spare = ops - 2 - made.len();
     head.ending.extend(writes.withdraw_some(view, leaving, spare));
@@ -187,8 +187,13 @@
     leaving.extend(going.into_iter().map(|o| o.part.id));
     if !staying.is_empty() {
         let from = old.roll.as_ref().filter(|r| !r.kept).map_or(old.version, |r| r.from);
-        head.roll =
-            Some(Roll { from, olds: staying, gone: Vec::new(), progressed_ms: view.wall.0, kept: false });
+        head.roll = Some(Roll {
+            from,
+            olds: staying,
+            gone: Vec::new(),
+            progressed_ms: view.wall_time.0,
+            kept: false,
+        });
     }
 }
 
@@ -297,13 +302,13 @@
     let head = Head {
         version,
         digest: record.digest.clone(),
-        submitted_ms: view.wall.0,
+        submitted_ms: view.wall_time.0,
         groups,
         roll: Some(Roll {
             from: failed.version,
             olds,
             gone: Vec::new(),
-            progressed_ms: view.wall.0,
+            progressed_ms: view.wall_time.0,
             kept: false,
         }),
         ended: Some(Ended::Reverted),
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -6,7 +6,7 @@
 use crate::operator::{NomadSettings, Stands};
 use crate::tree::Value;
 use pearford_scheduler::jobs::{JobSpec, Priority, Shape};
-use pearford_scheduler::types::{JobId, Room, Span};
+use pearford_scheduler::types::{Duration, JobId, Room};
 use pearford_scheduler::wire::users;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -57,10 +57,10 @@
 pub struct Update {
     /// Replicas replaced at a time; 0: all.
     pub max_parallel: u32,
-    pub min_healthy: Span,
-    pub healthy_deadline: Span,
+    pub min_healthy: Duration,
+    pub healthy_deadline: Duration,
     /// 0: the first failure ends the roll.
-    pub progress_deadline: Span,
+    pub progress_deadline: Duration,
     pub auto_revert: bool,
 }
 
@@ -68,9 +68,9 @@
     fn default() -> Self {
         Self {
             max_parallel: 1,
-            min_healthy: Span::secs(10.0),
-            healthy_deadline: Span::secs(300.0),
-            progress_deadline: Span::secs(600.0),
+            min_healthy: Duration::from_secs_f64(10.0),
+            healthy_deadline: Duration::from_secs_f64(300.0),
+            progress_deadline: Duration::from_secs_f64(600.0),
             auto_revert: false,
         }
     }
@@ -261,10 +261,10 @@
             together,
             spread,
             spot: meta.flag("spot"),
-            estimate: Span::secs(estimate),
-            checkpoint: Span::secs(meta.amount("snapshot_every_s").unwrap_or(0.0)),
-            save: Span::secs(meta.amount("snapshot_s").unwrap_or(0.0)),
-            deadline: meta.amount("due_s").map(Span::secs),
+            estimate: Duration::from_secs_f64(estimate),
+            checkpoint: Duration::from_secs_f64(meta.amount("snapshot_every_s").unwrap_or(0.0)),
+            save: Duration::from_secs_f64(meta.amount("snapshot_s").unwrap_or(0.0)),
+            deadline: meta.amount("due_s").map(Duration::from_secs_f64),
             needs: meta.names("awaits").map(JobId::from).collect(),
         };
         let task_name = task.label.as_deref().or(task.text("Name")).unwrap_or_default().to_string();
@@ -482,8 +482,8 @@
                 "goes with type service; a batch job's new version is new work",
             );
         }
-        let span = |name: &str, default: Span| {
-            sections.iter().find_map(|s| s.seconds(name)).map_or(default, Span::secs)
+        let span = |name: &str, default: Duration| {
+            sections.iter().find_map(|s| s.seconds(name)).map_or(default, Duration::from_secs_f64)
         };
         let max_parallel = sections.iter().find_map(|s| s.whole("max_parallel"));
         if max_parallel.is_some_and(|n| !(0..=MAX_TASKS).contains(&n)) {
--- a/crates/nomad/tests/round_trip.rs
+++ b/crates/nomad/tests/round_trip.rs
@@ -4,7 +4,7 @@
 use pearford_nomad::source;
 use pearford_nomad::translate::Context;
 use pearford_scheduler::jobs::{JobSpec, Priority, Shape};
-use pearford_scheduler::types::{Room, Span};
+use pearford_scheduler::types::{Duration, Room};
 use proptest::prelude::*;
 
 /// GPUs in one `device` block or in several: the sum is what counts.
@@ -18,17 +18,17 @@
     let mut meta = vec![
         ("class", spec.kind.to_string()),
         ("image_gb", spec.image_gb.to_string()),
-        ("snapshot_every_s", spec.checkpoint.as_secs().to_string()),
-        ("snapshot_s", spec.save.as_secs().to_string()),
+        ("snapshot_every_s", spec.checkpoint.as_secs_f64().to_string()),
+        ("snapshot_s", spec.save.as_secs_f64().to_string()),
         ("together", spec.together.to_string()),
         ("spot", spec.spot.to_string()),
         ("gang", (spec.shape == Shape::Gang).to_string()),
     ];
     if spec.shape != Shape::Service {
-        meta.push(("expected_s", spec.estimate.as_secs().to_string()));
+        meta.push(("expected_s", spec.estimate.as_secs_f64().to_string()));
     }
     if let Some(due) = spec.deadline {
-        meta.push(("due_s", due.as_secs().to_string()));
+        meta.push(("due_s", due.as_secs_f64().to_string()));
     }
     if !spec.needs.is_empty() {
         meta.push(("awaits", spec.needs.iter().map(|n| n.as_str()).collect::<Vec<_>>().join(",")));
@@ -144,10 +144,10 @@
             together: placing == 1,
             spread: placing == 2,
             spot,
-            estimate: Span::secs(if shape == Shape::Service { 0.0 } else { quarters(estimate) }),
-            checkpoint: Span::secs(quarters(checkpoint)),
-            save: Span::secs(quarters(save)),
-            deadline: deadline.map(|d| Span::secs(quarters(d))),
+            estimate: Duration::from_secs_f64(if shape == Shape::Service { 0.0 } else { quarters(estimate) }),
+            checkpoint: Duration::from_secs_f64(quarters(checkpoint)),
+            save: Duration::from_secs_f64(quarters(save)),
+            deadline: deadline.map(|d| Duration::from_secs_f64(quarters(d))),
             needs: needs.into_iter().map(|n| format!("req-{n:06}").as_str().into()).collect(),
         }
     }
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -10,7 +10,7 @@
 use pearford_scheduler::feature::{Call, Feature, Verb};
 use pearford_scheduler::node::{Core, Effect, Input, Method, Now};
 use pearford_scheduler::settings::{Peer, Settings};
-use pearford_scheduler::types::{NodeName, OpId, Span, Time, Wall};
+use pearford_scheduler::types::{self, MonotonicTime, NodeName, OpId, WallTime};
 use pearford_scheduler::wire::MAX_BODY;
 use pearford_scheduler::wire::state::StateReply;
 use std::collections::HashMap;
@@ -134,9 +134,11 @@
     let start = Instant::now();
     let clock = |took: Duration| Now {
         // Starts above 0, so that "never" lies in the past.
-        steady: Time::from_ms(start.elapsed().as_millis() as u64 + 1_000_000),
-        wall: Wall(SystemTime::now().duration_since(UNIX_EPOCH).map(|d| d.as_millis() as u64).unwrap_or(0)),
-        took: Span::ms(took.as_millis() as u64),
+        steady: MonotonicTime::from_millis(start.elapsed().as_millis() as u64 + 1_000_000),
+        wall_time: WallTime(
+            SystemTime::now().duration_since(UNIX_EPOCH).map(|d| d.as_millis() as u64).unwrap_or(0),
+        ),
+        took: types::Duration::from_millis(took.as_millis() as u64),
     };
     let mut took = Duration::ZERO;
     let mut answers: HashMap<OpId, oneshot::Sender<Reply>> = HashMap::new();
@@ -253,7 +255,7 @@
     method: http::Method,
     path: &str,
     body: Vec<u8>,
-    patience: Span,
+    patience: types::Duration,
 ) -> Option<(u16, Bytes)> {
     let mut request = http::Request::builder().method(method).uri(format!("http://{addr}{path}"));
     if !body.is_empty() {
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -1,6 +1,6 @@
 //! How often work that can be put off is done, by what it was measured to cost.
 
-use pearford_types::{Span, Time};
+use pearford_types::{Duration, MonotonicTime};
 
 /// A piece of work that comes again and again: at most so often, and within a share of the processor.
 ///
@@ -9,31 +9,31 @@
 /// machines, the grant was not renewed, and the next leader began again.
 #[derive(Debug, Clone)]
 pub struct Pace {
-    every: Span,
+    every: Duration,
     /// For each part of time that the work takes, so many parts go to all else.
     rest: f64,
-    next: Time,
+    next: MonotonicTime,
     /// It was done in the step before this one, whose cost isn't known yet.
     done: bool,
 }
 
 impl Pace {
-    pub fn new(every: Span, rest: f64, first: Time) -> Self {
+    pub fn new(every: Duration, rest: f64, first: MonotonicTime) -> Self {
         Self { every, rest, next: first, done: false }
     }
 
-    pub fn due(&self, now: Time) -> bool {
+    pub fn due(&self, now: MonotonicTime) -> bool {
         now >= self.next
     }
 
     /// The work is done in this step.
-    pub fn begins(&mut self, now: Time) {
+    pub fn begins(&mut self, now: MonotonicTime) {
         self.next = now + self.every;
         self.done = true;
     }
 
     /// The step before this one took `cost`, by the clock.
-    pub fn cost(&mut self, cost: Span, now: Time) {
+    pub fn cost(&mut self, cost: Duration, now: MonotonicTime) {
         if std::mem::take(&mut self.done) {
             self.next = self.next.max(now + cost.times(self.rest));
         }
--- a/crates/recovery/src/pace/tests.rs
+++ b/crates/recovery/src/pace/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-const T: fn(u64) -> Time = Time::from_ms;
+const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
 
 #[test]
 fn costly_work_leaves_its_rest_to_others_and_cheap_work_comes_as_often_as_it_may() {
-    let mut pace = Pace::new(Span::ms(100), 3.0, T(0));
+    let mut pace = Pace::new(Duration::from_millis(100), 3.0, T(0));
     let (mut now, mut worked) = (0, 0);
     while now < 30_000 {
         let cost = if now < 15_000 { 5 } else { 400 };
@@ -12,10 +12,10 @@
             pace.begins(T(now));
             worked += cost;
             now += cost;
-            pace.cost(Span::ms(cost), T(now));
+            pace.cost(Duration::from_millis(cost), T(now));
         } else {
             // Steps without the work say nothing of its cost.
-            pace.cost(Span::ms(900), T(now));
+            pace.cost(Duration::from_millis(900), T(now));
             now += 1;
         }
     }
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -4,7 +4,7 @@
 //! others. What is gated here is what a report on its way could prove needless: giving a machine up, stopping work to
 //! make room, renting.
 
-use pearford_types::{Span, Time};
+use pearford_types::{Duration, MonotonicTime};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
@@ -57,15 +57,15 @@
 /// What is waited for.
 #[derive(Debug, Clone)]
 pub struct Gathering {
-    interval: Span,
-    lease: Span,
-    read_at: Option<Time>,
+    interval: Duration,
+    lease: Duration,
+    read_at: Option<MonotonicTime>,
     phase: Phase,
 }
 
 impl Gathering {
     /// `interval`: of workers' reports; `lease`: how long their tasks live without an answer.
-    pub fn new(interval: Span, lease: Span) -> Self {
+    pub fn new(interval: Duration, lease: Duration) -> Self {
         Self { interval, lease, read_at: None, phase: Phase::Reading }
     }
 
@@ -78,12 +78,12 @@
     }
 
     /// Whether an unheard machine may be given up.
-    pub fn may_give_up(&self, now: Time) -> bool {
+    pub fn may_give_up(&self, now: MonotonicTime) -> bool {
         let waited = self.read_at.map(|at| now.since(at));
         self.allows(Act::GiveUp) && waited.is_some_and(|w| w >= self.interval.times(GIVE_UP_AFTER))
     }
 
-    pub fn records_read(&mut self, now: Time) {
+    pub fn records_read(&mut self, now: MonotonicTime) {
         self.read_at.get_or_insert(now);
         self.phase = self.phase.max(Phase::Gathering);
     }
@@ -93,7 +93,7 @@
     ///
     /// Bounds: with nine tenths heard at once, with two thirds after 2.5 intervals; in any case once every lease that ran
     /// when the records were read is over, since then what is unheard runs nothing.
-    pub fn heard(&mut self, heard: usize, all: usize, now: Time) -> Option<Phase> {
+    pub fn heard(&mut self, heard: usize, all: usize, now: MonotonicTime) -> Option<Phase> {
         let waited = now.since(self.read_at?);
         let share = if all == 0 { 1.0 } else { heard as f64 / all as f64 };
         let next = match self.phase {
--- a/crates/recovery/src/phases/tests.rs
+++ b/crates/recovery/src/phases/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-const T: fn(u64) -> Time = Time::from_ms;
+const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
 
 fn gathering() -> Gathering {
-    Gathering::new(Span::secs(5.0), Span::secs(31.0))
+    Gathering::new(Duration::from_secs_f64(5.0), Duration::from_secs_f64(31.0))
 }
 
 #[test]
--- a/crates/scheduler/src/blocks/mod.rs
+++ b/crates/scheduler/src/blocks/mod.rs
@@ -2,7 +2,7 @@
 //! proposes inside its own. Also what controllers say to each other.
 
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
-use crate::types::{FencingToken, JobId, MachineId, NodeName, Span, Time, Zone};
+use crate::types::{Duration, FencingToken, JobId, MachineId, MonotonicTime, NodeName, Zone};
 use crate::wire::workers::Order;
 use pearford_homes::{Delegation, Digest, Doubt, Relayed, RelayedCall};
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
         fencing_token_seen: FencingToken,
         beat_at: (FencingToken, u64),
         hears_workers: bool,
-        zones_heard: Vec<(Zone, Span)>,
+        zones_heard: Vec<(Zone, Duration)>,
     },
     /// From the leader: it leads, how jobs stand that have moved since its last beat, and what was
     /// learned of machines.
@@ -75,7 +75,7 @@
 pub struct Block {
     pub id: u64,
     pub machines: BTreeSet<MachineId>,
-    pub until: Time,
+    pub until: MonotonicTime,
 }
 
 /// The leader's division of the fleet.
@@ -98,7 +98,7 @@
 
     /// Whether the division no longer suits: a lease is over, a controller came or went, or
     /// there are machines in no block.
-    pub fn due(&self, live: &BTreeSet<NodeName>, now: Time) -> bool {
+    pub fn due(&self, live: &BTreeSet<NodeName>, now: MonotonicTime) -> bool {
         self.blocks.len() != live.len()
             || self.blocks.iter().any(|(n, b)| !live.contains(n) || now >= b.until)
     }
@@ -109,8 +109,8 @@
         &mut self,
         machines: &BTreeSet<MachineId>,
         work: &BTreeMap<NodeName, u32>,
-        lease: Span,
-        now: Time,
+        lease: Duration,
+        now: MonotonicTime,
     ) {
         let total: u32 = work.values().map(|w| w + 1).sum();
         let mut free = machines.clone();
--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/compat/mod.rs
@@ -7,7 +7,7 @@
 //! `docs/design.md` ("Upgrades") has the argument.
 
 use crate::leader;
-use crate::types::{FencingToken, NodeName, Revision, Span, Time};
+use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, Revision};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -27,9 +27,9 @@
 const NODES: &str = "level/node/";
 const MARK: &str = "level/reached";
 const VERSION: &str = env!("CARGO_PKG_VERSION");
-const PAUSE: Span = Span::ms(1000);
+const PAUSE: Duration = Duration::from_millis(1000);
 /// Once all is reached a look now and then suffices, for operators.
-const LONG_PAUSE: Span = Span::ms(60_000);
+const LONG_PAUSE: Duration = Duration::from_millis(60_000);
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct NodeValue {
@@ -57,7 +57,7 @@
     mark_revision: Revision,
     seen: BTreeMap<NodeName, NodeValue>,
     under_way: Option<Step>,
-    next: Time,
+    next: MonotonicTime,
 }
 
 impl Levels {
@@ -72,7 +72,7 @@
             mark_revision: Revision(0),
             seen: BTreeMap::new(),
             under_way: None,
-            next: Time::default(),
+            next: MonotonicTime::default(),
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// The next request to the state service, if one is due. `fencing_token`: this node validly leads.
-    pub fn tick(&mut self, now: Time, fencing_token: Option<FencingToken>) -> Option<StateRequest> {
+    pub fn tick(&mut self, now: MonotonicTime, fencing_token: Option<FencingToken>) -> Option<StateRequest> {
         if self.under_way.is_some() || now < self.next {
             return None;
         }
@@ -120,7 +120,7 @@
         Some(request)
     }
 
-    pub fn reply(&mut self, now: Time, reply: StateReply) {
+    pub fn reply(&mut self, now: MonotonicTime, reply: StateReply) {
         let Some(step) = self.under_way.take() else { return };
         self.next = now + PAUSE;
         match (step, reply) {
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/compat/tests.rs
@@ -3,7 +3,7 @@
 use crate::jobs::{self, JobSpec, OpenJob, Priority, Record, Shape};
 use crate::ledger::MachineRecord;
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
-use crate::types::{Attempt, Room, Session, TaskId, Wall};
+use crate::types::{Attempt, Room, Session, TaskId, WallTime};
 use crate::workers::Health;
 use std::sync::Arc;
 
@@ -34,13 +34,13 @@
         together: true,
         spread: false,
         spot: true,
-        estimate: Span::secs(240.0),
-        checkpoint: Span::secs(30.0),
-        save: Span::secs(4.0),
-        deadline: Some(Span::secs(900.0)),
+        estimate: Duration::from_secs_f64(240.0),
+        checkpoint: Duration::from_secs_f64(30.0),
+        save: Duration::from_secs_f64(4.0),
+        deadline: Some(Duration::from_secs_f64(900.0)),
         needs: Vec::new(),
     };
-    Arc::new(OpenJob { spec, submitted: Wall(1_700_000_000_123), home: "n1".into() })
+    Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), home: "n1".into() })
 }
 
 fn learned() -> Vec<Learned> {
@@ -93,7 +93,7 @@
             fencing_token_seen: fencing_token,
             beat_at: (fencing_token, 9),
             hears_workers: false,
-            zones_heard: vec![("z0".into(), Span::ms(1200))],
+            zones_heard: vec![("z0".into(), Duration::from_millis(1200))],
         },
         PeerMessage::Beat { fencing_token, beat, jobs: jobs.clone(), learned: learned() },
         PeerMessage::Table { fencing_token, beat, jobs, counts: counts() },
@@ -175,7 +175,7 @@
 #[test]
 fn a_level_is_reached_when_every_configured_node_has_said_so_and_never_earlier() {
     let mut l = Levels::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
-    let mut now = Time::from_ms(1);
+    let mut now = MonotonicTime::from_millis(1);
     assert!(
         matches!(l.tick(now, Some(FencingToken(9))), Some(StateRequest::Range { .. })),
         "it looks what is stored"
@@ -186,7 +186,7 @@
     l.reply(now, StateReply::Committed { store_revision: 2 });
     let mut seen = vec![pair("level/node/n0", "{\"level\":1}"), pair("level/node/n2", "{\"level\":1}")];
     for _ in 0..5000 {
-        now = now + Span::ms(1000);
+        now = now + Duration::from_millis(1000);
         let request = l.tick(now, Some(FencingToken(9))).expect("it looks");
         assert!(matches!(request, StateRequest::Range { .. }), "n1 hasn't shown up: {request:?}");
         l.reply(now, StateReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
@@ -194,13 +194,13 @@
     // Nodes that aren't configured don't stand in for one that is.
     seen.push(pair("level/node/n7", "{\"level\":1}"));
     seen.push(pair("level/node/n1", "{\"level\":1,\"version\":\"x\"}"));
-    now = now + Span::ms(1000);
+    now = now + Duration::from_millis(1000);
     l.tick(now, None).expect("it looks");
     l.reply(now, StateReply::Pairs { pairs: seen, more: false, store_revision: 4 });
-    now = now + Span::ms(1000);
+    now = now + Duration::from_millis(1000);
     assert!(matches!(l.tick(now, None), Some(StateRequest::Range { .. })), "only the leader marks");
     l.reply(now, StateReply::Unknown);
-    now = now + Span::ms(1000);
+    now = now + Duration::from_millis(1000);
     let Some(StateRequest::Commit { conditions, .. }) = l.tick(now, Some(FencingToken(9))) else {
         panic!("the leader marks it")
     };
@@ -215,7 +215,7 @@
 fn a_node_whose_level_is_stored_says_nothing_anew_and_one_that_went_back_does() {
     for (stored, says) in [(OURS, false), (OURS + 1, true)] {
         let mut l = Levels::new("n0".into(), std::iter::empty());
-        let now = Time::from_ms(1);
+        let now = MonotonicTime::from_millis(1);
         l.tick(now, None).expect("it looks");
         let value = format!("{{\"level\":{stored},\"version\":\"{VERSION}\"}}");
         let pairs = vec![pair("level/node/n0", &value), pair(MARK, &OURS.to_string())];
--- a/crates/scheduler/src/feature/mod.rs
+++ b/crates/scheduler/src/feature/mod.rs
@@ -9,13 +9,13 @@
 use crate::jobs::{Admission, Mirror};
 use crate::ledger::MachineRecord;
 use crate::settings::Settings;
-use crate::types::{FencingToken, JobId, MachineId, NodeName, OpId, Room, TeamName, Time, Wall};
+use crate::types::{FencingToken, JobId, MachineId, MonotonicTime, NodeName, OpId, Room, TeamName, WallTime};
 use crate::wire::state::Change;
 
 /// What a node and a feature have in common for a step.
 pub struct View<'a> {
-    pub now: Time,
-    pub wall: Wall,
+    pub now: MonotonicTime,
+    pub wall_time: WallTime,
     pub node: &'a NodeName,
     pub settings: &'a Settings,
     /// The copy of the job records.
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! The fleet: what to rent for work that fits nowhere, and what to return.
 
-use crate::types::{Room, Span, Time, TypeName, Zone};
+use crate::types::{Duration, MonotonicTime, Room, TypeName, Zone};
 use crate::wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
 pub struct Market {
     pub types: Vec<MachineType>,
     /// Offers refused lately, and until when they are left alone.
-    refused: BTreeMap<Offer, Time>,
+    refused: BTreeMap<Offer, MonotonicTime>,
     next_claim: u64,
 }
 
@@ -78,7 +78,7 @@
         self.types.iter().find(|t| t.name == *name)
     }
 
-    pub fn refuse(&mut self, offer: Offer, until: Time) {
+    pub fn refuse(&mut self, offer: Offer, until: MonotonicTime) {
         self.refused.insert(offer, until);
     }
 
@@ -96,7 +96,7 @@
         needs: Vec<Need>,
         mut coming: Vec<Coming>,
         per_zone: &BTreeMap<Zone, u32>,
-        now: Time,
+        now: MonotonicTime,
     ) -> Vec<(Offer, u32)> {
         self.refused.retain(|_, until| *until > now);
         let mut per_zone = per_zone.clone();
@@ -198,8 +198,8 @@
 }
 
 /// How long a machine of this type may take to come up before it is given up.
-pub fn boot_limit(t: &MachineType, patience: f64) -> Span {
-    t.boot().times(patience) + Span::secs(10.0)
+pub fn boot_limit(t: &MachineType, patience: f64) -> Duration {
+    t.boot().times(patience) + Duration::from_secs_f64(10.0)
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/fleet/tests.rs
+++ b/crates/scheduler/src/fleet/tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn the_cheapest_adequate_offer_is_rented_and_what_is_coming_counts() {
     let mut m = market();
-    let now = Time::from_ms(0);
+    let now = MonotonicTime::from_millis(0);
     let plan = |m: &mut Market, n: Need, c: Vec<Coming>| m.plan(vec![n], c, &BTreeMap::new(), now);
     let offer = |t: &str, z: &str, spot| Offer { type_name: t.into(), zone: z.into(), spot };
     assert_eq!(plan(&mut m, need(1, 1.0, false), vec![]), [(offer("small", "a", false), 1)]);
@@ -33,13 +33,13 @@
     let room = Room { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
     let coming = vec![Coming { offer: offer("small", "b", false), free: room, number: 1 }];
     assert_eq!(plan(&mut m, need(2, 1.0, false), coming), []);
-    m.refuse(offer("small", "a", true), Time::from_ms(9));
-    m.refuse(offer("small", "b", true), Time::from_ms(9));
+    m.refuse(offer("small", "a", true), MonotonicTime::from_millis(9));
+    m.refuse(offer("small", "b", true), MonotonicTime::from_millis(9));
     let mut patient = need(1, 1.0, true);
     assert_eq!(plan(&mut m, patient.clone(), vec![]), [(offer("small", "a", false), 1)]);
     patient.patient = true;
     assert_eq!(plan(&mut m, patient, vec![]), [], "three times the price, and it can wait");
-    m.refuse(offer("small", "a", false), Time::from_ms(9));
+    m.refuse(offer("small", "a", false), MonotonicTime::from_millis(9));
     assert_eq!(plan(&mut m, need(1, 1.0, false), vec![]), [(offer("small", "b", false), 1)]);
 }
 
@@ -48,7 +48,7 @@
 #[test]
 fn all_that_waits_gets_machines_and_together_means_one_zone() {
     let mut m = market();
-    let now = Time::from_ms(0);
+    let now = MonotonicTime::from_millis(0);
     let count = |plan: Vec<(Offer, u32)>| plan.iter().map(|(_, n)| *n).sum::<u32>();
     let mut many = need(8000, 1.0, true);
     many.types = Some(vec!["big".into()]);
--- a/crates/scheduler/src/gangs/mod.rs
+++ b/crates/scheduler/src/gangs/mod.rs
@@ -30,7 +30,7 @@
 
 /// The grace an orderly stop needs for a save: 0 where nothing is ever saved.
 pub fn save_grace_s(spec: &JobSpec) -> f64 {
-    if spec.checkpoint.0 == 0 { 0.0 } else { spec.save.as_secs() + 1.0 }
+    if spec.checkpoint.0 == 0 { 0.0 } else { spec.save.as_secs_f64() + 1.0 }
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/jobs/admission.rs
+++ b/crates/scheduler/src/jobs/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{JobSpec, Mirror, Never, OpenJob, Record, Refusal, Shape};
 use crate::settings::Settings;
-use crate::types::{JobId, Wall};
+use crate::types::{JobId, WallTime};
 use crate::wire::cloud::MachineType;
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     /// Whether every node is known to understand jobs that need others.
     pub dependencies: bool,
     pub jobs: &'a Mirror,
-    pub wall: Wall,
+    pub wall_time: WallTime,
 }
 
 impl Admission<'_> {
@@ -57,6 +57,6 @@
 
     /// The job as it is stored now, by this node.
     pub fn open(&self, spec: &JobSpec) -> Arc<OpenJob> {
-        Arc::new(OpenJob { spec: spec.clone(), submitted: self.wall, home: self.settings.node.clone() })
+        Arc::new(OpenJob { spec: spec.clone(), submitted: self.wall_time, home: self.settings.node.clone() })
     }
 }
--- a/crates/scheduler/src/jobs/desk.rs
+++ b/crates/scheduler/src/jobs/desk.rs
@@ -1,7 +1,7 @@
 //! The desk: users' requests that wait for the state service.
 
 use super::{JobSpec, Never};
-use crate::types::{JobId, OpId, Span, Time};
+use crate::types::{Duration, JobId, MonotonicTime, OpId};
 
 /// What a user asked for.
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
     pub request: OpId,
     pub id: JobId,
     pub ask: Ask,
-    pub since: Time,
+    pub since: MonotonicTime,
     pub tries: u32,
 }
 
@@ -65,7 +65,7 @@
         std::mem::take(&mut self.reading)
     }
     /// Takes out those that waited too long: they are told at once to come back.
-    pub fn overdue(&mut self, now: Time, patience: Span) -> Vec<Waiting> {
+    pub fn overdue(&mut self, now: MonotonicTime, patience: Duration) -> Vec<Waiting> {
         let mut out: Vec<Waiting> = self.next.extract_if(.., |w| now.since(w.since) >= patience).collect();
         out.extend(self.reading.extract_if(.., |w| now.since(w.since) >= patience));
         out
--- a/crates/scheduler/src/jobs/desk/tests.rs
+++ b/crates/scheduler/src/jobs/desk/tests.rs
@@ -7,7 +7,7 @@
         request: OpId(n),
         id: "req-1".into(),
         ask: Ask::Status,
-        since: Time::from_ms(t),
+        since: MonotonicTime::from_millis(t),
         tries: 0,
     };
     desk.wait(w(1, 0));
@@ -17,6 +17,6 @@
     assert!(!desk.wants_read());
     assert_eq!(desk.read_ends().iter().map(|w| w.request).collect::<Vec<_>>(), [OpId(1)]);
     assert!(desk.wants_read());
-    assert_eq!(desk.overdue(Time::from_ms(1505), Span::ms(1500)).len(), 1);
+    assert_eq!(desk.overdue(MonotonicTime::from_millis(1505), Duration::from_millis(1500)).len(), 1);
     assert!(desk.is_empty());
 }
--- a/crates/scheduler/src/jobs/graph/tests.rs
+++ b/crates/scheduler/src/jobs/graph/tests.rs
@@ -1,6 +1,6 @@
 use super::super::{Mirror, OpenJob, Record};
 use super::*;
-use crate::types::{Revision, Wall};
+use crate::types::{Revision, WallTime};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -14,7 +14,7 @@
     let mut spec = crate::jobs::tests::spec();
     spec.needs = needs.iter().map(|n| id(*n)).collect();
     spec.priority = priority;
-    Record::Open(Arc::new(OpenJob { spec, submitted: Wall(1), home: "n0".into() }))
+    Record::Open(Arc::new(OpenJob { spec, submitted: WallTime(1), home: "n0".into() }))
 }
 
 /// Records in any order, as listings and watches bring them, lead every node to the same result:
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -12,7 +12,9 @@
 pub use served::{Served, Stage};
 
 use crate::settings::Settings;
-use crate::types::{Image, JobId, Kind, NodeName, Revision, Room, Span, TeamName, TypeName, Wall, Zone};
+use crate::types::{
+    Duration, Image, JobId, Kind, NodeName, Revision, Room, TeamName, TypeName, WallTime, Zone,
+};
 use crate::wire::cloud::MachineType;
 use crate::wire::state::{Event, Pair};
 use graph::Graph;
@@ -64,10 +66,10 @@
     pub together: bool,
     pub spread: bool,
     pub spot: bool,
-    pub estimate: Span,
-    pub checkpoint: Span,
-    pub save: Span,
-    pub deadline: Option<Span>,
+    pub estimate: Duration,
+    pub checkpoint: Duration,
+    pub save: Duration,
+    pub deadline: Option<Duration>,
     /// Jobs that have to be done before any of its tasks starts, each once.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<JobId>,
@@ -139,7 +141,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenJob {
     pub spec: JobSpec,
-    pub submitted: Wall,
+    pub submitted: WallTime,
     /// The node that accepted it and whose controller places it, while that node is there.
     pub home: NodeName,
 }
--- a/crates/scheduler/src/jobs/run.rs
+++ b/crates/scheduler/src/jobs/run.rs
@@ -1,7 +1,7 @@
 //! A job as its leader sees it: which tasks are done, which are placed, which wait.
 
 use super::{OpenJob, Priority, Shape};
-use crate::types::{Attempt, MachineId, NodeName, Time};
+use crate::types::{Attempt, MachineId, MonotonicTime, NodeName};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -68,14 +68,14 @@
     pub home: NodeName,
     /// Room version at which placing failed last; nothing has changed until it moves on.
     pub tried: u64,
-    pub not_before: Time,
+    pub not_before: MonotonicTime,
     pub attempt: Option<Attempt>,
     /// Since when this leader knows it.
-    pub seen: Time,
+    pub seen: MonotonicTime,
     /// Failures in a row that speak of the job as much as of its machines.
     pub errors: u32,
     /// Others have been stopped for it, and should be gone by then.
-    pub making_room_until: Option<Time>,
+    pub making_room_until: Option<MonotonicTime>,
     /// Replicas that wait for room being made where their image is.
     pub promised: u32,
     /// Why it waits, for operators.
@@ -89,7 +89,7 @@
 }
 
 impl Run {
-    pub fn new(job: Arc<OpenJob>, now: Time) -> Self {
+    pub fn new(job: Arc<OpenJob>, now: MonotonicTime) -> Self {
         Self {
             home: job.home.clone(),
             open: job.spec.tasks,
@@ -99,7 +99,7 @@
             placed: BTreeMap::new(),
             offered: 0,
             tried: 0,
-            not_before: Time::default(),
+            not_before: MonotonicTime::default(),
             attempt: None,
             seen: now,
             errors: 0,
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -15,9 +15,9 @@
         together: false,
         spread: true,
         spot: false,
-        estimate: Span::secs(1.0),
-        checkpoint: Span::ms(0),
-        save: Span::ms(0),
+        estimate: Duration::from_secs_f64(1.0),
+        checkpoint: Duration::from_millis(0),
+        save: Duration::from_millis(0),
         deadline: None,
         needs: Vec::new(),
     }
@@ -27,7 +27,7 @@
 fn a_verdict_is_final_in_the_mirror() {
     let mut m = Mirror::default();
     let id = JobId::from("req-1");
-    let open = Record::Open(Arc::new(OpenJob { spec: spec(), submitted: Wall(1), home: "n0".into() }));
+    let open = Record::Open(Arc::new(OpenJob { spec: spec(), submitted: WallTime(1), home: "n0".into() }));
     m.learn(id.clone(), Revision(5), open.clone());
     m.learn(id.clone(), Revision(7), Record::Done);
     m.learn(id.clone(), Revision(6), open.clone());
--- a/crates/scheduler/src/leader/mod.rs
+++ b/crates/scheduler/src/leader/mod.rs
@@ -4,7 +4,7 @@
 //! for clock drift; past that it commits and orders nothing, but may go on answering reports for
 //! a while ("holding") so that workers' leases survive an outage of the state service.
 
-use crate::types::{FencingToken, LeaseId, NodeName, OpId, Revision, Span, Time};
+use crate::types::{Duration, FencingToken, LeaseId, MonotonicTime, NodeName, OpId, Revision};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 /// Steady clocks of different machines drift apart by up to 0.05%; twice that is left off.
 const DRIFT: f64 = 0.999;
 /// Extra that a grant's last moment is not used for: the answer's way and a slow step.
-const MARGIN: Span = Span::ms(50);
+const MARGIN: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct KeyValue {
@@ -27,21 +27,21 @@
     Looking,
     /// `over`: the version of the key that is to be replaced, 0 if there is none.
     Granting {
-        sent: Time,
+        sent: MonotonicTime,
         over: Revision,
     },
     Taking {
         lease: LeaseId,
-        sent: Time,
+        sent: MonotonicTime,
     },
     /// The answer to `Taking` was lost: look whether the key is ours.
     Checking {
         lease: LeaseId,
-        sent: Time,
+        sent: MonotonicTime,
     },
     Leading {
         lease: LeaseId,
-        renewing: Option<Time>,
+        renewing: Option<MonotonicTime>,
     },
 }
 
@@ -56,37 +56,37 @@
 #[derive(Debug)]
 pub struct Seat {
     node: NodeName,
-    life: Span,
-    renew_every: Span,
+    life: Duration,
+    renew_every: Duration,
     stage: Stage,
     fencing_token: FencingToken,
-    valid_until: Time,
-    next_try: Time,
+    valid_until: MonotonicTime,
+    next_try: MonotonicTime,
     op: Option<OpId>,
     /// It doesn't stand for the lead before; it looks who has it all the same.
-    stands_from: Time,
+    stands_from: MonotonicTime,
     /// Who else leads, as the key said when this node last looked.
-    other: Option<(NodeName, FencingToken, Time)>,
+    other: Option<(NodeName, FencingToken, MonotonicTime)>,
 }
 
 impl Seat {
-    pub fn new(node: NodeName, life: Span, renew_every: Span) -> Self {
+    pub fn new(node: NodeName, life: Duration, renew_every: Duration) -> Self {
         Self {
             node,
             life,
             renew_every,
             stage: Stage::Idle,
             fencing_token: FencingToken(0),
-            valid_until: Time::default(),
-            next_try: Time::default(),
+            valid_until: MonotonicTime::default(),
+            next_try: MonotonicTime::default(),
             op: None,
-            stands_from: Time::default(),
+            stands_from: MonotonicTime::default(),
             other: None,
         }
     }
 
-    fn tenure_from(&self, sent: Time) -> Time {
-        sent + Span::ms(self.life.times(DRIFT).0.saturating_sub(MARGIN.0))
+    fn tenure_from(&self, sent: MonotonicTime) -> MonotonicTime {
+        sent + Duration::from_millis(self.life.times(DRIFT).0.saturating_sub(MARGIN.0))
     }
 
     /// Whether this node holds the leader key as far as it knows, validly or only holding on.
@@ -94,25 +94,25 @@
         matches!(self.stage, Stage::Leading { .. })
     }
     /// Whether it may commit, order and call the cloud at `now`.
-    pub fn valid(&self, now: Time) -> bool {
+    pub fn valid(&self, now: MonotonicTime) -> bool {
         self.leads() && now < self.valid_until
     }
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
-    pub fn valid_until(&self) -> Time {
+    pub fn valid_until(&self) -> MonotonicTime {
         self.valid_until
     }
 
     /// Another node that holds the key, by a look not longer ago than `within`.
-    pub fn other(&self, within: Span, now: Time) -> Option<(&NodeName, FencingToken)> {
+    pub fn other(&self, within: Duration, now: MonotonicTime) -> Option<(&NodeName, FencingToken)> {
         let other = self.other.as_ref().filter(|(.., at)| now.since(*at) <= within && !self.leads());
         other.map(|(node, fencing_token, _)| (node, *fencing_token))
     }
 
     /// The next request to the state service, if one is due. `quiet`: somebody else leads and
     /// was heard of lately.
-    pub fn tick(&mut self, now: Time, quiet: bool, jitter: Span) -> Option<StateRequest> {
+    pub fn tick(&mut self, now: MonotonicTime, quiet: bool, jitter: Duration) -> Option<StateRequest> {
         if self.op.is_some() {
             return None;
         }
@@ -123,12 +123,12 @@
                 Some(StateRequest::RenewLease { lease })
             }
             Stage::Idle if !quiet && now >= self.next_try => {
-                self.next_try = now + Span::ms(500) + jitter;
+                self.next_try = now + Duration::from_millis(500) + jitter;
                 self.stage = Stage::Looking;
                 Some(StateRequest::Get { key: KEY.into() })
             }
             Stage::Checking { .. } if now >= self.next_try => {
-                self.next_try = now + Span::ms(200) + jitter;
+                self.next_try = now + Duration::from_millis(200) + jitter;
                 Some(StateRequest::Get { key: KEY.into() })
             }
             _ => None,
@@ -144,7 +144,7 @@
     }
 
     /// Takes a reply; may give the next request of the campaign.
-    pub fn reply(&mut self, now: Time, reply: StateReply) -> (Turn, Option<StateRequest>) {
+    pub fn reply(&mut self, now: MonotonicTime, reply: StateReply) -> (Turn, Option<StateRequest>) {
         self.op = None;
         if let (Stage::Looking, StateReply::Found(pair)) = (self.stage, &reply) {
             let holder = serde_json::from_str::<KeyValue>(&pair.value).ok().map(|value| value.node);
@@ -208,7 +208,7 @@
                     (Turn::Lost, None)
                 }
                 _ => {
-                    self.next_try = now + Span::ms(250);
+                    self.next_try = now + Duration::from_millis(250);
                     (Turn::Nothing, None)
                 }
             },
@@ -231,9 +231,9 @@
 
     fn win(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         lease: LeaseId,
-        sent: Time,
+        sent: MonotonicTime,
         fencing_token: FencingToken,
     ) -> (Turn, Option<StateRequest>) {
         self.stage = Stage::Leading { lease, renewing: None };
@@ -244,15 +244,15 @@
     }
 
     /// Gives up leadership; it isn't sought again for a moment, so that another node gets it.
-    pub fn step_down(&mut self, now: Time) {
+    pub fn step_down(&mut self, now: MonotonicTime) {
         self.stage = Stage::Idle;
-        self.valid_until = Time::default();
-        self.next_try = now + Span::ms(500);
+        self.valid_until = MonotonicTime::default();
+        self.next_try = now + Duration::from_millis(500);
         self.op = None;
     }
 
     /// As `step_down`, staying away for `pause`.
-    pub fn shun(&mut self, now: Time, pause: Span) {
+    pub fn shun(&mut self, now: MonotonicTime, pause: Duration) {
         self.step_down(now);
         self.stands_from = now + pause;
     }
--- a/crates/scheduler/src/ledger/mod.rs
+++ b/crates/scheduler/src/ledger/mod.rs
@@ -7,7 +7,9 @@
 
 pub use journal::{Batch, Haste, Journal, Settled};
 
-use crate::types::{Attempt, Image, MachineId, Room, Session, TaskId, TeamName, Time, TypeName, Zone};
+use crate::types::{
+    Attempt, Image, MachineId, MonotonicTime, Room, Session, TaskId, TeamName, TypeName, Zone,
+};
 use pearford_recovery::Stored;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -64,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stop {
     pub grace_s: f64,
-    pub since: Time,
+    pub since: MonotonicTime,
     /// Whether a direct command for it has left.
     pub told: bool,
 }
@@ -77,8 +79,8 @@
     pub state: EntryState,
     pub stop: Option<Stop>,
     /// When the task was last seen to begin to run.
-    pub running_since: Option<Time>,
-    pub planned_at: Time,
+    pub running_since: Option<MonotonicTime>,
+    pub planned_at: MonotonicTime,
     /// Whether the task was seen to have its image.
     pub has_image: bool,
     /// A gang's task whose image is there already: it starts once the others have theirs, or it
@@ -95,7 +97,7 @@
         team: TeamName,
         room: Room,
         state: EntryState,
-        now: Time,
+        now: MonotonicTime,
     ) -> Self {
         let bytes = entry_bytes(task, attempt, &team, &room);
         Self {
--- a/crates/scheduler/src/node/catalogue.rs
+++ b/crates/scheduler/src/node/catalogue.rs
@@ -1,16 +1,16 @@
 //! The cloud's machine types, as last read.
 
 use super::outbox::Outbox;
-use crate::types::{OpId, Span, Time};
+use crate::types::{Duration, MonotonicTime, OpId};
 use crate::wire::cloud::{CloudReply, CloudRequest, MachineType};
 
-const RETRY: Span = Span::ms(1000);
+const RETRY: Duration = Duration::from_millis(1000);
 
 #[derive(Debug, Default)]
 pub(super) struct Catalogue {
     types: Vec<MachineType>,
     op: Option<OpId>,
-    next: Time,
+    next: MonotonicTime,
 }
 
 impl Catalogue {
@@ -19,7 +19,7 @@
         &self.types
     }
 
-    pub fn tick(&mut self, now: Time, out: &mut Outbox) {
+    pub fn tick(&mut self, now: MonotonicTime, out: &mut Outbox) {
         if self.types.is_empty() && self.op.is_none() && now >= self.next {
             self.next = now + RETRY;
             self.refresh(out);
--- a/crates/scheduler/src/node/core/features.rs
+++ b/crates/scheduler/src/node/core/features.rs
@@ -9,13 +9,13 @@
 use crate::node::follower::Follower;
 use crate::node::outbox::{Pending, Read, Whose};
 use crate::store::Budget;
-use crate::types::{JobId, MachineId, OpId, Revision, Span, Time};
+use crate::types::{Duration, JobId, MachineId, MonotonicTime, OpId, Revision};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
 /// How long a feature waits for a read that it asked for.
-const READ_PATIENCE: Span = Span::ms(1500);
+const READ_PATIENCE: Duration = Duration::from_millis(1500);
 /// Reads of machines' records a second that a feature has: each may bring half a megabyte.
 const MACHINE_READS: f64 = 2.0;
 
@@ -33,7 +33,7 @@
 /// A read asked for, and how many had begun by then.
 struct Asked {
     tag: u64,
-    at: Time,
+    at: MonotonicTime,
     own: u64,
     jobs: u64,
 }
@@ -161,7 +161,7 @@
         let (master, standings) = (&self.master, &self.standings);
         let view = View {
             now: self.now,
-            wall: self.wall,
+            wall_time: self.wall_time,
             node: &self.settings.node,
             settings: &self.settings,
             jobs: &self.mirror,
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -18,7 +18,7 @@
 use crate::placement::{self, COUNTS_PREFIX, Counts, Factors};
 use crate::settings::Settings;
 use crate::store::Budget;
-use crate::types::{FencingToken, JobId, NodeName, OpId, Revision, Span, Time, Wall};
+use crate::types::{Duration, FencingToken, JobId, MonotonicTime, NodeName, OpId, Revision, WallTime};
 use crate::wire::cloud::CloudReply;
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::workers::{self, Report};
@@ -31,31 +31,31 @@
 use std::sync::Arc;
 
 /// How often nodes tell one another that they are there.
-const PING_EVERY: Span = Span::ms(1000);
+const PING_EVERY: Duration = Duration::from_millis(1000);
 const COUNTS_PAGE: u32 = 500;
 /// How long the seat's requests may take: an answer later than that is of no use to it. While nobody leads there is
 /// nothing to hurry for but an answer: asked anew each second, a slow state service gave no leader for 20 s.
-const SEAT_PATIENCE: Span = Span::ms(1000);
-const CAMPAIGN_PATIENCE: Span = Span::ms(2500);
+const SEAT_PATIENCE: Duration = Duration::from_millis(1000);
+const CAMPAIGN_PATIENCE: Duration = Duration::from_millis(2500);
 /// How long a leader that gave the lead back leaves it to others.
-const SHUN: Span = Span::ms(20_000);
+const SHUN: Duration = Duration::from_millis(20_000);
 
 pub struct Core {
     settings: Arc<Settings>,
     rng: StdRng,
-    now: Time,
-    wall: Wall,
+    now: MonotonicTime,
+    wall_time: WallTime,
     out: Outbox,
     mirror: Mirror,
     follower: Follower,
     desk: Desk,
     seat: Seat,
-    state_ok_at: Time,
+    state_ok_at: MonotonicTime,
     peers: Peers,
-    next_ping: Time,
+    next_ping: MonotonicTime,
     /// Last report that this node, not leading, had to turn away.
-    heard_worker: Time,
-    leader_hint: Option<(FencingToken, NodeName, Time)>,
+    heard_worker: MonotonicTime,
+    leader_hint: Option<(FencingToken, NodeName, MonotonicTime)>,
     highest_fencing_token: FencingToken,
     /// The state service's revision, as far as this node has ever known.
     latest_revision: u64,
@@ -76,7 +76,7 @@
     /// Messages in the name of nodes that are none of its peers.
     dropped: u64,
     features: Vec<Slot>,
-    started_at: Option<Time>,
+    started_at: Option<MonotonicTime>,
     #[cfg(any(test, feature = "world"))]
     old: bool,
 }
@@ -84,7 +84,11 @@
 impl Core {
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let o = &settings.operator;
-        let seat = Seat::new(settings.node.clone(), Span::ms(o.leader_grant_ms), Span::ms(o.leader_renew_ms));
+        let seat = Seat::new(
+            settings.node.clone(),
+            Duration::from_millis(o.leader_grant_ms),
+            Duration::from_millis(o.leader_renew_ms),
+        );
         let nodes = (settings.peers.len() + 1) as f64;
         // Each node has its part of the rate, but may use a second's worth of all parts at once: the
         // jobs of a pipeline come over one connection, and all nodes seldom have bursts together.
@@ -92,17 +96,17 @@
         let user_writes = Budget::bursting((user_rate / nodes).max(1.0), user_rate);
         Self {
             rng: StdRng::seed_from_u64(seed),
-            now: Time::default(),
-            wall: Wall(0),
+            now: MonotonicTime::default(),
+            wall_time: WallTime(0),
             out: Outbox::new(settings.node.clone()),
             mirror: Mirror::default(),
             follower: Follower::new(Whose::Jobs, jobs::PREFIX, read_pause(&settings)),
             desk: Desk::default(),
             seat,
-            state_ok_at: Time::default(),
+            state_ok_at: MonotonicTime::default(),
             peers: Peers::new(&settings.peers),
-            next_ping: Time::default(),
-            heard_worker: Time::default(),
+            next_ping: MonotonicTime::default(),
+            heard_worker: MonotonicTime::default(),
             leader_hint: None,
             highest_fencing_token: FencingToken(0),
             latest_revision: 0,
@@ -131,7 +135,7 @@
     /// Takes one input; gives what to do.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
         self.now = now.steady;
-        self.wall = now.wall;
+        self.wall_time = now.wall_time;
         if let Some(master) = &mut self.master {
             master.took(now.took, self.now);
         }
@@ -196,7 +200,7 @@
 
     fn tick(&mut self) {
         let now = self.now;
-        let patience = Span::ms(self.settings.operator.request_patience_ms);
+        let patience = Duration::from_millis(self.settings.operator.request_patience_ms);
         for w in self.desk.overdue(now, patience) {
             self.out.refuse(w.request, 503, "the state service does not answer; come back");
         }
@@ -207,7 +211,7 @@
                 state_ok: self.state_ok(),
                 fencing_token_seen: self.highest_fencing_token,
                 beat_at: self.beat_at,
-                hears_workers: now.since(self.heard_worker) < Span::ms(3000),
+                hears_workers: now.since(self.heard_worker) < Duration::from_millis(3000),
                 zones_heard: zones.map(|(z, at)| (z.clone(), now.since(*at))).collect(),
             };
             for peer in self.peers.names() {
@@ -215,9 +219,11 @@
             }
         }
         let quiet = self.leader_hint.as_ref().is_some_and(|(f, n, at)| {
-            *f >= self.highest_fencing_token && *n != self.settings.node && now.since(*at) < Span::ms(2000)
+            *f >= self.highest_fencing_token
+                && *n != self.settings.node
+                && now.since(*at) < Duration::from_millis(2000)
         });
-        let jitter = Span::ms(self.rng.random_range(0..300));
+        let jitter = Duration::from_millis(self.rng.random_range(0..300));
         if let Some(request) = self.seat.tick(now, quiet || self.mirror.store_revision().is_none(), jitter) {
             self.seat_sends(request);
         }
@@ -265,7 +271,8 @@
     }
 
     fn state_ok(&self) -> bool {
-        self.mirror.store_revision().is_some() && self.now.since(self.state_ok_at) < Span::ms(2500)
+        self.mirror.store_revision().is_some()
+            && self.now.since(self.state_ok_at) < Duration::from_millis(2500)
     }
 
     // ---- HTTP ----
@@ -510,7 +517,7 @@
         if self.latest_revision == 0 {
             return true;
         }
-        let since = self.now.since(self.follower.fresh_at()).as_secs() + 2.0;
+        let since = self.now.since(self.follower.fresh_at()).as_secs_f64() + 2.0;
         let more = 2.0 * self.settings.state.write_rps * since;
         fencing_token.0 <= self.highest_fencing_token.0.max(self.latest_revision).saturating_add(more as u64)
     }
@@ -585,9 +592,9 @@
 
 /// Least time between reads for users. All requests that wait share one; reads of all nodes together stay
 /// within half of the service's rate, or a rush of users would starve the leader's grant.
-fn read_pause(settings: &Settings) -> Span {
+fn read_pause(settings: &Settings) -> Duration {
     let nodes = (settings.peers.len() + 1) as f64;
-    Span::secs(2.0 * nodes / settings.state.rps)
+    Duration::from_secs_f64(2.0 * nodes / settings.state.rps)
 }
 
 /// The version before dependencies, for days on which both serve.
@@ -674,7 +681,7 @@
         self.master.as_ref().map_or(Ok(()), Master::sums_hold)
     }
 
-    pub fn validly_leads(&self, at: crate::types::Time) -> bool {
+    pub fn validly_leads(&self, at: crate::types::MonotonicTime) -> bool {
         self.seat.valid(at)
     }
 }
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -23,11 +23,11 @@
 /// one that gets no answer in five: while nobody led, being turned away made five times the usual load, and no node got
 /// as far as to lead (four times the andina fleet). Workers wait 4 s for an answer.
 const PARKED: usize = 8192;
-const PARKED_FOR: Span = Span::ms(2800);
+const PARKED_FOR: Duration = Duration::from_millis(2800);
 /// A node that has just started may be the first that is back.
-const ALONE_AFTER: Span = Span::ms(10_000);
+const ALONE_AFTER: Duration = Duration::from_millis(10_000);
 /// A look at the leader key counts for so long.
-const LOOKED: Span = Span::ms(3000);
+const LOOKED: Duration = Duration::from_millis(3000);
 /// Reports taken out of waiting in a step: they come beside all else.
 const UNPARKED_AT_ONCE: usize = 100;
 
@@ -39,7 +39,7 @@
     /// Orders that go out with the answers to the next reports.
     errands: BTreeMap<MachineId, (FencingToken, Vec<Order>)>,
     /// Reports that came while no leader was known, in their order.
-    parked: VecDeque<(Time, OpId, Report)>,
+    parked: VecDeque<(MonotonicTime, OpId, Report)>,
     /// Guard out: starts of what is over are passed on.
     #[cfg(any(test, feature = "world"))]
     passes_all: bool,
@@ -74,7 +74,7 @@
         let taken = self.leading().is_some_and(|(master, mut ctx)| master.report(&mut ctx, request, report));
         if taken && self.seat.leads() {
             // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
-            let lease = Span::secs(self.settings.workers.lease_s);
+            let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
             self.teller.answered(&report.machine, &report.zone, lease, self.now);
         }
         taken || self.report_to_delegate(request, report)
@@ -114,7 +114,12 @@
                 self.out.answer(request, 421, workers::redirect(None));
             }
             Whose::Answer(fencing_token) => {
-                self.teller.answered(machine, zone, Span::secs(self.settings.workers.lease_s), self.now);
+                self.teller.answered(
+                    machine,
+                    zone,
+                    Duration::from_secs_f64(self.settings.workers.lease_s),
+                    self.now,
+                );
                 // No start ever goes this way; what the leader sends on its own goes directly.
                 let mut orders = match self.passing.errands.remove(&report.machine) {
                     Some((of, errands)) if of == fencing_token => errands,
@@ -133,8 +138,9 @@
     /// Who leads, if that is known.
     fn known_leader(&self) -> Option<&NodeName> {
         let known = self.leader_hint.as_ref();
-        let known = known
-            .filter(|(f, _, at)| *f >= self.highest_fencing_token && self.now.since(*at) < Span::ms(3000));
+        let known = known.filter(|(f, _, at)| {
+            *f >= self.highest_fencing_token && self.now.since(*at) < Duration::from_millis(3000)
+        });
         known.map(|(_, leader, _)| leader)
     }
 
@@ -235,7 +241,7 @@
     /// through the state service: else the workers of a zone whose node is cut off from the leader's die with their
     /// leases, and a leader on the smaller side never learns of the others.
     fn apart_tick(&mut self) {
-        let lease = Span::secs(self.settings.workers.lease_s);
+        let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
         let on = homes_on(&self.settings, self.levels.reached()) && self.known_leader().is_none();
         let Some((leader, fencing_token)) = self.seat.other(LOOKED, self.now).filter(|_| on) else { return };
         let leader = leader.clone();
--- a/crates/scheduler/src/node/core/users.rs
+++ b/crates/scheduler/src/node/core/users.rs
@@ -54,7 +54,7 @@
             types: self.catalogue.types(),
             dependencies: self.levels.reached() >= compat::DEPENDENCIES,
             jobs: &self.mirror,
-            wall: self.wall,
+            wall_time: self.wall_time,
         }
     }
 
--- a/crates/scheduler/src/node/follower.rs
+++ b/crates/scheduler/src/node/follower.rs
@@ -4,15 +4,15 @@
 use super::outbox::{Outbox, Pending, Read, Whose};
 use crate::feature::Records;
 use crate::jobs::Mirror;
-use crate::types::{Span, Time};
+use crate::types::{Duration, MonotonicTime};
 use crate::wire::state::{Event, Pair, StateReply, StateRequest};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
 const PAGE: u32 = 500;
-const WATCH_BLOCK: Span = Span::ms(10_000);
+const WATCH_BLOCK: Duration = Duration::from_millis(10_000);
 /// How old the last full look may get before there is another.
-const FRESHEN_EVERY: Span = Span::ms(1000);
+const FRESHEN_EVERY: Duration = Duration::from_millis(1000);
 
 /// Where what was read goes.
 pub(super) trait Replica {
@@ -39,14 +39,14 @@
     /// Least time between reads that return at once. All requests that wait share one; reads of all
     /// nodes together stay within half of the service's rate, or a rush of users would starve the
     /// leader's grant.
-    pause: Span,
+    pause: Duration,
     listing: bool,
     watching: bool,
     syncing: bool,
-    next_list: Time,
-    next_sync: Time,
+    next_list: MonotonicTime,
+    next_sync: MonotonicTime,
     /// Start of the newest read after which the copy was up to date.
-    fresh_at: Time,
+    fresh_at: MonotonicTime,
     /// Reads begun, and the number of the newest after which the copy was up to date.
     begun: u64,
     up_to: u64,
@@ -55,7 +55,7 @@
 }
 
 impl Follower {
-    pub fn new(whose: Whose, prefix: &'static str, pause: Span) -> Self {
+    pub fn new(whose: Whose, prefix: &'static str, pause: Duration) -> Self {
         Self {
             prefix,
             whose,
@@ -66,13 +66,13 @@
             listing: false,
             watching: false,
             syncing: false,
-            next_list: Time::default(),
-            next_sync: Time::default(),
-            fresh_at: Time::default(),
+            next_list: MonotonicTime::default(),
+            next_sync: MonotonicTime::default(),
+            fresh_at: MonotonicTime::default(),
         }
     }
 
-    pub fn fresh_at(&self) -> Time {
+    pub fn fresh_at(&self) -> MonotonicTime {
         self.fresh_at
     }
 
@@ -93,7 +93,13 @@
 
     /// Sends what is due; whether a read began that answers all that was asked so far. `wanted`:
     /// something waits for one.
-    pub fn pump(&mut self, now: Time, store_revision: Option<u64>, wanted: bool, out: &mut Outbox) -> bool {
+    pub fn pump(
+        &mut self,
+        now: MonotonicTime,
+        store_revision: Option<u64>,
+        wanted: bool,
+        out: &mut Outbox,
+    ) -> bool {
         let Some(from) = store_revision else {
             if !self.listing && now >= self.next_list {
                 self.page(None, None, out);
@@ -112,12 +118,12 @@
             self.syncing = true;
             self.begun += 1;
             self.next_sync = now + self.pause;
-            self.watch(from, Span::ms(0), Read::Sync { began: now }, out);
+            self.watch(from, Duration::from_millis(0), Read::Sync { began: now }, out);
         }
         begins
     }
 
-    fn watch(&self, from: u64, block: Span, read: Read, out: &mut Outbox) {
+    fn watch(&self, from: u64, block: Duration, read: Read, out: &mut Outbox) {
         let request = StateRequest::Watch { prefix: self.prefix, from, block_ms: block.0 };
         out.ask_state(request, Pending::Follow(self.whose, read));
     }
@@ -130,7 +136,7 @@
 
     pub fn reply(
         &mut self,
-        now: Time,
+        now: MonotonicTime,
         read: Read,
         reply: StateReply,
         replica: &mut impl Replica,
@@ -150,7 +156,7 @@
             }
             (Read::Page { .. }, _) => {
                 self.listing = false;
-                self.next_list = now + Span::ms(rng.random_range(200..600));
+                self.next_list = now + Duration::from_millis(rng.random_range(200..600));
             }
             (Read::Watch, reply) => {
                 self.watching = false;
@@ -159,7 +165,7 @@
                         replica.learn_events(store_revision, &events)
                     }
                     StateReply::TooOld => replica.forget_store_revision(),
-                    _ => self.next_list = now + Span::ms(rng.random_range(200..500)),
+                    _ => self.next_list = now + Duration::from_millis(rng.random_range(200..500)),
                 }
             }
             (Read::Sync { began }, StateReply::Events { store_revision, events }) => {
@@ -175,7 +181,7 @@
                 if reply == StateReply::TooOld {
                     replica.forget_store_revision();
                 }
-                self.next_sync = now + Span::ms(rng.random_range(50..150));
+                self.next_sync = now + Duration::from_millis(rng.random_range(50..150));
                 return Turn::ReadEnds(false);
             }
         }
--- a/crates/scheduler/src/node/master/apart.rs
+++ b/crates/scheduler/src/node/master/apart.rs
@@ -5,10 +5,10 @@
 
 /// Prefix of what nodes say that are apart from the leader.
 pub(in crate::node) const PREFIX: &str = "apart/";
-const ASK_EVERY: Span = Span::ms(2000);
+const ASK_EVERY: Duration = Duration::from_millis(2000);
 const MOST: u32 = 100;
 /// After the first reports, until they have come by way of other nodes as well.
-const SETTLES: Span = Span::ms(1000);
+const SETTLES: Duration = Duration::from_millis(1000);
 
 impl Master {
     /// While some node isn't heard, what it says is looked up.
@@ -39,8 +39,8 @@
 
     /// Whether a node that is apart hears so many more workers that it should lead: this one would place work on the
     /// smaller side only for as long as the cut lasts.
-    pub(super) fn is_outweighed(&self, now: Time) -> bool {
-        let interval = Span::secs(self.settings.workers.report_s).times(1.25);
+    pub(super) fn is_outweighed(&self, now: MonotonicTime) -> bool {
+        let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(1.25);
         // A new leader has not heard its own side yet: compared too early each resigned to the next, all stood aside, and
         // nobody led for 14 s (parted days, seed 928).
         if now.since(self.since) < interval + SETTLES {
--- a/crates/scheduler/src/node/master/beat.rs
+++ b/crates/scheduler/src/node/master/beat.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-const BEAT_EVERY: Span = Span::ms(1000);
+const BEAT_EVERY: Duration = Duration::from_millis(1000);
 /// Counts are hints: their values and transactions stay well below the limits.
 const COUNTS_BYTES: usize = 14_000;
 const COUNTS_CHANGES: usize = 4;
@@ -35,7 +35,7 @@
         learned.iter().for_each(|l| ctx.counts.learn(l));
         let save = now >= self.next_counts && self.loaded();
         if save {
-            self.next_counts = now + Span::secs(self.settings.operator.counts_save_s);
+            self.next_counts = now + Duration::from_secs_f64(self.settings.operator.counts_save_s);
             let present: BTreeSet<MachineId> = self.machines.keys().cloned().collect();
             ctx.counts.keep(|id| present.contains(id));
         }
--- a/crates/scheduler/src/node/master/calls.rs
+++ b/crates/scheduler/src/node/master/calls.rs
@@ -5,8 +5,8 @@
 use pearford_homes::Stamped;
 
 /// How long a worker has to answer an order.
-pub(super) const WORKER_PATIENCE: Span = Span::ms(3000);
-const PROBE_PATIENCE: Span = Span::ms(1500);
+pub(super) const WORKER_PATIENCE: Duration = Duration::from_millis(3000);
+const PROBE_PATIENCE: Duration = Duration::from_millis(1500);
 /// Workers that are sent orders at a time, if the node's limit of sockets allows as many: after all leases have ended
 /// thousands of starts are due at once, and each costs a connection. Those beyond get theirs as these answer, or with
 /// their next report.
@@ -59,7 +59,7 @@
         op: OpId,
         status: u16,
         report: Option<Stamped>,
-        now: Time,
+        now: MonotonicTime,
     ) -> Option<FencingToken> {
         if let Some(call) = self.directs.remove(&op) {
             let at = match (&report, status) {
@@ -104,7 +104,7 @@
         id: &MachineId,
         addr: String,
         body: String,
-        patience: Span,
+        patience: Duration,
     ) -> OpId {
         let via = self.hub.route(id, ctx.now).filter(|_| ctx.homes);
         ask_by(ctx, via, addr, body, patience)
@@ -162,7 +162,7 @@
     }
 }
 
-fn ask_by(ctx: &mut Ctx, via: Option<&NodeName>, addr: String, body: String, patience: Span) -> OpId {
+fn ask_by(ctx: &mut Ctx, via: Option<&NodeName>, addr: String, body: String, patience: Duration) -> OpId {
     match via {
         Some(node) => ctx.out.relay(node, addr, body, patience, ctx.now),
         None => ctx.out.ask_worker(addr, body, patience),
--- a/crates/scheduler/src/node/master/changes/tests.rs
+++ b/crates/scheduler/src/node/master/changes/tests.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 /// Two large machines and twenty small ones, and a leader that may write four changes a second.
-fn fleet() -> (Master, Time) {
-    let (mut m, now) = (master(), Time::from_ms(1_000));
+fn fleet() -> (Master, MonotonicTime) {
+    let (mut m, now) = (master(), MonotonicTime::from_millis(1_000));
     m.writes = Budget::new(4.0);
     for i in 0..22 {
         let id = format!("m-{i:02}");
@@ -17,16 +17,16 @@
     (m, now)
 }
 
-fn job(m: &mut Master, id: &str, shape: Shape, tasks: u32, now: Time) {
+fn job(m: &mut Master, id: &str, shape: Shape, tasks: u32, now: MonotonicTime) {
     let mut spec = jobs::tests::spec();
     (spec.shape, spec.tasks, spec.types, spec.zone) = (shape, tasks, None, None);
     spec.room = Room { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     spec.team = m.settings.teams.keys().next().expect("a team").clone();
-    let job = jobs::OpenJob { spec, submitted: crate::types::Wall(1), home: "n0".into() };
+    let job = jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: "n0".into() };
     m.runs.insert(id.into(), Run::new(Arc::new(job), now));
 }
 
-fn look(m: &mut Master, now: Time) -> Vec<(Vec<MachineId>, Vec<TaskAsk>)> {
+fn look(m: &mut Master, now: MonotonicTime) -> Vec<(Vec<MachineId>, Vec<TaskAsk>)> {
     let me = NodeName::from("n0");
     let rounds = m.build_rounds(&BTreeSet::from([me.clone()]), &me, now);
     let ids = |views: Vec<MachineView>| views.into_iter().map(|v| v.id).collect();
--- a/crates/scheduler/src/node/master/cloud.rs
+++ b/crates/scheduler/src/node/master/cloud.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 const LIST_PAGE: u32 = 500;
-const TYPES_EVERY: Span = Span::ms(60_000);
+const TYPES_EVERY: Duration = Duration::from_millis(60_000);
 /// Nothing is rented for so long after a call without an answer.
-const AWAY_PAUSE: Span = Span::ms(2000);
+const AWAY_PAUSE: Duration = Duration::from_millis(2000);
 
 #[derive(Debug)]
 pub(super) enum CloudOp {
@@ -24,7 +24,7 @@
         let now = ctx.now;
         let list = now >= self.next_listing && self.list_after.is_none();
         if list {
-            self.next_listing = now + Span::secs(self.settings.operator.list_every_s);
+            self.next_listing = now + Duration::from_secs_f64(self.settings.operator.list_every_s);
         }
         if now >= self.next_types {
             self.next_types = now + TYPES_EVERY;
@@ -42,7 +42,7 @@
 
     pub(in crate::node) fn cloud(&mut self, ctx: &mut Ctx, op: OpId, reply: CloudReply) {
         let now = ctx.now;
-        let pause = Span::secs(self.settings.operator.refusal_pause_s);
+        let pause = Duration::from_secs_f64(self.settings.operator.refusal_pause_s);
         let Some(what) = self.cloud_ops.remove(&op) else { return };
         match (what, reply) {
             (CloudOp::Rent { offer, number, .. }, CloudReply::Rented(ids)) => {
--- a/crates/scheduler/src/node/master/commits.rs
+++ b/crates/scheduler/src/node/master/commits.rs
@@ -4,7 +4,7 @@
 
 /// What a transaction is taken for before it is known how many changes it has.
 const USUAL_CHANGES: f64 = 4.0;
-const CORRECT_AGAIN: Span = Span::ms(200);
+const CORRECT_AGAIN: Duration = Duration::from_millis(200);
 
 impl Master {
     /// Sends the next transaction, if the last is over and the budget has room.
@@ -27,7 +27,7 @@
 
     pub(super) fn committed(&mut self, ctx: &mut Ctx, reply: StateReply) -> Option<Leave> {
         let now = ctx.now;
-        let pause = Span::ms(ctx.rng.random_range(80..250));
+        let pause = Duration::from_millis(ctx.rng.random_range(80..250));
         match reply {
             StateReply::Committed { store_revision } => {
                 let settled = self.journal.committed(store_revision);
--- a/crates/scheduler/src/node/master/field.rs
+++ b/crates/scheduler/src/node/master/field.rs
@@ -34,7 +34,7 @@
 
 impl Master {
     /// Machines that could take some task of `asks`: of a busy fleet that is a small part.
-    pub(super) fn open_field(&mut self, asks: &[TaskAsk], now: Time) -> Field {
+    pub(super) fn open_field(&mut self, asks: &[TaskAsk], now: MonotonicTime) -> Field {
         let least = |of: fn(&Room) -> f64| asks.iter().map(|a| of(&a.room)).fold(f64::MAX, f64::min);
         let least =
             Room { cpus: least(|r| r.cpus), gpus: least(|r| r.gpus), memory_gb: least(|r| r.memory_gb) };
--- a/crates/scheduler/src/node/master/homes.rs
+++ b/crates/scheduler/src/node/master/homes.rs
@@ -17,13 +17,19 @@
 }
 
 impl Phases {
-    fn told(once: &mut bool, phase: &str, fencing_token: FencingToken, since: Time, now: Time) {
+    fn told(
+        once: &mut bool,
+        phase: &str,
+        fencing_token: FencingToken,
+        since: MonotonicTime,
+        now: MonotonicTime,
+    ) {
         if !std::mem::replace(once, true) {
             tracing::info!(%fencing_token, after_ms = now.since(since).0, phase, "take-over");
         }
     }
 
-    pub(super) fn ordered(&mut self, fencing_token: FencingToken, since: Time, now: Time) {
+    pub(super) fn ordered(&mut self, fencing_token: FencingToken, since: MonotonicTime, now: MonotonicTime) {
         Self::told(&mut self.order, "first order", fencing_token, since, now);
     }
 }
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -22,7 +22,7 @@
         let machines = matches!(op, LeaderOp::LoadMachines);
         let prefix = if machines { ledger::PREFIX } else { jobs::PROGRESS_PREFIX };
         let StateReply::Pairs { pairs, more, .. } = reply else {
-            self.reload.push((ctx.now + Span::ms(200), op));
+            self.reload.push((ctx.now + Duration::from_millis(200), op));
             return;
         };
         for pair in &pairs {
@@ -47,7 +47,7 @@
 
     /// What is on a machine whose record can't be read is not known, and might be started elsewhere too: it is
     /// returned, and nothing starts anywhere until the cloud has confirmed that.
-    fn opaque(&mut self, key: &str, id: MachineId, why: &str, now: Time) {
+    fn opaque(&mut self, key: &str, id: MachineId, why: &str, now: MonotonicTime) {
         tracing::error!(
             key,
             why,
@@ -83,7 +83,7 @@
     }
 
     /// How far the reports are in.
-    pub(super) fn gather(&mut self, now: Time) {
+    pub(super) fn gather(&mut self, now: MonotonicTime) {
         if self.gathering.phase() == Phase::Steady {
             return;
         }
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -35,8 +35,8 @@
 use crate::settings::Settings;
 use crate::store::Budget;
 use crate::types::{
-    Attempt, FencingToken, Image, JobId, MachineId, NodeName, OpId, Revision, Room, Session, Span, TaskId,
-    TeamName, Time, Zone,
+    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, NodeName, OpId, Revision, Room,
+    Session, TaskId, TeamName, Zone,
 };
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
@@ -51,25 +51,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const HOUSEKEEPING_EVERY: Span = Span::ms(500);
+const HOUSEKEEPING_EVERY: Duration = Duration::from_millis(500);
 /// Parts of time that looks at what waits, and plans of what to rent, leave to all else for each that they take.
 const LOOKS_REST: f64 = 3.0;
 const PLANS_REST: f64 = 9.0;
-const RETRY_EVERY: Span = Span::ms(2000);
+const RETRY_EVERY: Duration = Duration::from_millis(2000);
 /// A returned machine's late reports and listings are ignored for this long.
-const TOMB_LIFE: Span = Span::ms(600_000);
+const TOMB_LIFE: Duration = Duration::from_millis(600_000);
 /// Failures in a row from which on they speak of the job rather than of machines.
 const JOB_AT_FAULT: u32 = 4;
 
 /// What the leader's part may use of its node in a step.
 pub(super) struct Ctx<'a> {
-    pub now: Time,
+    pub now: MonotonicTime,
     /// The tenure is valid: orders, commits and rentals may leave.
     pub valid: bool,
     /// The node holds the lead as far as it knows, validly or only holding on.
     pub holds: bool,
     /// Start of the newest read of the job records.
-    pub fresh_at: Time,
+    pub fresh_at: MonotonicTime,
     pub renewal: &'a Renewal,
     pub mirror: &'a mut Mirror,
     pub counts: &'a mut Counts,
@@ -91,7 +91,7 @@
 }
 
 /// Takes out what is due at `now`.
-fn due<T>(queue: &mut Vec<(Time, T)>, now: Time) -> Vec<T> {
+fn due<T>(queue: &mut Vec<(MonotonicTime, T)>, now: MonotonicTime) -> Vec<T> {
     queue.extract_if(.., |(at, _)| *at <= now).map(|(_, what)| what).collect()
 }
 
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 struct Outstanding {
     round: u64,
-    sent: Time,
+    sent: MonotonicTime,
     asks: Vec<TaskAsk>,
 }
 
@@ -122,7 +122,7 @@
 pub(super) struct Master {
     settings: Arc<Settings>,
     fencing_token: FencingToken,
-    since: Time,
+    since: MonotonicTime,
     machines_loaded: bool,
     progress_loaded: bool,
     progress: Vec<Pair>,
@@ -137,19 +137,19 @@
     stray_on: BTreeSet<MachineId>,
     /// Jobs within their team's guarantee, until the jobs change.
     guaranteed: Option<Arc<BTreeSet<JobId>>>,
-    tombs: BTreeMap<MachineId, Time>,
+    tombs: BTreeMap<MachineId, MonotonicTime>,
     runs: BTreeMap<JobId, Run>,
     journal: Journal,
     dirty: BTreeSet<MachineId>,
     recorded: BTreeMap<String, Vec<Recorded>>,
     correcting: usize,
-    commit_not_before: Time,
+    commit_not_before: MonotonicTime,
     writes: Budget,
     market: Market,
     blocks: Blocks,
     attempts: Attempts,
     offers: BTreeMap<NodeName, Outstanding>,
-    slow_until: BTreeMap<NodeName, Time>,
+    slow_until: BTreeMap<NodeName, MonotonicTime>,
     next_round: u64,
     /// Moves on with everything that may let a waiting task fit.
     room_version: u64,
@@ -164,14 +164,14 @@
     cloud_ops: BTreeMap<OpId, CloudOp>,
     cloud_calls: Budget,
     list_after: Option<MachineId>,
-    next_listing: Time,
-    next_types: Time,
-    next_beat: Time,
-    next_counts: Time,
-    next_housekeeping: Time,
-    next_retry: Time,
-    silent_since: Option<Time>,
-    rent_not_before: Time,
+    next_listing: MonotonicTime,
+    next_types: MonotonicTime,
+    next_beat: MonotonicTime,
+    next_counts: MonotonicTime,
+    next_housekeeping: MonotonicTime,
+    next_retry: MonotonicTime,
+    silent_since: Option<MonotonicTime>,
+    rent_not_before: MonotonicTime,
     /// Machines whose release is under way.
     releasing: BTreeSet<MachineId>,
     /// Workers that must hear of this leader's fence directly, and calls under way for it.
@@ -185,10 +185,10 @@
     hub: Hub,
     /// What nodes say that are apart from this one, and the zones that are cut off as far as this node can tell.
     told: Told,
-    next_told: Time,
+    next_told: MonotonicTime,
     cut: BTreeSet<Zone>,
     /// Until when a zone was cut off and answered by a node in there.
-    parted: BTreeMap<Zone, Time>,
+    parted: BTreeMap<Zone, MonotonicTime>,
     /// What this node heard before it led, for when all records are read.
     early: Vec<Full>,
     /// Orders that go out with answers to the next reports at other nodes.
@@ -196,8 +196,8 @@
     phases: homes::Phases,
     gathering: Gathering,
     served: Served,
-    reload: Vec<(Time, LeaderOp)>,
-    recheck: Vec<(Time, String)>,
+    reload: Vec<(MonotonicTime, LeaderOp)>,
+    recheck: Vec<(MonotonicTime, String)>,
 }
 
 impl Master {
@@ -212,7 +212,7 @@
     }
 
     /// Whether a copy of the job records as of `fresh_at` is too old to build the runs from.
-    pub(in crate::node) fn wants_jobs(&self, fresh_at: Time) -> bool {
+    pub(in crate::node) fn wants_jobs(&self, fresh_at: MonotonicTime) -> bool {
         !self.loaded() && fresh_at < self.since
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Brings the kept sums in line after a change of a machine's entries.
-    fn recount(&mut self, machine: &MachineId, now: Time) {
+    fn recount(&mut self, machine: &MachineId, now: MonotonicTime) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.recount(&mut self.used, now);
             if m.strays.is_empty() {
@@ -271,7 +271,7 @@
     }
 
     /// A machine as controllers see it; of its images they need to know those asked for.
-    fn view(&self, m: &Machine, health: Health, asked: &BTreeSet<&Image>, now: Time) -> MachineView {
+    fn view(&self, m: &Machine, health: Health, asked: &BTreeSet<&Image>, now: MonotonicTime) -> MachineView {
         MachineView {
             id: m.id.clone(),
             type_name: m.type_name.clone(),
@@ -302,7 +302,7 @@
     }
 
     /// Takes a stop wish to a task's machine; removes it at once if no order went out.
-    fn stop_task(&mut self, machine: &MachineId, task: &TaskId, grace_s: f64, now: Time) {
+    fn stop_task(&mut self, machine: &MachineId, task: &TaskId, grace_s: f64, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         self.to_direct.insert(machine.clone());
         if !self.touched.contains(&task.job) {
@@ -318,7 +318,7 @@
         }
     }
 
-    fn stop_job(&mut self, id: &JobId, grace_s: f64, now: Time) {
+    fn stop_job(&mut self, id: &JobId, grace_s: f64, now: MonotonicTime) {
         let placed: Vec<(u32, MachineId)> = match self.runs.get(id) {
             Some(run) => run.placed().iter().map(|(i, m)| (*i, m.clone())).collect(),
             None => return,
@@ -333,7 +333,7 @@
     pub(in crate::node) fn new(
         settings: Arc<Settings>,
         fencing_token: FencingToken,
-        now: Time,
+        now: MonotonicTime,
         types: Vec<MachineType>,
         early: Vec<Full>,
     ) -> Self {
@@ -381,7 +381,7 @@
             next_listing: now,
             next_types: now,
             next_beat: now,
-            next_counts: now + Span::secs(o.counts_save_s),
+            next_counts: now + Duration::from_secs_f64(o.counts_save_s),
             next_housekeeping: now,
             next_retry: now,
             silent_since: None,
@@ -402,8 +402,8 @@
             phases: homes::Phases::default(),
             served: Served::default(),
             gathering: Gathering::new(
-                Span::secs(settings.workers.report_s),
-                Span::secs(settings.workers.lease_s),
+                Duration::from_secs_f64(settings.workers.report_s),
+                Duration::from_secs_f64(settings.workers.lease_s),
             ),
             reload: Vec::new(),
             recheck: Vec::new(),
@@ -411,7 +411,7 @@
         }
     }
 
-    pub(in crate::node) fn set_types(&mut self, types: Vec<MachineType>, now: Time) {
+    pub(in crate::node) fn set_types(&mut self, types: Vec<MachineType>, now: MonotonicTime) {
         for m in self.machines.values_mut() {
             if let Some(t) = types.iter().find(|t| t.name == m.type_name) {
                 m.total = t.room();
@@ -429,7 +429,7 @@
     }
 
     /// The step that is over took `cost`.
-    pub(in crate::node) fn took(&mut self, cost: Span, now: Time) {
+    pub(in crate::node) fn took(&mut self, cost: Duration, now: MonotonicTime) {
         self.looks.cost(cost, now);
         self.plans.cost(cost, now);
     }
@@ -543,7 +543,7 @@
     }
 
     /// Takes `n` changes from what is to spare: nothing while more urgent ones wait.
-    pub(super) fn spare_writes(&mut self, n: usize, now: Time) -> bool {
+    pub(super) fn spare_writes(&mut self, n: usize, now: MonotonicTime) -> bool {
         self.writes.ample(now) && self.writes.take(n as f64, now)
     }
 
@@ -575,10 +575,10 @@
 /// Ways to take a guard out, for proving that the test world's checker notices.
 #[cfg(any(test, feature = "world"))]
 impl Master {
-    pub(super) fn sabotage_forget_silent(&mut self, ms: u64, now: Time) {
+    pub(super) fn sabotage_forget_silent(&mut self, ms: u64, now: MonotonicTime) {
         let mut gone = Vec::new();
         for m in self.machines.values_mut() {
-            if m.last_report.is_some_and(|at| now.since(at) > Span::ms(ms)) {
+            if m.last_report.is_some_and(|at| now.since(at) > Duration::from_millis(ms)) {
                 gone.extend(std::mem::take(&mut m.entries).into_keys().map(|t| (t, m.id.clone())));
                 m.recount(&mut self.used, now);
             }
@@ -608,13 +608,16 @@
         }
         self.machines.values_mut().filter(|m| !m.heard()).for_each(|m| m.unanswered = 9);
         let workers = &self.settings.workers;
-        self.gathering = Gathering::new(Span::secs(workers.report_s), Span::secs(workers.lease_s));
-        self.gathering.records_read(Time::default());
+        self.gathering = Gathering::new(
+            Duration::from_secs_f64(workers.report_s),
+            Duration::from_secs_f64(workers.lease_s),
+        );
+        self.gathering.records_read(MonotonicTime::default());
         self.gathering.heard(1, 1, self.since);
     }
 
     /// What is to stop makes room for its team at once, without a proof that it is gone.
-    pub(super) fn sabotage_free_cancelled(&mut self, now: Time) {
+    pub(super) fn sabotage_free_cancelled(&mut self, now: MonotonicTime) {
         let mut gone = Vec::new();
         for m in self.machines.values_mut() {
             let (stopping, stay) =
@@ -649,7 +652,7 @@
     }
 
     /// No machine ever counts as silent.
-    pub(super) fn sabotage_keep_silent(&mut self, now: Time) {
+    pub(super) fn sabotage_keep_silent(&mut self, now: MonotonicTime) {
         for m in self.machines.values_mut().filter(|m| m.last_report.is_some()) {
             (m.last_report, m.unanswered) = (Some(now), 0);
         }
--- a/crates/scheduler/src/node/master/offers.rs
+++ b/crates/scheduler/src/node/master/offers.rs
@@ -4,9 +4,9 @@
 
 /// How often what waits is looked through for rounds. Going through it after every input took
 /// most of a leader's processor share with hundreds of machines.
-pub(super) const LOOK_EVERY: Span = Span::ms(100);
+pub(super) const LOOK_EVERY: Duration = Duration::from_millis(100);
 /// After this long a controller that let a round time out is offered work again.
-const SLOW_PAUSE: Span = Span::ms(3000);
+const SLOW_PAUSE: Duration = Duration::from_millis(3000);
 
 impl Master {
     pub(super) fn offer_rounds(&mut self, ctx: &mut Ctx) {
@@ -53,8 +53,8 @@
         self.close_round(from, offer.asks, proposals, ctx.now);
     }
 
-    pub(super) fn late_rounds(&mut self, now: Time) {
-        let limit = Span::ms(self.settings.operator.round_timeout_ms);
+    pub(super) fn late_rounds(&mut self, now: MonotonicTime) {
+        let limit = Duration::from_millis(self.settings.operator.round_timeout_ms);
         let late: Vec<NodeName> =
             self.offers.iter().filter(|(_, o)| now.since(o.sent) >= limit).map(|(n, _)| n.clone()).collect();
         for node in late {
--- a/crates/scheduler/src/node/master/room.rs
+++ b/crates/scheduler/src/node/master/room.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 /// How long a job waits for the room it made before it makes more, besides a save.
-const PREEMPT_PAUSE: Span = Span::ms(2000);
+const PREEMPT_PAUSE: Duration = Duration::from_millis(2000);
 /// How long a search for room that found none holds good, and searches in one look at what waits:
 /// each goes through the whole fleet.
-const PREEMPT_AGAIN: Span = Span::ms(1000);
+const PREEMPT_AGAIN: Duration = Duration::from_millis(1000);
 /// Part of the time within which work is to start that it waits before others are stopped for it.
 const PREEMPT_AFTER: f64 = 0.6;
 /// Seconds of fetching that are worth stopping less urgent work where the image is.
 const IMAGE_WORTH_S: f64 = 5.0;
 /// Machines due within this count as nearly there for a gang, and how long free ones are then kept
 /// for it at a time.
-const HOLD_AHEAD: Span = Span::ms(10_000);
-const HOLD_FOR: Span = Span::ms(2000);
+const HOLD_AHEAD: Duration = Duration::from_millis(10_000);
+const HOLD_FOR: Duration = Duration::from_millis(2000);
 /// Waiting less urgent work, as a part of what is placed, from which on no gang stops more of it.
 const CROWDED: f64 = 0.1;
 /// What a stopped task loses besides its work, in seconds: a new place, and often a new fetch.
@@ -34,7 +34,7 @@
 impl Master {
     /// Makes room for a job that fits nowhere, if its rank allows that: all its tasks' if it is a
     /// gang. Tells whether the fleet was searched for it.
-    pub(super) fn preempt(&mut self, ask: &TaskAsk, now: Time) -> bool {
+    pub(super) fn preempt(&mut self, ask: &TaskAsk, now: MonotonicTime) -> bool {
         let guaranteed = self.guaranteed();
         let Some(run) = self.runs.get_mut(&ask.job) else { return false };
         let (spec, priority) = (run.job.spec.clone(), run.priority);
@@ -44,7 +44,7 @@
         let mine = guaranteed.contains(&ask.job);
         // Room that comes free by itself loses nothing. Replicas don't wait for it.
         let patience = self.settings.wait_objective(&spec.kind, mine).map_or(0.0, |s| s * PREEMPT_AFTER);
-        if spec.shape != Shape::Service && now.since(run.seen) < Span::secs(patience) {
+        if spec.shape != Shape::Service && now.since(run.seen) < Duration::from_secs_f64(patience) {
             return false;
         }
         run.making_room_until = Some(now + PREEMPT_AGAIN);
@@ -66,7 +66,7 @@
 
     /// Keeps free machines for a gang that fits as soon as others on their way are up: small tasks
     /// took those rented for it one by one as they came.
-    pub(super) fn hold_for_gang(&mut self, ask: &TaskAsk, views: &mut [MachineView], now: Time) {
+    pub(super) fn hold_for_gang(&mut self, ask: &TaskAsk, views: &mut [MachineView], now: MonotonicTime) {
         // Worth idle machines only where the next one could not be up in time.
         let within_s = self.settings.wait_objective(&ask.kind, false).unwrap_or(f64::MAX);
         if self.market.types.iter().all(|t| t.boot_s <= within_s) {
@@ -120,7 +120,7 @@
         ask: &TaskAsk,
         views: &[MachineView],
         scans: &mut usize,
-        now: Time,
+        now: MonotonicTime,
     ) -> u32 {
         let tasks = ask.tasks.len() as u32;
         let ready: u32 = views
@@ -161,7 +161,7 @@
     }
 
     /// Stops what loses least so that `ask` fits; gives the number of machines where that makes room.
-    fn clear_for(&mut self, ask: &TaskAsk, spec: &JobSpec, how: Clear, now: Time) -> u32 {
+    fn clear_for(&mut self, ask: &TaskAsk, spec: &JobSpec, how: Clear, now: MonotonicTime) -> u32 {
         let mut candidates = Vec::new();
         let Some(priority) = self.runs.get(&ask.job).map(|r| r.priority) else { return 0 };
         for m in self.machines.values() {
@@ -194,9 +194,9 @@
                 if o.shape == Shape::Service || !may_stop {
                     continue;
                 }
-                let ran = entry.running_since.map_or(0.0, |at| now.since(at).as_secs());
+                let ran = entry.running_since.map_or(0.0, |at| now.since(at).as_secs_f64());
                 // Work since the last checkpoint, and a new start.
-                let again = if o.checkpoint.0 > 0 { o.save.as_secs() } else { ran };
+                let again = if o.checkpoint.0 > 0 { o.save.as_secs_f64() } else { ran };
                 let loss_s = again + RESTART_S;
                 // With one task of a gang all of it stops.
                 let loss_s = if other.is_gang() { loss_s * f64::from(o.tasks) } else { loss_s };
@@ -237,7 +237,7 @@
                 self.stop_task(machine, task, grace, now);
             }
         }
-        let until = now + PREEMPT_PAUSE + Span::secs(longest);
+        let until = now + PREEMPT_PAUSE + Duration::from_secs_f64(longest);
         // Room that several have to leave, or that lies on several machines, comes piece by piece:
         // held, or small tasks would take each piece. A single place may go to whoever ranks first.
         for (machine, tasks) in &clearings {
--- a/crates/scheduler/src/node/master/rounds.rs
+++ b/crates/scheduler/src/node/master/rounds.rs
@@ -53,7 +53,7 @@
     }
 
     /// What waits, most urgent first, as far as teams' limits allow.
-    pub(super) fn waiting_asks(&mut self, most: usize, now: Time) -> Vec<TaskAsk> {
+    pub(super) fn waiting_asks(&mut self, most: usize, now: MonotonicTime) -> Vec<TaskAsk> {
         let version = self.room_version;
         let mut ids: Vec<JobId> = self
             .runs
@@ -110,7 +110,7 @@
         &mut self,
         live: &BTreeSet<NodeName>,
         me: &NodeName,
-        now: Time,
+        now: MonotonicTime,
     ) -> Vec<(NodeName, u64, Vec<MachineView>, Vec<TaskAsk>)> {
         if self.blocks.due(live, now) && self.offers.is_empty() {
             let mut work: BTreeMap<NodeName, u32> = live.iter().map(|n| (n.clone(), 0)).collect();
@@ -120,7 +120,7 @@
             }
             let up = self.machines.values().filter(|m| m.standing == Standing::Up);
             let up: BTreeSet<MachineId> = up.map(|m| m.id.clone()).collect();
-            let lease = Span::secs(self.settings.operator.block_lease_s);
+            let lease = Duration::from_secs_f64(self.settings.operator.block_lease_s);
             self.blocks.cut(&up, &work, lease, now);
         }
         let mut asks = self.waiting_asks(self.settings.operator.round_tasks, now);
@@ -183,9 +183,9 @@
         ledger::entry_bytes(task, Attempt(u64::MAX), &spec.team, &spec.room)
     }
 
-    pub(super) fn health(&self, m: &Machine, now: Time) -> Health {
+    pub(super) fn health(&self, m: &Machine, now: MonotonicTime) -> Health {
         let o = &self.settings.operator;
-        let report = Span::secs(self.settings.workers.report_s);
+        let report = Duration::from_secs_f64(self.settings.workers.report_s);
         m.health(now, report, o.degraded_reports, o.unreachable_reports)
     }
 
@@ -196,7 +196,7 @@
         node: &NodeName,
         asks: Vec<TaskAsk>,
         proposals: Vec<Proposal>,
-        now: Time,
+        now: MonotonicTime,
     ) {
         let mut by_job: BTreeMap<JobId, Vec<(u32, MachineId)>> = BTreeMap::new();
         for p in proposals {
@@ -223,7 +223,7 @@
         &mut self,
         ask: &TaskAsk,
         placements: Vec<(u32, MachineId)>,
-        now: Time,
+        now: MonotonicTime,
     ) -> usize {
         let gang = ask.shape == Shape::Gang;
         let Some(run) = self.runs.get(&ask.job) else { return 0 };
@@ -292,7 +292,7 @@
         spec: &JobSpec,
         team: &crate::settings::Team,
         machine: &MachineId,
-        now: Time,
+        now: MonotonicTime,
     ) -> bool {
         let (Some(run), Some(m)) = (self.runs.get(&task.job), self.machines.get(machine)) else {
             return false;
--- a/crates/scheduler/src/node/master/rounds/tests.rs
+++ b/crates/scheduler/src/node/master/rounds/tests.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 /// A master with machines that hold one GPU task each, and nodes n0 (itself), n1 and n2.
-fn fleet(machines: usize) -> (Master, BTreeSet<NodeName>, NodeName, Time) {
-    let (mut m, now) = (master(), Time::from_ms(1_000));
+fn fleet(machines: usize) -> (Master, BTreeSet<NodeName>, NodeName, MonotonicTime) {
+    let (mut m, now) = (master(), MonotonicTime::from_millis(1_000));
     for i in 0..machines {
         let id = format!("m-{i}");
         m.take_report(&report(&id, "z0", 1), now);
@@ -22,13 +22,13 @@
     (m, nodes.iter().cloned().collect(), nodes[0].clone(), now)
 }
 
-fn job(m: &mut Master, id: &str, home: &str, priority: Priority, tasks: u32, now: Time) {
+fn job(m: &mut Master, id: &str, home: &str, priority: Priority, tasks: u32, now: MonotonicTime) {
     let mut spec = jobs::tests::spec();
     (spec.priority, spec.tasks, spec.types, spec.zone) = (priority, tasks, None, None);
     spec.room = Room { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
     let team = m.settings.teams.keys().next().expect("a team").clone();
     spec.team = team;
-    let job = jobs::OpenJob { spec, submitted: crate::types::Wall(1), home: home.into() };
+    let job = jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: home.into() };
     m.runs.insert(id.into(), Run::new(Arc::new(job), now));
 }
 
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -5,13 +5,13 @@
 use pearford_recovery::{Claim, Ending, Stored, claim};
 
 /// How long nothing is placed on a machine whose record the state service refuses.
-const UNWRITABLE_PAUSE: Span = Span::ms(30_000);
+const UNWRITABLE_PAUSE: Duration = Duration::from_millis(30_000);
 
 impl Master {
     // ---- take-over ----
 
     /// Takes a machine over from an earlier leader's record.
-    pub(super) fn inherit(&mut self, id: MachineId, record: MachineRecord, now: Time) {
+    pub(super) fn inherit(&mut self, id: MachineId, record: MachineRecord, now: MonotonicTime) {
         let total = self.market.type_of(&record.type_name).map(MachineType::room).unwrap_or_default();
         let m = self.machines.entry(id.clone()).or_insert_with(|| {
             Machine::new(id.clone(), record.type_name.clone(), record.zone.clone(), record.spot, total, now)
@@ -37,7 +37,7 @@
     }
 
     /// All records are read: builds the runs, and stops what must not go on.
-    pub(super) fn take_stock(&mut self, mirror: &jobs::Mirror, now: Time) {
+    pub(super) fn take_stock(&mut self, mirror: &jobs::Mirror, now: MonotonicTime) {
         for (id, _) in mirror.iter().filter(|(_, known)| known.record.is_open()) {
             self.job_changed(mirror, id, now);
         }
@@ -73,7 +73,7 @@
     }
 
     /// A job's record can be read again, or is over: what it has on machines and its progress become its run's.
-    fn take_in_unread(&mut self, id: &JobId, now: Time) {
+    fn take_in_unread(&mut self, id: &JobId, now: MonotonicTime) {
         let Some(chunks) = self.unread.remove(id) else { return };
         for pair in chunks {
             let chunk = pair.key.rsplit_once('/').and_then(|(_, chunk)| chunk.parse().ok());
@@ -95,7 +95,7 @@
     }
 
     /// Squares inherited entries, of one job or of all whose record can be read, with the runs.
-    fn claim_entries(&mut self, only: Option<&JobId>, now: Time) {
+    fn claim_entries(&mut self, only: Option<&JobId>, now: MonotonicTime) {
         let ours = |job: &JobId, unread: &BTreeMap<JobId, Vec<Pair>>| match only {
             Some(only) => job == only,
             None => !unread.contains_key(job),
@@ -141,7 +141,7 @@
 
     /// What the job records say of `id` has changed. A job gets a run, without which none of its tasks
     /// can be placed, once all that it needs is durably done.
-    pub(super) fn job_changed(&mut self, mirror: &jobs::Mirror, id: &JobId, now: Time) {
+    pub(super) fn job_changed(&mut self, mirror: &jobs::Mirror, id: &JobId, now: MonotonicTime) {
         let Some(known) = mirror.get(id) else { return };
         if let Some(verdict) = mirror.verdict(id) {
             // The record may be seen by the watch before its commit is answered: counted there, every second was missed.
@@ -176,7 +176,7 @@
 
     /// The state service refuses a value for good. What is stored stays; starts that depended on the
     /// new value are taken back, and nothing new goes to the machine for a while.
-    pub(super) fn unwritable(&mut self, key: &str, now: Time) {
+    pub(super) fn unwritable(&mut self, key: &str, now: MonotonicTime) {
         let Some(id) = key.strip_prefix(ledger::PREFIX).map(MachineId::from) else { return };
         let Some(m) = self.machines.get_mut(&id) else { return };
         m.not_before = now + UNWRITABLE_PAUSE;
@@ -189,7 +189,7 @@
     }
 
     /// A task of a job that is over, or done already: off the ledger if that is proved, else stopped.
-    pub(super) fn drop_or_stop(&mut self, machine: &MachineId, task: &TaskId, now: Time) {
+    pub(super) fn drop_or_stop(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         if m.entries.get(task).is_some_and(|e| e.state == EntryState::Done) {
             self.take_off(machine, task, now);
@@ -199,7 +199,7 @@
     }
 
     /// Takes an entry off the ledger.
-    fn take_off(&mut self, machine: &MachineId, task: &TaskId, now: Time) {
+    fn take_off(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.entries.remove(task);
         self.dirty.insert(machine.clone());
@@ -214,7 +214,7 @@
     }
 
     /// The job is withdrawn or done.
-    pub(super) fn job_over(&mut self, id: &JobId, now: Time) {
+    pub(super) fn job_over(&mut self, id: &JobId, now: MonotonicTime) {
         // A "done" still waiting to be written must not follow a withdrawal: with the new version
         // as its condition it would overwrite the verdict the user was told (seed 247).
         self.journal.give_up(&jobs::key(id));
@@ -237,7 +237,7 @@
 
     // ---- reports and outcomes ----
 
-    pub(super) fn take_report(&mut self, report: &Report, now: Time) {
+    pub(super) fn take_report(&mut self, report: &Report, now: MonotonicTime) {
         if !self.machines.contains_key(&report.machine) {
             // Unexpected: a rental answered late or never. It is used like any other.
             let total = self.market.type_of(&report.type_name).map(MachineType::room).unwrap_or_default();
@@ -306,7 +306,7 @@
         m.entries.iter().filter(wanted).map(|(task, _)| task.clone()).collect()
     }
 
-    pub(super) fn take_digest(&mut self, machine: &MachineId, digest: Digest, now: Time) {
+    pub(super) fn take_digest(&mut self, machine: &MachineId, digest: Digest, now: MonotonicTime) {
         for task in digest.began {
             tracing::debug!(%task, %machine, "runs");
             self.touch(&task.job);
@@ -365,7 +365,7 @@
     }
 
     /// A worker reports a task as done: records it, then lets go.
-    pub(super) fn task_done(&mut self, machine: &MachineId, task: &TaskId, now: Time) {
+    pub(super) fn task_done(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(run) = self.runs.get_mut(&task.job) else {
             // The verdict on the job stands; nothing is left to record.
             if let Some(m) = self.machines.get_mut(machine) {
@@ -422,7 +422,7 @@
     }
 
     /// A version of a key is durable. Gives the job that is done by it.
-    pub(super) fn settle(&mut self, key: &str, version: u64, now: Time) -> Option<JobId> {
+    pub(super) fn settle(&mut self, key: &str, version: u64, now: MonotonicTime) -> Option<JobId> {
         if let Some(id) = key.strip_prefix(ledger::PREFIX) {
             let m = self.machines.get_mut(&MachineId::from(id))?;
             let ready: Vec<TaskId> =
@@ -471,14 +471,14 @@
         task: &TaskId,
         entry: &Entry,
         outcome: Outcome,
-        now: Time,
+        now: MonotonicTime,
     ) {
         self.dirty.insert(machine.clone());
         self.room_version += 1;
         if outcome == Outcome::Ended(Ending::NoRoom)
             && let Some(m) = self.machines.get_mut(machine)
         {
-            m.not_before = now + Span::ms(2000);
+            m.not_before = now + Duration::from_millis(2000);
         }
         let Some(run) = self.runs.get_mut(&task.job) else { return };
         run.unplace(task.index, machine);
@@ -489,14 +489,16 @@
                 run.errors += 1;
                 // One failure speaks of the machine; several in a row may speak of the job.
                 let pause = if run.errors < 3 { 0 } else { 250u64 << (run.errors - 2).min(7) };
-                run.not_before = now + Span::ms(pause);
+                run.not_before = now + Duration::from_millis(pause);
                 let (kind, errors) = (run.job.spec.kind.clone(), run.errors);
                 if errors < JOB_AT_FAULT {
                     self.learned.push(Learned { machine: machine.clone(), kind, success: false });
                 }
                 blamed = Some(errors);
             }
-            Outcome::Ended(Ending::Refused | Ending::NoRoom) => run.not_before = now + Span::ms(1000),
+            Outcome::Ended(Ending::Refused | Ending::NoRoom) => {
+                run.not_before = now + Duration::from_millis(1000)
+            }
             _ => {}
         }
         let _ = entry;
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/master/stock/tests.rs
@@ -28,7 +28,7 @@
 
 pub fn master() -> Master {
     let settings = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
-    Master::new(Arc::new(settings), FencingToken(9), Time::from_ms(1), Vec::new(), Vec::new())
+    Master::new(Arc::new(settings), FencingToken(9), MonotonicTime::from_millis(1), Vec::new(), Vec::new())
 }
 
 /// The removal of an old entry had not been written when the leader crashed, the task's new
@@ -36,16 +36,19 @@
 #[test]
 fn an_entry_left_over_from_an_earlier_attempt_does_not_hide_the_live_one() {
     for (first, second, live) in [(5, 7, "m-2"), (7, 5, "m-1")] {
-        let (mut m, now) = (master(), Time::from_ms(1));
+        let (mut m, now) = (master(), MonotonicTime::from_millis(1));
         m.inherit("m-1".into(), record(first), now);
         m.inherit("m-2".into(), record(second), now);
         let mut mirror = jobs::Mirror::default();
-        let job =
-            jobs::OpenJob { spec: jobs::tests::spec(), submitted: crate::types::Wall(1), home: "n0".into() };
+        let job = jobs::OpenJob {
+            spec: jobs::tests::spec(),
+            submitted: crate::types::WallTime(1),
+            home: "n0".into(),
+        };
         mirror.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
         m.take_stock(&mirror, now);
         let dead = if live == "m-1" { "m-2" } else { "m-1" };
-        m.take_report(&report(dead, "z0", 8), Time::from_ms(2));
+        m.take_report(&report(dead, "z0", 8), MonotonicTime::from_millis(2));
         let run = &m.runs[&JobId::from("req-1")];
         assert_eq!(run.placed().get(&0), Some(&MachineId::from(live)), "it is still on {live}");
     }
@@ -54,10 +57,10 @@
 /// One slow fetch made the other tasks of a gang give up, again and again (andina apart).
 #[test]
 fn a_gangs_tasks_with_their_image_start_after_the_others_fetches() {
-    let (mut m, now) = (master(), Time::from_ms(1));
+    let (mut m, now) = (master(), MonotonicTime::from_millis(1));
     let mut spec = jobs::tests::spec();
     (spec.shape, spec.tasks) = (Shape::Gang, 2);
-    let job = Arc::new(jobs::OpenJob { spec, submitted: crate::types::Wall(1), home: "n0".into() });
+    let job = Arc::new(jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: "n0".into() });
     m.runs.insert("req-1".into(), Run::new(job, now));
     for (i, after_fetches) in [(0, true), (1, false)] {
         let id = format!("m-{i}");
@@ -70,7 +73,12 @@
         m.runs.get_mut(&JobId::from("req-1")).expect("there").place(i, id);
     }
     let starts = |m: &mut Master, id: &str| {
-        m.machines.get_mut(&MachineId::from(id)).expect("there").direct_orders(true, Time::from_ms(1)).1.len()
+        m.machines
+            .get_mut(&MachineId::from(id))
+            .expect("there")
+            .direct_orders(true, MonotonicTime::from_millis(1))
+            .1
+            .len()
     };
     assert_eq!((starts(&mut m, "m-0"), starts(&mut m, "m-1")), (0, 1));
     let waiting = r#"{"host":"m-1","addr":"10.9.0.1:1","flavor":"t","region":"z0","preemptible":false,
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -15,11 +15,11 @@
 /// The same of one that a new leader has not heard yet, before it has waited for it long enough.
 const PROBES_LOST_UNHEARD: u32 = 4;
 /// After this long a new leader has read what nodes say that are apart, if they do.
-const WORDS_COME: Span = Span::ms(7_000);
+const WORDS_COME: Duration = Duration::from_millis(7_000);
 /// Part of a zone's machines that, silent together, are cut off rather than lost: if nobody else there has
 /// been heard for a while either, or if it is most of them.
 const ZONE_SILENT: f64 = 0.34;
-const ZONE_QUIET: Span = Span::ms(2000);
+const ZONE_QUIET: Duration = Duration::from_millis(2000);
 const ZONE_MOSTLY: f64 = 0.67;
 /// Part of each zone that, silent together, speaks of the nodes and not of the machines.
 const FLEET_SILENT: f64 = 0.2;
@@ -43,7 +43,7 @@
     all: u32,
     silent: u32,
     /// The newest report, or answer to a question, of any.
-    newest: Time,
+    newest: MonotonicTime,
 }
 
 impl ZoneSilence {
@@ -51,15 +51,15 @@
     /// before would only stop what runs. But of a zone where many have died the rest is heard, and what ran on
     /// the dead must start elsewhere at once: 82 machines that died together were taken for a cut zone, and
     /// their replicas were down for 20 s (tremorline fleet, loss).
-    fn is_cut(&self, report: Span, now: Time) -> bool {
+    fn is_cut(&self, report: Duration, now: MonotonicTime) -> bool {
         let share = f64::from(self.silent) / f64::from(self.all.max(1));
-        let missed = f64::from(self.all) * now.since(self.newest).as_secs() / report.as_secs();
+        let missed = f64::from(self.all) * now.since(self.newest).as_secs_f64() / report.as_secs_f64();
         let quiet = !self.is_heard(now);
         quiet && missed >= REPORTS_MISSED
             || self.silent > 2 && share > ZONE_SILENT && (share > ZONE_MOSTLY || quiet)
     }
 
-    fn is_heard(&self, now: Time) -> bool {
+    fn is_heard(&self, now: MonotonicTime) -> bool {
         now.since(self.newest) <= ZONE_QUIET
     }
 }
@@ -72,7 +72,7 @@
 }
 
 /// Since when a machine is to stop a task of a job that is over, if it is and has not said that it did.
-fn over_since(m: &Machine, runs: &BTreeMap<JobId, Run>) -> Option<Time> {
+fn over_since(m: &Machine, runs: &BTreeMap<JobId, Run>) -> Option<MonotonicTime> {
     let stopping = m.entries.iter().filter_map(|(task, e)| Some((task, e.stop?.since)));
     stopping.filter(|(task, _)| !runs.contains_key(&task.job)).map(|(_, since)| since).min()
 }
@@ -83,8 +83,8 @@
     /// Most machines fell silent at once: rather this node is cut off than all of them. But only
     /// if a peer hears workers meanwhile; else they are really gone, and another leader would
     /// only find the same.
-    pub(super) fn self_cut_off(&mut self, peers_hear: bool, now: Time) -> bool {
-        let report = Span::secs(self.settings.workers.report_s);
+    pub(super) fn self_cut_off(&mut self, peers_hear: bool, now: MonotonicTime) -> bool {
+        let report = Duration::from_secs_f64(self.settings.workers.report_s);
         let up = self.machines.values().filter(|m| m.standing == Standing::Up);
         let (mut all, mut silent) = (0, 0);
         for m in up {
@@ -100,7 +100,7 @@
         peers_hear && now.since(since) >= report.times(2.0)
     }
 
-    pub(super) fn drain_warned(&mut self, now: Time) {
+    pub(super) fn drain_warned(&mut self, now: MonotonicTime) {
         let mut stops = Vec::new();
         for m in self.machines.values() {
             let Some(taken_at) = m.taken_at else { continue };
@@ -113,10 +113,10 @@
                 // It may end by itself in time: then stopping it only loses its work.
                 let ends_in_time =
                     spec.shape != Shape::Service && spec.estimate.0 < ran.0 + left.0 && spec.estimate.0 > 0;
-                if ends_in_time && left.as_secs() > save {
+                if ends_in_time && left.as_secs_f64() > save {
                     continue;
                 }
-                let grace = if save > 0.0 && left.as_secs() > save { save } else { 0.0 };
+                let grace = if save > 0.0 && left.as_secs_f64() > save { save } else { 0.0 };
                 stops.push((m.id.clone(), task.clone(), grace));
             }
         }
@@ -134,7 +134,7 @@
     }
 
     /// Gangs that lost a task for good: the rest makes way for a new attempt.
-    pub(super) fn mend_gangs(&mut self, now: Time) {
+    pub(super) fn mend_gangs(&mut self, now: MonotonicTime) {
         let broken: Vec<JobId> =
             self.runs.iter().filter(|(_, r)| gangs::broken(r)).map(|(id, _)| id.clone()).collect();
         for id in broken {
@@ -144,9 +144,9 @@
 
     /// Machines that fell silent, or never came up, are returned: the cloud's 200 is the quick
     /// proof that their tasks are gone.
-    pub(super) fn find_lost(&mut self, zones_heard: &BTreeMap<Zone, Time>, now: Time) {
+    pub(super) fn find_lost(&mut self, zones_heard: &BTreeMap<Zone, MonotonicTime>, now: MonotonicTime) {
         let o = &self.settings.operator;
-        let report = Span::secs(self.settings.workers.report_s);
+        let report = Duration::from_secs_f64(self.settings.workers.report_s);
         let suspect = self.silent_since.is_some_and(|at| now.since(at) < report.times(SUSPECT_REPORTS));
         let late = report.times(PROBE_AFTER_REPORTS);
         let mut zones: BTreeMap<&Zone, ZoneSilence> = BTreeMap::new();
@@ -172,7 +172,7 @@
         });
         self.cut.clone_from(&cut);
         let lost_after = report.times(o.lost_reports);
-        let lease_ends = Span::secs(self.settings.workers.lease_s - LEASE_MARGIN_S);
+        let lease_ends = Duration::from_secs_f64(self.settings.workers.lease_s - LEASE_MARGIN_S);
         let may_give_up = self.gathering.may_give_up(now);
         let words_came = now.since(self.since) >= WORDS_COME;
         let gives_up = self.gathering.allows(Act::GiveUp);
@@ -234,14 +234,16 @@
 
     /// How long what is withdrawn may go without a proof that it is stopped: with a lease to run out after it, should
     /// the cloud not answer either.
-    fn haunts(&self) -> Span {
+    fn haunts(&self) -> Duration {
         let workers = &self.settings.workers;
-        Span::secs(workers.report_s).times(HAUNTED_REPORTS).min(workers.hold().times(HAUNTED_HOLD))
+        Duration::from_secs_f64(workers.report_s)
+            .times(HAUNTED_REPORTS)
+            .min(workers.hold().times(HAUNTED_HOLD))
     }
 
     /// A start that may still act can't be stopped before it does; the cloud can prove it gone, long before a
     /// withdrawal's time is up. Nor can a leader that has not seen the job records for as long know what is withdrawn.
-    pub(super) fn find_haunted(&mut self, renewal: &Renewal, now: Time) {
+    pub(super) fn find_haunted(&mut self, renewal: &Renewal, now: MonotonicTime) {
         let haunts = self.haunts();
         let blind = renewal.is_blind_for(haunts, now);
         for m in self.machines.values_mut().filter(|m| m.standing != Standing::Releasing) {
@@ -273,8 +275,8 @@
     }
 
     /// Workers whose report is late and that are to be asked whether they are there.
-    pub(super) fn silent_workers(&mut self, now: Time) -> Vec<(MachineId, String, String)> {
-        let late = Span::secs(self.settings.workers.report_s).times(PROBE_AFTER_REPORTS);
+    pub(super) fn silent_workers(&mut self, now: MonotonicTime) -> Vec<(MachineId, String, String)> {
+        let late = Duration::from_secs_f64(self.settings.workers.report_s).times(PROBE_AFTER_REPORTS);
         let asked: BTreeSet<&MachineId> = self.probes.values().collect();
         // Those first that are to stop what is over, and at once if this leader has not heard them.
         let over = |m: &Machine| over_since(m, &self.runs).is_some();
@@ -298,22 +300,28 @@
     /// Whether a worker is asked between its reports: where they come seldom, replicas that should start at once would
     /// wait for the next one before anybody knew that their machine is gone (offshore deployment: reports every 10 s,
     /// a start within 1 s; found after 7 to 17 s).
-    fn is_to_be_asked(&self, m: &Machine, reported: Time, late: Span, now: Time) -> bool {
-        let silence = now.since(reported.max(m.answered_at)).as_secs();
-        if silence < ASK_EVERY_S || late.as_secs() <= ASK_EVERY_S {
+    fn is_to_be_asked(
+        &self,
+        m: &Machine,
+        reported: MonotonicTime,
+        late: Duration,
+        now: MonotonicTime,
+    ) -> bool {
+        let silence = now.since(reported.max(m.answered_at)).as_secs_f64();
+        if silence < ASK_EVERY_S || late.as_secs_f64() <= ASK_EVERY_S {
             return false;
         }
         m.entries.iter().any(|(task, e)| {
             let spec = e.counts().then(|| self.runs.get(&task.job)).flatten().map(|run| &run.job.spec);
             spec.filter(|spec| spec.shape == Shape::Service)
                 .and_then(|spec| self.settings.wait_objective(&spec.kind, false))
-                .is_some_and(|within| within < late.as_secs() && silence >= within)
+                .is_some_and(|within| within < late.as_secs_f64() && silence >= within)
         })
     }
 
     /// Machines to return now.
-    pub(super) fn returns(&mut self, now: Time) -> Vec<(CloudRequest, CloudOp)> {
-        let idle = Span::secs(self.settings.operator.idle_return_s);
+    pub(super) fn returns(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudOp)> {
+        let idle = Duration::from_secs_f64(self.settings.operator.idle_return_s);
         let may_return = self.gathering.allows(Act::ReturnIdle);
         for m in self.machines.values_mut() {
             let empty = m.entries.is_empty() && m.strays.is_empty();
@@ -339,7 +347,7 @@
     }
 
     /// The cloud has answered 200: the machine and everything on it are gone.
-    pub(super) fn released(&mut self, id: &MachineId, now: Time) {
+    pub(super) fn released(&mut self, id: &MachineId, now: MonotonicTime) {
         self.releasing.remove(id);
         self.opaque.remove(id);
         self.hub.forget(id);
@@ -362,7 +370,7 @@
         }
     }
 
-    pub(super) fn rented(&mut self, id: MachineId, offer: &Offer, now: Time) {
+    pub(super) fn rented(&mut self, id: MachineId, offer: &Offer, now: MonotonicTime) {
         if self.tombs.contains_key(&id) || self.machines.contains_key(&id) {
             return;
         }
@@ -372,7 +380,7 @@
         self.dirty.insert(id);
     }
 
-    pub(super) fn listed(&mut self, listed: ListedMachine, now: Time) {
+    pub(super) fn listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
         if self.tombs.contains_key(&listed.id) {
             return;
         }
@@ -427,7 +435,7 @@
     }
 
     /// All that waits, most urgent first, as far as teams' limits allow.
-    fn needs(&mut self, now: Time) -> Vec<Need> {
+    fn needs(&mut self, now: MonotonicTime) -> Vec<Need> {
         let guaranteed = self.guaranteed();
         let mut ids: Vec<(&JobId, &Run)> = self
             .runs
@@ -470,7 +478,7 @@
         for run in arrays() {
             let tasks = f64::from(run.waiting_count());
             waiting += tasks;
-            work_s += tasks * run.job.spec.estimate.as_secs();
+            work_s += tasks * run.job.spec.estimate.as_secs_f64();
         }
         let Some(need) = needs.iter().find(|n| n.patient).map(|n| n.room) else { return };
         let placed: usize = arrays().map(|r| r.placed().len()).sum();
@@ -485,10 +493,10 @@
         }
     }
 
-    pub(super) fn rentals(&mut self, now: Time) -> Vec<(CloudRequest, CloudOp)> {
+    pub(super) fn rentals(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudOp)> {
         if !self.gathering.allows(Act::Rent)
             || now < self.rent_not_before
-            || now.since(self.since) < Span::ms(2000)
+            || now.since(self.since) < Duration::from_millis(2000)
             || self.market.types.is_empty()
         {
             return Vec::new();
--- a/crates/scheduler/src/node/master/upkeep/tests.rs
+++ b/crates/scheduler/src/node/master/upkeep/tests.rs
@@ -4,10 +4,10 @@
 fn fleet(zones: &[&str]) -> Master {
     let mut m = master();
     for (i, zone) in zones.iter().enumerate() {
-        m.take_report(&report(&format!("m-{i}"), zone, 1), Time::from_ms(1_000));
+        m.take_report(&report(&format!("m-{i}"), zone, 1), MonotonicTime::from_millis(1_000));
     }
-    m.gathering.records_read(Time::from_ms(1_000));
-    m.gather(Time::from_ms(1_000));
+    m.gathering.records_read(MonotonicTime::from_millis(1_000));
+    m.gather(MonotonicTime::from_millis(1_000));
     m
 }
 
@@ -21,7 +21,7 @@
 fn a_silent_worker_is_asked_and_given_up_when_it_does_not_answer() {
     let mut m = fleet(&["z0", "z0", "z1"]);
     let interval = (m.settings.workers.report_s * 1000.0) as u64;
-    let at = Time::from_ms(1_000 + interval * 14 / 10);
+    let at = MonotonicTime::from_millis(1_000 + interval * 14 / 10);
     m.take_report(&report("m-1", "z0", 2), at);
     m.take_report(&report("m-2", "z1", 2), at);
     let asked = m.silent_workers(at);
@@ -40,20 +40,21 @@
 fn a_zone_silent_as_a_whole_is_kept_until_its_leases_end() {
     let mut m = fleet(&["z0", "z0", "z0", "z0", "z1", "z1", "z1", "z1", "z1"]);
     let lease = (m.settings.workers.lease_s * 1000.0) as u64;
-    let hear_others = |m: &mut Master, heard: &BTreeMap<Zone, Time>, at: Time, serial: u64| {
-        (4..9).for_each(|i| m.take_report(&report(&format!("m-{i}"), "z1", serial), at));
-        m.machines.values_mut().filter(|m| m.zone == "z0".into()).for_each(|m| m.unanswered = 9);
-        m.find_lost(heard, at);
-    };
+    let hear_others =
+        |m: &mut Master, heard: &BTreeMap<Zone, MonotonicTime>, at: MonotonicTime, serial: u64| {
+            (4..9).for_each(|i| m.take_report(&report(&format!("m-{i}"), "z1", serial), at));
+            m.machines.values_mut().filter(|m| m.zone == "z0".into()).for_each(|m| m.unanswered = 9);
+            m.find_lost(heard, at);
+        };
     let unknown = BTreeMap::new();
-    hear_others(&mut m, &unknown, Time::from_ms(1_000 + lease - 2_500), 2);
+    hear_others(&mut m, &unknown, MonotonicTime::from_millis(1_000 + lease - 2_500), 2);
     assert!(lost(&m).is_empty());
     // A peer knows that an earlier leader had not heard the zone for longer than this one leads.
-    let longer = BTreeMap::from([(Zone::from("z0"), Time::from_ms(0))]);
-    hear_others(&mut m, &longer, Time::from_ms(1_000 + lease - 1_500), 3);
+    let longer = BTreeMap::from([(Zone::from("z0"), MonotonicTime::from_millis(0))]);
+    hear_others(&mut m, &longer, MonotonicTime::from_millis(1_000 + lease - 1_500), 3);
     assert_eq!(lost(&m).len(), 4);
     let mut m = fleet(&["z0", "z0", "z0", "z0", "z1", "z1", "z1", "z1", "z1"]);
-    hear_others(&mut m, &unknown, Time::from_ms(1_000 + lease), 2);
+    hear_others(&mut m, &unknown, MonotonicTime::from_millis(1_000 + lease), 2);
     assert_eq!(lost(&m).len(), 4);
 }
 
@@ -62,10 +63,10 @@
 fn many_that_die_in_a_zone_whose_others_are_heard_are_given_up_at_once() {
     let mut m = fleet(&["z0"; 10]);
     let interval = (m.settings.workers.report_s * 1000.0) as u64;
-    let (mut at, mut serial) = (Time::from_ms(1_000), 1);
+    let (mut at, mut serial) = (MonotonicTime::from_millis(1_000), 1);
     // Five are silent, five go on, one after the other.
-    while at < Time::from_ms(1_000 + interval * 2) {
-        at = at + Span::ms(interval / 5);
+    while at < MonotonicTime::from_millis(1_000 + interval * 2) {
+        at = at + Duration::from_millis(interval / 5);
         serial += 1;
         m.take_report(&report(&format!("m-{}", 5 + serial % 5), "z0", serial), at);
     }
@@ -81,7 +82,7 @@
         m.machines.get_mut(&MachineId::from(format!("m-{i}").as_str())).expect("there").unanswered =
             PROBES_LOST;
     });
-    let at = Time::from_ms(1_000 + interval * 2);
+    let at = MonotonicTime::from_millis(1_000 + interval * 2);
     m.find_lost(&BTreeMap::new(), at);
     assert!(lost(&m).is_empty());
 }
@@ -97,6 +98,6 @@
     assert!(!m.blame(&bad, &job(2), JOB_AT_FAULT), "this one fails wherever it runs");
     assert!(m.blame(&bad, &job(3), 1));
     assert!(m.machines[&bad].draining);
-    let calls = m.returns(Time::from_ms(9_000));
+    let calls = m.returns(MonotonicTime::from_millis(9_000));
     assert!(matches!(&calls[..], [(CloudRequest::Release { machines }, _)] if *machines == [bad]));
 }
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -11,17 +11,17 @@
 
 use crate::blocks::Envelope;
 use crate::feature::Call;
-use crate::types::{NodeName, OpId, Span, Time, Wall};
+use crate::types::{Duration, MonotonicTime, NodeName, OpId, WallTime};
 use crate::wire::cloud::{CloudReply, CloudRequest};
 use crate::wire::state::{StateReply, StateRequest};
 
 /// The clocks at a step.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
-    pub steady: Time,
-    pub wall: Wall,
+    pub steady: MonotonicTime,
+    pub wall_time: WallTime,
     /// How long the step before this one took.
-    pub took: Span,
+    pub took: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -78,18 +78,18 @@
     State {
         op: OpId,
         request: StateRequest,
-        patience: Span,
+        patience: Duration,
     },
     Cloud {
         op: OpId,
         request: CloudRequest,
-        patience: Span,
+        patience: Duration,
     },
     Worker {
         op: OpId,
         addr: String,
         body: String,
-        patience: Span,
+        patience: Duration,
     },
     Peer {
         to: NodeName,
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -3,7 +3,7 @@
 use super::Effect;
 use crate::blocks::{self, PeerMessage};
 use crate::jobs::{OpenJob, Waiting};
-use crate::types::{FencingToken, NodeName, OpId, Span, Time};
+use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, OpId};
 use crate::wire::cloud::CloudRequest;
 use crate::wire::state::{Change, StateRequest};
 use crate::wire::users;
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 
 /// How long the shell waits for the state service before it reports no answer.
-const STATE_PATIENCE: Span = Span::ms(1500);
+const STATE_PATIENCE: Duration = Duration::from_millis(1500);
 /// The same for a page of records, which may hold half a megabyte: asked for anew before it had come in, a loaded node
 /// never had its copy of the jobs, and nobody led (four times the andina fleet, a slow state service).
-const PAGE_PATIENCE: Span = Span::ms(6000);
-const CLOUD_PATIENCE: Span = Span::ms(5000);
+const PAGE_PATIENCE: Duration = Duration::from_millis(6000);
+const CLOUD_PATIENCE: Duration = Duration::from_millis(5000);
 /// What the way by another node takes, at most, beside the order itself.
-const RELAY_SLACK: Span = Span::ms(500);
+const RELAY_SLACK: Duration = Duration::from_millis(500);
 /// Requests of users are numbered by the shell, from 1.
 const FIRST_OP: u64 = 1 << 32;
 
@@ -68,7 +68,7 @@
     /// A watch that waits for changes.
     Watch,
     /// A watch that returns at once: what it says holds for all that was asked before `began`.
-    Sync { began: Time },
+    Sync { began: MonotonicTime },
 }
 
 #[derive(Debug)]
@@ -94,7 +94,7 @@
     /// Direct orders of this step that go by way of other nodes.
     relays: BTreeMap<NodeName, Vec<RelayedCall>>,
     /// Those on their way, and when no answer is waited for any more: the node may be gone.
-    relayed: BTreeMap<OpId, Time>,
+    relayed: BTreeMap<OpId, MonotonicTime>,
 }
 
 impl Outbox {
@@ -124,7 +124,7 @@
 
     pub fn ask_state(&mut self, request: StateRequest, pending: Pending) {
         let patience = match &request {
-            StateRequest::Watch { block_ms, .. } => Span::ms(block_ms + 2500),
+            StateRequest::Watch { block_ms, .. } => Duration::from_millis(block_ms + 2500),
             StateRequest::Range { .. } => PAGE_PATIENCE,
             _ => STATE_PATIENCE,
         };
@@ -133,7 +133,7 @@
     }
 
     /// A request whose answer the caller knows by its id.
-    pub fn ask_state_for(&mut self, request: StateRequest, patience: Span) -> OpId {
+    pub fn ask_state_for(&mut self, request: StateRequest, patience: Duration) -> OpId {
         let op = self.op();
         self.effects.push(Effect::State { op, request, patience });
         op
@@ -164,7 +164,7 @@
         op
     }
 
-    pub fn ask_worker(&mut self, addr: String, body: String, patience: Span) -> OpId {
+    pub fn ask_worker(&mut self, addr: String, body: String, patience: Duration) -> OpId {
         let op = self.op();
         self.effects.push(Effect::Worker { op, addr, body, patience });
         op
@@ -172,7 +172,14 @@
 
     /// As `ask_worker`, by way of another node. Whoever passes it on may be gone: without an answer it may
     /// still run, as without one of the worker's.
-    pub fn relay(&mut self, via: &NodeName, addr: String, body: String, patience: Span, now: Time) -> OpId {
+    pub fn relay(
+        &mut self,
+        via: &NodeName,
+        addr: String,
+        body: String,
+        patience: Duration,
+        now: MonotonicTime,
+    ) -> OpId {
         let op = self.op();
         let call = RelayedCall { call: op.0, addr, body, patience };
         self.relays.entry(via.clone()).or_default().push(call);
@@ -186,7 +193,7 @@
     }
 
     /// Those that are not waited for any more.
-    pub fn relays_overdue(&mut self, now: Time) -> Vec<OpId> {
+    pub fn relays_overdue(&mut self, now: MonotonicTime) -> Vec<OpId> {
         let late = self.relayed.iter().filter(|(_, until)| **until <= now).map(|(op, _)| *op);
         let late: Vec<OpId> = late.collect();
         late.iter().for_each(|op| {
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -1,17 +1,17 @@
 //! The other controllers, as their pings show them.
 
 use crate::settings::Peer;
-use crate::types::{FencingToken, NodeName, Span, Time, Zone};
+use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Silence after which a peer counts as away.
-const SILENCE: Span = Span::ms(2500);
+const SILENCE: Duration = Duration::from_millis(2500);
 /// Beats that may be under way to a peer that is in step.
 const BEATS_UNDER_WAY: u64 = 4;
 
 #[derive(Debug)]
 struct State {
-    heard: Time,
+    heard: MonotonicTime,
     state_ok: bool,
     beat_at: (FencingToken, u64),
     hears_workers: bool,
@@ -23,7 +23,7 @@
     states: BTreeMap<NodeName, State>,
     /// When a leader last heard a worker of each zone: a new one must not take a zone that was cut
     /// off before its time for one that has just fallen silent.
-    zones_heard: BTreeMap<Zone, Time>,
+    zones_heard: BTreeMap<Zone, MonotonicTime>,
 }
 
 impl Peers {
@@ -43,26 +43,26 @@
         state_ok: bool,
         beat_at: (FencingToken, u64),
         hears_workers: bool,
-        now: Time,
+        now: MonotonicTime,
     ) {
         self.states.insert(from, State { heard: now, state_ok, beat_at, hears_workers });
     }
 
-    fn there(&self, now: Time) -> impl Iterator<Item = (&NodeName, &State)> {
+    fn there(&self, now: MonotonicTime) -> impl Iterator<Item = (&NodeName, &State)> {
         self.states.iter().filter(move |(_, p)| now.since(p.heard) < SILENCE)
     }
 
-    pub fn live(&self, now: Time) -> BTreeSet<NodeName> {
+    pub fn live(&self, now: MonotonicTime) -> BTreeSet<NodeName> {
         self.there(now).map(|(name, _)| name.clone()).collect()
     }
 
     /// Whether one reaches the state service.
-    pub fn reach_state(&self, now: Time) -> bool {
+    pub fn reach_state(&self, now: MonotonicTime) -> bool {
         self.there(now).any(|(_, p)| p.state_ok)
     }
 
     /// Whether workers that find no leader have turned to one lately.
-    pub fn hear_workers(&self, now: Time) -> bool {
+    pub fn hear_workers(&self, now: MonotonicTime) -> bool {
         self.there(now).any(|(_, p)| p.hears_workers)
     }
 
@@ -73,12 +73,12 @@
             .is_some_and(|p| p.beat_at.0 == fencing_token && p.beat_at.1 + BEATS_UNDER_WAY >= beat)
     }
 
-    pub fn zones_heard(&self) -> &BTreeMap<Zone, Time> {
+    pub fn zones_heard(&self) -> &BTreeMap<Zone, MonotonicTime> {
         &self.zones_heard
     }
 
     /// A worker of `zone` was heard at `at`, here or by an earlier leader.
-    pub fn heard_zone(&mut self, zone: &Zone, at: Time) {
+    pub fn heard_zone(&mut self, zone: &Zone, at: MonotonicTime) {
         match self.zones_heard.get_mut(zone) {
             Some(heard) => *heard = at.max(*heard),
             None => {
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -4,7 +4,7 @@
 //! are errors, since a misspelt key would otherwise silently leave its default in force.
 
 use crate::store::Limits;
-use crate::types::{Kind, NodeName, Span, TeamName, Zone};
+use crate::types::{Duration, Kind, NodeName, TeamName, Zone};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -103,8 +103,8 @@
     /// A withdrawal that isn't seen yet was told after the look. The worker's lease ends `lease_s` after the
     /// last answer, and the task must be gone `cancel_s` after the withdrawal: so until the look +
     /// `cancel_s - lease_s`, less a margin.
-    pub fn hold(&self) -> Span {
-        Span::secs(self.cancel_s - self.lease_s - HOLD_MARGIN_S)
+    pub fn hold(&self) -> Duration {
+        Duration::from_secs_f64(self.cancel_s - self.lease_s - HOLD_MARGIN_S)
     }
 }
 
@@ -285,7 +285,7 @@
     pub cloud_addr: SocketAddr,
     pub state_addr: SocketAddr,
     pub zones: Vec<Zone>,
-    pub time_bound: Span,
+    pub time_bound: Duration,
     pub teams: BTreeMap<TeamName, Team>,
     pub objectives: Vec<Objective>,
     pub workers: WorkerFacts,
@@ -434,7 +434,7 @@
         cloud_addr: c.addr("outside.cloud", &raw.outside.cloud),
         state_addr: c.addr("outside.state", &raw.outside.state),
         zones: f.zones.iter().map(|z| z.as_str().into()).collect(),
-        time_bound: Span::ms(f.time_bound_ms.clamp(0.0, 3.6e6).ceil() as u64),
+        time_bound: Duration::from_millis(f.time_bound_ms.clamp(0.0, 3.6e6).ceil() as u64),
         teams,
         objectives: f.objectives.clone(),
         workers: f.workers.clone(),
--- a/crates/scheduler/src/store/mod.rs
+++ b/crates/scheduler/src/store/mod.rs
@@ -1,6 +1,6 @@
 //! The state service's limits, and the client's share of them.
 
-use crate::types::Time;
+use crate::types::MonotonicTime;
 
 /// What the state service takes, now and after its next limits come into force.
 #[derive(Debug, Clone, PartialEq)]
@@ -21,17 +21,17 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    at: Time,
+    at: MonotonicTime,
 }
 
 impl Budget {
     pub fn new(rate: f64) -> Self {
         let burst = rate.max(1.0);
-        Self { rate, burst, tokens: burst, at: Time::default() }
+        Self { rate, burst, tokens: burst, at: MonotonicTime::default() }
     }
 
-    fn refill(&mut self, now: Time) {
-        self.tokens = (self.tokens + now.since(self.at).as_secs() * self.rate).min(self.burst);
+    fn refill(&mut self, now: MonotonicTime) {
+        self.tokens = (self.tokens + now.since(self.at).as_secs_f64() * self.rate).min(self.burst);
         self.at = now;
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Whether more than half of a burst is left: then less urgent work may go too.
-    pub fn ample(&mut self, now: Time) -> bool {
+    pub fn ample(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.tokens > self.burst / 2.0
     }
@@ -57,7 +57,7 @@
     }
 
     /// Takes `n` tokens if there are as many (or the bucket is full, for an `n` above it).
-    pub fn take(&mut self, n: f64, now: Time) -> bool {
+    pub fn take(&mut self, n: f64, now: MonotonicTime) -> bool {
         self.refill(now);
         let ok = self.tokens >= n.min(self.burst);
         if ok {
--- a/crates/scheduler/src/wire/cloud.rs
+++ b/crates/scheduler/src/wire/cloud.rs
@@ -1,6 +1,6 @@
 //! Controller nodes -> cloud.
 
-use crate::types::{MachineId, Room, Span, TypeName, Zone};
+use crate::types::{Duration, MachineId, Room, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
@@ -30,8 +30,8 @@
     pub fn room(&self) -> Room {
         Room { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
-    pub fn boot(&self) -> Span {
-        Span::secs(self.boot_s)
+    pub fn boot(&self) -> Duration {
+        Duration::from_secs_f64(self.boot_s)
     }
     pub fn hourly(&self, spot: bool) -> f64 {
         if spot { self.spot_price.unwrap_or(self.price) } else { self.price }
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -1,7 +1,7 @@
 //! Users -> controller nodes.
 
 use crate::jobs::{JobSpec, Phase, Priority, Shape};
-use crate::types::{JobId, Room, Span};
+use crate::types::{Duration, JobId, Room};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -125,7 +125,7 @@
             needs.push(need);
         }
     }
-    let span = |key: &str, v: f64| amount(key, v, 0.0).map(Span::secs);
+    let span = |key: &str, v: f64| amount(key, v, 0.0).map(Duration::from_secs_f64);
     let spec = JobSpec {
         kind: s.job_class.as_str().into(),
         team: s.owner.as_str().into(),
@@ -190,10 +190,10 @@
         together: spec.together,
         spread: spec.spread,
         preemptible: spec.spot,
-        expected_s: spec.estimate.as_secs(),
-        snapshot_every_s: spec.checkpoint.as_secs(),
-        snapshot_s: spec.save.as_secs(),
-        due_s: spec.deadline.map(Span::as_secs),
+        expected_s: spec.estimate.as_secs_f64(),
+        snapshot_every_s: spec.checkpoint.as_secs_f64(),
+        snapshot_s: spec.save.as_secs_f64(),
+        due_s: spec.deadline.map(Duration::as_secs_f64),
         awaits: match spec.needs.as_slice() {
             [] => serde_json::Value::Null,
             needs => needs.iter().map(|n| n.as_str()).collect(),
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -2,8 +2,8 @@
 
 use crate::ledger::{Entry, EntryState, MachineRecord, Stop};
 use crate::types::{
-    Attempt, FencingToken, Image, JobId, MachineId, Room, Session, Span, TaskId, TeamName, Time, TypeName,
-    Zone,
+    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Room, Session, TaskId, TeamName,
+    TypeName, Zone,
 };
 use crate::wire::workers::{Order, Report, ReportedTask, TaskPhase};
 pub use pearford_recovery::Outcome;
@@ -57,17 +57,17 @@
     pub spot: bool,
     pub total: Room,
     pub standing: Standing,
-    pub rented_at: Time,
-    pub last_report: Option<Time>,
+    pub rented_at: MonotonicTime,
+    pub last_report: Option<MonotonicTime>,
     /// Questions in a row, since the last report, that the worker didn't answer.
     pub unanswered: u32,
     /// When it answered a question last.
-    pub answered_at: Time,
+    pub answered_at: MonotonicTime,
     pub session: Session,
     pub serial: u64,
     pub fencing_token: FencingToken,
     /// When the cloud will take it away.
-    pub taken_at: Option<Time>,
+    pub taken_at: Option<MonotonicTime>,
     pub entries: BTreeMap<TaskId, Entry>,
     /// What the entries leave free, whether none counts, and what each team takes here: kept by
     /// `recount`, since rounds ask far more often than entries change.
@@ -80,8 +80,8 @@
     pub strays: BTreeSet<TaskId>,
     /// Images a task got here and their sizes, in order of last use.
     pub images: Vec<(Image, f64)>,
-    pub empty_since: Option<Time>,
-    pub not_before: Time,
+    pub empty_since: Option<MonotonicTime>,
+    pub not_before: MonotonicTime,
     /// The session that a direct command should name, as far as an earlier leader knew.
     pub push_session: Session,
     /// Version from which each planned entry is durable.
@@ -90,14 +90,14 @@
     /// Jobs that have failed here since one was done.
     pub failed: Vec<JobId>,
     /// The job that others made room for here, and until when it has the first go.
-    pub held: Option<(JobId, Time)>,
+    pub held: Option<(JobId, MonotonicTime)>,
     /// Starts sent directly and never answered, with the session they name: while it lasts they
     /// may still act. Their absence proves nothing, and an exited one isn't forgotten, since the
     /// worker would then start it again.
     pub doubtful: BTreeMap<(TaskId, Attempt), Session>,
     /// Starts sent directly in its present session, and when: one that was answered may come again all the same, so what
     /// has ended without a result is not forgotten.
-    sent: BTreeMap<(TaskId, Attempt), Time>,
+    sent: BTreeMap<(TaskId, Attempt), MonotonicTime>,
     /// Tasks in its last report, but for those that have ended and are only kept.
     listed: usize,
     /// Sessions of its worker that have ended while this leader heard it.
@@ -125,13 +125,20 @@
 const SESSIONS_ENDED: u32 = 2;
 /// How late a start that was carried out may come again, and attempts that are kept listed for it on a machine: one with
 /// more takes nothing new and is returned once it is empty.
-const COMES_AGAIN: Span = Span::ms(600_000);
+const COMES_AGAIN: Duration = Duration::from_millis(600_000);
 const KEPT: usize = 256;
 /// Bounds a machine's record, however small its images are.
 const IMAGES_REMEMBERED: usize = 64;
 
 impl Machine {
-    pub fn new(id: MachineId, type_name: TypeName, zone: Zone, spot: bool, total: Room, now: Time) -> Self {
+    pub fn new(
+        id: MachineId,
+        type_name: TypeName,
+        zone: Zone,
+        spot: bool,
+        total: Room,
+        now: MonotonicTime,
+    ) -> Self {
         Self {
             id,
             addr: None,
@@ -143,7 +150,7 @@
             rented_at: now,
             last_report: None,
             unanswered: 0,
-            answered_at: Time::default(),
+            answered_at: MonotonicTime::default(),
             session: Session(0),
             serial: 0,
             fencing_token: FencingToken(0),
@@ -156,7 +163,7 @@
             strays: BTreeSet::new(),
             images: Vec::new(),
             empty_since: Some(now),
-            not_before: Time::default(),
+            not_before: MonotonicTime::default(),
             push_session: Session(0),
             planned: BTreeMap::new(),
             draining: false,
@@ -195,7 +202,7 @@
 
     /// Brings the kept sums in line with the entries, and `used`, what teams take on all
     /// machines. To be called after every change of them.
-    pub fn recount(&mut self, used: &mut BTreeMap<TeamName, Room>, now: Time) {
+    pub fn recount(&mut self, used: &mut BTreeMap<TeamName, Room>, now: MonotonicTime) {
         for (team, room) in std::mem::take(&mut self.tally) {
             if let Some(sum) = used.get_mut(&team) {
                 *sum = sum.minus(&room);
@@ -226,7 +233,7 @@
         }
     }
 
-    pub fn health(&self, now: Time, report: Span, degraded: f64, unreachable: f64) -> Health {
+    pub fn health(&self, now: MonotonicTime, report: Duration, degraded: f64, unreachable: f64) -> Health {
         match self.last_report {
             None => Health::Unknown,
             Some(at) if now.since(at) > report.times(unreachable) => Health::Unreachable,
@@ -247,7 +254,7 @@
     }
 
     /// Whether new tasks may go there.
-    pub fn open_for_tasks(&self, now: Time) -> bool {
+    pub fn open_for_tasks(&self, now: MonotonicTime) -> bool {
         self.standing == Standing::Up
             && self.heard()
             && !self.draining
@@ -263,7 +270,7 @@
     }
 
     /// The job it is held for, if the hold is still on.
-    pub fn held_for(&self, now: Time) -> Option<&JobId> {
+    pub fn held_for(&self, now: MonotonicTime) -> Option<&JobId> {
         self.held.as_ref().filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
 
@@ -284,7 +291,7 @@
 
     /// Asks a task to stop. True if it is off the ledger at once, since no order can have
     /// reached the worker.
-    pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: Time) -> Option<Entry> {
+    pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Entry> {
         let entry = self.entries.get_mut(task)?;
         if entry.unsent() {
             self.planned.remove(task);
@@ -303,7 +310,13 @@
 
     /// Takes in a report. `mine` is this leader's fence; `again`: tasks that are to start again
     /// right here if they are not there any more.
-    pub fn digest(&mut self, report: &Report, mine: FencingToken, again: &[TaskId], now: Time) -> Digest {
+    pub fn digest(
+        &mut self,
+        report: &Report,
+        mine: FencingToken,
+        again: &[TaskId],
+        now: MonotonicTime,
+    ) -> Digest {
         let mut digest = Digest::default();
         if (report.session, report.serial) <= (self.session, self.serial) {
             digest.stale = true;
@@ -324,7 +337,7 @@
             self.standing = Standing::Up;
             self.empty_since = Some(now);
         }
-        self.taken_at = report.notice_s.map(|s| now + Span::secs(s));
+        self.taken_at = report.notice_s.map(|s| now + Duration::from_secs_f64(s));
 
         let mut listed: BTreeMap<TaskId, &ReportedTask> = BTreeMap::new();
         self.strays.clear();
@@ -425,7 +438,7 @@
     }
 
     /// Takes in a report that says what the last one said, of a settled machine.
-    pub fn heard_again(&mut self, session: Session, serial: u64, at: Time) {
+    pub fn heard_again(&mut self, session: Session, serial: u64, at: MonotonicTime) {
         if session == self.session && serial > self.serial {
             self.serial = serial;
             self.last_report = self.last_report.max(Some(at));
@@ -501,7 +514,11 @@
     }
 
     /// Orders to send straight to the worker: starts that are durable now, and new stops.
-    pub fn direct_orders(&mut self, may_start: bool, now: Time) -> (Vec<Order>, Vec<(TaskId, Attempt)>) {
+    pub fn direct_orders(
+        &mut self,
+        may_start: bool,
+        now: MonotonicTime,
+    ) -> (Vec<Order>, Vec<(TaskId, Attempt)>) {
         let (mut orders, mut starts) = (Vec::new(), Vec::new());
         for (task, entry) in &mut self.entries {
             let attempt = entry.attempt;
@@ -530,7 +547,7 @@
         report: &Report,
         may_start: bool,
         may_stop: impl Fn(&TaskId) -> bool,
-        now: Time,
+        now: MonotonicTime,
     ) -> (Vec<Order>, Vec<Order>) {
         let errands = self.orders(report, false, |task| may_start || may_stop(task), may_start);
         let again = self.entries.iter().filter(|(_, e)| {
@@ -570,7 +587,7 @@
 }
 
 /// Takes over the phase of a task that is there.
-fn there(entry: &mut Entry, said: Said, now: Time, task: &TaskId, digest: &mut Digest) {
+fn there(entry: &mut Entry, said: Said, now: MonotonicTime, task: &TaskId, digest: &mut Digest) {
     if matches!(said, Said::Waiting | Said::Running) {
         fetched(entry, task, digest);
     }
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -2,9 +2,9 @@
 
 fn machine_with(state: EntryState) -> (Machine, TaskId) {
     let room = Room { cpus: 4.0, gpus: 1.0, memory_gb: 4.0 };
-    let mut m = Machine::new("m-1".into(), "t".into(), "z".into(), false, room, Time::default());
+    let mut m = Machine::new("m-1".into(), "t".into(), "z".into(), false, room, MonotonicTime::default());
     let task = TaskId::parse("req-1/0").expect("valid");
-    let entry = Entry::new(&task, Attempt(7), "red".into(), room, state, Time::default());
+    let entry = Entry::new(&task, Attempt(7), "red".into(), room, state, MonotonicTime::default());
     m.entries.insert(task.clone(), entry);
     (m, task)
 }
@@ -24,7 +24,7 @@
 #[test]
 fn nothing_is_placed_on_a_machine_that_this_leader_has_not_heard() {
     let (mut m, _) = machine_with(EntryState::Inherited);
-    let now = Time::from_ms(9_000);
+    let now = MonotonicTime::from_millis(9_000);
     (m.standing, m.last_report) = (Standing::Up, Some(now));
     assert!(!m.open_for_tasks(now));
     m.digest(&report(1, 1, 9, ""), MINE, &[], now);
@@ -34,19 +34,22 @@
 #[test]
 fn silence_about_an_inherited_task_proves_nothing_until_the_worker_saw_the_fencing_token() {
     let (mut m, _) = machine_with(EntryState::Inherited);
-    assert!(m.digest(&report(1, 1, 8, ""), MINE, &[], Time::from_ms(1)).gone.is_empty());
-    assert_eq!(m.digest(&report(1, 2, 9, ""), MINE, &[], Time::from_ms(2)).gone[0].2, Outcome::Vanished);
+    assert!(m.digest(&report(1, 1, 8, ""), MINE, &[], MonotonicTime::from_millis(1)).gone.is_empty());
+    assert_eq!(
+        m.digest(&report(1, 2, 9, ""), MINE, &[], MonotonicTime::from_millis(2)).gone[0].2,
+        Outcome::Vanished
+    );
 }
 
 #[test]
 fn a_start_counts_until_a_later_report_lacks_it_and_only_then_can_be_dropped() {
     let (mut m, task) = machine_with(EntryState::Ready);
     let first = report(1, 5, 9, "");
-    m.digest(&first, MINE, &[], Time::from_ms(1));
+    m.digest(&first, MINE, &[], MonotonicTime::from_millis(1));
     assert_eq!(m.orders(&first, true, |_| false, true).len(), 1);
-    assert!(m.stop(&task, 0.0, Time::from_ms(2)).is_none(), "sent: needs proof");
-    assert!(m.digest(&report(1, 4, 9, ""), MINE, &[], Time::from_ms(3)).stale);
-    let gone = m.digest(&report(1, 6, 9, ""), MINE, &[], Time::from_ms(4)).gone;
+    assert!(m.stop(&task, 0.0, MonotonicTime::from_millis(2)).is_none(), "sent: needs proof");
+    assert!(m.digest(&report(1, 4, 9, ""), MINE, &[], MonotonicTime::from_millis(3)).stale);
+    let gone = m.digest(&report(1, 6, 9, ""), MINE, &[], MonotonicTime::from_millis(4)).gone;
     assert_eq!(gone[0].2, Outcome::NeverStarted);
 }
 
@@ -63,7 +66,7 @@
 fn a_done_task_is_not_forgotten_before_it_is_recorded() {
     let (mut m, task) = machine_with(EntryState::Running);
     let r = report(1, 1, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"done"}"#);
-    assert_eq!(m.digest(&r, MINE, &[], Time::from_ms(1)).done.len(), 1);
+    assert_eq!(m.digest(&r, MINE, &[], MonotonicTime::from_millis(1)).done.len(), 1);
     assert!(m.orders(&r, true, |_| false, true).is_empty());
     m.entries.remove(&task);
     assert_eq!(m.orders(&r, true, |_| false, true), [Order::Forget { task, attempt: Attempt(7) }]);
@@ -72,17 +75,20 @@
 #[test]
 fn a_direct_start_without_answer_is_neither_disproved_by_reports_nor_forgotten() {
     let (mut m, task) = machine_with(EntryState::Ready);
-    m.digest(&report(1, 5, 9, ""), MINE, &[], Time::from_ms(1));
-    let (orders, starts) = m.direct_orders(true, Time::from_ms(1));
+    m.digest(&report(1, 5, 9, ""), MINE, &[], MonotonicTime::from_millis(1));
+    let (orders, starts) = m.direct_orders(true, MonotonicTime::from_millis(1));
     assert_eq!(orders.len(), 1);
     m.direct_answered(starts, Session(1), None);
-    m.stop(&task, 0.0, Time::from_ms(2));
-    assert!(m.digest(&report(1, 7, 9, ""), MINE, &[], Time::from_ms(3)).gone.is_empty(), "may come late");
+    m.stop(&task, 0.0, MonotonicTime::from_millis(2));
+    assert!(
+        m.digest(&report(1, 7, 9, ""), MINE, &[], MonotonicTime::from_millis(3)).gone.is_empty(),
+        "may come late"
+    );
     let ended = report(1, 8, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"stopped"}"#);
-    assert_eq!(m.digest(&ended, MINE, &[], Time::from_ms(4)).gone.len(), 1);
+    assert_eq!(m.digest(&ended, MINE, &[], MonotonicTime::from_millis(4)).gone.len(), 1);
     assert!(m.orders(&ended, true, |_| false, true).is_empty(), "forgotten, it would start again");
     let next = report(2, 9, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"stopped"}"#);
-    m.digest(&next, MINE, &[], Time::from_ms(5));
+    m.digest(&next, MINE, &[], MonotonicTime::from_millis(5));
     assert_eq!(m.orders(&next, true, |_| false, true).len(), 1, "a new session ends the doubt");
 }
 
@@ -90,8 +96,8 @@
 fn tasks_the_ledger_does_not_know_are_stopped_and_block_the_machine() {
     let (mut m, _) = machine_with(EntryState::Running);
     let r = report(1, 1, 9, r#"{"shard":"req-1/0","try":6,"phase":"running"}"#);
-    let digest = m.digest(&r, MINE, &[], Time::from_ms(1));
+    let digest = m.digest(&r, MINE, &[], MonotonicTime::from_millis(1));
     assert_eq!(digest.gone.len(), 1, "attempt 7 is not there");
-    assert!(!m.open_for_tasks(Time::from_ms(1)));
+    assert!(!m.open_for_tasks(MonotonicTime::from_millis(1)));
     assert!(matches!(m.orders(&r, true, |_| false, true)[..], [Order::Stop { attempt: Attempt(6), .. }]));
 }
--- a/crates/scheduler/src/world/gap.rs
+++ b/crates/scheduler/src/world/gap.rs
@@ -6,7 +6,7 @@
 use super::recovery::seeds;
 use super::{Event, Fault, Host, Leader, NODES, World, job};
 use crate::node::Core;
-use crate::types::Span;
+use crate::types::Duration;
 use pearford_homes::Without;
 use rand::RngExt;
 use std::ops::Range;
@@ -189,7 +189,7 @@
         core.sabotage_renewal(Without::Stops);
     }
     fn longer(core: &mut Core, _: u64) {
-        core.sabotage_renewal(Without::Margin(Span::ms(15_000)));
+        core.sabotage_renewal(Without::Margin(Duration::from_millis(15_000)));
     }
     fn doubt(core: &mut Core, _: u64) {
         core.sabotage_renewal(Without::Doubt);
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -20,7 +20,7 @@
 use crate::feature::{Call, Feature};
 use crate::node::{Core, Effect, Input, Method, Now};
 use crate::settings::{Settings, parse};
-use crate::types::{OpId, Span, Time, Wall};
+use crate::types::{Duration, MonotonicTime, OpId, WallTime};
 use crate::wire::state::StateRequest;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -572,9 +572,9 @@
     }
 
     /// What a node's steady clock says.
-    fn steady(&self, i: usize) -> Time {
+    fn steady(&self, i: usize) -> MonotonicTime {
         let drift = self.now as i64 * self.drift_ppm[i] / 1_000_000;
-        Time::from_ms(1_000_000 + self.now.saturating_add_signed(drift))
+        MonotonicTime::from_millis(1_000_000 + self.now.saturating_add_signed(drift))
     }
 
     /// The node that validly leads now, if one does.
@@ -587,7 +587,11 @@
     }
 
     fn step(&mut self, i: usize, input: Input) {
-        let now = Now { steady: self.steady(i), wall: Wall(1_700_000_000_000 + self.now), took: Span::ms(0) };
+        let now = Now {
+            steady: self.steady(i),
+            wall_time: WallTime(1_700_000_000_000 + self.now),
+            took: Duration::from_millis(0),
+        };
         let life = self.nodes[i].life;
         let Some(core) = &mut self.nodes[i].core else { return };
         let effects = core.step(now, input);
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/world/tests.rs
@@ -7,7 +7,7 @@
 use super::{Event, Fault, Host, NODES, Stage, Submits, World, job};
 use crate::jobs::graph::Guard;
 use crate::node::{Core, Effect, Input, Method, Now};
-use crate::types::{OpId, Span, Time, Wall};
+use crate::types::{Duration, MonotonicTime, OpId, WallTime};
 use crate::wire::state::{StateReply, StateRequest};
 use rand::RngExt;
 
@@ -159,7 +159,11 @@
     for second in 10..30 {
         w.run_until(second * 1000);
         for i in 0..NODES {
-            let now = Now { steady: Time::from_ms(1_000_000 + w.now), wall: Wall(w.now), took: Span::ms(0) };
+            let now = Now {
+                steady: MonotonicTime::from_millis(1_000_000 + w.now),
+                wall_time: WallTime(w.now),
+                took: Duration::from_millis(0),
+            };
             let ask = Input::Http {
                 request: OpId(u64::from(u32::MAX)),
                 method: Method::Get,
@@ -181,7 +185,7 @@
         let mut w = day(seed, |_| {});
         w.run_until(20_000);
         let leads = |w: &World, i: usize| {
-            let at = Time::from_ms(1_000_000 + w.now);
+            let at = MonotonicTime::from_millis(1_000_000 + w.now);
             w.nodes[i].core.as_ref().is_some_and(|c| c.validly_leads(at))
         };
         let old = (0..NODES).find(|i| leads(&w, *i)).expect("somebody leads");
@@ -320,7 +324,11 @@
     let core = w.nodes[0].core.as_mut().expect("node 0 runs");
     let mut reads = 0;
     for ms in 0..1000 {
-        let now = Now { steady: Time::from_ms(1_015_000 + ms), wall: Wall(ms), took: Span::ms(0) };
+        let now = Now {
+            steady: MonotonicTime::from_millis(1_015_000 + ms),
+            wall_time: WallTime(ms),
+            took: Duration::from_millis(0),
+        };
         let path = format!("/submissions/req-{}", 900_000 + ms);
         let ask = Input::Http { request: OpId(1_000_000 + ms), method: Method::Get, path, body: Vec::new() };
         let mut inputs = vec![ask];
