--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -108,26 +108,26 @@
 );
 number_type!(
     /// Wall-clock time in milliseconds since 1970.
-    Wall
+    WallTime
 );
 
 /// A point on this process's steady clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
-pub struct Time(u64);
+pub struct MonotonicTime(u64);
 
 /// A length of time in milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Span(pub u64);
+pub struct Duration(pub u64);
 
-impl Span {
-    pub const fn ms(ms: u64) -> Self {
+impl Duration {
+    pub const fn from_millis(ms: u64) -> Self {
         Self(ms)
     }
-    pub fn secs(s: f64) -> Self {
+    pub fn from_secs_f64(s: f64) -> Self {
         Self((s.max(0.0) * 1000.0) as u64)
     }
-    pub fn as_secs(self) -> f64 {
+    pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
     pub fn times(self, f: f64) -> Self {
@@ -135,33 +135,33 @@
     }
 }
 
-impl Time {
-    pub const fn from_ms(ms: u64) -> Self {
+impl MonotonicTime {
+    pub const fn from_millis(ms: u64) -> Self {
         Self(ms)
     }
     /// Time since `earlier`, 0 if that lies ahead.
-    pub fn since(self, earlier: Time) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: MonotonicTime) -> Duration {
+        Duration(self.0.saturating_sub(earlier.0))
     }
-    pub fn before(self, s: Span) -> Time {
-        Time(self.0.saturating_sub(s.0))
+    pub fn before(self, s: Duration) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_sub(s.0))
     }
-    pub fn as_ms(self) -> u64 {
+    pub fn as_millis(self) -> u64 {
         self.0
     }
 }
 
-impl std::ops::Add<Span> for Time {
-    type Output = Time;
-    fn add(self, s: Span) -> Time {
-        Time(self.0.saturating_add(s.0))
+impl std::ops::Add<Duration> for MonotonicTime {
+    type Output = MonotonicTime;
+    fn add(self, s: Duration) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_add(s.0))
     }
 }
 
-impl std::ops::Add for Span {
-    type Output = Span;
-    fn add(self, o: Span) -> Span {
-        Span(self.0 + o.0)
+impl std::ops::Add for Duration {
+    type Output = Duration;
+    fn add(self, o: Duration) -> Duration {
+        Duration(self.0 + o.0)
     }
 }
 
