--- a/crates/nomad/src/door/limits.rs
+++ b/crates/nomad/src/door/limits.rs
@@ -2,7 +2,7 @@
 
 use super::names::NameHash;
 use super::requests::Request;
-use pearford_scheduler::types::{Duration, MonotonicTime, OpId};
+use pearford_scheduler::types::{Duration, MonotonicTime, RequestId};
 use std::collections::BTreeSet;
 
 /// Answered in one step, so that a change that wakes many does not hold up the node.
@@ -12,7 +12,7 @@
 
 #[derive(Debug)]
 struct Query {
-    request: OpId,
+    request: RequestId,
     asked: Request,
     /// The name whose changes it waits for; none: any.
     name: Option<NameHash>,
@@ -41,7 +41,7 @@
     }
 
     /// Lets a query wait; false: too many do.
-    pub fn wait(&mut self, request: OpId, asked: Request, now: MonotonicTime) -> bool {
+    pub fn wait(&mut self, request: RequestId, asked: Request, now: MonotonicTime) -> bool {
         if self.waiting.len() >= self.most {
             return false;
         }
@@ -61,7 +61,7 @@
 
     /// Goes through those that may have something new, or have waited long enough. `answer` says whether it
     /// has answered; it must if the query is overdue.
-    pub fn wake(&mut self, now: MonotonicTime, mut answer: impl FnMut(OpId, &Request, bool) -> bool) {
+    pub fn wake(&mut self, now: MonotonicTime, mut answer: impl FnMut(RequestId, &Request, bool) -> bool) {
         let lists = self.any_changed && now >= self.next_lists;
         let idle = self.changed.is_empty() && !lists && now < self.next_overdue;
         if self.waiting.is_empty() || idle {
--- a/crates/nomad/src/door/mod.rs
+++ b/crates/nomad/src/door/mod.rs
@@ -26,7 +26,7 @@
 use limits::Queries;
 use names::{Head, NameHash, PREFIX};
 use pearford_scheduler::feature::{Action, Call, Feature, Input, View};
-use pearford_scheduler::types::{Duration, JobId, OpId};
+use pearford_scheduler::types::{Duration, JobId, RequestId};
 use requests::{Ask, Page, Query, Request, Route};
 use retry::{Change, Write};
 use serde_json::{Value, json};
@@ -60,8 +60,8 @@
 /// What waits for a read or a commit.
 #[derive(Debug)]
 enum Waiting {
-    Ask(OpId, Request),
-    Machines(OpId, machines::Asked),
+    Ask(RequestId, Request),
+    Machines(RequestId, machines::Asked),
     Write(Write),
     Committing(Write),
 }
@@ -109,7 +109,7 @@
 
     // ---- requests ----
 
-    fn call(&mut self, view: &View<'_>, request: OpId, call: Call) -> Vec<Action> {
+    fn call(&mut self, view: &View<'_>, request: RequestId, call: Call) -> Vec<Action> {
         let query = Query::of(&call.query);
         let Some(caller) = self.tokens.caller(call.token.as_deref()) else {
             return vec![send(request, Reply::error(403, "Permission denied: this token is not known here"))];
@@ -185,17 +185,22 @@
         }
     }
 
-    fn read_first(&mut self, request: OpId, waiting: Waiting) -> Vec<Action> {
+    fn read_first(&mut self, request: RequestId, waiting: Waiting) -> Vec<Action> {
         self.wait(request, waiting, |tag| Action::Read { tag })
     }
 
-    fn read_machines(&mut self, request: OpId, asked: machines::Asked) -> Vec<Action> {
+    fn read_machines(&mut self, request: RequestId, asked: machines::Asked) -> Vec<Action> {
         let which = asked.which();
         self.wait(request, Waiting::Machines(request, asked), |tag| Action::Machines { tag, which })
     }
 
     /// Lets a request wait for what `action` brings.
-    fn wait(&mut self, request: OpId, waiting: Waiting, action: impl FnOnce(u64) -> Action) -> Vec<Action> {
+    fn wait(
+        &mut self,
+        request: RequestId,
+        waiting: Waiting,
+        action: impl FnOnce(u64) -> Action,
+    ) -> Vec<Action> {
         if self.waiting.len() >= self.settings.max_waiting {
             return vec![send(request, Reply::error(429, "too many requests wait here; come back"))];
         }
@@ -237,7 +242,7 @@
     // ---- reads ----
 
     /// Answers a question, or lets it wait for a change.
-    fn ask(&mut self, view: &View<'_>, request: OpId, asked: Request) -> Vec<Action> {
+    fn ask(&mut self, view: &View<'_>, request: RequestId, asked: Request) -> Vec<Action> {
         if view.records.store_revision().is_none() || view.jobs.store_revision().is_none() {
             return vec![send(request, Reply::error(503, "records are not read yet; come back"))];
         }
@@ -473,7 +478,7 @@
     reply
 }
 
-fn send(request: OpId, reply: Reply) -> Action {
+fn send(request: RequestId, reply: Reply) -> Action {
     let mut headers = Vec::new();
     if let Some(index) = reply.index {
         headers.push(("x-nomad-index", index.to_string()));
--- a/crates/nomad/src/door/names.rs
+++ b/crates/nomad/src/door/names.rs
@@ -229,7 +229,7 @@
     if spec.shape != Shape::Service || spec.together || tasks < 2 || most < 2 {
         return whole;
     }
-    let beside = fitting(team, spec.room.cpus, spec.room.gpus).saturating_sub(tasks);
+    let beside = fitting(team, spec.resources.cpus, spec.resources.gpus).saturating_sub(tasks);
     if beside >= tasks {
         return whole;
     }
--- a/crates/nomad/src/door/retry.rs
+++ b/crates/nomad/src/door/retry.rs
@@ -6,7 +6,7 @@
 use super::{Door, Reply, Waiting, answers, ids, send};
 use crate::translate::Job;
 use pearford_scheduler::feature::{Action, Outcome, Share, View};
-use pearford_scheduler::types::OpId;
+use pearford_scheduler::types::RequestId;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
 
 #[derive(Debug)]
 pub(super) struct Write {
-    pub(super) request: OpId,
+    pub(super) request: RequestId,
     change: Change,
     tries: u32,
     salt: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Door {
-    pub(super) fn write(&mut self, view: &View<'_>, request: OpId, change: Change) -> Vec<Action> {
+    pub(super) fn write(&mut self, view: &View<'_>, request: RequestId, change: Change) -> Vec<Action> {
         let write = Write { request, change, tries: 0, salt: 0, made: BTreeSet::new() };
         // Setting the keys if absent decides by itself; no read is needed before. A name that this node
         // doesn't know may have been registered at another one a moment ago: then a read follows.
--- a/crates/nomad/src/door/rolls.rs
+++ b/crates/nomad/src/door/rolls.rs
@@ -6,7 +6,7 @@
 
 use super::guards::{Guard, holds};
 use super::names::{Head, Roll};
-use pearford_scheduler::types::{Duration, JobId, MonotonicTime, Room};
+use pearford_scheduler::types::{Duration, JobId, MonotonicTime, Resources};
 use std::collections::BTreeMap;
 
 /// How long the limit must have been in the way before an old part goes first: what was just placed or
@@ -101,7 +101,7 @@
 }
 
 /// Whether a task of `each` fits what is left of a limit.
-pub fn fits(left: Option<Room>, each: &Room) -> bool {
+pub fn fits(left: Option<Resources>, each: &Resources) -> bool {
     left.is_some_and(|left| each.fits_in(&left))
 }
 
--- a/crates/nomad/src/door/upkeep.rs
+++ b/crates/nomad/src/door/upkeep.rs
@@ -138,7 +138,7 @@
         let fits = |group: &str| {
             let part = head.groups.iter().find(|g| g.name == group).and_then(|g| g.parts.first());
             let spec = part.and_then(|p| view.jobs.get(&p.id)).and_then(|k| k.record.open()).map(|j| &j.spec);
-            spec.is_none_or(|spec| rolls::fits(view.room_left(&spec.team), &spec.room))
+            spec.is_none_or(|spec| rolls::fits(view.remaining_quota(&spec.team), &spec.resources))
         };
         let facts = Facts {
             parts: &parts,
--- a/crates/nomad/src/door/versions.rs
+++ b/crates/nomad/src/door/versions.rs
@@ -34,8 +34,8 @@
     }
 
     /// Withdraws as many as the transaction has room for; gives the rest, for `ending`.
-    fn withdraw_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, room: usize) -> Vec<JobId> {
-        let rest = open.split_off(room.min(open.len()));
+    fn withdraw_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
+        let rest = open.split_off(at_most.min(open.len()));
         open.iter().for_each(|id| self.withdraw(view, id));
         rest
     }
@@ -105,10 +105,10 @@
         }
     }
     let ops = view.settings.state.txn_ops;
-    let room = ops.saturating_sub(2);
-    if job.groups.len() > room {
+    let groups_at_most = ops.saturating_sub(2);
+    if job.groups.len() > groups_at_most {
         let why = format!(
-            "has {} groups; the state service takes {ops} changes at once, so at most {room}: make several jobs",
+            "has {} groups; the state service takes {ops} changes at once, so at most {groups_at_most}: make several jobs",
             job.groups.len()
         );
         return refuse(422, why);
@@ -118,7 +118,7 @@
     let mut groups = Vec::new();
     let mut made = Vec::new();
     for (g, group) in job.groups.iter().enumerate() {
-        let sizes = split(job, g, view.settings, room / job.groups.len());
+        let sizes = split(job, g, view.settings, groups_at_most / job.groups.len());
         let mut parts = Vec::new();
         for (p, tasks) in sizes.into_iter().enumerate() {
             let id = part_id(&hash, version, &group.name, p, salt);
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -6,7 +6,7 @@
 use crate::operator::{NomadSettings, Stands};
 use crate::tree::Value;
 use pearford_scheduler::jobs::{JobSpec, Priority, Shape};
-use pearford_scheduler::types::{Duration, JobId, Room};
+use pearford_scheduler::types::{Duration, JobId, Resources};
 use pearford_scheduler::wire::users;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -209,7 +209,7 @@
         }
         let namespace = job.text("namespace").unwrap_or("default");
         let team = self.context.settings.namespaces.get(namespace).map_or(namespace, String::as_str);
-        let (room, device_types) = self.resources(task);
+        let (resources, device_types) = self.resources(task);
         let (zone, mut types) = self.constraints([job, group, task]);
         for allowed in device_types {
             types = Some(meet(types, allowed));
@@ -253,7 +253,7 @@
             },
             priority: band(priority),
             tasks: count.clamp(1, MAX_TASKS) as u32,
-            room,
+            resources,
             image: image.as_str().into(),
             image_gb,
             types: types.map(|types| types.iter().map(|t| t.as_str().into()).collect()),
@@ -302,11 +302,11 @@
     }
 
     /// What each task takes, and the machine types that devices with a model allow.
-    fn resources(&mut self, task: &Section) -> (Room, Vec<Vec<String>>) {
+    fn resources(&mut self, task: &Section) -> (Resources, Vec<Vec<String>>) {
         let none = Section::empty(task.at, task.path_of("resources"));
         let r = match task.block("resources") {
             Some(r) => r,
-            None if task.is_bad("resources") => return (Room::default(), Vec::new()),
+            None if task.is_bad("resources") => return (Resources::default(), Vec::new()),
             None => &none,
         };
         let settings = &self.context.settings;
@@ -356,8 +356,9 @@
             // Every block counts: a request of which a part is lost runs on the wrong machines.
             gpus = gpus.saturating_add(count);
         }
-        let room = Room { cpus, gpus: gpus as f64, memory_gb: memory_mb as f64 / settings.mb_per_gb };
-        (room, types)
+        let resources =
+            Resources { cpus, gpus: gpus as f64, memory_gb: memory_mb as f64 / settings.mb_per_gb };
+        (resources, types)
     }
 
     /// The zone and the machine types that constraints leave.
--- a/crates/nomad/tests/round_trip.rs
+++ b/crates/nomad/tests/round_trip.rs
@@ -4,12 +4,12 @@
 use pearford_nomad::source;
 use pearford_nomad::translate::Context;
 use pearford_scheduler::jobs::{JobSpec, Priority, Shape};
-use pearford_scheduler::types::{Duration, Room};
+use pearford_scheduler::types::{Duration, Resources};
 use proptest::prelude::*;
 
 /// GPUs in one `device` block or in several: the sum is what counts.
 fn devices(spec: &JobSpec, split: u32) -> Vec<u32> {
-    let gpus = spec.room.gpus as u32;
+    let gpus = spec.resources.gpus as u32;
     let first = if gpus > 1 { split % gpus } else { 0 };
     [first, gpus - first].into_iter().filter(|n| *n > 0).collect()
 }
@@ -81,8 +81,8 @@
         "  }}\n  group \"g\" {{\n    count = {}\n    task \"t\" {{\n      driver = \"docker\"\n      config {{\n        image = \"{}\"\n      }}\n      resources {{\n        cores = {}\n        memory = {}\n",
         spec.tasks,
         spec.image,
-        spec.room.cpus,
-        spec.room.memory_gb * 1024.0
+        spec.resources.cpus,
+        spec.resources.memory_gb * 1024.0
     );
     for count in devices(spec, split) {
         out += &format!("        device \"nvidia/gpu\" {{\n          count = {count}\n        }}\n");
@@ -109,7 +109,7 @@
         "Meta": meta(spec).into_iter().collect::<std::collections::BTreeMap<_, _>>(),
         "TaskGroups": [{"Name": "g", "Count": spec.tasks, "Tasks": [{
             "Name": "t", "Driver": "docker", "Config": {"image": spec.image}, "KillTimeout": 5_000_000_000u64,
-            "Resources": {"Cores": spec.room.cpus as u32, "CPU": 0, "MemoryMB": (spec.room.memory_gb * 1024.0) as u64, "Devices": devices},
+            "Resources": {"Cores": spec.resources.cpus as u32, "CPU": 0, "MemoryMB": (spec.resources.memory_gb * 1024.0) as u64, "Devices": devices},
         }]}],
     }})
     .to_string()
@@ -136,7 +136,7 @@
             shape,
             priority,
             tasks,
-            room: Room { cpus: cpus.into(), gpus: gpus.into(), memory_gb: f64::from(memory_mb) / 1024.0 },
+            resources: Resources { cpus: cpus.into(), gpus: gpus.into(), memory_gb: f64::from(memory_mb) / 1024.0 },
             image: names.2.as_str().into(),
             image_gb: quarters(image_gb),
             types: types.map(|t| t.iter().map(|t| t.as_str().into()).collect()),
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -10,7 +10,7 @@
 use pearford_scheduler::feature::{Call, Feature, Verb};
 use pearford_scheduler::node::{Core, Effect, Input, Method, Now};
 use pearford_scheduler::settings::{Peer, Settings};
-use pearford_scheduler::types::{self, MonotonicTime, NodeName, OpId, WallTime};
+use pearford_scheduler::types::{self, MonotonicTime, NodeName, RequestId, WallTime};
 use pearford_scheduler::wire::MAX_BODY;
 use pearford_scheduler::wire::state::StateReply;
 use std::collections::HashMap;
@@ -141,7 +141,7 @@
         took: types::Duration::from_millis(took.as_millis() as u64),
     };
     let mut took = Duration::ZERO;
-    let mut answers: HashMap<OpId, oneshot::Sender<Reply>> = HashMap::new();
+    let mut answers: HashMap<RequestId, oneshot::Sender<Reply>> = HashMap::new();
     let mut next_request = 0;
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -157,7 +157,7 @@
                     continue;
                 }
                 next_request += 1;
-                let request = OpId(next_request);
+                let request = RequestId(next_request);
                 answers.insert(request, reply);
                 match question {
                     Question::Http { method, path, body } => Input::Http { request, method, path, body },
@@ -215,7 +215,7 @@
     async fn make(&self, effect: Effect) -> Option<Input> {
         let (client, settings) = (&self.services, &self.settings);
         Some(match effect {
-            Effect::State { op, request, patience } => {
+            Effect::State { request_id, request, patience } => {
                 let (method, path, body) = request.http();
                 let got = fetch(client, settings.state_addr, method, &path, body, patience).await;
                 let reply = match got {
@@ -223,18 +223,18 @@
                     None => StateReply::Unknown,
                 };
                 tracing::debug!(?request, ?reply, "state");
-                Input::State { op, reply }
+                Input::State { request_id, reply }
             }
-            Effect::Cloud { op, request, patience } => {
+            Effect::Cloud { request_id, request, patience } => {
                 let (method, path, body) = request.http();
                 let got = fetch(client, settings.cloud_addr, method, &path, body, patience).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
                     None => pearford_scheduler::wire::cloud::CloudReply::Unknown,
                 };
-                Input::Cloud { op, reply }
+                Input::Cloud { request_id, reply }
             }
-            Effect::Worker { op, addr, body, patience } => {
+            Effect::Worker { request_id, addr, body, patience } => {
                 let exchange = async {
                     let _socket = self.orders.acquire().await.ok()?;
                     let (addr, post) = (addr.parse().ok()?, http::Method::POST);
@@ -242,7 +242,7 @@
                 };
                 let got = timeout(Duration::from_millis(patience.0), exchange).await.ok().flatten();
                 let (status, body) = got.map(|(s, b)| (s, b.to_vec())).unwrap_or_default();
-                Input::Worker { op, status, body }
+                Input::Worker { request_id, status, body }
             }
             Effect::Answer { .. } | Effect::Peer { .. } => return None,
         })
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/compat/tests.rs
@@ -3,7 +3,7 @@
 use crate::jobs::{self, JobSpec, OpenJob, Priority, Record, Shape};
 use crate::ledger::MachineRecord;
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
-use crate::types::{Attempt, Room, Session, TaskId, WallTime};
+use crate::types::{Attempt, Resources, Session, TaskId, WallTime};
 use crate::workers::Health;
 use std::sync::Arc;
 
@@ -15,8 +15,8 @@
     GOLDEN.lines().filter_map(|l| l.strip_prefix(kind)).map(str::trim).collect()
 }
 
-fn room() -> Room {
-    Room { cpus: 5.0, gpus: 1.0, memory_gb: 6.4 }
+fn resources() -> Resources {
+    Resources { cpus: 5.0, gpus: 1.0, memory_gb: 6.4 }
 }
 
 fn job(shape: Shape, priority: Priority) -> Arc<OpenJob> {
@@ -26,7 +26,7 @@
         shape,
         priority,
         tasks: 16,
-        room: room(),
+        resources: resources(),
         image: "img-07".into(),
         image_gb: 6.2,
         types: Some(vec!["g8".into(), "g2".into()]),
@@ -62,7 +62,7 @@
         kind: "train".into(),
         shape: Shape::Gang,
         tasks: vec![0, 1, 300],
-        room: room(),
+        resources: resources(),
         types: Some(vec!["g8".into()]),
         spot: false,
         zones: vec![("z0".into(), 3), ("z1".into(), 0)],
@@ -75,8 +75,8 @@
         type_name: "g8".into(),
         zone: "z0".into(),
         spot: true,
-        free: room(),
-        total: room().times(2.0),
+        free: resources(),
+        total: resources().times(2.0),
         empty: false,
         health: Health::Degraded,
         images: vec!["img-07".into()],
@@ -137,7 +137,7 @@
     }
     let machine: MachineRecord = serde_json::from_str(golden("machine")[0]).expect("read");
     let task = TaskId { job: "req-000412".into(), index: 3 };
-    assert_eq!(machine.entries, [(task, Attempt(432_013_319), "red".into(), room())]);
+    assert_eq!(machine.entries, [(task, Attempt(432_013_319), "red".into(), resources())]);
     assert_eq!((machine.session, &machine.images[..]), (Session(2), &[("img-07".into(), 6.2)][..]));
     assert_eq!(serde_json::to_string(&machine).expect("writable"), golden("machine")[0]);
     let mut bits = jobs::Bits::default();
--- a/crates/scheduler/src/feature/mod.rs
+++ b/crates/scheduler/src/feature/mod.rs
@@ -9,7 +9,9 @@
 use crate::jobs::{Admission, Mirror};
 use crate::ledger::MachineRecord;
 use crate::settings::Settings;
-use crate::types::{FencingToken, JobId, MachineId, MonotonicTime, NodeName, OpId, Room, TeamName, WallTime};
+use crate::types::{
+    FencingToken, JobId, MachineId, MonotonicTime, NodeName, RequestId, Resources, TeamName, WallTime,
+};
 use crate::wire::state::Change;
 
 /// What a node and a feature have in common for a step.
@@ -28,7 +30,7 @@
     pub admission: Admission<'a>,
     pub(crate) standing: &'a dyn Fn(&JobId) -> Option<(u32, u32)>,
     pub(crate) waiting: &'a dyn Fn(&JobId) -> Option<u32>,
-    pub(crate) room_left: &'a dyn Fn(&TeamName) -> Option<Room>,
+    pub(crate) remaining_quota: &'a dyn Fn(&TeamName) -> Option<Resources>,
 }
 
 impl View<'_> {
@@ -43,8 +45,8 @@
     }
 
     /// What the team may still take; the leader knows.
-    pub fn room_left(&self, team: &TeamName) -> Option<Room> {
-        (self.room_left)(team)
+    pub fn remaining_quota(&self, team: &TeamName) -> Option<Resources> {
+        (self.remaining_quota)(team)
     }
 }
 
@@ -74,7 +76,7 @@
 pub enum Input<'a> {
     Tick,
     Call {
-        request: OpId,
+        request: RequestId,
         call: Call,
     },
     /// Own records changed, here or at another node.
@@ -142,7 +144,7 @@
 #[derive(Debug)]
 pub enum Action {
     Answer {
-        request: OpId,
+        request: RequestId,
         status: u16,
         retry_after_s: Option<u32>,
         headers: Vec<(&'static str, String)>,
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! The fleet: what to rent for work that fits nowhere, and what to return.
 
-use crate::types::{Duration, MonotonicTime, Room, TypeName, Zone};
+use crate::types::{Duration, MonotonicTime, Resources, TypeName, Zone};
 use crate::wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone)]
 pub struct Coming {
     pub offer: Offer,
-    pub free: Room,
+    pub free: Resources,
     pub number: u32,
 }
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct Need {
     pub tasks: u32,
-    pub room: Room,
+    pub resources: Resources,
     pub types: Option<Vec<TypeName>>,
     pub spot: bool,
     /// Zones it may use and how many more of its tasks each may take.
@@ -108,7 +108,7 @@
                 // The zone that holds all of it, or else most, with what is coming.
                 let mut slots: BTreeMap<&Zone, u32> = BTreeMap::new();
                 for c in coming.iter().filter(|c| need.allowed(&c.offer) > 0) {
-                    *slots.entry(&c.offer.zone).or_default() += c.free.count_of(&need.room) * c.number;
+                    *slots.entry(&c.offer.zone).or_default() += c.free.count_of(&need.resources) * c.number;
                 }
                 if let Some((zone, n)) = slots.into_iter().max_by_key(|(_, n)| *n)
                     && n >= need.tasks
@@ -128,13 +128,13 @@
             }
             while need.tasks > 0 {
                 let wanted = need.tasks + left;
-                let Some((offer, room)) = self.best(&need, wanted, &per_zone) else { break };
-                let slots = room.count_of(&need.room).max(1);
+                let Some((offer, resources)) = self.best(&need, wanted, &per_zone) else { break };
+                let slots = resources.count_of(&need.resources).max(1);
                 let tasks = need.tasks.min(need.allowed(&offer));
                 let number = tasks.div_ceil(slots).min(AT_ONCE);
                 *per_zone.entry(offer.zone.clone()).or_default() += number;
                 *out.entry(offer.clone()).or_default() += number;
-                coming.push(Coming { offer: offer.clone(), free: room, number });
+                coming.push(Coming { offer: offer.clone(), free: resources, number });
                 let last = coming.len() - 1;
                 let take = fill(&mut coming, last, &need);
                 if take == 0 {
@@ -147,11 +147,11 @@
     }
 
     /// The cheapest offer per task that isn't refused now, and what one machine of it holds.
-    fn best(&self, need: &Need, wanted: u32, per_zone: &BTreeMap<Zone, u32>) -> Option<(Offer, Room)> {
-        let mut best: Option<(f64, u32, Offer, Room)> = None;
+    fn best(&self, need: &Need, wanted: u32, per_zone: &BTreeMap<Zone, u32>) -> Option<(Offer, Resources)> {
+        let mut best: Option<(f64, u32, Offer, Resources)> = None;
         let mut cheapest = f64::MAX;
-        for t in self.types.iter().filter(|t| need.room.fits_in(&t.room())) {
-            let slots = t.room().count_of(&need.room).min(wanted.max(1));
+        for t in self.types.iter().filter(|t| need.resources.fits_in(&t.resources())) {
+            let slots = t.resources().count_of(&need.resources).min(wanted.max(1));
             for zone in &t.zones {
                 for spot in [false, true] {
                     let offer = Offer { type_name: t.name.clone(), zone: zone.clone(), spot };
@@ -165,13 +165,13 @@
                     }
                     let there = per_zone.get(zone).copied().unwrap_or(0);
                     if best.as_ref().is_none_or(|(c, n, ..)| (cost, there) < (*c, *n)) {
-                        best = Some((cost, there, offer, t.room()));
+                        best = Some((cost, there, offer, t.resources()));
                     }
                 }
             }
         }
         best.filter(|(cost, ..)| !need.patient || *cost <= cheapest * DEAR)
-            .map(|(_, _, offer, room)| (offer, room))
+            .map(|(_, _, offer, resources)| (offer, resources))
     }
 }
 
@@ -179,7 +179,7 @@
 /// keeps free goes on as a group of its own.
 fn fill(coming: &mut Vec<Coming>, i: usize, need: &Need) -> u32 {
     let group = &coming[i];
-    let slots = group.free.count_of(&need.room);
+    let slots = group.free.count_of(&need.resources);
     let take = need.tasks.min(need.allowed(&group.offer)).min(slots.saturating_mul(group.number));
     if take == 0 {
         return 0;
@@ -190,7 +190,7 @@
         parts.push((1, rest));
     }
     for (number, tasks) in parts.into_iter().filter(|(n, _)| *n > 0) {
-        let free = coming[i].free.minus(&need.room.times(f64::from(tasks)));
+        let free = coming[i].free.minus(&need.resources.times(f64::from(tasks)));
         coming[i].number -= number;
         coming.push(Coming { offer: coming[i].offer.clone(), free, number });
     }
--- a/crates/scheduler/src/fleet/tests.rs
+++ b/crates/scheduler/src/fleet/tests.rs
@@ -12,7 +12,7 @@
 fn need(tasks: u32, gpus: f64, spot: bool) -> Need {
     Need {
         tasks,
-        room: Room { cpus: 1.0, gpus, memory_gb: 1.0 },
+        resources: Resources { cpus: 1.0, gpus, memory_gb: 1.0 },
         types: None,
         spot,
         zones: vec![("a".into(), 99_999), ("b".into(), 99_999)],
@@ -30,8 +30,8 @@
     assert_eq!(plan(&mut m, need(1, 1.0, false), vec![]), [(offer("small", "a", false), 1)]);
     assert_eq!(plan(&mut m, need(8, 1.0, false), vec![]), [(offer("big", "a", false), 1)]);
     assert_eq!(plan(&mut m, need(1, 8.0, true), vec![]), [(offer("big", "a", true), 1)]);
-    let room = Room { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
-    let coming = vec![Coming { offer: offer("small", "b", false), free: room, number: 1 }];
+    let resources = Resources { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
+    let coming = vec![Coming { offer: offer("small", "b", false), free: resources, number: 1 }];
     assert_eq!(plan(&mut m, need(2, 1.0, false), coming), []);
     m.refuse(offer("small", "a", true), MonotonicTime::from_millis(9));
     m.refuse(offer("small", "b", true), MonotonicTime::from_millis(9));
@@ -55,9 +55,9 @@
     assert_eq!(count(m.plan(vec![many], vec![], &BTreeMap::new(), now)), 1000);
     let mut gang = need(2, 2.0, false);
     gang.together = true;
-    let room = Room { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
+    let resources = Resources { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
     let small = |z: &str| Offer { type_name: "small".into(), zone: z.into(), spot: false };
-    let one = |z: &str, number| Coming { offer: small(z), free: room, number };
+    let one = |z: &str, number| Coming { offer: small(z), free: resources, number };
     let plan = m.plan(vec![gang.clone()], vec![one("a", 1), one("b", 2)], &BTreeMap::new(), now);
     assert_eq!(plan, [], "zone b holds it");
     gang.types = Some(vec!["small".into()]);
--- a/crates/scheduler/src/jobs/desk.rs
+++ b/crates/scheduler/src/jobs/desk.rs
@@ -1,7 +1,7 @@
 //! The desk: users' requests that wait for the state service.
 
 use super::{JobSpec, Never};
-use crate::types::{Duration, JobId, MonotonicTime, OpId};
+use crate::types::{Duration, JobId, MonotonicTime, RequestId};
 
 /// What a user asked for.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Waiting {
-    pub request: OpId,
+    pub request: RequestId,
     pub id: JobId,
     pub ask: Ask,
     pub since: MonotonicTime,
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::settings::Settings;
 use crate::types::{
-    Duration, Image, JobId, Kind, NodeName, Revision, Room, TeamName, TypeName, WallTime, Zone,
+    Duration, Image, JobId, Kind, NodeName, Resources, Revision, TeamName, TypeName, WallTime, Zone,
 };
 use crate::wire::cloud::MachineType;
 use crate::wire::state::{Event, Pair};
@@ -58,7 +58,8 @@
     pub shape: Shape,
     pub priority: Priority,
     pub tasks: u32,
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     pub image: Image,
     pub image_gb: f64,
     pub types: Option<Vec<TypeName>>,
@@ -118,7 +119,7 @@
         let team = settings.teams.get(&self.team).ok_or_else(|| Never::UnknownTeam(self.team.clone()))?;
         let fits = types.iter().any(|t| {
             self.type_allowed(&t.name)
-                && self.room.fits_in(&t.room())
+                && self.resources.fits_in(&t.resources())
                 && self.zone.as_ref().is_none_or(|z| t.zones.is_empty() || t.zones.contains(z))
         });
         if !fits {
@@ -126,7 +127,7 @@
         }
         let together = if self.shape == Shape::Array { 1.0 } else { f64::from(self.tasks) };
         let over = |max: Option<f64>, each: f64| max.is_some_and(|m| each * together > m + 1e-6);
-        if over(team.max_gpus, self.room.gpus) || over(team.max_cpus, self.room.cpus) {
+        if over(team.max_gpus, self.resources.gpus) || over(team.max_cpus, self.resources.cpus) {
             return Err(Never::OverLimit(self.team.clone()));
         }
         let zones = if self.together || self.zone.is_some() { 1 } else { settings.zones.len() as u32 };
@@ -177,8 +178,9 @@
     fn is_possible(&self) -> bool {
         let Record::Open(job) = self else { return true };
         let (spec, amount) = (&job.spec, |v: f64| (0.0..=1e12).contains(&v));
-        let room = [spec.room.cpus, spec.room.gpus, spec.room.memory_gb, spec.image_gb];
-        (1..=crate::wire::users::MAX_TASKS).contains(&u64::from(spec.tasks)) && room.into_iter().all(amount)
+        let resources = [spec.resources.cpus, spec.resources.gpus, spec.resources.memory_gb, spec.image_gb];
+        (1..=crate::wire::users::MAX_TASKS).contains(&u64::from(spec.tasks))
+            && resources.into_iter().all(amount)
     }
     pub fn is_open(&self) -> bool {
         matches!(self, Record::Open(_))
--- a/crates/scheduler/src/jobs/run.rs
+++ b/crates/scheduler/src/jobs/run.rs
@@ -75,7 +75,7 @@
     /// Failures in a row that speak of the job as much as of its machines.
     pub errors: u32,
     /// Others have been stopped for it, and should be gone by then.
-    pub making_room_until: Option<MonotonicTime>,
+    pub preempting_until: Option<MonotonicTime>,
     /// Replicas that wait for room being made where their image is.
     pub promised: u32,
     /// Why it waits, for operators.
@@ -103,7 +103,7 @@
             attempt: None,
             seen: now,
             errors: 0,
-            making_room_until: None,
+            preempting_until: None,
             promised: 0,
             why: "new",
             finishing: false,
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -7,7 +7,7 @@
         shape: Shape::Array,
         priority: Priority::Normal,
         tasks: 3,
-        room: Room { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
+        resources: Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
         image: "i".into(),
         image_gb: 1.0,
         types: None,
--- a/crates/scheduler/src/leader/mod.rs
+++ b/crates/scheduler/src/leader/mod.rs
@@ -4,7 +4,7 @@
 //! for clock drift; past that it commits and orders nothing, but may go on answering reports for
 //! a while ("holding") so that workers' leases survive an outage of the state service.
 
-use crate::types::{Duration, FencingToken, LeaseId, MonotonicTime, NodeName, OpId, Revision};
+use crate::types::{Duration, FencingToken, LeaseId, MonotonicTime, NodeName, RequestId, Revision};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
 
@@ -62,7 +62,7 @@
     fencing_token: FencingToken,
     valid_until: MonotonicTime,
     next_try: MonotonicTime,
-    op: Option<OpId>,
+    request_id: Option<RequestId>,
     /// It doesn't stand for the lead before; it looks who has it all the same.
     stands_from: MonotonicTime,
     /// Who else leads, as the key said when this node last looked.
@@ -79,7 +79,7 @@
             fencing_token: FencingToken(0),
             valid_until: MonotonicTime::default(),
             next_try: MonotonicTime::default(),
-            op: None,
+            request_id: None,
             stands_from: MonotonicTime::default(),
             other: None,
         }
@@ -113,7 +113,7 @@
     /// The next request to the state service, if one is due. `quiet`: somebody else leads and
     /// was heard of lately.
     pub fn tick(&mut self, now: MonotonicTime, quiet: bool, jitter: Duration) -> Option<StateRequest> {
-        if self.op.is_some() {
+        if self.request_id.is_some() {
             return None;
         }
         match self.stage {
@@ -136,16 +136,16 @@
     }
 
     /// Notes under which id the request given out last was sent.
-    pub fn sent(&mut self, op: OpId) {
-        self.op = Some(op);
+    pub fn sent(&mut self, request_id: RequestId) {
+        self.request_id = Some(request_id);
     }
-    pub fn owns(&self, op: OpId) -> bool {
-        self.op == Some(op)
+    pub fn owns(&self, request_id: RequestId) -> bool {
+        self.request_id == Some(request_id)
     }
 
     /// Takes a reply; may give the next request of the campaign.
     pub fn reply(&mut self, now: MonotonicTime, reply: StateReply) -> (Turn, Option<StateRequest>) {
-        self.op = None;
+        self.request_id = None;
         if let (Stage::Looking, StateReply::Found(pair)) = (self.stage, &reply) {
             let holder = serde_json::from_str::<KeyValue>(&pair.value).ok().map(|value| value.node);
             let holder = holder.filter(|node| *node != self.node);
@@ -248,7 +248,7 @@
         self.stage = Stage::Idle;
         self.valid_until = MonotonicTime::default();
         self.next_try = now + Duration::from_millis(500);
-        self.op = None;
+        self.request_id = None;
     }
 
     /// As `step_down`, staying away for `pause`.
--- a/crates/scheduler/src/ledger/mod.rs
+++ b/crates/scheduler/src/ledger/mod.rs
@@ -8,7 +8,7 @@
 pub use journal::{Batch, Haste, Journal, Settled};
 
 use crate::types::{
-    Attempt, Image, MachineId, MonotonicTime, Room, Session, TaskId, TeamName, TypeName, Zone,
+    Attempt, Image, MachineId, MonotonicTime, Resources, Session, TaskId, TeamName, TypeName, Zone,
 };
 use pearford_recovery::Stored;
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
 pub struct Entry {
     pub attempt: Attempt,
     pub team: TeamName,
-    pub room: Room,
+    pub resources: Resources,
     pub state: EntryState,
     pub stop: Option<Stop>,
     /// When the task was last seen to begin to run.
@@ -95,15 +95,15 @@
         task: &TaskId,
         attempt: Attempt,
         team: TeamName,
-        room: Room,
+        resources: Resources,
         state: EntryState,
         now: MonotonicTime,
     ) -> Self {
-        let bytes = entry_bytes(task, attempt, &team, &room);
+        let bytes = entry_bytes(task, attempt, &team, &resources);
         Self {
             attempt,
             team,
-            room,
+            resources,
             state,
             stop: None,
             running_since: None,
@@ -142,7 +142,7 @@
     #[serde(rename = "n", default)]
     pub session: Session,
     #[serde(rename = "t", default)]
-    pub entries: Vec<(TaskId, Attempt, TeamName, Room)>,
+    pub entries: Vec<(TaskId, Attempt, TeamName, Resources)>,
     /// Images there and their sizes: a new leader that didn't know them would have them fetched
     /// anew on other machines.
     #[serde(rename = "i", default)]
@@ -153,17 +153,17 @@
 const FRAME_BYTES: usize = 120;
 
 /// What a task's entry takes in its machine's record.
-pub fn entry_bytes(task: &TaskId, attempt: Attempt, team: &TeamName, room: &Room) -> usize {
-    serde_json::to_string(&(task, attempt, team, room)).map_or(usize::MAX / 1024, |t| t.len() + 1)
+pub fn entry_bytes(task: &TaskId, attempt: Attempt, team: &TeamName, resources: &Resources) -> usize {
+    serde_json::to_string(&(task, attempt, team, resources)).map_or(usize::MAX / 1024, |t| t.len() + 1)
 }
 
 impl MachineRecord {
     /// Whether a leader can have stored it.
     pub fn is_possible(&self) -> bool {
         let amount = |v: f64| (0.0..=1e12).contains(&v);
-        self.entries
-            .iter()
-            .all(|(_, _, _, room)| amount(room.cpus) && amount(room.gpus) && amount(room.memory_gb))
+        self.entries.iter().all(|(_, _, _, resources)| {
+            amount(resources.cpus) && amount(resources.gpus) && amount(resources.memory_gb)
+        })
     }
 
     /// The record as it is stored, within `limit` bytes: images are given up first, those used longest
@@ -196,30 +196,30 @@
 }
 
 /// What a team's tasks take now.
-pub fn used_by_team<'a>(entries: impl Iterator<Item = &'a Entry>) -> BTreeMap<TeamName, Room> {
-    let mut used: BTreeMap<TeamName, Room> = BTreeMap::new();
+pub fn used_by_team<'a>(entries: impl Iterator<Item = &'a Entry>) -> BTreeMap<TeamName, Resources> {
+    let mut used: BTreeMap<TeamName, Resources> = BTreeMap::new();
     for e in entries.filter(|e| e.counts()) {
         match used.get_mut(&e.team) {
-            Some(room) => *room = room.plus(&e.room),
+            Some(resources) => *resources = resources.plus(&e.resources),
             None => {
-                used.insert(e.team.clone(), e.room);
+                used.insert(e.team.clone(), e.resources);
             }
         }
     }
     used
 }
 
-/// How many tasks of `room` a team at `used` may still take.
-pub fn fitting(team: &crate::settings::Team, used: &Room, room: &Room) -> u32 {
+/// How many tasks of `resources` a team at `used` may still take.
+pub fn fitting(team: &crate::settings::Team, used: &Resources, resources: &Resources) -> u32 {
     let of = |max: Option<f64>, used: f64, each: f64| match max {
         Some(max) if each > 0.0 => ((max - used + 1e-6) / each).max(0.0) as u32,
         _ => u32::MAX,
     };
-    of(team.max_gpus, used.gpus, room.gpus).min(of(team.max_cpus, used.cpus, room.cpus))
+    of(team.max_gpus, used.gpus, resources.gpus).min(of(team.max_cpus, used.cpus, resources.cpus))
 }
 
 /// Whether a team at `used` may take `more`.
-pub fn within_limit(team: &crate::settings::Team, used: &Room, more: &Room) -> bool {
+pub fn within_limit(team: &crate::settings::Team, used: &Resources, more: &Resources) -> bool {
     let ok = |max: Option<f64>, used: f64, more: f64| max.is_none_or(|m| used + more <= m + 1e-6);
     ok(team.max_gpus, used.gpus, more.gpus) && ok(team.max_cpus, used.cpus, more.cpus)
 }
--- a/crates/scheduler/src/ledger/tests.rs
+++ b/crates/scheduler/src/ledger/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_record_gives_up_images_first_and_never_an_entry() {
     let task = |index| TaskId { job: "req-000412".into(), index };
-    let room = Room { cpus: 1.0, gpus: 0.0, memory_gb: 6.4 };
+    let resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 6.4 };
     let mut record = MachineRecord {
         type_name: "andesite".into(),
         zone: "columbia".into(),
@@ -18,17 +18,17 @@
     let (limit, mut bytes) = (2000, 0);
     for index in 0.. {
         let (attempt, team) = (Attempt(u64::MAX), TeamName::from("duty-desk"));
-        bytes += entry_bytes(&task(index), attempt, &team, &room);
+        bytes += entry_bytes(&task(index), attempt, &team, &resources);
         if !MachineRecord::holds(bytes, &record.type_name, &record.zone, limit) {
             break;
         }
-        record.entries.push((task(index), attempt, team, room));
+        record.entries.push((task(index), attempt, team, resources));
         let value = record.to_value(limit).expect("what is placed can be stored");
         let stored: MachineRecord = serde_json::from_str(&value).expect("readable");
         assert!(value.len() <= limit && stored.entries == record.entries);
         assert!(stored.images.is_empty() || stored.images.last() == record.images.last());
     }
     assert!(record.entries.len() > 12, "{} tasks", record.entries.len());
-    (0..9).for_each(|i| record.entries.push((task(100 + i), Attempt(1), "duty-desk".into(), room)));
+    (0..9).for_each(|i| record.entries.push((task(100 + i), Attempt(1), "duty-desk".into(), resources)));
     assert_eq!(record.to_value(limit), None, "more than fits is left as it is stored");
 }
--- a/crates/scheduler/src/node/catalogue.rs
+++ b/crates/scheduler/src/node/catalogue.rs
@@ -1,7 +1,7 @@
 //! The cloud's machine types, as last read.
 
 use super::outbox::Outbox;
-use crate::types::{Duration, MonotonicTime, OpId};
+use crate::types::{Duration, MonotonicTime, RequestId};
 use crate::wire::cloud::{CloudReply, CloudRequest, MachineType};
 
 const RETRY: Duration = Duration::from_millis(1000);
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Catalogue {
     types: Vec<MachineType>,
-    op: Option<OpId>,
+    request_id: Option<RequestId>,
     next: MonotonicTime,
 }
 
@@ -20,25 +20,25 @@
     }
 
     pub fn tick(&mut self, now: MonotonicTime, out: &mut Outbox) {
-        if self.types.is_empty() && self.op.is_none() && now >= self.next {
+        if self.types.is_empty() && self.request_id.is_none() && now >= self.next {
             self.next = now + RETRY;
             self.refresh(out);
         }
     }
 
     pub fn refresh(&mut self, out: &mut Outbox) {
-        if self.op.is_none() {
-            self.op = Some(out.ask_cloud(CloudRequest::Types));
+        if self.request_id.is_none() {
+            self.request_id = Some(out.ask_cloud(CloudRequest::Types));
         }
     }
 
-    pub fn owns(&self, op: OpId) -> bool {
-        self.op == Some(op)
+    pub fn owns(&self, request_id: RequestId) -> bool {
+        self.request_id == Some(request_id)
     }
 
     /// Takes the answer to its own request; whether the types are new.
     pub fn reply(&mut self, reply: CloudReply) -> bool {
-        self.op = None;
+        self.request_id = None;
         let CloudReply::Types(types) = reply else { return false };
         self.types = types;
         true
--- a/crates/scheduler/src/node/core/features.rs
+++ b/crates/scheduler/src/node/core/features.rs
@@ -9,7 +9,7 @@
 use crate::node::follower::Follower;
 use crate::node::outbox::{Pending, Read, Whose};
 use crate::store::Budget;
-use crate::types::{Duration, JobId, MachineId, MonotonicTime, OpId, Revision};
+use crate::types::{Duration, JobId, MachineId, MonotonicTime, RequestId, Revision};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -50,7 +50,7 @@
         self
     }
 
-    pub(super) fn call(&mut self, slot: usize, request: OpId, call: Call) {
+    pub(super) fn call(&mut self, slot: usize, request: RequestId, call: Call) {
         if slot >= self.features.len() {
             return self.out.refuse(request, 404, "no such path");
         }
@@ -173,7 +173,7 @@
                 None => standings.get(id).copied(),
             },
             waiting: &|id| master.as_ref().and_then(|m| m.waiting_of(id)),
-            room_left: &|team| master.as_ref().and_then(|m| m.room_left(team)),
+            remaining_quota: &|team| master.as_ref().and_then(|m| m.remaining_quota(team)),
         };
         let actions = feature.step(&view, input);
         self.features[slot].feature = Some(feature);
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -8,7 +8,7 @@
 use super::catalogue::Catalogue;
 use super::follower::{Follower, Turn as ReadTurn};
 use super::master::{Ctx, Leave, Master, homes_on};
-use super::outbox::{LeaderOp, Outbox, Pending, Whose};
+use super::outbox::{LeaderRequest, Outbox, Pending, Whose};
 use super::peers::Peers;
 use super::{Effect, Input, Method, Now};
 use crate::blocks::{Envelope, PeerMessage};
@@ -18,7 +18,7 @@
 use crate::placement::{self, COUNTS_PREFIX, Counts, Factors};
 use crate::settings::Settings;
 use crate::store::Budget;
-use crate::types::{Duration, FencingToken, JobId, MonotonicTime, NodeName, OpId, Revision, WallTime};
+use crate::types::{Duration, FencingToken, JobId, MonotonicTime, NodeName, RequestId, Revision, WallTime};
 use crate::wire::cloud::CloudReply;
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::workers::{self, Report};
@@ -144,13 +144,13 @@
             tracing::info!(node = %self.settings.node, "started");
         }
         // What only brings a feature's records up to date leaves the rest of the node as it was.
-        let aside = matches!(&input, Input::State { op, .. } if self.out.is_aside(*op));
+        let aside = matches!(&input, Input::State { request_id, .. } if self.out.is_aside(*request_id));
         match input {
             Input::Tick => self.tick(),
             Input::Http { request, method, path, body } => self.http(request, method, &path, body),
-            Input::State { op, reply } => self.state(op, reply),
-            Input::Cloud { op, reply } => self.cloud(op, reply),
-            Input::Worker { op, status, body } => self.worker(op, status, &body),
+            Input::State { request_id, reply } => self.state(request_id, reply),
+            Input::Cloud { request_id, reply } => self.cloud(request_id, reply),
+            Input::Worker { request_id, status, body } => self.worker(request_id, status, &body),
             Input::Peer(envelope) => self.peer(envelope),
             Input::Call { slot, request, call } => self.call(slot, request, call),
         }
@@ -252,8 +252,8 @@
 
     fn seat_sends(&mut self, request: StateRequest) {
         let patience = if self.seat.leads() { SEAT_PATIENCE } else { CAMPAIGN_PATIENCE };
-        let op = self.out.ask_state_for(request, patience);
-        self.seat.sent(op);
+        let request_id = self.out.ask_state_for(request, patience);
+        self.seat.sent(request_id);
     }
 
     /// Work that any input may have made possible.
@@ -277,7 +277,7 @@
 
     // ---- HTTP ----
 
-    fn http(&mut self, request: OpId, method: Method, path: &str, body: Vec<u8>) {
+    fn http(&mut self, request: RequestId, method: Method, path: &str, body: Vec<u8>) {
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, parts.as_slice()) {
             (Method::Get, ["up"]) => self.up(request),
@@ -303,7 +303,7 @@
 
     /// This node can take requests if it reaches the state service, or if no node does: then
     /// being passed over would help nobody, and every answer says when to come back.
-    fn up(&mut self, request: OpId) {
+    fn up(&mut self, request: RequestId) {
         let loaded = self.mirror.store_revision().is_some();
         if loaded && (self.state_ok() || !self.peers.reach_state(self.now)) {
             self.out.answer(request, 200, "{}".into());
@@ -314,12 +314,12 @@
 
     // ---- the state service's and the cloud's answers ----
 
-    fn state(&mut self, op: OpId, reply: StateReply) {
+    fn state(&mut self, request_id: RequestId, reply: StateReply) {
         let answered = !matches!(reply, StateReply::Refused | StateReply::Unknown);
-        if answered && !self.out.is_aside(op) {
+        if answered && !self.out.is_aside(request_id) {
             self.state_ok_at = self.now;
         }
-        if self.seat.owns(op) {
+        if self.seat.owns(request_id) {
             let (turn, next) = self.seat.reply(self.now, reply);
             if let Some(request) = next {
                 self.seat_sends(request);
@@ -331,7 +331,7 @@
             }
             return;
         }
-        match self.out.answered(op) {
+        match self.out.answered(request_id) {
             None => {}
             Some(Pending::Follow(Whose::Feature(slot), read)) => self.feature_read(slot, read, reply),
             Some(Pending::Feature { slot, tag, changes }) => {
@@ -368,10 +368,10 @@
                     }
                 }
             }
-            Some(Pending::Leader(fencing_token, op)) => {
+            Some(Pending::Leader(fencing_token, request_id)) => {
                 let leave = self.leading().and_then(|(master, mut ctx)| {
                     if master.fencing_token() == fencing_token {
-                        master.state(&mut ctx, op, reply)
+                        master.state(&mut ctx, request_id, reply)
                     } else {
                         None
                     }
@@ -381,10 +381,10 @@
         }
     }
 
-    fn cloud(&mut self, op: OpId, reply: CloudReply) {
-        if !self.catalogue.owns(op) {
+    fn cloud(&mut self, request_id: RequestId, reply: CloudReply) {
+        if !self.catalogue.owns(request_id) {
             if let Some((master, mut ctx)) = self.leading() {
-                master.cloud(&mut ctx, op, reply);
+                master.cloud(&mut ctx, request_id, reply);
             }
             return;
         }
@@ -430,7 +430,7 @@
                     conditions: vec![(leader::KEY.into(), Revision(fencing_token.0))],
                     changes: vec![Change::Delete { key: leader::KEY.into() }],
                 };
-                self.out.ask_state(request, Pending::Leader(fencing_token, LeaderOp::Resign));
+                self.out.ask_state(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
                 self.seat.shun(self.now, SHUN);
                 self.step_down(why);
             }
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -35,18 +35,18 @@
 #[derive(Debug, Default)]
 pub(super) struct Passing {
     /// Direct orders under way, for whom, and as what they know it.
-    calls: BTreeMap<OpId, (NodeName, FencingToken, u64)>,
+    calls: BTreeMap<RequestId, (NodeName, FencingToken, u64)>,
     /// Orders that go out with the answers to the next reports.
     errands: BTreeMap<MachineId, (FencingToken, Vec<Order>)>,
     /// Reports that came while no leader was known, in their order.
-    parked: VecDeque<(MonotonicTime, OpId, Report)>,
+    parked: VecDeque<(MonotonicTime, RequestId, Report)>,
     /// Guard out: starts of what is over are passed on.
     #[cfg(any(test, feature = "world"))]
     passes_all: bool,
 }
 
 impl Core {
-    pub(super) fn report(&mut self, request: OpId, body: &[u8]) {
+    pub(super) fn report(&mut self, request: RequestId, body: &[u8]) {
         let report: Report = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(error) => return self.out.refuse(request, 400, &error.to_string()),
@@ -70,7 +70,7 @@
     }
 
     /// Answers a report as the leader or in its name; false: this node can do neither.
-    fn answer_report(&mut self, request: OpId, report: &Report) -> bool {
+    fn answer_report(&mut self, request: RequestId, report: &Report) -> bool {
         let taken = self.leading().is_some_and(|(master, mut ctx)| master.report(&mut ctx, request, report));
         if taken && self.seat.leads() {
             // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
@@ -97,7 +97,7 @@
     }
 
     /// Answers in the leader's name, or sends the worker where it belongs; false: this node has no delegation.
-    fn report_to_delegate(&mut self, request: OpId, report: &Report) -> bool {
+    fn report_to_delegate(&mut self, request: RequestId, report: &Report) -> bool {
         let Some(fencing_token) = self.delegate.fencing_token().filter(|_| !self.seat.leads()) else {
             return false;
         };
@@ -144,7 +144,7 @@
         known.map(|(_, leader, _)| leader)
     }
 
-    fn redirect(&mut self, request: OpId) {
+    fn redirect(&mut self, request: RequestId) {
         match self.known_leader().cloned() {
             Some(leader) => self.out.answer(request, 421, workers::redirect(Some(&leader))),
             None => self.out.refuse(request, 503, "no leader is known here"),
@@ -152,9 +152,9 @@
     }
 
     /// A worker's answer to something direct: for this node as leader, or to be passed on.
-    pub(super) fn worker(&mut self, op: OpId, status: u16, body: &[u8]) {
+    pub(super) fn worker(&mut self, request_id: RequestId, status: u16, body: &[u8]) {
         let at = serde_json::from_slice::<Report>(body).ok().map(|r| r.stamped());
-        match self.passing.calls.remove(&op) {
+        match self.passing.calls.remove(&request_id) {
             Some((leader, fencing_token, call)) => {
                 if let Some(at) = at {
                     self.saw_fencing_token(at.fencing_token);
@@ -162,12 +162,12 @@
                 let calls = vec![Relayed { call, status, at }];
                 self.out.tell(&leader, PeerMessage::Relayed { fencing_token, calls });
             }
-            None => self.worker_answered(op, status, at),
+            None => self.worker_answered(request_id, status, at),
         }
     }
 
-    fn worker_answered(&mut self, op: OpId, status: u16, at: Option<Stamped>) {
-        let seen = self.leading().and_then(|(master, ctx)| master.worker(op, status, at, ctx.now));
+    fn worker_answered(&mut self, request_id: RequestId, status: u16, at: Option<Stamped>) {
+        let seen = self.leading().and_then(|(master, ctx)| master.worker(request_id, status, at, ctx.now));
         if let Some(fencing_token) = seen {
             self.saw_fencing_token(fencing_token);
         }
@@ -202,8 +202,8 @@
             }
             PeerMessage::Relayed { fencing_token, calls } if fencing_token == self.seat.fencing_token() => {
                 for Relayed { call, status, at } in calls {
-                    if self.out.relay_answered(OpId(call)) {
-                        self.worker_answered(OpId(call), status, at);
+                    if self.out.relay_answered(RequestId(call)) {
+                        self.worker_answered(RequestId(call), status, at);
                     }
                 }
             }
@@ -229,8 +229,8 @@
                 refused.push(Relayed { call, status: if late { NOT_SENT } else { MAY_COME }, at: None });
                 continue;
             }
-            let op = self.out.ask_worker(addr, body, patience);
-            self.passing.calls.insert(op, (from.clone(), fencing_token, call));
+            let request_id = self.out.ask_worker(addr, body, patience);
+            self.passing.calls.insert(request_id, (from.clone(), fencing_token, call));
         }
         if !refused.is_empty() {
             self.out.tell(from, PeerMessage::Relayed { fencing_token, calls: refused });
@@ -264,8 +264,8 @@
     pub(super) fn reports_tick(&mut self) {
         self.apart_tick();
         self.unpark();
-        for op in self.out.relays_overdue(self.now) {
-            self.worker_answered(op, 0, None);
+        for request_id in self.out.relays_overdue(self.now) {
+            self.worker_answered(request_id, 0, None);
         }
         if !self.seat.leads()
             && let Some((leader, digest)) = self.delegate.digest(self.now)
--- a/crates/scheduler/src/node/core/users.rs
+++ b/crates/scheduler/src/node/core/users.rs
@@ -7,28 +7,28 @@
 use super::Core;
 use crate::compat;
 use crate::jobs::{self, Admission, Ask, OpenJob, Phase, Record, Waiting};
-use crate::types::{JobId, OpId, Revision};
+use crate::types::{JobId, RequestId, Revision};
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::users;
 use std::sync::Arc;
 
 impl Core {
-    pub(super) fn status(&mut self, request: OpId, id: &str) {
+    pub(super) fn status(&mut self, request: RequestId, id: &str) {
         self.ask_about(request, id, Ask::Status);
     }
 
-    pub(super) fn ask_to_withdraw(&mut self, request: OpId, id: &str) {
+    pub(super) fn ask_to_withdraw(&mut self, request: RequestId, id: &str) {
         self.ask_about(request, id, Ask::Withdraw);
     }
 
-    fn ask_about(&mut self, request: OpId, id: &str, ask: Ask) {
+    fn ask_about(&mut self, request: RequestId, id: &str, ask: Ask) {
         match users::job_id(id) {
             Some(id) => self.look_up(request, id, ask),
             None => self.out.refuse(request, 404, "no such job; ids look like req-000412"),
         }
     }
 
-    pub(super) fn submit(&mut self, request: OpId, body: &[u8]) {
+    pub(super) fn submit(&mut self, request: RequestId, body: &[u8]) {
         let Some(id) = users::submission_id(body) else {
             let why = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
             return self.out.refuse(request, 400, &why);
@@ -59,7 +59,7 @@
     }
 
     /// Starts on a request about job `id`.
-    fn look_up(&mut self, request: OpId, id: JobId, ask: Ask) {
+    fn look_up(&mut self, request: RequestId, id: JobId, ask: Ask) {
         if let Some(phase) = self.mirror.verdict(&id) {
             return self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
         }
--- a/crates/scheduler/src/node/master/apart.rs
+++ b/crates/scheduler/src/node/master/apart.rs
@@ -18,7 +18,7 @@
         }
         self.next_told = ctx.now + ASK_EVERY;
         let request = StateRequest::Range { prefix: PREFIX, after: None, most: MOST };
-        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::Apart));
+        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::Apart));
     }
 
     pub(super) fn apart_told(&mut self, ctx: &mut Ctx, reply: StateReply) {
--- a/crates/scheduler/src/node/master/beat.rs
+++ b/crates/scheduler/src/node/master/beat.rs
@@ -67,7 +67,7 @@
                 conditions: vec![(leader::KEY.into(), Revision(self.fencing_token.0))],
                 changes: parts.iter().map(put).collect(),
             };
-            ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::SaveCounts));
+            ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::SaveCounts));
         }
     }
 }
--- a/crates/scheduler/src/node/master/calls.rs
+++ b/crates/scheduler/src/node/master/calls.rs
@@ -16,7 +16,7 @@
 
 impl Master {
     /// Takes a report and answers it; false: this node may not speak for the controllers now.
-    pub(in crate::node) fn report(&mut self, ctx: &mut Ctx, request: OpId, report: &Report) -> bool {
+    pub(in crate::node) fn report(&mut self, ctx: &mut Ctx, request: RequestId, report: &Report) -> bool {
         let may_start = self.may_start(ctx);
         if !self.may_renew(ctx, &report.machine) {
             return false;
@@ -56,12 +56,12 @@
     /// A worker's answer to something direct; the fence that it has seen, if it says one.
     pub(in crate::node) fn worker(
         &mut self,
-        op: OpId,
+        request_id: RequestId,
         status: u16,
         report: Option<Stamped>,
         now: MonotonicTime,
     ) -> Option<FencingToken> {
-        if let Some(call) = self.directs.remove(&op) {
+        if let Some(call) = self.directs.remove(&request_id) {
             let at = match (&report, status) {
                 (Some(r), 200) => Some(Some((r.session, r.serial))),
                 (_, 400 | 409) => Some(None),
@@ -72,7 +72,7 @@
             }
             return report.map(|r| r.fencing_token);
         }
-        if let Some(machine) = self.probes.remove(&op) {
+        if let Some(machine) = self.probes.remove(&request_id) {
             if let Some(m) = self.machines.get_mut(&machine) {
                 if status == 0 {
                     m.unanswered += 1;
@@ -82,7 +82,7 @@
             }
             return None;
         }
-        let machine = self.pushes.remove(&op)?;
+        let machine = self.pushes.remove(&request_id)?;
         // The body is a report, but only what it says of fence and session is used: it may have
         // been made before an order sent in answer to a report ran, and would prove nothing.
         let report = report?;
@@ -105,7 +105,7 @@
         addr: String,
         body: String,
         patience: Duration,
-    ) -> OpId {
+    ) -> RequestId {
         let via = self.hub.route(id, ctx.now).filter(|_| ctx.homes);
         ask_by(ctx, via, addr, body, patience)
     }
@@ -121,8 +121,8 @@
             };
             let Some(addr) = m.addr.clone() else { continue };
             let body = workers::command(self.fencing_token, m.session.max(m.push_session), &[]);
-            let op = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
-            self.pushes.insert(op, id);
+            let request_id = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
+            self.pushes.insert(request_id, id);
         }
     }
 
@@ -139,8 +139,8 @@
                 self.phases.ordered(self.fencing_token, self.since, ctx.now);
                 let body = workers::command(fencing_token, m.session, &orders);
                 let session = m.session;
-                let op = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
-                self.directs.insert(op, DirectCall { machine: id, session, starts });
+                let request_id = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
+                self.directs.insert(request_id, DirectCall { machine: id, session, starts });
             }
         }
     }
@@ -156,13 +156,19 @@
                 true => self.hub.detour(&id, ctx.now),
                 false => self.hub.route(&id, ctx.now),
             };
-            let op = ask_by(ctx, via.filter(|_| ctx.homes), addr, body, PROBE_PATIENCE);
-            self.probes.insert(op, id);
+            let request_id = ask_by(ctx, via.filter(|_| ctx.homes), addr, body, PROBE_PATIENCE);
+            self.probes.insert(request_id, id);
         }
     }
 }
 
-fn ask_by(ctx: &mut Ctx, via: Option<&NodeName>, addr: String, body: String, patience: Duration) -> OpId {
+fn ask_by(
+    ctx: &mut Ctx,
+    via: Option<&NodeName>,
+    addr: String,
+    body: String,
+    patience: Duration,
+) -> RequestId {
     match via {
         Some(node) => ctx.out.relay(node, addr, body, patience, ctx.now),
         None => ctx.out.ask_worker(addr, body, patience),
--- a/crates/scheduler/src/node/master/changes.rs
+++ b/crates/scheduler/src/node/master/changes.rs
@@ -32,13 +32,13 @@
     /// at most `records`: cheap ones, if there is room enough on so many of them, else any; those first where one record
     /// has room for most tasks.
     pub(super) fn narrow(&self, field: &mut Field, asks: &[TaskAsk], records: usize) {
-        let Some(room) = asks.first().map(|ask| ask.room) else { return };
+        let Some(resources) = asks.first().map(|ask| ask.resources) else { return };
         let mut needed: u32 = asks.iter().map(|ask| ask.tasks.len() as u32).sum();
         let cheap_will_do = asks.iter().all(|ask| ask.spot);
         let mut kept = vec![false; field.views.len()];
         let mut others = Vec::new();
         for (i, v) in field.views.iter().enumerate() {
-            let slots = v.free.count_of(&room).min(MOST_AT_ONCE);
+            let slots = v.free.count_of(&resources).min(MOST_AT_ONCE);
             let cheap = v.spot || !cheap_will_do;
             if self.journal.is_pressing(&ledger::key(&v.id)) {
                 kept[i] = true;
--- a/crates/scheduler/src/node/master/changes/tests.rs
+++ b/crates/scheduler/src/node/master/changes/tests.rs
@@ -9,7 +9,7 @@
         let id = format!("m-{i:02}");
         m.take_report(&report(&id, "z0", 1), now);
         let size = if i < 2 { 16.0 } else { 1.0 };
-        let total = Room { cpus: size, gpus: 0.0, memory_gb: size };
+        let total = Resources { cpus: size, gpus: 0.0, memory_gb: size };
         m.machines.get_mut(&MachineId::from(id.as_str())).expect("there").total = total;
         m.recount(&id.as_str().into(), now);
     }
@@ -20,7 +20,7 @@
 fn job(m: &mut Master, id: &str, shape: Shape, tasks: u32, now: MonotonicTime) {
     let mut spec = jobs::tests::spec();
     (spec.shape, spec.tasks, spec.types, spec.zone) = (shape, tasks, None, None);
-    spec.room = Room { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+    spec.resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     spec.team = m.settings.teams.keys().next().expect("a team").clone();
     let job = jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: "n0".into() };
     m.runs.insert(id.into(), Run::new(Arc::new(job), now));
--- a/crates/scheduler/src/node/master/cloud.rs
+++ b/crates/scheduler/src/node/master/cloud.rs
@@ -8,15 +8,15 @@
 const AWAY_PAUSE: Duration = Duration::from_millis(2000);
 
 #[derive(Debug)]
-pub(super) enum CloudOp {
+pub(super) enum CloudCall {
     Rent { offer: Offer, number: u32 },
     Release { machines: Vec<MachineId> },
     List,
 }
 
 impl Master {
-    fn call(&mut self, ctx: &mut Ctx, request: CloudRequest, op: CloudOp) {
-        self.cloud_ops.insert(ctx.out.ask_cloud(request), op);
+    fn call(&mut self, ctx: &mut Ctx, request: CloudRequest, request_id: CloudCall) {
+        self.cloud_calls_open.insert(ctx.out.ask_cloud(request), request_id);
     }
 
     /// Lists, returns and rents what is due.
@@ -33,19 +33,19 @@
         let returns = self.returns(now);
         let rentals = if self.plans.due(now) { self.rentals(now) } else { Vec::new() };
         if list {
-            self.call(ctx, CloudRequest::List { after: None, most: LIST_PAGE }, CloudOp::List);
+            self.call(ctx, CloudRequest::List { after: None, most: LIST_PAGE }, CloudCall::List);
         }
-        for (request, op) in returns.into_iter().chain(rentals) {
-            self.call(ctx, request, op);
+        for (request, request_id) in returns.into_iter().chain(rentals) {
+            self.call(ctx, request, request_id);
         }
     }
 
-    pub(in crate::node) fn cloud(&mut self, ctx: &mut Ctx, op: OpId, reply: CloudReply) {
+    pub(in crate::node) fn cloud(&mut self, ctx: &mut Ctx, request_id: RequestId, reply: CloudReply) {
         let now = ctx.now;
         let pause = Duration::from_secs_f64(self.settings.operator.refusal_pause_s);
-        let Some(what) = self.cloud_ops.remove(&op) else { return };
+        let Some(what) = self.cloud_calls_open.remove(&request_id) else { return };
         match (what, reply) {
-            (CloudOp::Rent { offer, number, .. }, CloudReply::Rented(ids)) => {
+            (CloudCall::Rent { offer, number, .. }, CloudReply::Rented(ids)) => {
                 tracing::info!(machine_type = %offer.type_name, zone = %offer.zone, spot = offer.spot,
                     wanted = number, got = ids.len(), "rented");
                 if (ids.len() as u32) < number {
@@ -55,22 +55,22 @@
                     self.rented(id, &offer, now);
                 }
             }
-            (CloudOp::Rent { offer, .. }, CloudReply::NoCapacity) => {
+            (CloudCall::Rent { offer, .. }, CloudReply::NoCapacity) => {
                 self.market.refuse(offer, now + pause);
             }
             // Away or no answer: what was rented after all shows in the list or by its reports.
-            (CloudOp::Rent { .. }, _) => self.rent_not_before = now + AWAY_PAUSE,
-            (CloudOp::Release { machines }, CloudReply::Released) => {
+            (CloudCall::Rent { .. }, _) => self.rent_not_before = now + AWAY_PAUSE,
+            (CloudCall::Release { machines }, CloudReply::Released) => {
                 for id in machines {
                     self.released(&id, now);
                 }
             }
-            (CloudOp::Release { machines }, _) => {
+            (CloudCall::Release { machines }, _) => {
                 for id in machines {
                     self.releasing.remove(&id);
                 }
             }
-            (CloudOp::List, CloudReply::Listed { machines, more }) => {
+            (CloudCall::List, CloudReply::Listed { machines, more }) => {
                 let last = machines.last().map(|m| m.id.clone());
                 for listed in machines {
                     self.listed(listed, now);
@@ -78,10 +78,10 @@
                 self.list_after = last.filter(|_| more);
                 if let Some(last) = self.list_after.clone() {
                     let request = CloudRequest::List { after: Some(last), most: LIST_PAGE };
-                    self.call(ctx, request, CloudOp::List);
+                    self.call(ctx, request, CloudCall::List);
                 }
             }
-            (CloudOp::List, _) => self.list_after = None,
+            (CloudCall::List, _) => self.list_after = None,
         }
     }
 }
--- a/crates/scheduler/src/node/master/commits.rs
+++ b/crates/scheduler/src/node/master/commits.rs
@@ -21,7 +21,7 @@
         {
             self.writes.settle(batch.changes.len() as f64 - USUAL_CHANGES);
             let request = StateRequest::Commit { conditions: batch.conditions, changes: batch.changes };
-            ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::Commit));
+            ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::Commit));
         }
     }
 
@@ -67,7 +67,7 @@
 
     fn ask_for(&self, ctx: &mut Ctx, key: String) {
         let request = StateRequest::Get { key: key.clone() };
-        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderOp::Correct { key }));
+        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::Correct { key }));
     }
 
     /// Asks again for keys whose answer did not come.
--- a/crates/scheduler/src/node/master/field.rs
+++ b/crates/scheduler/src/node/master/field.rs
@@ -35,9 +35,10 @@
 impl Master {
     /// Machines that could take some task of `asks`: of a busy fleet that is a small part.
     pub(super) fn open_field(&mut self, asks: &[TaskAsk], now: MonotonicTime) -> Field {
-        let least = |of: fn(&Room) -> f64| asks.iter().map(|a| of(&a.room)).fold(f64::MAX, f64::min);
         let least =
-            Room { cpus: least(|r| r.cpus), gpus: least(|r| r.gpus), memory_gb: least(|r| r.memory_gb) };
+            |of: fn(&Resources) -> f64| asks.iter().map(|a| of(&a.resources)).fold(f64::MAX, f64::min);
+        let least =
+            Resources { cpus: least(|r| r.cpus), gpus: least(|r| r.gpus), memory_gb: least(|r| r.memory_gb) };
         // One whose record can't hold the largest entry is left out: offered, it would be chosen in vain.
         let last_task =
             |a: &TaskAsk| TaskId { job: a.job.clone(), index: a.tasks.last().copied().unwrap_or(0) };
--- a/crates/scheduler/src/node/master/homes.rs
+++ b/crates/scheduler/src/node/master/homes.rs
@@ -140,8 +140,8 @@
             // In doubt until the worker's session ends, whatever becomes of this one.
             let body = workers::command(self.fencing_token, m.session, &again);
             let (machine, session) = (id.clone(), m.session);
-            let op = self.ask(ctx, &machine, addr, body, calls::WORKER_PATIENCE);
-            self.directs.insert(op, DirectCall { machine, session, starts: Vec::new() });
+            let request_id = self.ask(ctx, &machine, addr, body, calls::WORKER_PATIENCE);
+            self.directs.insert(request_id, DirectCall { machine, session, starts: Vec::new() });
         }
     }
 
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -9,20 +9,26 @@
 impl Master {
     /// Begins to read what the leaders before left.
     pub(in crate::node) fn load(&mut self, ctx: &mut Ctx) {
-        self.load_page(ctx, ledger::PREFIX, None, LeaderOp::LoadMachines);
-        self.load_page(ctx, jobs::PROGRESS_PREFIX, None, LeaderOp::LoadProgress);
+        self.load_page(ctx, ledger::PREFIX, None, LeaderRequest::LoadMachines);
+        self.load_page(ctx, jobs::PROGRESS_PREFIX, None, LeaderRequest::LoadProgress);
     }
 
-    fn load_page(&self, ctx: &mut Ctx, prefix: &'static str, after: Option<String>, op: LeaderOp) {
+    fn load_page(
+        &self,
+        ctx: &mut Ctx,
+        prefix: &'static str,
+        after: Option<String>,
+        request_id: LeaderRequest,
+    ) {
         let request = StateRequest::Range { prefix, after, most: PAGE };
-        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, op));
+        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, request_id));
     }
 
-    pub(super) fn loaded_page(&mut self, ctx: &mut Ctx, op: LeaderOp, reply: StateReply) {
-        let machines = matches!(op, LeaderOp::LoadMachines);
+    pub(super) fn loaded_page(&mut self, ctx: &mut Ctx, request_id: LeaderRequest, reply: StateReply) {
+        let machines = matches!(request_id, LeaderRequest::LoadMachines);
         let prefix = if machines { ledger::PREFIX } else { jobs::PROGRESS_PREFIX };
         let StateReply::Pairs { pairs, more, .. } = reply else {
-            self.reload.push((ctx.now + Duration::from_millis(200), op));
+            self.reload.push((ctx.now + Duration::from_millis(200), request_id));
             return;
         };
         for pair in &pairs {
@@ -39,7 +45,7 @@
             }
         }
         match pairs.last() {
-            Some(last) if more => self.load_page(ctx, prefix, Some(last.key.clone()), op),
+            Some(last) if more => self.load_page(ctx, prefix, Some(last.key.clone()), request_id),
             _ if machines => self.machines_loaded = true,
             _ => self.progress_loaded = true,
         }
@@ -53,7 +59,7 @@
             why,
             "machine record can't be read; returning the machine before anything starts"
         );
-        let mut m = Machine::new(id.clone(), "".into(), "".into(), false, Room::default(), now);
+        let mut m = Machine::new(id.clone(), "".into(), "".into(), false, Resources::default(), now);
         m.standing = Standing::Releasing;
         self.machines.insert(id.clone(), m);
         self.opaque.insert(id);
@@ -61,11 +67,11 @@
 
     /// Reads again what could not be read.
     pub(super) fn reload_due(&mut self, ctx: &mut Ctx) {
-        for op in due(&mut self.reload, ctx.now) {
+        for request_id in due(&mut self.reload, ctx.now) {
             // From the top: taking in a page twice changes nothing.
-            let machines = matches!(op, LeaderOp::LoadMachines);
+            let machines = matches!(request_id, LeaderRequest::LoadMachines);
             let prefix = if machines { ledger::PREFIX } else { jobs::PROGRESS_PREFIX };
-            self.load_page(ctx, prefix, None, op);
+            self.load_page(ctx, prefix, None, request_id);
         }
     }
 
@@ -92,7 +98,7 @@
         if let Some(phase) = self.gathering.heard(heard, all, now) {
             let after_ms = now.since(self.since).0;
             tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "take-over");
-            self.room_version += 1;
+            self.capacity_version += 1;
         }
     }
 
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -13,7 +13,7 @@
 mod homes;
 mod load;
 mod offers;
-mod room;
+mod preemption;
 mod rounds;
 mod stock;
 mod upkeep;
@@ -22,7 +22,7 @@
 pub(super) use homes::on as homes_on;
 
 use super::catalogue::Catalogue;
-use super::outbox::{LeaderOp, Outbox, Pending};
+use super::outbox::{LeaderRequest, Outbox, Pending};
 use super::peers::Peers;
 use crate::blocks::{Blocks, PeerMessage};
 use crate::fleet::{self, Coming, Market, Need, Offer};
@@ -31,18 +31,17 @@
 use crate::leader;
 use crate::ledger::{self, Entry, EntryState, Haste, Journal, MachineRecord};
 use crate::placement::{self, Counts, Factors, Learned, MachineView, Proposal, TaskAsk};
-use crate::preemption::{self, Candidate, Victim};
 use crate::settings::Settings;
 use crate::store::Budget;
 use crate::types::{
-    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, NodeName, OpId, Revision, Room,
-    Session, TaskId, TeamName, Zone,
+    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, NodeName, RequestId, Resources,
+    Revision, Session, TaskId, TeamName, Zone,
 };
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use crate::wire::workers::{self, Report};
 use crate::workers::{Digest, Health, Machine, Outcome, Standing};
-use cloud::CloudOp;
+use cloud::CloudCall;
 use pearford_homes::{Full, Hub, Renewal, Told};
 use pearford_recovery::{Act, Gathering, Pace, Phase};
 use rand::RngExt;
@@ -128,7 +127,7 @@
     progress: Vec<Pair>,
     machines: BTreeMap<MachineId, Machine>,
     /// What teams take on all machines, kept as sums.
-    used: BTreeMap<TeamName, Room>,
+    used: BTreeMap<TeamName, Resources>,
     /// Machines whose record can't be read.
     opaque: BTreeSet<MachineId>,
     /// Progress of jobs whose own record can't be read: what they have on machines is left as it is.
@@ -152,7 +151,7 @@
     slow_until: BTreeMap<NodeName, MonotonicTime>,
     next_round: u64,
     /// Moves on with everything that may let a waiting task fit.
-    room_version: u64,
+    capacity_version: u64,
     learned: Vec<Learned>,
     /// Beats sent so far, and jobs that have moved since the last one.
     beats: u64,
@@ -161,7 +160,7 @@
     /// While changes are short: the last look was at arrays.
     arrays_looked: bool,
     plans: Pace,
-    cloud_ops: BTreeMap<OpId, CloudOp>,
+    cloud_calls_open: BTreeMap<RequestId, CloudCall>,
     cloud_calls: Budget,
     list_after: Option<MachineId>,
     next_listing: MonotonicTime,
@@ -176,12 +175,12 @@
     releasing: BTreeSet<MachineId>,
     /// Workers that must hear of this leader's fence directly, and calls under way for it.
     to_push: BTreeSet<MachineId>,
-    pushes: BTreeMap<OpId, MachineId>,
+    pushes: BTreeMap<RequestId, MachineId>,
     /// Silent workers that are asked whether they are there.
-    probes: BTreeMap<OpId, MachineId>,
+    probes: BTreeMap<RequestId, MachineId>,
     /// Workers with orders that needn't wait for their next report, and calls under way.
     to_direct: BTreeSet<MachineId>,
-    directs: BTreeMap<OpId, DirectCall>,
+    directs: BTreeMap<RequestId, DirectCall>,
     hub: Hub,
     /// What nodes say that are apart from this one, and the zones that are cut off as far as this node can tell.
     told: Told,
@@ -196,7 +195,7 @@
     phases: homes::Phases,
     gathering: Gathering,
     served: Served,
-    reload: Vec<(MonotonicTime, LeaderOp)>,
+    reload: Vec<(MonotonicTime, LeaderRequest)>,
     recheck: Vec<(MonotonicTime, String)>,
 }
 
@@ -257,7 +256,7 @@
     }
 
     /// Zones that `job` may use, and how many more of its tasks each may take.
-    fn zone_room(&self, job: &JobId, run: &Run) -> Vec<(Zone, u32)> {
+    fn zone_capacity(&self, job: &JobId, run: &Run) -> Vec<(Zone, u32)> {
         let spec = &run.job.spec;
         let here = self.zones_of(job, run);
         let cap = spec.zone_cap();
@@ -310,7 +309,7 @@
         }
         if m.stop(task, grace_s, now).is_some() {
             self.dirty.insert(machine.clone());
-            self.room_version += 1;
+            self.capacity_version += 1;
             if let Some(run) = self.runs.get_mut(&task.job) {
                 run.unplace(task.index, machine);
             }
@@ -368,14 +367,14 @@
             offers: BTreeMap::new(),
             slow_until: BTreeMap::new(),
             next_round: 0,
-            room_version: 1,
+            capacity_version: 1,
             learned: Vec::new(),
             beats: 0,
             touched: BTreeSet::new(),
             looks: Pace::new(offers::LOOK_EVERY, LOOKS_REST, now),
             arrays_looked: false,
             plans: Pace::new(HOUSEKEEPING_EVERY, PLANS_REST, now),
-            cloud_ops: BTreeMap::new(),
+            cloud_calls_open: BTreeMap::new(),
             cloud_calls: Budget::new(settings.cloud.rps * 0.7),
             list_after: None,
             next_listing: now,
@@ -414,12 +413,12 @@
     pub(in crate::node) fn set_types(&mut self, types: Vec<MachineType>, now: MonotonicTime) {
         for m in self.machines.values_mut() {
             if let Some(t) = types.iter().find(|t| t.name == m.type_name) {
-                m.total = t.room();
+                m.total = t.resources();
                 m.recount(&mut self.used, now);
             }
         }
         self.market.types = types;
-        self.room_version += 1;
+        self.capacity_version += 1;
     }
 }
 
@@ -459,13 +458,20 @@
     }
 
     /// An answer of the state service to one of this leader's requests.
-    pub(super) fn state(&mut self, ctx: &mut Ctx, op: LeaderOp, reply: StateReply) -> Option<Leave> {
-        match op {
-            LeaderOp::LoadMachines | LeaderOp::LoadProgress => self.loaded_page(ctx, op, reply),
-            LeaderOp::Commit => return self.committed(ctx, reply),
-            LeaderOp::Correct { key } => self.corrected(ctx, &key, reply),
-            LeaderOp::Apart => self.apart_told(ctx, reply),
-            LeaderOp::SaveCounts | LeaderOp::Resign => {}
+    pub(super) fn state(
+        &mut self,
+        ctx: &mut Ctx,
+        request_id: LeaderRequest,
+        reply: StateReply,
+    ) -> Option<Leave> {
+        match request_id {
+            LeaderRequest::LoadMachines | LeaderRequest::LoadProgress => {
+                self.loaded_page(ctx, request_id, reply)
+            }
+            LeaderRequest::Commit => return self.committed(ctx, reply),
+            LeaderRequest::Correct { key } => self.corrected(ctx, &key, reply),
+            LeaderRequest::Apart => self.apart_told(ctx, reply),
+            LeaderRequest::SaveCounts | LeaderRequest::Resign => {}
         }
         None
     }
@@ -488,7 +494,7 @@
         if now >= self.next_retry {
             // Machines' health and pauses change with time alone.
             self.next_retry = now + RETRY_EVERY;
-            self.room_version += 1;
+            self.capacity_version += 1;
         }
         self.tombs.retain(|_, at| now.since(*at) < TOMB_LIFE);
         if self.self_cut_off(ctx.peers.hear_workers(now), now) {
@@ -531,11 +537,11 @@
     }
 
     /// What `team` may still take.
-    pub(super) fn room_left(&self, team: &TeamName) -> Option<Room> {
+    pub(super) fn remaining_quota(&self, team: &TeamName) -> Option<Resources> {
         let limits = self.settings.teams.get(team)?;
         let used = self.used.get(team).copied().unwrap_or_default();
         let left = |max: Option<f64>, used: f64| max.map_or(f64::MAX, |max| (max - used).max(0.0));
-        Some(Room {
+        Some(Resources {
             cpus: left(limits.max_cpus, used.cpus),
             gpus: left(limits.max_gpus, used.gpus),
             memory_gb: f64::MAX,
@@ -587,7 +593,7 @@
             if let Some(run) = self.runs.get_mut(&task.job) {
                 run.unplace(task.index, &machine);
             }
-            self.room_version += 1;
+            self.capacity_version += 1;
         }
     }
 
@@ -631,7 +637,7 @@
             if let Some(run) = self.runs.get_mut(&task.job) {
                 run.unplace(task.index, &machine);
             }
-            self.room_version += 1;
+            self.capacity_version += 1;
         }
     }
 
@@ -685,7 +691,7 @@
         let entries = self.machines.values().flat_map(|m| m.entries.values());
         let used = ledger::used_by_team(entries);
         for team in self.used.keys().chain(used.keys()) {
-            let of = |sums: &BTreeMap<TeamName, Room>| sums.get(team).copied().unwrap_or_default();
+            let of = |sums: &BTreeMap<TeamName, Resources>| sums.get(team).copied().unwrap_or_default();
             let (kept, real) = (of(&self.used), of(&used));
             if !kept.fits_in(&real) || !real.fits_in(&kept) {
                 return Err(format!("team {team}: kept {kept:?}, recounted {real:?}"));
@@ -693,7 +699,7 @@
         }
         for m in self.machines.values() {
             let booked = m.entries.values().filter(|e| e.counts());
-            let free = booked.fold(m.total, |free, e| free.minus(&e.room));
+            let free = booked.fold(m.total, |free, e| free.minus(&e.resources));
             let empty = !m.entries.values().any(Entry::counts) && m.strays.is_empty();
             if !free.fits_in(&m.free()) || !m.free().fits_in(&free) || empty != m.is_empty() {
                 return Err(format!("{}: kept {:?}, recounted {free:?}", m.id, m.free()));
--- a/crates/scheduler/src/node/master/room.rs
+++ b/crates/scheduler/src/node/master/preemption.rs
@@ -1,6 +1,7 @@
 //! Room for work that fits nowhere: who makes way, and what is kept for whom.
 
 use super::*;
+use crate::preemption::{Candidate, Victim, Wanted, choose};
 
 /// How long a job waits for the room it made before it makes more, besides a save.
 const PREEMPT_PAUSE: Duration = Duration::from_millis(2000);
@@ -38,7 +39,7 @@
         let guaranteed = self.guaranteed();
         let Some(run) = self.runs.get_mut(&ask.job) else { return false };
         let (spec, priority) = (run.job.spec.clone(), run.priority);
-        if run.making_room_until.is_some_and(|until| now < until) {
+        if run.preempting_until.is_some_and(|until| now < until) {
             return false;
         }
         let mine = guaranteed.contains(&ask.job);
@@ -47,7 +48,7 @@
         if spec.shape != Shape::Service && now.since(run.seen) < Duration::from_secs_f64(patience) {
             return false;
         }
-        run.making_room_until = Some(now + PREEMPT_AGAIN);
+        run.preempting_until = Some(now + PREEMPT_AGAIN);
         // Less urgent work makes way for all tasks at once. Work beyond its team's guarantee makes
         // way for one at a time, and not whole gangs: with many teams near their guarantees they
         // would otherwise stop one another in turn.
@@ -75,7 +76,7 @@
         let need = ask.tasks.len() as u32;
         let mut zones: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
         for v in views.iter().filter(|v| ask.allows(v)) {
-            zones.entry(v.zone.clone()).or_default().0 += v.free.count_of(&ask.room);
+            zones.entry(v.zone.clone()).or_default().0 += v.free.count_of(&ask.resources);
         }
         for m in self.machines.values().filter(|m| m.standing == Standing::Booting) {
             let boot = self.market.type_of(&m.type_name).map(MachineType::boot).unwrap_or_default();
@@ -87,7 +88,7 @@
                 && (ask.spot || !m.spot)
                 && ask.zones.iter().any(|(z, n)| *z == m.zone && *n > 0);
             if fits {
-                zones.entry(m.zone.clone()).or_default().1 += m.total.count_of(&ask.room);
+                zones.entry(m.zone.clone()).or_default().1 += m.total.count_of(&ask.resources);
             }
         }
         let enough = |(free, soon): &(u32, u32)| *free > 0 && free + soon >= need;
@@ -104,7 +105,7 @@
                 break;
             }
             if ask.allows(v) {
-                left = left.saturating_sub(v.free.count_of(&ask.room));
+                left = left.saturating_sub(v.free.count_of(&ask.resources));
                 v.held_for = Some(ask.job.clone());
                 if let Some(m) = self.machines.get_mut(&v.id) {
                     m.held = Some((ask.job.clone(), now + HOLD_FOR));
@@ -126,16 +127,16 @@
         let ready: u32 = views
             .iter()
             .filter(|v| ask.allows(v) && v.images.contains(&ask.image))
-            .map(|v| v.free.count_of(&ask.room))
+            .map(|v| v.free.count_of(&ask.resources))
             .sum();
         let Some(run) = self.runs.get_mut(&ask.job) else { return 0 };
-        if run.making_room_until.is_none_or(|until| now >= until) {
+        if run.preempting_until.is_none_or(|until| now >= until) {
             run.promised = 0;
         }
         let fetch_rate = self.market.types.iter().map(|t| t.fetch_gb_per_s).fold(0.0, f64::max);
         let worth_it = fetch_rate > 0.0 && ask.image_gb / fetch_rate > IMAGE_WORTH_S;
         let may = *scans > 0 && self.gathering.allows(Act::Preempt);
-        if run.promised == 0 && ready < tasks && worth_it && may && run.making_room_until.is_none() {
+        if run.promised == 0 && ready < tasks && worth_it && may && run.preempting_until.is_none() {
             *scans -= 1;
             let spec = run.job.spec.clone();
             let mut missing = ask.clone();
@@ -144,7 +145,7 @@
             if let Some(run) = self.runs.get_mut(&ask.job) {
                 run.promised = made;
                 if made == 0 {
-                    run.making_room_until = Some(now + PREEMPT_AGAIN);
+                    run.preempting_until = Some(now + PREEMPT_AGAIN);
                 }
             }
         }
@@ -170,7 +171,7 @@
                 && self.health(m, now) == Health::Healthy
                 && ask.types.as_ref().is_none_or(|t| t.contains(&m.type_name))
                 && (ask.spot || !m.spot)
-                && ask.room.fits_in(&m.total)
+                && ask.resources.fits_in(&m.total)
                 && ask.zones.iter().any(|(z, n)| *z == m.zone && *n > 0);
             if !may || (matches!(how, Clear::WithImage) && !m.has_image(&ask.image)) {
                 continue;
@@ -178,7 +179,7 @@
             let (mut free, mut victims) = (m.free(), Vec::new());
             for (task, entry) in m.entries.iter().filter(|(_, e)| e.counts()) {
                 if entry.stop.is_some() {
-                    free = free.plus(&entry.room); // leaves already
+                    free = free.plus(&entry.resources); // leaves already
                     continue;
                 }
                 let Some(other) = self.runs.get(&task.job) else { continue };
@@ -200,7 +201,7 @@
                 let loss_s = again + RESTART_S;
                 // With one task of a gang all of it stops.
                 let loss_s = if other.is_gang() { loss_s * f64::from(o.tasks) } else { loss_s };
-                victims.push(Victim { task: task.clone(), room: entry.room, loss_s });
+                victims.push(Victim { task: task.clone(), resources: entry.resources, loss_s });
             }
             let fetch_rate = self.market.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s);
             let fetch_s = match m.has_image(&ask.image) || fetch_rate <= 0.0 {
@@ -210,14 +211,14 @@
             let (machine, zone) = (m.id.clone(), m.zone.clone());
             candidates.push(Candidate { machine, zone, free, victims, fetch_s });
         }
-        let wanted = preemption::Wanted {
-            room: &ask.room,
+        let wanted = Wanted {
+            resources: &ask.resources,
             tasks: if matches!(how, Clear::Beyond(_)) { 1 } else { ask.tasks.len() as u32 },
             gang: ask.shape == Shape::Gang,
             together: ask.together,
             zones: &ask.zones,
         };
-        let clearings = preemption::choose(candidates, &wanted);
+        let clearings = choose(candidates, &wanted);
         if clearings.iter().all(|(_, tasks)| tasks.is_empty()) {
             return 0;
         }
@@ -249,7 +250,7 @@
             }
         }
         if let Some(run) = self.runs.get_mut(&ask.job) {
-            run.making_room_until = Some(until);
+            run.preempting_until = Some(until);
             run.why = "others are making room for it";
         }
         clearings.len() as u32
--- a/crates/scheduler/src/node/master/rounds.rs
+++ b/crates/scheduler/src/node/master/rounds.rs
@@ -34,13 +34,13 @@
         }
         let mut jobs: Vec<(&JobId, &Run)> = self.runs.iter().collect();
         jobs.sort_by_key(|(id, r)| (r.job.submitted, (*id).clone()));
-        let mut taken: BTreeMap<&TeamName, Room> = BTreeMap::new();
+        let mut taken: BTreeMap<&TeamName, Resources> = BTreeMap::new();
         let mut out = BTreeSet::new();
         for (id, run) in jobs {
             let spec = &run.job.spec;
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = taken.entry(&spec.team).or_default();
-            *sum = sum.plus(&spec.room.times(f64::from(spec.tasks)));
+            *sum = sum.plus(&spec.resources.times(f64::from(spec.tasks)));
             let fits = |g: Option<f64>, used: f64| g.is_none_or(|g| used <= g + 1e-6);
             let any = team.guaranteed_cpus.is_some() || team.guaranteed_gpus.is_some();
             if any && fits(team.guaranteed_cpus, sum.cpus) && fits(team.guaranteed_gpus, sum.gpus) {
@@ -54,7 +54,7 @@
 
     /// What waits, most urgent first, as far as teams' limits allow.
     pub(super) fn waiting_asks(&mut self, most: usize, now: MonotonicTime) -> Vec<TaskAsk> {
-        let version = self.room_version;
+        let version = self.capacity_version;
         let mut ids: Vec<JobId> = self
             .runs
             .iter()
@@ -71,7 +71,7 @@
         let mut used = self.used.clone();
         for run in self.runs.values().filter(|r| r.offered > 0) {
             let sum = used.entry(run.job.spec.team.clone()).or_default();
-            *sum = sum.plus(&run.job.spec.room.times(f64::from(run.offered)));
+            *sum = sum.plus(&run.job.spec.resources.times(f64::from(run.offered)));
         }
         let mut asks = Vec::new();
         let mut left = most;
@@ -81,7 +81,7 @@
             }
             let Some(run) = self.runs.get(&id) else { continue };
             let spec = run.job.spec.clone();
-            let zones = self.zone_room(&id, run);
+            let zones = self.zone_capacity(&id, run);
             let Some(run) = self.runs.get_mut(&id) else { continue };
             let gang = run.is_gang();
             if gang && !run.placed().is_empty() {
@@ -91,14 +91,14 @@
             let mut tasks = run.waiting(if gang { usize::MAX } else { left });
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = (ledger::fitting(team, sum, &spec.room) as usize).min(tasks.len());
+            let fitting = (ledger::fitting(team, sum, &spec.resources) as usize).min(tasks.len());
             if fitting == 0 || (gang && fitting < tasks.len()) {
                 run.why = "its team is at its limit";
                 run.tried = version;
                 continue;
             }
             tasks.truncate(fitting);
-            *sum = sum.plus(&spec.room.times(tasks.len() as f64));
+            *sum = sum.plus(&spec.resources.times(tasks.len() as f64));
             left = left.saturating_sub(tasks.len());
             asks.push(ask_for(&id, &spec, tasks, zones));
         }
@@ -180,7 +180,7 @@
 
     /// What an entry of the job's tasks takes in a record, whichever attempt it will be.
     pub(super) fn entry_bytes(&self, task: &TaskId, spec: &JobSpec) -> usize {
-        ledger::entry_bytes(task, Attempt(u64::MAX), &spec.team, &spec.room)
+        ledger::entry_bytes(task, Attempt(u64::MAX), &spec.team, &spec.resources)
     }
 
     pub(super) fn health(&self, m: &Machine, now: MonotonicTime) -> Health {
@@ -253,7 +253,7 @@
             let attempt = if gang { attempt } else { self.attempts.issue() };
             let Some(m) = self.machines.get_mut(&machine) else { continue };
             let mut entry =
-                Entry::new(&task, attempt, spec.team.clone(), spec.room, EntryState::Planned, now);
+                Entry::new(&task, attempt, spec.team.clone(), spec.resources, EntryState::Planned, now);
             entry.after_fetches = slow_fetch && m.has_image(&spec.image);
             m.entries.insert(task.clone(), entry);
             self.dirty.insert(machine.clone());
@@ -263,7 +263,7 @@
                 run.attempt = Some(attempt);
                 run.promised = run.promised.saturating_sub(1);
                 if run.promised == 0 {
-                    run.making_room_until = None;
+                    run.preempting_until = None;
                 }
             }
             if let Some(m) = self.machines.get_mut(&machine)
@@ -298,7 +298,7 @@
             return false;
         };
         let used = self.used.get(&spec.team).copied().unwrap_or_default();
-        let zones = self.zone_room(&task.job, run);
+        let zones = self.zone_capacity(&task.job, run);
         let stray = self.stray_on.iter().filter_map(|id| self.machines.get(id));
         let stray = stray.into_iter().any(|m| m.strays.contains(task));
         !run.finishing
@@ -308,12 +308,12 @@
             && m.open_for_tasks(now)
             && m.held_for(now).is_none_or(|j| *j == task.job)
             && !m.entries.contains_key(task)
-            && spec.room.fits_in(&m.free())
+            && spec.resources.fits_in(&m.free())
             && m.record_holds(self.entry_bytes(task, spec), self.settings.state.value_bytes)
             && spec.type_allowed(&m.type_name)
             && (spec.spot || !m.spot)
             && zones.iter().any(|(z, n)| *z == m.zone && *n > 0)
-            && ledger::within_limit(team, &used, &spec.room)
+            && ledger::within_limit(team, &used, &spec.resources)
     }
 
     /// Whether the work fits its controller's block, if need be after moving machines there that
@@ -335,7 +335,7 @@
         let mut found = Vec::new();
         let Field { views, owners, whole } = field;
         for (i, v) in views.iter().enumerate().filter(|(_, v)| ask.allows(v)) {
-            let slots = v.free.count_of(&ask.room);
+            let slots = v.free.count_of(&ask.resources);
             match &owners[i] {
                 Some(owner) if owner == node => *own.entry(&v.zone).or_default() += slots,
                 Some(owner) if self.offers.contains_key(owner) || claimed(claims, owner, v) => continue,
@@ -345,15 +345,15 @@
         }
         // Room counts as far as the zone may take tasks of the job, with `together` in one zone.
         let cap = |zone: &Zone| ask.zones.iter().find(|(z, _)| z == zone).map_or(0, |(_, n)| *n);
-        let room = |slots: &BTreeMap<&Zone, u32>| -> u32 {
+        let capacity = |slots: &BTreeMap<&Zone, u32>| -> u32 {
             let in_zone = slots.iter().map(|(z, n)| (*n).min(cap(z)));
             if gang && ask.together { in_zone.max().unwrap_or(0) } else { in_zone.sum() }
         };
         let mut places: u32 = own.values().sum();
-        if room(&own) < need {
-            let version = self.room_version;
+        if capacity(&own) < need {
+            let version = self.capacity_version;
             let Some(run) = self.runs.get_mut(&ask.job) else { return false };
-            if room(&all) < need {
+            if capacity(&all) < need {
                 // Of a part of what is open nothing follows for the rest.
                 run.tried = if *whole { version } else { run.tried };
                 run.why = "no machine has room for it";
@@ -372,9 +372,10 @@
                     continue;
                 }
                 for claim in claims.iter_mut().filter(|c| Some(&c.node) == owner.as_ref()) {
-                    claim.spare -= if claim.ask.allows(v) { v.free.count_of(&claim.ask.room) } else { 0 };
+                    claim.spare -=
+                        if claim.ask.allows(v) { v.free.count_of(&claim.ask.resources) } else { 0 };
                 }
-                places += v.free.count_of(&ask.room);
+                places += v.free.count_of(&ask.resources);
                 self.blocks.give(node, [v.id.clone()]);
                 owners[i] = Some(node.clone());
                 moved += 1;
@@ -389,7 +390,7 @@
 /// Whether an earlier ask of `owner`'s has no more places than it needs without this machine.
 fn claimed(claims: &[Claim], owner: &NodeName, v: &MachineView) -> bool {
     let its = claims.iter().filter(|c| c.node == *owner && c.ask.allows(v));
-    its.into_iter().any(|c| c.spare < v.free.count_of(&c.ask.room))
+    its.into_iter().any(|c| c.spare < v.free.count_of(&c.ask.resources))
 }
 
 fn ask_for(id: &JobId, spec: &JobSpec, tasks: Vec<u32>, zones: Vec<(Zone, u32)>) -> TaskAsk {
@@ -398,7 +399,7 @@
         kind: spec.kind.clone(),
         shape: spec.shape,
         tasks,
-        room: spec.room,
+        resources: spec.resources,
         types: spec.types.clone(),
         spot: spec.spot,
         zones,
--- a/crates/scheduler/src/node/master/rounds/tests.rs
+++ b/crates/scheduler/src/node/master/rounds/tests.rs
@@ -8,7 +8,7 @@
         let id = format!("m-{i}");
         m.take_report(&report(&id, "z0", 1), now);
         let m = m.machines.get_mut(&MachineId::from(id.as_str())).expect("there");
-        m.total = Room { cpus: 4.0, gpus: 1.0, memory_gb: 8.0 };
+        m.total = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 8.0 };
     }
     for i in 0..machines {
         m.recount(&MachineId::from(format!("m-{i}").as_str()), now);
@@ -25,7 +25,7 @@
 fn job(m: &mut Master, id: &str, home: &str, priority: Priority, tasks: u32, now: MonotonicTime) {
     let mut spec = jobs::tests::spec();
     (spec.priority, spec.tasks, spec.types, spec.zone) = (priority, tasks, None, None);
-    spec.room = Room { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
+    spec.resources = Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
     let team = m.settings.teams.keys().next().expect("a team").clone();
     spec.team = team;
     let job = jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: home.into() };
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -12,7 +12,7 @@
 
     /// Takes a machine over from an earlier leader's record.
     pub(super) fn inherit(&mut self, id: MachineId, record: MachineRecord, now: MonotonicTime) {
-        let total = self.market.type_of(&record.type_name).map(MachineType::room).unwrap_or_default();
+        let total = self.market.type_of(&record.type_name).map(MachineType::resources).unwrap_or_default();
         let m = self.machines.entry(id.clone()).or_insert_with(|| {
             Machine::new(id.clone(), record.type_name.clone(), record.zone.clone(), record.spot, total, now)
         });
@@ -29,8 +29,8 @@
         if m.images.is_empty() {
             m.images = record.images;
         }
-        for (task, attempt, team, room) in record.entries {
-            let entry = Entry::new(&task, attempt, team, room, EntryState::Inherited, now);
+        for (task, attempt, team, resources) in record.entries {
+            let entry = Entry::new(&task, attempt, team, resources, EntryState::Inherited, now);
             m.entries.entry(task).or_insert(entry);
         }
         m.recount(&mut self.used, now);
@@ -232,7 +232,7 @@
             }
         }
         self.recorded.remove(&jobs::key(id));
-        self.room_version += 1;
+        self.capacity_version += 1;
     }
 
     // ---- reports and outcomes ----
@@ -240,7 +240,8 @@
     pub(super) fn take_report(&mut self, report: &Report, now: MonotonicTime) {
         if !self.machines.contains_key(&report.machine) {
             // Unexpected: a rental answered late or never. It is used like any other.
-            let total = self.market.type_of(&report.type_name).map(MachineType::room).unwrap_or_default();
+            let total =
+                self.market.type_of(&report.type_name).map(MachineType::resources).unwrap_or_default();
             let m = Machine::new(
                 report.machine.clone(),
                 report.type_name.clone(),
@@ -262,7 +263,7 @@
         }
         if (m.standing, m.session, m.addr.is_some()) != was {
             self.dirty.insert(report.machine.clone());
-            self.room_version += 1;
+            self.capacity_version += 1;
         }
         let id = report.machine.clone();
         self.recount(&id, now);
@@ -281,7 +282,7 @@
             Stored::Listed => report.session > m.session,
             _ => false,
         };
-        if !m.entries.values().any(may_be_gone) || !Room::default().fits_in(&m.free()) {
+        if !m.entries.values().any(may_be_gone) || !Resources::default().fits_in(&m.free()) {
             return Vec::new();
         }
         let wanted = |(task, e): &(&TaskId, &Entry)| {
@@ -294,7 +295,7 @@
             let used = self.used.get(&spec.team).copied().unwrap_or_default();
             let stray = self.stray_on.iter().filter_map(|id| self.machines.get(id));
             let stray = stray.into_iter().any(|m| m.strays.contains(*task));
-            let within = |team| ledger::within_limit(team, &used, &Room::default());
+            let within = |team| ledger::within_limit(team, &used, &Resources::default());
             let zones = self.zones_of(&task.job, run);
             let apart = spec.spread && zones.get(&m.zone).is_some_and(|n| *n > spec.zone_cap());
             run.placed().get(&task.index) == Some(&m.id)
@@ -408,7 +409,7 @@
         };
         let recorded = Recorded { version, machine: machine.clone(), task: task.clone() };
         self.recorded.entry(key).or_default().push(recorded);
-        self.room_version += 1;
+        self.capacity_version += 1;
     }
 
     /// Writes that a job is done.
@@ -474,7 +475,7 @@
         now: MonotonicTime,
     ) {
         self.dirty.insert(machine.clone());
-        self.room_version += 1;
+        self.capacity_version += 1;
         if outcome == Outcome::Ended(Ending::NoRoom)
             && let Some(m) = self.machines.get_mut(machine)
         {
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/master/stock/tests.rs
@@ -12,7 +12,7 @@
             TaskId { job: "req-1".into(), index: 0 },
             Attempt(attempt),
             "red".into(),
-            Room { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
+            Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
         )],
         images: vec![("i".into(), 5.0)],
     }
@@ -67,7 +67,8 @@
         m.take_report(&report(&id, "z0", 1), now);
         let id = MachineId::from(id.as_str());
         let task = TaskId { job: "req-1".into(), index: i };
-        let mut entry = Entry::new(&task, Attempt(7), "red".into(), Room::default(), EntryState::Ready, now);
+        let mut entry =
+            Entry::new(&task, Attempt(7), "red".into(), Resources::default(), EntryState::Ready, now);
         entry.after_fetches = after_fetches;
         m.machines.get_mut(&id).expect("there").entries.insert(task, entry);
         m.runs.get_mut(&JobId::from("req-1")).expect("there").place(i, id);
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -320,7 +320,7 @@
     }
 
     /// Machines to return now.
-    pub(super) fn returns(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudOp)> {
+    pub(super) fn returns(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudCall)> {
         let idle = Duration::from_secs_f64(self.settings.operator.idle_return_s);
         let may_return = self.gathering.allows(Act::ReturnIdle);
         for m in self.machines.values_mut() {
@@ -343,7 +343,7 @@
             return Vec::new();
         }
         self.releasing.extend(due.iter().cloned());
-        vec![(CloudRequest::Release { machines: due.clone() }, CloudOp::Release { machines: due })]
+        vec![(CloudRequest::Release { machines: due.clone() }, CloudCall::Release { machines: due })]
     }
 
     /// The cloud has answered 200: the machine and everything on it are gone.
@@ -374,7 +374,7 @@
         if self.tombs.contains_key(&id) || self.machines.contains_key(&id) {
             return;
         }
-        let Some(total) = self.market.type_of(&offer.type_name).map(MachineType::room) else { return };
+        let Some(total) = self.market.type_of(&offer.type_name).map(MachineType::resources) else { return };
         let m = Machine::new(id.clone(), offer.type_name.clone(), offer.zone.clone(), offer.spot, total, now);
         self.machines.insert(id.clone(), m);
         self.dirty.insert(id);
@@ -450,18 +450,18 @@
             let spec = &run.job.spec;
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = ledger::fitting(team, sum, &spec.room).min(run.waiting_count()).min(left);
+            let fitting = ledger::fitting(team, sum, &spec.resources).min(run.waiting_count()).min(left);
             if fitting == 0 || (run.is_gang() && fitting < spec.tasks) {
                 continue;
             }
-            *sum = sum.plus(&spec.room.times(f64::from(fitting)));
+            *sum = sum.plus(&spec.resources.times(f64::from(fitting)));
             left -= fitting;
             needs.push(Need {
                 tasks: fitting,
-                room: spec.room,
+                resources: spec.resources,
                 types: spec.types.clone(),
                 spot: spec.spot,
-                zones: self.zone_room(id, run),
+                zones: self.zone_capacity(id, run),
                 together: spec.together,
                 patient: spec.shape == Shape::Array && spec.estimate.0 > 0,
             });
@@ -480,7 +480,7 @@
             waiting += tasks;
             work_s += tasks * run.job.spec.estimate.as_secs_f64();
         }
-        let Some(need) = needs.iter().find(|n| n.patient).map(|n| n.room) else { return };
+        let Some(need) = needs.iter().find(|n| n.patient).map(|n| n.resources) else { return };
         let placed: usize = arrays().map(|r| r.placed().len()).sum();
         let coming = self.machines.values().filter(|m| m.standing == Standing::Booting);
         let coming: u32 = coming.map(|m| m.free().count_of(&need)).sum();
@@ -493,7 +493,7 @@
         }
     }
 
-    pub(super) fn rentals(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudOp)> {
+    pub(super) fn rentals(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudCall)> {
         if !self.gathering.allows(Act::Rent)
             || now < self.rent_not_before
             || now.since(self.since) < Duration::from_millis(2000)
@@ -512,9 +512,9 @@
         if needs.is_empty() {
             return Vec::new();
         }
-        let least = needs.iter().map(|n| n.room.gpus).fold(f64::MAX, f64::min);
+        let least = needs.iter().map(|n| n.resources.gpus).fold(f64::MAX, f64::min);
         let mut groups: BTreeMap<(Offer, [u64; 3]), Coming> = BTreeMap::new();
-        let mut add = |offer: Offer, free: Room, number: u32| {
+        let mut add = |offer: Offer, free: Resources, number: u32| {
             let key = [free.cpus, free.gpus, free.memory_gb].map(|x| (x.max(0.0) * 1000.0) as u64);
             let new = Coming { offer: offer.clone(), free, number: 0 };
             groups.entry((offer, key)).or_insert(new).number += number;
@@ -530,11 +530,11 @@
                 add(offer, m.free(), 1);
             }
         }
-        for op in self.cloud_ops.values() {
-            if let CloudOp::Rent { offer, number } = op
+        for request_id in self.cloud_calls_open.values() {
+            if let CloudCall::Rent { offer, number } = request_id
                 && let Some(t) = self.market.type_of(&offer.type_name)
             {
-                add(offer.clone(), t.room(), *number);
+                add(offer.clone(), t.resources(), *number);
             }
         }
         let mut coming: Vec<Coming> = groups.into_values().collect();
@@ -554,7 +554,7 @@
                 spot: offer.spot,
                 number,
             };
-            out.push((request, CloudOp::Rent { offer, number }));
+            out.push((request, CloudCall::Rent { offer, number }));
         }
         out
     }
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::blocks::Envelope;
 use crate::feature::Call;
-use crate::types::{Duration, MonotonicTime, NodeName, OpId, WallTime};
+use crate::types::{Duration, MonotonicTime, NodeName, RequestId, WallTime};
 use crate::wire::cloud::{CloudReply, CloudRequest};
 use crate::wire::state::{StateReply, StateRequest};
 
@@ -36,22 +36,22 @@
 pub enum Input {
     Tick,
     Http {
-        request: OpId,
+        request: RequestId,
         method: Method,
         path: String,
         body: Vec<u8>,
     },
     State {
-        op: OpId,
+        request_id: RequestId,
         reply: StateReply,
     },
     Cloud {
-        op: OpId,
+        request_id: RequestId,
         reply: CloudReply,
     },
     /// A worker's answer to a direct command; status 0: none came.
     Worker {
-        op: OpId,
+        request_id: RequestId,
         status: u16,
         body: Vec<u8>,
     },
@@ -59,7 +59,7 @@
     /// A request to the listener of the feature in `slot`.
     Call {
         slot: usize,
-        request: OpId,
+        request: RequestId,
         call: Call,
     },
 }
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub enum Effect {
     Answer {
-        request: OpId,
+        request: RequestId,
         status: u16,
         retry_after_s: Option<u32>,
         /// Besides the usual ones; only features have any.
@@ -76,17 +76,17 @@
         body: String,
     },
     State {
-        op: OpId,
+        request_id: RequestId,
         request: StateRequest,
         patience: Duration,
     },
     Cloud {
-        op: OpId,
+        request_id: RequestId,
         request: CloudRequest,
         patience: Duration,
     },
     Worker {
-        op: OpId,
+        request_id: RequestId,
         addr: String,
         body: String,
         patience: Duration,
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -3,7 +3,7 @@
 use super::Effect;
 use crate::blocks::{self, PeerMessage};
 use crate::jobs::{OpenJob, Waiting};
-use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, OpId};
+use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, RequestId};
 use crate::wire::cloud::CloudRequest;
 use crate::wire::state::{Change, StateRequest};
 use crate::wire::users;
@@ -20,7 +20,7 @@
 /// What the way by another node takes, at most, beside the order itself.
 const RELAY_SLACK: Duration = Duration::from_millis(500);
 /// Requests of users are numbered by the shell, from 1.
-const FIRST_OP: u64 = 1 << 32;
+const FIRST_REQUEST_ID: u64 = 1 << 32;
 
 /// What an outstanding request to the state service is for.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
         tag: u64,
     },
     /// The leader's own, void when its fence has passed.
-    Leader(FencingToken, LeaderOp),
+    Leader(FencingToken, LeaderRequest),
 }
 
 /// Whose records a copy is of.
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug)]
-pub(super) enum LeaderOp {
+pub(super) enum LeaderRequest {
     LoadMachines,
     LoadProgress,
     Commit,
@@ -89,12 +89,12 @@
 pub(super) struct Outbox {
     me: NodeName,
     effects: Vec<Effect>,
-    next_op: u64,
-    pending: BTreeMap<OpId, Pending>,
+    next_request_id: u64,
+    pending: BTreeMap<RequestId, Pending>,
     /// Direct orders of this step that go by way of other nodes.
     relays: BTreeMap<NodeName, Vec<RelayedCall>>,
     /// Those on their way, and when no answer is waited for any more: the node may be gone.
-    relayed: BTreeMap<OpId, MonotonicTime>,
+    relayed: BTreeMap<RequestId, MonotonicTime>,
 }
 
 impl Outbox {
@@ -102,7 +102,7 @@
         Self {
             me,
             effects: Vec::new(),
-            next_op: FIRST_OP,
+            next_request_id: FIRST_REQUEST_ID,
             pending: BTreeMap::new(),
             relays: BTreeMap::new(),
             relayed: BTreeMap::new(),
@@ -117,9 +117,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    fn op(&mut self) -> OpId {
-        self.next_op += 1;
-        OpId(self.next_op)
+    fn request_id(&mut self) -> RequestId {
+        self.next_request_id += 1;
+        RequestId(self.next_request_id)
     }
 
     pub fn ask_state(&mut self, request: StateRequest, pending: Pending) {
@@ -128,25 +128,25 @@
             StateRequest::Range { .. } => PAGE_PATIENCE,
             _ => STATE_PATIENCE,
         };
-        let op = self.ask_state_for(request, patience);
-        self.pending.insert(op, pending);
+        let request_id = self.ask_state_for(request, patience);
+        self.pending.insert(request_id, pending);
     }
 
     /// A request whose answer the caller knows by its id.
-    pub fn ask_state_for(&mut self, request: StateRequest, patience: Duration) -> OpId {
-        let op = self.op();
-        self.effects.push(Effect::State { op, request, patience });
-        op
+    pub fn ask_state_for(&mut self, request: StateRequest, patience: Duration) -> RequestId {
+        let request_id = self.request_id();
+        self.effects.push(Effect::State { request_id, request, patience });
+        request_id
     }
 
     /// What an answer is for; each is taken once.
-    pub fn answered(&mut self, op: OpId) -> Option<Pending> {
-        self.pending.remove(&op)
+    pub fn answered(&mut self, request_id: RequestId) -> Option<Pending> {
+        self.pending.remove(&request_id)
     }
 
     /// Whether it only follows a feature's records.
-    pub fn is_aside(&self, op: OpId) -> bool {
-        matches!(self.pending.get(&op), Some(Pending::Follow(Whose::Feature(_), _)))
+    pub fn is_aside(&self, request_id: RequestId) -> bool {
+        matches!(self.pending.get(&request_id), Some(Pending::Follow(Whose::Feature(_), _)))
     }
 
     pub fn waits_for(&self, what: impl Fn(&Pending) -> bool) -> bool {
@@ -158,16 +158,16 @@
         self.pending.len()
     }
 
-    pub fn ask_cloud(&mut self, request: CloudRequest) -> OpId {
-        let op = self.op();
-        self.effects.push(Effect::Cloud { op, request, patience: CLOUD_PATIENCE });
-        op
+    pub fn ask_cloud(&mut self, request: CloudRequest) -> RequestId {
+        let request_id = self.request_id();
+        self.effects.push(Effect::Cloud { request_id, request, patience: CLOUD_PATIENCE });
+        request_id
     }
 
-    pub fn ask_worker(&mut self, addr: String, body: String, patience: Duration) -> OpId {
-        let op = self.op();
-        self.effects.push(Effect::Worker { op, addr, body, patience });
-        op
+    pub fn ask_worker(&mut self, addr: String, body: String, patience: Duration) -> RequestId {
+        let request_id = self.request_id();
+        self.effects.push(Effect::Worker { request_id, addr, body, patience });
+        request_id
     }
 
     /// As `ask_worker`, by way of another node. Whoever passes it on may be gone: without an answer it may
@@ -179,25 +179,25 @@
         body: String,
         patience: Duration,
         now: MonotonicTime,
-    ) -> OpId {
-        let op = self.op();
-        let call = RelayedCall { call: op.0, addr, body, patience };
+    ) -> RequestId {
+        let request_id = self.request_id();
+        let call = RelayedCall { call: request_id.0, addr, body, patience };
         self.relays.entry(via.clone()).or_default().push(call);
-        self.relayed.insert(op, now + patience + RELAY_SLACK);
-        op
+        self.relayed.insert(request_id, now + patience + RELAY_SLACK);
+        request_id
     }
 
     /// Whether this is an answer to one that is still waited for.
-    pub fn relay_answered(&mut self, op: OpId) -> bool {
-        self.relayed.remove(&op).is_some()
+    pub fn relay_answered(&mut self, request_id: RequestId) -> bool {
+        self.relayed.remove(&request_id).is_some()
     }
 
     /// Those that are not waited for any more.
-    pub fn relays_overdue(&mut self, now: MonotonicTime) -> Vec<OpId> {
-        let late = self.relayed.iter().filter(|(_, until)| **until <= now).map(|(op, _)| *op);
-        let late: Vec<OpId> = late.collect();
-        late.iter().for_each(|op| {
-            self.relayed.remove(op);
+    pub fn relays_overdue(&mut self, now: MonotonicTime) -> Vec<RequestId> {
+        let late = self.relayed.iter().filter(|(_, until)| **until <= now).map(|(request_id, _)| *request_id);
+        let late: Vec<RequestId> = late.collect();
+        late.iter().for_each(|request_id| {
+            self.relayed.remove(request_id);
         });
         late
     }
@@ -213,7 +213,7 @@
         self.effects.push(Effect::Peer { to: to.clone(), bytes });
     }
 
-    pub fn answer(&mut self, request: OpId, status: u16, body: String) {
+    pub fn answer(&mut self, request: RequestId, status: u16, body: String) {
         let retry_after_s = matches!(status, 429 | 503).then_some(1);
         self.effects.push(Effect::Answer { request, status, retry_after_s, headers: Vec::new(), body });
     }
@@ -222,7 +222,7 @@
         self.effects.push(effect);
     }
 
-    pub fn refuse(&mut self, request: OpId, status: u16, why: &str) {
+    pub fn refuse(&mut self, request: RequestId, status: u16, why: &str) {
         self.answer(request, status, users::error(why));
     }
 }
--- a/crates/scheduler/src/placement/mod.rs
+++ b/crates/scheduler/src/placement/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::jobs::Shape;
 use crate::settings::Operator;
-use crate::types::{Image, JobId, Kind, MachineId, Room, TypeName, Zone};
+use crate::types::{Image, JobId, Kind, MachineId, Resources, TypeName, Zone};
 use crate::workers::Health;
 use rand::Rng;
 use rand_distr::{Distribution, Gamma};
@@ -20,8 +20,8 @@
     pub type_name: TypeName,
     pub zone: Zone,
     pub spot: bool,
-    pub free: Room,
-    pub total: Room,
+    pub free: Resources,
+    pub total: Resources,
     pub empty: bool,
     pub health: Health,
     pub images: Vec<Image>,
@@ -39,7 +39,7 @@
     pub kind: Kind,
     pub shape: Shape,
     pub tasks: Vec<u32>,
-    pub room: Room,
+    pub resources: Resources,
     pub types: Option<Vec<TypeName>>,
     pub spot: bool,
     /// Zones it may use and how many more of its tasks each may take.
@@ -57,7 +57,7 @@
             && (self.spot || !m.spot)
             && self.types.as_ref().is_none_or(|t| t.contains(&m.type_name))
             && self.zones.iter().any(|(z, n)| *z == m.zone && *n > 0)
-            && self.room.fits_in(&m.free)
+            && self.resources.fits_in(&m.free)
     }
 }
 
@@ -225,8 +225,11 @@
 /// accordingly. Only while some partly booked machine fits too, as in the design.
 fn packing_factor(m: &MachineView, ask: &TaskAsk, factors: &Factors) -> f64 {
     let part = |free: f64, total: f64| if total > 0.0 { (free / total).clamp(0.0, 1.0) } else { 0.0 };
-    let free =
-        if ask.room.gpus > 0.0 { part(m.free.gpus, m.total.gpus) } else { part(m.free.cpus, m.total.cpus) };
+    let free = if ask.resources.gpus > 0.0 {
+        part(m.free.gpus, m.total.gpus)
+    } else {
+        part(m.free.cpus, m.total.cpus)
+    };
     factors.empty.powf(free)
 }
 
@@ -302,7 +305,7 @@
 
 fn book(machines: &mut [MachineView], i: usize, ask: &mut TaskAsk) {
     let m = &mut machines[i];
-    m.free = m.free.minus(&ask.room);
+    m.free = m.free.minus(&ask.resources);
     m.empty = false;
     if !m.images.contains(&ask.image) && !m.fetching.contains(&ask.image) {
         m.fetching.push(ask.image.clone());
--- a/crates/scheduler/src/preemption/mod.rs
+++ b/crates/scheduler/src/preemption/mod.rs
@@ -3,13 +3,13 @@
 //! Work makes way for a job of higher priority, and work beyond its own team's guarantee makes
 //! way for another team's job within its guarantee. Replicas of services never do.
 
-use crate::types::{MachineId, Room, TaskId, Zone};
+use crate::types::{MachineId, Resources, TaskId, Zone};
 
 /// A task that may be stopped, and what that loses in seconds of work.
 #[derive(Debug, Clone)]
 pub struct Victim {
     pub task: TaskId,
-    pub room: Room,
+    pub resources: Resources,
     pub loss_s: f64,
 }
 
@@ -18,7 +18,7 @@
 pub struct Candidate {
     pub machine: MachineId,
     pub zone: Zone,
-    pub free: Room,
+    pub free: Resources,
     pub victims: Vec<Victim>,
     /// What the waiting task would still wait for there.
     pub fetch_s: f64,
@@ -27,7 +27,7 @@
 /// Work that waits for room.
 #[derive(Debug, Clone)]
 pub struct Wanted<'a> {
-    pub room: &'a Room,
+    pub resources: &'a Resources,
     pub tasks: u32,
     /// All tasks at once or none.
     pub gang: bool,
@@ -51,14 +51,14 @@
 pub fn choose(candidates: Vec<Candidate>, wanted: &Wanted) -> Vec<Clearing> {
     let mut options: Vec<Choice> = Vec::new();
     for c in candidates {
-        let slots = c.free.count_of(wanted.room);
+        let slots = c.free.count_of(wanted.resources);
         if slots > 0 {
             // Work other than gangs is placed there by rounds.
             if wanted.gang {
                 let clearing = (c.machine, Vec::new());
                 options.push(Choice { cost: c.fetch_s, zone: c.zone, slots, clearing });
             }
-        } else if let Some((loss, leave)) = least_loss(&c, wanted.room) {
+        } else if let Some((loss, leave)) = least_loss(&c, wanted.resources) {
             let clearing = (c.machine, leave);
             options.push(Choice { cost: loss + c.fetch_s, zone: c.zone, slots: 1, clearing });
         }
@@ -75,9 +75,9 @@
 fn take(options: &[Choice], wanted: &Wanted, zones: &[(Zone, u32)]) -> Option<(f64, Vec<Clearing>)> {
     let (mut zones, mut left, mut cost, mut out) = (zones.to_vec(), wanted.tasks, 0.0, Vec::new());
     for o in options {
-        let Some((_, room)) = zones.iter_mut().find(|(z, n)| *z == o.zone && *n > 0) else { continue };
-        let slots = o.slots.min(*room).min(left);
-        *room -= slots;
+        let Some((_, allowed)) = zones.iter_mut().find(|(z, n)| *z == o.zone && *n > 0) else { continue };
+        let slots = o.slots.min(*allowed).min(left);
+        *allowed -= slots;
         left -= slots;
         cost += o.cost;
         out.push(o.clearing.clone());
@@ -89,7 +89,7 @@
 }
 
 /// Who leaves the machine so that `need` fits, and what that loses.
-fn least_loss(c: &Candidate, need: &Room) -> Option<(f64, Vec<TaskId>)> {
+fn least_loss(c: &Candidate, need: &Resources) -> Option<(f64, Vec<TaskId>)> {
     let mut victims: Vec<&Victim> = c.victims.iter().collect();
     victims.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
     let (mut free, mut cost, mut leave) = (c.free, 0.0, Vec::new());
@@ -97,7 +97,7 @@
         if need.fits_in(&free) {
             break;
         }
-        free = free.plus(&v.room);
+        free = free.plus(&v.resources);
         cost += v.loss_s;
         leave.push(v);
     }
@@ -107,7 +107,7 @@
     // Some taken first may prove unnecessary once larger ones are in.
     let mut i = 0;
     while i < leave.len() {
-        let without = free.minus(&leave[i].room);
+        let without = free.minus(&leave[i].resources);
         if need.fits_in(&without) {
             free = without;
             cost -= leave[i].loss_s;
--- a/crates/scheduler/src/preemption/tests.rs
+++ b/crates/scheduler/src/preemption/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 fn candidate(id: &str, free: f64, victims: &[(f64, f64)], fetch_s: f64) -> Candidate {
-    let room = |gpus| Room { cpus: 0.0, gpus, memory_gb: 0.0 };
+    let resources = |gpus| Resources { cpus: 0.0, gpus, memory_gb: 0.0 };
     Candidate {
         machine: id.into(),
         zone: if id < "c" { "x".into() } else { "y".into() },
-        free: room(free),
+        free: resources(free),
         victims: victims
             .iter()
             .enumerate()
             .map(|(i, (gpus, loss_s))| Victim {
                 task: TaskId { job: id.into(), index: i as u32 },
-                room: room(*gpus),
+                resources: resources(*gpus),
                 loss_s: *loss_s,
             })
             .collect(),
@@ -21,7 +21,7 @@
 
 #[test]
 fn the_least_loss_is_chosen_and_nobody_leaves_in_vain() {
-    let need = Room { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
+    let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
     let all = vec![
         candidate("a", 0.0, &[(1.0, 9.0), (1.0, 9.0)], 0.0),
         candidate("b", 0.0, &[(1.0, 1.0), (2.0, 5.0)], 0.0),
@@ -29,7 +29,7 @@
         candidate("d", 0.0, &[(1.0, 0.1)], 0.0),
     ];
     let zones = [("x".into(), 9), ("y".into(), 9)];
-    let wanted = |tasks, gang, together| Wanted { room: &need, tasks, gang, together, zones: &zones };
+    let wanted = |tasks, gang, together| Wanted { resources: &need, tasks, gang, together, zones: &zones };
     let one = choose(all.clone(), &wanted(1, false, false));
     assert_eq!((one.len(), one[0].0.as_str(), one[0].1.len(), one[0].1[0].index), (1, "b", 1, 1));
     assert_eq!(choose(all.clone(), &wanted(9, false, false)).len(), 3, "as many as there are");
@@ -42,10 +42,10 @@
 /// Only gangs of one task ever had room made for them.
 #[test]
 fn a_gang_counts_room_that_is_there_already() {
-    let need = Room { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
+    let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
     let all = vec![candidate("a", 2.0, &[], 0.0), candidate("b", 0.0, &[(2.0, 3.0)], 0.0)];
     let zones = [("x".into(), 9)];
-    let wanted = Wanted { room: &need, tasks: 2, gang: true, together: true, zones: &zones };
+    let wanted = Wanted { resources: &need, tasks: 2, gang: true, together: true, zones: &zones };
     let got = choose(all, &wanted);
     assert_eq!(got.iter().map(|(m, t)| (m.as_str(), t.len())).collect::<Vec<_>>(), [("a", 0), ("b", 1)]);
 }
--- a/crates/scheduler/src/wire/cloud.rs
+++ b/crates/scheduler/src/wire/cloud.rs
@@ -1,6 +1,6 @@
 //! Controller nodes -> cloud.
 
-use crate::types::{Duration, MachineId, Room, TypeName, Zone};
+use crate::types::{Duration, MachineId, Resources, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
@@ -27,8 +27,8 @@
 }
 
 impl MachineType {
-    pub fn room(&self) -> Room {
-        Room { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
+    pub fn resources(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
     pub fn boot(&self) -> Duration {
         Duration::from_secs_f64(self.boot_s)
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -1,7 +1,7 @@
 //! Users -> controller nodes.
 
 use crate::jobs::{JobSpec, Phase, Priority, Shape};
-use crate::types::{Duration, JobId, Room};
+use crate::types::{Duration, JobId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -141,7 +141,7 @@
             WireUrgency::Idle => Priority::Low,
         },
         tasks: s.shards as u32,
-        room: Room {
+        resources: Resources {
             cpus: amount("vcpus", s.vcpus, 0.0)?,
             gpus: amount("accelerators", s.accelerators, 0.0)?,
             memory_gb: amount("memory_gb", s.memory_gb, 0.0)?,
@@ -180,9 +180,9 @@
             Priority::Low => WireUrgency::Idle,
         },
         shards: u64::from(spec.tasks),
-        vcpus: spec.room.cpus,
-        accelerators: spec.room.gpus,
-        memory_gb: spec.room.memory_gb,
+        vcpus: spec.resources.cpus,
+        accelerators: spec.resources.gpus,
+        memory_gb: spec.resources.memory_gb,
         bundle: spec.image.to_string(),
         image_gb: spec.image_gb,
         flavors: spec.types.as_ref().map(|types| types.iter().map(ToString::to_string).collect()),
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -2,8 +2,8 @@
 
 use crate::ledger::{Entry, EntryState, MachineRecord, Stop};
 use crate::types::{
-    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Room, Session, TaskId, TeamName,
-    TypeName, Zone,
+    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, Session, TaskId,
+    TeamName, TypeName, Zone,
 };
 use crate::wire::workers::{Order, Report, ReportedTask, TaskPhase};
 pub use pearford_recovery::Outcome;
@@ -55,7 +55,7 @@
     pub type_name: TypeName,
     pub zone: Zone,
     pub spot: bool,
-    pub total: Room,
+    pub total: Resources,
     pub standing: Standing,
     pub rented_at: MonotonicTime,
     pub last_report: Option<MonotonicTime>,
@@ -71,9 +71,9 @@
     pub entries: BTreeMap<TaskId, Entry>,
     /// What the entries leave free, whether none counts, and what each team takes here: kept by
     /// `recount`, since rounds ask far more often than entries change.
-    free: Room,
+    free: Resources,
     empty: bool,
-    tally: Vec<(TeamName, Room)>,
+    tally: Vec<(TeamName, Resources)>,
     /// What the entries take in the machine's record.
     entry_bytes: usize,
     /// Tasks reported that the ledger doesn't know: stopped, and until then nothing starts here.
@@ -136,7 +136,7 @@
         type_name: TypeName,
         zone: Zone,
         spot: bool,
-        total: Room,
+        total: Resources,
         now: MonotonicTime,
     ) -> Self {
         Self {
@@ -186,13 +186,13 @@
             entries: self
                 .entries
                 .iter()
-                .map(|(t, e)| (t.clone(), e.attempt, e.team.clone(), e.room))
+                .map(|(t, e)| (t.clone(), e.attempt, e.team.clone(), e.resources))
                 .collect(),
             images: self.images.clone(),
         }
     }
 
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.free
     }
 
@@ -202,26 +202,26 @@
 
     /// Brings the kept sums in line with the entries, and `used`, what teams take on all
     /// machines. To be called after every change of them.
-    pub fn recount(&mut self, used: &mut BTreeMap<TeamName, Room>, now: MonotonicTime) {
-        for (team, room) in std::mem::take(&mut self.tally) {
+    pub fn recount(&mut self, used: &mut BTreeMap<TeamName, Resources>, now: MonotonicTime) {
+        for (team, resources) in std::mem::take(&mut self.tally) {
             if let Some(sum) = used.get_mut(&team) {
-                *sum = sum.minus(&room);
+                *sum = sum.minus(&resources);
             }
         }
         self.free = self.total;
         self.entry_bytes = self.entries.values().map(|e| e.bytes).sum();
         for e in self.entries.values().filter(|e| e.counts()) {
-            self.free = self.free.minus(&e.room);
+            self.free = self.free.minus(&e.resources);
             match self.tally.iter_mut().find(|(team, _)| *team == e.team) {
-                Some((_, sum)) => *sum = sum.plus(&e.room),
-                None => self.tally.push((e.team.clone(), e.room)),
+                Some((_, sum)) => *sum = sum.plus(&e.resources),
+                None => self.tally.push((e.team.clone(), e.resources)),
             }
         }
-        for (team, room) in &self.tally {
+        for (team, resources) in &self.tally {
             match used.get_mut(team) {
-                Some(sum) => *sum = sum.plus(room),
+                Some(sum) => *sum = sum.plus(resources),
                 None => {
-                    used.insert(team.clone(), *room);
+                    used.insert(team.clone(), *resources);
                 }
             }
         }
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 
 fn machine_with(state: EntryState) -> (Machine, TaskId) {
-    let room = Room { cpus: 4.0, gpus: 1.0, memory_gb: 4.0 };
-    let mut m = Machine::new("m-1".into(), "t".into(), "z".into(), false, room, MonotonicTime::default());
+    let resources = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 4.0 };
+    let mut m =
+        Machine::new("m-1".into(), "t".into(), "z".into(), false, resources, MonotonicTime::default());
     let task = TaskId::parse("req-1/0").expect("valid");
-    let entry = Entry::new(&task, Attempt(7), "red".into(), room, state, MonotonicTime::default());
+    let entry = Entry::new(&task, Attempt(7), "red".into(), resources, state, MonotonicTime::default());
     m.entries.insert(task.clone(), entry);
     (m, task)
 }
--- a/crates/scheduler/src/world/cloud.rs
+++ b/crates/scheduler/src/world/cloud.rs
@@ -1,7 +1,7 @@
 //! A stand-in of the cloud.
 
 use super::{Event, Host, Input, World};
-use crate::types::{MachineId, OpId};
+use crate::types::{MachineId, RequestId};
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -49,9 +49,13 @@
 }
 
 impl World {
-    pub fn cloud_request(&mut self, from: usize, life: u64, op: OpId, request: CloudRequest) {
+    pub fn cloud_request(&mut self, from: usize, life: u64, request_id: RequestId, request: CloudRequest) {
         let reply = if self.cloud.outage { CloudReply::Refused } else { self.cloud_answer(request) };
-        self.send(Host::Cloud, Host::Node(from), Event::Input(from, life, Input::Cloud { op, reply }));
+        self.send(
+            Host::Cloud,
+            Host::Node(from),
+            Event::Input(from, life, Input::Cloud { request_id, reply }),
+        );
     }
 
     fn cloud_answer(&mut self, request: CloudRequest) -> CloudReply {
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -20,7 +20,7 @@
 use crate::feature::{Call, Feature};
 use crate::node::{Core, Effect, Input, Method, Now};
 use crate::settings::{Settings, parse};
-use crate::types::{Duration, MonotonicTime, OpId, WallTime};
+use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::StateRequest;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -56,7 +56,7 @@
     State {
         from: usize,
         life: u64,
-        op: OpId,
+        request_id: RequestId,
         request: crate::wire::state::StateRequest,
     },
     /// The state service's answer to a node is ready at last.
@@ -67,20 +67,20 @@
     Cloud {
         from: usize,
         life: u64,
-        op: OpId,
+        request_id: RequestId,
         request: crate::wire::cloud::CloudRequest,
     },
     Direct {
         from: usize,
         life: u64,
-        op: OpId,
+        request_id: RequestId,
         addr: String,
         body: String,
     },
     Timeout {
         node: usize,
         life: u64,
-        op: OpId,
+        request_id: RequestId,
         kind: Kind,
     },
     Restart(usize),
@@ -246,9 +246,9 @@
 pub struct Node {
     pub core: Option<Core>,
     pub life: u64,
-    askers: BTreeMap<OpId, Asker>,
+    askers: BTreeMap<RequestId, Asker>,
     next_request: u64,
-    open_ops: BTreeSet<OpId>,
+    open_requests: BTreeSet<RequestId>,
 }
 
 /// A user with one job.
@@ -403,7 +403,7 @@
                 life: 0,
                 askers: BTreeMap::new(),
                 next_request: 0,
-                open_ops: BTreeSet::new(),
+                open_requests: BTreeSet::new(),
             };
             w.nodes.push(empty);
             let at = w.rng_ms(1, 300);
@@ -492,32 +492,44 @@
                 if self.nodes[i].core.is_none() || self.nodes[i].life != life {
                     return;
                 }
-                let op = match &input {
-                    Input::State { op, .. } | Input::Cloud { op, .. } | Input::Worker { op, .. } => Some(*op),
+                let request_id = match &input {
+                    Input::State { request_id, .. }
+                    | Input::Cloud { request_id, .. }
+                    | Input::Worker { request_id, .. } => Some(*request_id),
                     _ => None,
                 };
                 // An answer after the caller gave up reaches nobody.
-                if op.is_none_or(|op| self.nodes[i].open_ops.remove(&op)) {
+                if request_id.is_none_or(|request_id| self.nodes[i].open_requests.remove(&request_id)) {
                     self.step(i, input);
                 }
             }
-            Event::Timeout { node, life, op, kind } => {
+            Event::Timeout { node, life, request_id, kind } => {
                 let n = &mut self.nodes[node];
-                if n.life == life && n.open_ops.remove(&op) {
+                if n.life == life && n.open_requests.remove(&request_id) {
                     let input = match kind {
-                        Kind::State => Input::State { op, reply: crate::wire::state::StateReply::Unknown },
-                        Kind::Cloud => Input::Cloud { op, reply: crate::wire::cloud::CloudReply::Unknown },
-                        Kind::Worker => Input::Worker { op, status: 0, body: Vec::new() },
+                        Kind::State => {
+                            Input::State { request_id, reply: crate::wire::state::StateReply::Unknown }
+                        }
+                        Kind::Cloud => {
+                            Input::Cloud { request_id, reply: crate::wire::cloud::CloudReply::Unknown }
+                        }
+                        Kind::Worker => Input::Worker { request_id, status: 0, body: Vec::new() },
                     };
                     self.step(node, input);
                 }
             }
-            Event::State { from, life, op, request } => self.state_request(from, life, op, request),
+            Event::State { from, life, request_id, request } => {
+                self.state_request(from, life, request_id, request)
+            }
             Event::Slow(node, event) => self.send(Host::State, Host::Node(node), *event),
             Event::LateWrite(request) => self.late_write(request),
             Event::WatchEnds(id) => self.watch_ends(id),
-            Event::Cloud { from, life, op, request } => self.cloud_request(from, life, op, request),
-            Event::Direct { from, life, op, addr, body } => self.direct(from, life, op, &addr, &body),
+            Event::Cloud { from, life, request_id, request } => {
+                self.cloud_request(from, life, request_id, request)
+            }
+            Event::Direct { from, life, request_id, addr, body } => {
+                self.direct(from, life, request_id, &addr, &body)
+            }
             Event::Restart(i) => {
                 let seed = self.rng.random();
                 let node = &mut self.nodes[i];
@@ -531,7 +543,7 @@
                 }
                 node.core = Some(core);
                 node.askers.clear();
-                node.open_ops.clear();
+                node.open_requests.clear();
                 let life = node.life;
                 self.after(1, Event::Tick(i, life));
             }
@@ -612,8 +624,8 @@
 
     fn effect(&mut self, i: usize, life: u64, effect: Effect) {
         let host = Host::Node(i);
-        let opens = |node: &mut Node, op: OpId| {
-            node.open_ops.insert(op);
+        let opens = |node: &mut Node, request_id: RequestId| {
+            node.open_requests.insert(request_id);
         };
         match effect {
             Effect::Answer { request, status, retry_after_s, headers, body } => {
@@ -647,29 +659,29 @@
                 self.again(|| event(envelope.clone()));
                 self.send(host, Host::Node(j), event(envelope));
             }
-            Effect::State { op, request, patience } => {
-                opens(&mut self.nodes[i], op);
-                self.after(patience.0, Event::Timeout { node: i, life, op, kind: Kind::State });
+            Effect::State { request_id, request, patience } => {
+                opens(&mut self.nodes[i], request_id);
+                self.after(patience.0, Event::Timeout { node: i, life, request_id, kind: Kind::State });
                 let aside = self.is_aside(&request);
-                let event = |request| Event::State { from: i, life, op, request };
+                let event = |request| Event::State { from: i, life, request_id, request };
                 if !matches!(request, StateRequest::Watch { .. }) {
                     self.again(|| event(request.clone()));
                 }
                 self.send_aside(host, Host::State, event(request), aside);
             }
-            Effect::Cloud { op, request, patience } => {
-                opens(&mut self.nodes[i], op);
-                self.after(patience.0, Event::Timeout { node: i, life, op, kind: Kind::Cloud });
-                let event = |request| Event::Cloud { from: i, life, op, request };
+            Effect::Cloud { request_id, request, patience } => {
+                opens(&mut self.nodes[i], request_id);
+                self.after(patience.0, Event::Timeout { node: i, life, request_id, kind: Kind::Cloud });
+                let event = |request| Event::Cloud { from: i, life, request_id, request };
                 self.again(|| event(request.clone()));
                 self.send(host, Host::Cloud, event(request));
             }
-            Effect::Worker { op, addr, body, patience } => {
+            Effect::Worker { request_id, addr, body, patience } => {
                 self.check_orders(i, &body);
-                opens(&mut self.nodes[i], op);
-                self.after(patience.0, Event::Timeout { node: i, life, op, kind: Kind::Worker });
+                opens(&mut self.nodes[i], request_id);
+                self.after(patience.0, Event::Timeout { node: i, life, request_id, kind: Kind::Worker });
                 if let Some(m) = self.workers.iter().position(|w| w.addr == addr) {
-                    let event = |addr, body| Event::Direct { from: i, life, op, addr, body };
+                    let event = |addr, body| Event::Direct { from: i, life, request_id, addr, body };
                     self.again(|| event(addr.clone(), body.clone()));
                     self.send(host, Host::Machine(m), event(addr, body));
                 }
@@ -699,13 +711,13 @@
         self.hand(i, asker, from, input)
     }
 
-    fn hand(&mut self, i: usize, asker: Asker, from: Host, input: impl FnOnce(OpId) -> Input) -> bool {
+    fn hand(&mut self, i: usize, asker: Asker, from: Host, input: impl FnOnce(RequestId) -> Input) -> bool {
         if self.nodes[i].core.is_none() || self.is_cut(from, Host::Node(i)) == Some(false) {
             return false;
         }
         let node = &mut self.nodes[i];
         node.next_request += 1;
-        let request = OpId(node.next_request);
+        let request = RequestId(node.next_request);
         node.askers.insert(request, asker);
         let life = node.life;
         self.send(from, Host::Node(i), Event::Input(i, life, input(request)));
--- a/crates/scheduler/src/world/state.rs
+++ b/crates/scheduler/src/world/state.rs
@@ -3,7 +3,7 @@
 use super::{Event, Host, Input, World};
 use crate::jobs::{self, Record};
 use crate::store::Limits;
-use crate::types::{LeaseId, OpId, Revision};
+use crate::types::{LeaseId, RequestId, Revision};
 use crate::wire::state::{Change, Event as News, Pair, StateReply, StateRequest};
 use crate::wire::users;
 use rand::RngExt;
@@ -19,7 +19,7 @@
 struct Open {
     from: usize,
     life: u64,
-    op: OpId,
+    request_id: RequestId,
     prefix: &'static str,
     since: u64,
 }
@@ -205,8 +205,8 @@
 }
 
 impl World {
-    fn reply(&mut self, node: usize, life: u64, op: OpId, reply: StateReply, aside: bool) {
-        let input = Event::Input(node, life, Input::State { op, reply });
+    fn reply(&mut self, node: usize, life: u64, request_id: RequestId, reply: StateReply, aside: bool) {
+        let input = Event::Input(node, life, Input::State { request_id, reply });
         if self.state_slow > 0 {
             let ms = self.rng_ms(0, self.state_slow);
             return self.after(ms, Event::Slow(node, Box::new(input)));
@@ -224,12 +224,12 @@
         self.feature_prefix.as_ref().is_some_and(|own| own == prefix)
     }
 
-    pub fn state_request(&mut self, from: usize, life: u64, op: OpId, request: StateRequest) {
+    pub fn state_request(&mut self, from: usize, life: u64, request_id: RequestId, request: StateRequest) {
         let now = self.now;
         let aside = self.is_aside(&request);
         self.state.expire(now);
         if self.state.away || self.state.refused.contains(&from) {
-            return self.reply(from, life, op, StateReply::Refused, aside);
+            return self.reply(from, life, request_id, StateReply::Refused, aside);
         }
         if let StateRequest::Watch { prefix, from: since, block_ms } = &request
             && *block_ms > 0
@@ -237,7 +237,7 @@
         {
             self.state.next += 1;
             let id = self.state.next;
-            self.state.watches.insert(id, Open { from, life, op, prefix, since: *since });
+            self.state.watches.insert(id, Open { from, life, request_id, prefix, since: *since });
             return self.after(*block_ms, Event::WatchEnds(id));
         }
         if self.late_writes > 0.0
@@ -254,7 +254,7 @@
         if lost {
             *self.met.entry("only the answer lost").or_default() += 1;
         } else {
-            self.reply(from, life, op, answer, aside);
+            self.reply(from, life, request_id, answer, aside);
         }
         self.changed();
     }
@@ -310,7 +310,7 @@
             let events = self.state.since(w.prefix, w.since);
             let store_revision = self.state.store_revision;
             let aside = self.feature_prefix.as_ref().is_some_and(|own| *own == w.prefix);
-            self.reply(w.from, w.life, w.op, StateReply::Events { store_revision, events }, aside);
+            self.reply(w.from, w.life, w.request_id, StateReply::Events { store_revision, events }, aside);
         }
     }
 }
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/world/tests.rs
@@ -7,7 +7,7 @@
 use super::{Event, Fault, Host, NODES, Stage, Submits, World, job};
 use crate::jobs::graph::Guard;
 use crate::node::{Core, Effect, Input, Method, Now};
-use crate::types::{Duration, MonotonicTime, OpId, WallTime};
+use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::{StateReply, StateRequest};
 use rand::RngExt;
 
@@ -165,7 +165,7 @@
                 took: Duration::from_millis(0),
             };
             let ask = Input::Http {
-                request: OpId(u64::from(u32::MAX)),
+                request: RequestId(u64::from(u32::MAX)),
                 method: Method::Get,
                 path: "/up".into(),
                 body: Vec::new(),
@@ -330,16 +330,20 @@
             took: Duration::from_millis(0),
         };
         let path = format!("/submissions/req-{}", 900_000 + ms);
-        let ask = Input::Http { request: OpId(1_000_000 + ms), method: Method::Get, path, body: Vec::new() };
+        let ask =
+            Input::Http { request: RequestId(1_000_000 + ms), method: Method::Get, path, body: Vec::new() };
         let mut inputs = vec![ask];
         while let Some(input) = inputs.pop() {
             for effect in core.step(now, input) {
-                if let Effect::State { op, request: StateRequest::Watch { from, block_ms: 0, .. }, .. } =
-                    effect
+                if let Effect::State {
+                    request_id,
+                    request: StateRequest::Watch { from, block_ms: 0, .. },
+                    ..
+                } = effect
                 {
                     reads += 1;
                     let reply = StateReply::Events { store_revision: from, events: Vec::new() };
-                    inputs.push(Input::State { op, reply });
+                    inputs.push(Input::State { request_id, reply });
                 }
             }
         }
--- a/crates/scheduler/src/world/waiting.rs
+++ b/crates/scheduler/src/world/waiting.rs
@@ -63,7 +63,7 @@
         let used: f64 = self
             .workers
             .iter()
-            .map(|w| w.on_room(|j| self.rules.body(j).filter(|b| b["owner"] == body["owner"])).1)
+            .map(|w| w.on_resources(|j| self.rules.body(j).filter(|b| b["owner"] == body["owner"])).1)
             .sum();
         if used + gpus * wanted as f64 > self.rules.limit(body["owner"].as_str().unwrap_or_default()) {
             return false;
@@ -74,7 +74,8 @@
                 body["flavors"].as_array().is_none_or(|f| f.iter().any(|f| f == w.type_name.as_str()))
                     && body["region"].as_str().is_none_or(|z| z == w.zone)
                     && (!w.spot || body["preemptible"] == true);
-            let ((all_cpus, all_gpus), (on_cpus, on_gpus)) = (w.room(), w.on_room(|j| self.rules.body(j)));
+            let ((all_cpus, all_gpus), (on_cpus, on_gpus)) =
+                (w.resources(), w.on_resources(|j| self.rules.body(j)));
             let slots =
                 |free: f64, each: f64| if each > 0.0 { (free / each + 1e-9) as u64 } else { u64::MAX };
             let slots = slots(all_cpus - on_cpus, cpus).min(slots(all_gpus - on_gpus, gpus));
--- a/crates/scheduler/src/world/workers.rs
+++ b/crates/scheduler/src/world/workers.rs
@@ -1,7 +1,7 @@
 //! A stand-in of the workers, written from the protocol alone: it reads and writes JSON.
 
 use super::{Asker, Event, Host, Input, Method, World};
-use crate::types::{MachineId, OpId};
+use crate::types::{MachineId, RequestId};
 use crate::wire::cloud::ListedMachine;
 use rand::RngExt;
 use serde_json::{Value, json};
@@ -71,7 +71,7 @@
 
 impl Worker {
     /// Its processors and accelerators.
-    pub fn room(&self) -> (f64, f64) {
+    pub fn resources(&self) -> (f64, f64) {
         match self.type_name.as_str() {
             "small" => (8.0, 2.0),
             _ => (16.0, 4.0),
@@ -79,7 +79,7 @@
     }
 
     /// What its tasks take, those that are still to fetch too: processors and accelerators.
-    pub fn on_room(&self, body: impl Fn(&str) -> Option<Value>) -> (f64, f64) {
+    pub fn on_resources(&self, body: impl Fn(&str) -> Option<Value>) -> (f64, f64) {
         self.tasks.iter().filter(|t| !matches!(t.state, State::Exited { .. })).fold(
             (0.0, 0.0),
             |(c, g), t| {
@@ -326,7 +326,7 @@
         self.obey(m, &value["orders"]);
     }
 
-    pub fn direct(&mut self, from: usize, life: u64, op: OpId, addr: &str, body: &str) {
+    pub fn direct(&mut self, from: usize, life: u64, request_id: RequestId, addr: &str, body: &str) {
         let Some(m) = self.workers.iter().position(|w| w.addr == addr && w.up) else { return };
         if self.workers[m].deaf_until > self.now {
             return;
@@ -334,7 +334,7 @@
         if self.workers[m].hung_until > self.now {
             let later = self.workers[m].hung_until;
             let (addr, body) = (addr.to_string(), body.to_string());
-            return self.at(later, Event::Direct { from, life, op, addr, body });
+            return self.at(later, Event::Direct { from, life, request_id, addr, body });
         }
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let w = &mut self.workers[m];
@@ -351,7 +351,7 @@
             self.obey(m, &value["orders"]);
         }
         let body = self.workers[m].report(self.now).to_string().into_bytes();
-        let input = Input::Worker { op, status: if ok { 200 } else { 409 }, body };
+        let input = Input::Worker { request_id, status: if ok { 200 } else { 409 }, body };
         self.send(Host::Machine(m), Host::Node(from), Event::Input(from, life, input));
     }
 
@@ -388,8 +388,8 @@
     fn start(&mut self, m: usize, name: String, attempt: u64) {
         let now = self.now;
         let job = name.split('/').next().unwrap_or_default().to_string();
-        let room = self.workers[m].room();
-        let (cpus, gpus) = self.workers[m].on_room(|j| self.rules.body(j));
+        let resources = self.workers[m].resources();
+        let (cpus, gpus) = self.workers[m].on_resources(|j| self.rules.body(j));
         let body = self.rules.body(&job);
         let refuse = match &body {
             None => Some("unknown"),
@@ -402,8 +402,8 @@
                 Some("busy")
             }
             Some(b) => {
-                let over = cpus + b["vcpus"].as_f64().unwrap_or(0.0) > room.0
-                    || gpus + b["accelerators"].as_f64().unwrap_or(0.0) > room.1;
+                let over = cpus + b["vcpus"].as_f64().unwrap_or(0.0) > resources.0
+                    || gpus + b["accelerators"].as_f64().unwrap_or(0.0) > resources.1;
                 over.then_some("no_room")
             }
         };
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -104,7 +104,7 @@
 );
 number_type!(
     /// Correlates an effect with the input that answers it.
-    OpId
+    RequestId
 );
 number_type!(
     /// Wall-clock time in milliseconds since 1970.
@@ -188,7 +188,7 @@
 
 /// What a task takes of its machine, or what a machine has.
 #[derive(Clone, Copy, PartialEq, Debug, Default, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -197,23 +197,31 @@
 /// Sums of decimals such as 0.1 must not make a full machine look a hair too small.
 const EPSILON: f64 = 1e-6;
 
-impl Room {
-    pub fn fits_in(&self, other: &Room) -> bool {
+impl Resources {
+    pub fn fits_in(&self, other: &Resources) -> bool {
         self.cpus <= other.cpus + EPSILON
             && self.gpus <= other.gpus + EPSILON
             && self.memory_gb <= other.memory_gb + EPSILON
     }
-    pub fn plus(&self, o: &Room) -> Room {
-        Room { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory_gb: self.memory_gb + o.memory_gb }
+    pub fn plus(&self, o: &Resources) -> Resources {
+        Resources {
+            cpus: self.cpus + o.cpus,
+            gpus: self.gpus + o.gpus,
+            memory_gb: self.memory_gb + o.memory_gb,
+        }
     }
-    pub fn minus(&self, o: &Room) -> Room {
-        Room { cpus: self.cpus - o.cpus, gpus: self.gpus - o.gpus, memory_gb: self.memory_gb - o.memory_gb }
+    pub fn minus(&self, o: &Resources) -> Resources {
+        Resources {
+            cpus: self.cpus - o.cpus,
+            gpus: self.gpus - o.gpus,
+            memory_gb: self.memory_gb - o.memory_gb,
+        }
     }
-    pub fn times(&self, n: f64) -> Room {
-        Room { cpus: self.cpus * n, gpus: self.gpus * n, memory_gb: self.memory_gb * n }
+    pub fn times(&self, n: f64) -> Resources {
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory_gb: self.memory_gb * n }
     }
     /// How many of `each` fit side by side.
-    pub fn count_of(&self, each: &Room) -> u32 {
+    pub fn count_of(&self, each: &Resources) -> u32 {
         let per = |have: f64, need: f64| if need > 0.0 { ((have + EPSILON) / need) as u32 } else { u32::MAX };
         per(self.cpus, each.cpus)
             .min(per(self.gpus, each.gpus))
