--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/compat/mod.rs
@@ -6,7 +6,7 @@
 //! that doesn't show up holds the mark back until it does, or until the settings drop it.
 //! `docs/design.md` ("Upgrades") has the argument.
 
-use crate::leader;
+use crate::election;
 use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, Revision};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
 use serde::{Deserialize, Serialize};
@@ -108,7 +108,7 @@
             }
             Some(fencing_token) if all > self.reached => {
                 let conditions = vec![
-                    (leader::KEY.into(), Revision(fencing_token.0)),
+                    (election::LEADER_KEY.into(), Revision(fencing_token.0)),
                     (MARK.to_string(), self.mark_revision),
                 ];
                 let put = Change::Put { key: MARK.into(), value: all.to_string(), lease: None };
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -5,11 +5,11 @@
 
 pub mod blocks;
 pub mod compat;
+pub mod election;
 pub mod feature;
 pub mod fleet;
 pub mod gangs;
 pub mod jobs;
-pub mod leader;
 pub mod ledger;
 pub mod node;
 pub mod placement;
--- a/crates/scheduler/src/node/core/features.rs
+++ b/crates/scheduler/src/node/core/features.rs
@@ -1,9 +1,9 @@
 //! Features in their slots: what happens is handed to them, and what they want is done.
 
 use super::{Core, read_pause};
+use crate::election;
 use crate::feature::{Action, Call, Feature, Input, MachinePage, Machines, Outcome, Records, Share, View};
 use crate::jobs;
-use crate::leader;
 use crate::ledger;
 use crate::node::Effect;
 use crate::node::follower::Follower;
@@ -157,7 +157,7 @@
 
     fn step_feature(&mut self, slot: usize, input: Input<'_>) -> Vec<Action> {
         let Some(mut feature) = self.features[slot].feature.take() else { return Vec::new() };
-        let fencing_token = self.seat.valid(self.now).then(|| self.seat.fencing_token());
+        let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
         let (master, standings) = (&self.master, &self.standings);
         let view = View {
             now: self.now,
@@ -243,8 +243,8 @@
         let paid = match share {
             Share::Users => self.user_writes.take(changes.len() as f64, self.now),
             Share::Upkeep => {
-                let valid = self.seat.valid(self.now);
-                conditions.push((leader::KEY.into(), Revision(self.seat.fencing_token().0)));
+                let valid = self.election.valid(self.now);
+                conditions.push((election::LEADER_KEY.into(), Revision(self.election.fencing_token().0)));
                 let now = self.now;
                 valid && self.master.as_mut().is_some_and(|m| m.spare_writes(changes.len(), now))
             }
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -13,8 +13,8 @@
 use super::{Effect, Input, Method, Now};
 use crate::blocks::{Envelope, PeerMessage};
 use crate::compat::Levels;
+use crate::election::{self, Election, ElectionChange};
 use crate::jobs::{self, Desk, Mirror, Served};
-use crate::leader::{self, Seat, Turn};
 use crate::placement::{self, COUNTS_PREFIX, Counts, Factors};
 use crate::settings::Settings;
 use crate::store::Budget;
@@ -35,10 +35,10 @@
 const COUNTS_PAGE: u32 = 500;
 /// How long the seat's requests may take: an answer later than that is of no use to it. While nobody leads there is
 /// nothing to hurry for but an answer: asked anew each second, a slow state service gave no leader for 20 s.
-const SEAT_PATIENCE: Duration = Duration::from_millis(1000);
-const CAMPAIGN_PATIENCE: Duration = Duration::from_millis(2500);
+const LEADER_REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
+const CAMPAIGN_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long a leader that gave the lead back leaves it to others.
-const SHUN: Duration = Duration::from_millis(20_000);
+const RESIGN_BACK_OFF: Duration = Duration::from_millis(20_000);
 
 pub struct Core {
     settings: Arc<Settings>,
@@ -49,7 +49,7 @@
     mirror: Mirror,
     follower: Follower,
     desk: Desk,
-    seat: Seat,
+    election: Election,
     state_ok_at: MonotonicTime,
     peers: Peers,
     next_ping: MonotonicTime,
@@ -84,7 +84,7 @@
 impl Core {
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let o = &settings.operator;
-        let seat = Seat::new(
+        let election = Election::new(
             settings.node.clone(),
             Duration::from_millis(o.leader_grant_ms),
             Duration::from_millis(o.leader_renew_ms),
@@ -102,7 +102,7 @@
             mirror: Mirror::default(),
             follower: Follower::new(Whose::Jobs, jobs::PREFIX, read_pause(&settings)),
             desk: Desk::default(),
-            seat,
+            election,
             state_ok_at: MonotonicTime::default(),
             peers: Peers::new(&settings.peers),
             next_ping: MonotonicTime::default(),
@@ -172,7 +172,7 @@
         } else {
             self.pump();
         }
-        let fencing_token = self.seat.fencing_token();
+        let fencing_token = self.election.fencing_token();
         self.out.take(fencing_token)
     }
 
@@ -181,8 +181,8 @@
         let master = self.master.as_mut()?;
         let ctx = Ctx {
             now: self.now,
-            valid: self.seat.valid(self.now),
-            holds: self.seat.leads(),
+            valid: self.election.valid(self.now),
+            holds: self.election.leads(),
             fresh_at: self.follower.fresh_at(),
             renewal: &self.renewal,
             homes: homes_on(&self.settings, self.levels.reached()),
@@ -224,8 +224,10 @@
                 && now.since(*at) < Duration::from_millis(2000)
         });
         let jitter = Duration::from_millis(self.rng.random_range(0..300));
-        if let Some(request) = self.seat.tick(now, quiet || self.mirror.store_revision().is_none(), jitter) {
-            self.seat_sends(request);
+        if let Some(request) =
+            self.election.tick(now, quiet || self.mirror.store_revision().is_none(), jitter)
+        {
+            self.send_election_request(request);
         }
         self.catalogue.tick(now, &mut self.out);
         if !self.counts_loaded && !self.out.waits_for(|p| matches!(p, Pending::Counts)) {
@@ -244,16 +246,16 @@
         if self.old {
             return;
         }
-        let fencing_token = self.seat.valid(self.now).then(|| self.seat.fencing_token());
+        let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
         if let Some(request) = self.levels.tick(self.now, fencing_token) {
             self.out.ask_state(request, Pending::Levels);
         }
     }
 
-    fn seat_sends(&mut self, request: StateRequest) {
-        let patience = if self.seat.leads() { SEAT_PATIENCE } else { CAMPAIGN_PATIENCE };
+    fn send_election_request(&mut self, request: StateRequest) {
+        let patience = if self.election.leads() { LEADER_REQUEST_TIMEOUT } else { CAMPAIGN_REQUEST_TIMEOUT };
         let request_id = self.out.ask_state_for(request, patience);
-        self.seat.sent(request_id);
+        self.election.sent(request_id);
     }
 
     /// Work that any input may have made possible.
@@ -319,15 +321,15 @@
         if answered && !self.out.is_aside(request_id) {
             self.state_ok_at = self.now;
         }
-        if self.seat.owns(request_id) {
-            let (turn, next) = self.seat.reply(self.now, reply);
+        if self.election.owns(request_id) {
+            let (turn, next) = self.election.reply(self.now, reply);
             if let Some(request) = next {
-                self.seat_sends(request);
+                self.send_election_request(request);
             }
             match turn {
-                Turn::Won(fencing_token) => self.take_over(fencing_token),
-                Turn::Lost => self.step_down("the grant has ended"),
-                Turn::Nothing => {}
+                ElectionChange::Won(fencing_token) => self.take_over(fencing_token),
+                ElectionChange::Lost => self.step_down("the grant has ended"),
+                ElectionChange::Unchanged => {}
             }
             return;
         }
@@ -421,17 +423,17 @@
         match leave {
             None => {}
             Some(Leave::Lost(why)) => {
-                self.seat.step_down(self.now);
+                self.election.step_down(self.now);
                 self.step_down(why);
             }
             Some(Leave::Resign(why)) => {
-                let fencing_token = self.seat.fencing_token();
+                let fencing_token = self.election.fencing_token();
                 let request = StateRequest::Commit {
-                    conditions: vec![(leader::KEY.into(), Revision(fencing_token.0))],
-                    changes: vec![Change::Delete { key: leader::KEY.into() }],
+                    conditions: vec![(election::LEADER_KEY.into(), Revision(fencing_token.0))],
+                    changes: vec![Change::Delete { key: election::LEADER_KEY.into() }],
                 };
                 self.out.ask_state(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
-                self.seat.shun(self.now, SHUN);
+                self.election.back_off(self.now, RESIGN_BACK_OFF);
                 self.step_down(why);
             }
         }
@@ -529,8 +531,8 @@
             && self.is_possible(fencing_token)
         {
             self.highest_fencing_token = fencing_token;
-            if self.seat.leads() && self.seat.fencing_token() < fencing_token {
-                self.seat.step_down(self.now);
+            if self.election.leads() && self.election.fencing_token() < fencing_token {
+                self.election.step_down(self.now);
                 self.step_down("a higher fence was seen");
             }
         }
@@ -540,7 +542,7 @@
 
     pub(crate) fn metrics(&self) -> String {
         let mut lines = vec![
-            format!("pearford_leads {}", u8::from(self.seat.leads())),
+            format!("pearford_leads {}", u8::from(self.election.leads())),
             format!("pearford_fence {}", self.highest_fencing_token),
             format!("pearford_jobs_known {}", self.mirror.len()),
             format!("pearford_state_requests_open {}", self.out.open()),
@@ -682,6 +684,6 @@
     }
 
     pub fn validly_leads(&self, at: crate::types::MonotonicTime) -> bool {
-        self.seat.valid(at)
+        self.election.valid(at)
     }
 }
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -72,7 +72,7 @@
     /// Answers a report as the leader or in its name; false: this node can do neither.
     fn answer_report(&mut self, request: RequestId, report: &Report) -> bool {
         let taken = self.leading().is_some_and(|(master, mut ctx)| master.report(&mut ctx, request, report));
-        if taken && self.seat.leads() {
+        if taken && self.election.leads() {
             // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
             let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
             self.teller.answered(&report.machine, &report.zone, lease, self.now);
@@ -82,7 +82,7 @@
 
     /// Reports that wait are answered once somebody leads, and sent on before their workers give up.
     fn unpark(&mut self) {
-        let leads = self.known_leader().is_some() || self.seat.leads();
+        let leads = self.known_leader().is_some() || self.election.leads();
         for _ in 0..UNPARKED_AT_ONCE {
             let Some((at, ..)) = self.passing.parked.front() else { return };
             let late = self.now.since(*at) >= PARKED_FOR;
@@ -98,7 +98,7 @@
 
     /// Answers in the leader's name, or sends the worker where it belongs; false: this node has no delegation.
     fn report_to_delegate(&mut self, request: RequestId, report: &Report) -> bool {
-        let Some(fencing_token) = self.delegate.fencing_token().filter(|_| !self.seat.leads()) else {
+        let Some(fencing_token) = self.delegate.fencing_token().filter(|_| !self.election.leads()) else {
             return false;
         };
         let (machine, zone) = (&report.machine, &report.zone);
@@ -176,7 +176,7 @@
     /// What nodes say to one another about reports.
     pub(super) fn about_reports(&mut self, from: &NodeName, message: PeerMessage) {
         match message {
-            PeerMessage::Delegation(d) if self.heed(d.fencing_token, from) && !self.seat.leads() => {
+            PeerMessage::Delegation(d) if self.heed(d.fencing_token, from) && !self.election.leads() => {
                 self.delegate.granted(from, d, self.now);
             }
             PeerMessage::Doubt(doubt) if doubt.fencing_token >= self.highest_fencing_token => {
@@ -200,7 +200,9 @@
                     master.digest(&mut ctx, from, digest);
                 }
             }
-            PeerMessage::Relayed { fencing_token, calls } if fencing_token == self.seat.fencing_token() => {
+            PeerMessage::Relayed { fencing_token, calls }
+                if fencing_token == self.election.fencing_token() =>
+            {
                 for Relayed { call, status, at } in calls {
                     if self.out.relay_answered(RequestId(call)) {
                         self.worker_answered(RequestId(call), status, at);
@@ -243,7 +245,10 @@
     fn apart_tick(&mut self) {
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
         let on = homes_on(&self.settings, self.levels.reached()) && self.known_leader().is_none();
-        let Some((leader, fencing_token)) = self.seat.other(LOOKED, self.now).filter(|_| on) else { return };
+        let Some((leader, fencing_token)) = self.election.other_leader(LOOKED, self.now).filter(|_| on)
+        else {
+            return;
+        };
         let leader = leader.clone();
         self.saw_fencing_token(fencing_token);
         self.delegate.granted_by_record(&leader, fencing_token, &self.settings.zone, self.now);
@@ -267,7 +272,7 @@
         for request_id in self.out.relays_overdue(self.now) {
             self.worker_answered(request_id, 0, None);
         }
-        if !self.seat.leads()
+        if !self.election.leads()
             && let Some((leader, digest)) = self.delegate.digest(self.now)
         {
             self.out.tell(&leader, PeerMessage::Digest(digest));
--- a/crates/scheduler/src/node/master/beat.rs
+++ b/crates/scheduler/src/node/master/beat.rs
@@ -64,7 +64,7 @@
                 lease: None,
             };
             let request = StateRequest::Commit {
-                conditions: vec![(leader::KEY.into(), Revision(self.fencing_token.0))],
+                conditions: vec![(election::LEADER_KEY.into(), Revision(self.fencing_token.0))],
                 changes: parts.iter().map(put).collect(),
             };
             ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::SaveCounts));
--- a/crates/scheduler/src/node/master/commits.rs
+++ b/crates/scheduler/src/node/master/commits.rs
@@ -44,7 +44,7 @@
             StateReply::Conflict { failed } => {
                 self.journal.failed();
                 self.commit_not_before = now + pause;
-                if failed.iter().any(|k| k == leader::KEY) {
+                if failed.iter().any(|k| k == election::LEADER_KEY) {
                     return Some(Leave::Lost("the leader key has changed"));
                 }
                 self.correcting = failed.len();
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -25,10 +25,10 @@
 use super::outbox::{LeaderRequest, Outbox, Pending};
 use super::peers::Peers;
 use crate::blocks::{Blocks, PeerMessage};
+use crate::election;
 use crate::fleet::{self, Coming, Market, Need, Offer};
 use crate::gangs::{self, Attempts};
 use crate::jobs::{self, JobSpec, Mirror, Priority, Record, Run, Served, Shape};
-use crate::leader;
 use crate::ledger::{self, Entry, EntryState, Haste, Journal, MachineRecord};
 use crate::placement::{self, Counts, Factors, Learned, MachineView, Proposal, TaskAsk};
 use crate::settings::Settings;
@@ -355,7 +355,7 @@
             guaranteed: None,
             tombs: BTreeMap::new(),
             runs: BTreeMap::new(),
-            journal: Journal::new(leader::KEY, fencing_token, settings.state.txn_ops),
+            journal: Journal::new(election::LEADER_KEY, fencing_token, settings.state.txn_ops),
             dirty: BTreeSet::new(),
             recorded: BTreeMap::new(),
             correcting: 0,
--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/world/bad_records.rs
@@ -158,7 +158,7 @@
         task("req-000000/4000000000", 1, "running"),
         task("req-000000/", 1, "ended"),
     ]);
-    let fencing_token = w.state.revision(crate::leader::KEY).map_or(0, |s| s.0);
+    let fencing_token = w.state.revision(crate::election::LEADER_KEY).map_or(0, |s| s.0);
     let body = json!({"host": "m-999999", "addr": "10.9.9.9:1", "flavor": "small", "region": "z0", "preemptible": false,
         "tenure": 1, "serial": 1, "fence": fencing_token, "shards": shards});
     assert!(w.ask(leader, 1, Method::Post, "/v1/report", &body.to_string()));
--- a/crates/scheduler/src/world/looks.rs
+++ b/crates/scheduler/src/world/looks.rs
@@ -30,7 +30,7 @@
 
     /// Notes whose leadership this is.
     pub fn note_leader(&mut self) {
-        let key = self.state.revision(crate::leader::KEY);
+        let key = self.state.revision(crate::election::LEADER_KEY);
         if key.is_some() && self.led_by.0 != key {
             self.led_by = (key, self.now);
             self.count("a new leader");
--- a/crates/scheduler/src/world/workers.rs
+++ b/crates/scheduler/src/world/workers.rs
@@ -220,7 +220,7 @@
                 self.after(ms, Event::ReportAgain { machine: m, node, body });
             }
             if self.copies_for_next > 0.0 && self.rng.random_bool(self.copies_for_next) {
-                let key = self.state.revision(crate::leader::KEY);
+                let key = self.state.revision(crate::election::LEADER_KEY);
                 let copy = Event::ReportAgain { machine: m, node, body: body.clone() };
                 self.kept_copies.push((key, copy));
             }
@@ -246,7 +246,7 @@
             return;
         }
         let Some(leader) = self.leader() else { return };
-        let key = self.state.revision(crate::leader::KEY);
+        let key = self.state.revision(crate::election::LEADER_KEY);
         let (out, keep): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.kept_copies).into_iter().partition(|(made, _)| *made != key);
         self.kept_copies = keep;
