--- a/crates/nomad/src/door/machines.rs
+++ b/crates/nomad/src/door/machines.rs
@@ -3,8 +3,8 @@
 
 use super::Reply;
 use super::requests::{Ask, Page};
+use pearford_scheduler::assignments::MachineRecord;
 use pearford_scheduler::feature::{MachinePage, Machines, Outcome};
-use pearford_scheduler::ledger::MachineRecord;
 use pearford_scheduler::types::MachineId;
 use serde_json::{Value, json};
 
@@ -97,7 +97,7 @@
     let mut node = stub(id, record);
     if all_teams {
         // Native names: what a machine holds needn't have come through this door.
-        node["Tasks"] = record.entries.iter().map(|(task, ..)| task.to_string()).collect();
+        node["Tasks"] = record.assignments.iter().map(|(task, ..)| task.to_string()).collect();
     }
     node
 }
--- a/crates/nomad/src/door/tests/machines.rs
+++ b/crates/nomad/src/door/tests/machines.rs
@@ -3,8 +3,8 @@
 use super::{call, door, job};
 use crate::door::machines::{Asked, told};
 use crate::door::requests::{Ask, Page, Query};
+use pearford_scheduler::assignments::MachineRecord;
 use pearford_scheduler::feature::{MachinePage, Verb};
-use pearford_scheduler::ledger::MachineRecord;
 use pearford_scheduler::world::World;
 use serde_json::{Value, json};
 
--- a/crates/scheduler/src/ledger/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -3,9 +3,9 @@
 //! An entry is written durably before its start order leaves, and it leaves only by proof that
 //! the task is gone. Quota, room and zone count every entry, also of lost and stopping tasks.
 
-mod journal;
+mod commit_pipeline;
 
-pub use journal::{Batch, Haste, Journal, Settled};
+pub use commit_pipeline::{CommitBatch, CommitPipeline, CommitPriority, CommittedKeys};
 
 use crate::types::{
     Attempt, Image, MachineId, MonotonicTime, Resources, Session, TaskId, TeamName, TypeName, Zone,
@@ -17,10 +17,10 @@
 /// Prefix of machine records in the state service.
 pub const PREFIX: &str = "m/";
 /// Entries a machine may hold: keeps its record within the smallest value limit we expect.
-pub const MAX_ENTRIES: usize = 128;
+pub const MAX_ASSIGNMENTS: usize = 128;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum EntryState {
+pub enum AssignmentState {
     /// Not durable yet: no order may leave.
     Planned,
     /// Durable; the start may be sent.
@@ -42,7 +42,7 @@
     Done,
 }
 
-impl EntryState {
+impl AssignmentState {
     /// As the table of verdicts knows it.
     pub fn stored(&self) -> Stored {
         match self {
@@ -72,11 +72,11 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct Assignment {
     pub attempt: Attempt,
     pub team: TeamName,
     pub resources: Resources,
-    pub state: EntryState,
+    pub state: AssignmentState,
     pub stop: Option<Stop>,
     /// When the task was last seen to begin to run.
     pub running_since: Option<MonotonicTime>,
@@ -90,16 +90,16 @@
     pub bytes: usize,
 }
 
-impl Entry {
+impl Assignment {
     pub fn new(
         task: &TaskId,
         attempt: Attempt,
         team: TeamName,
         resources: Resources,
-        state: EntryState,
+        state: AssignmentState,
         now: MonotonicTime,
     ) -> Self {
-        let bytes = entry_bytes(task, attempt, &team, &resources);
+        let bytes = assignment_bytes(task, attempt, &team, &resources);
         Self {
             attempt,
             team,
@@ -116,14 +116,14 @@
 
     /// Whether the task may be on the machine.
     pub fn counts(&self) -> bool {
-        self.state != EntryState::Done
+        self.state != AssignmentState::Done
     }
     pub fn is_running(&self) -> bool {
-        matches!(self.state, EntryState::Running | EntryState::Saving)
+        matches!(self.state, AssignmentState::Running | AssignmentState::Saving)
     }
     /// Whether no order for it can have reached the worker.
     pub fn unsent(&self) -> bool {
-        matches!(self.state, EntryState::Planned | EntryState::Ready)
+        matches!(self.state, AssignmentState::Planned | AssignmentState::Ready)
     }
 }
 
@@ -142,7 +142,7 @@
     #[serde(rename = "n", default)]
     pub session: Session,
     #[serde(rename = "t", default)]
-    pub entries: Vec<(TaskId, Attempt, TeamName, Resources)>,
+    pub assignments: Vec<(TaskId, Attempt, TeamName, Resources)>,
     /// Images there and their sizes: a new leader that didn't know them would have them fetched
     /// anew on other machines.
     #[serde(rename = "i", default)]
@@ -153,7 +153,7 @@
 const FRAME_BYTES: usize = 120;
 
 /// What a task's entry takes in its machine's record.
-pub fn entry_bytes(task: &TaskId, attempt: Attempt, team: &TeamName, resources: &Resources) -> usize {
+pub fn assignment_bytes(task: &TaskId, attempt: Attempt, team: &TeamName, resources: &Resources) -> usize {
     serde_json::to_string(&(task, attempt, team, resources)).map_or(usize::MAX / 1024, |t| t.len() + 1)
 }
 
@@ -161,7 +161,7 @@
     /// Whether a leader can have stored it.
     pub fn is_possible(&self) -> bool {
         let amount = |v: f64| (0.0..=1e12).contains(&v);
-        self.entries.iter().all(|(_, _, _, resources)| {
+        self.assignments.iter().all(|(_, _, _, resources)| {
             amount(resources.cpus) && amount(resources.gpus) && amount(resources.memory_gb)
         })
     }
@@ -196,9 +196,9 @@
 }
 
 /// What a team's tasks take now.
-pub fn used_by_team<'a>(entries: impl Iterator<Item = &'a Entry>) -> BTreeMap<TeamName, Resources> {
+pub fn used_by_team<'a>(assignments: impl Iterator<Item = &'a Assignment>) -> BTreeMap<TeamName, Resources> {
     let mut used: BTreeMap<TeamName, Resources> = BTreeMap::new();
-    for e in entries.filter(|e| e.counts()) {
+    for e in assignments.filter(|e| e.counts()) {
         match used.get_mut(&e.team) {
             Some(resources) => *resources = resources.plus(&e.resources),
             None => {
--- a/crates/scheduler/src/ledger/tests.rs
+++ b/crates/scheduler/src/assignments/tests.rs
@@ -12,23 +12,23 @@
         spot: false,
         addr: Some("255.255.255.255:65535".into()),
         session: Session(u64::from(u32::MAX)),
-        entries: Vec::new(),
+        assignments: Vec::new(),
         images: (0..64).map(|i| (Image::from(format!("img-{i:02}").as_str()), 6.25)).collect(),
     };
     let (limit, mut bytes) = (2000, 0);
     for index in 0.. {
         let (attempt, team) = (Attempt(u64::MAX), TeamName::from("duty-desk"));
-        bytes += entry_bytes(&task(index), attempt, &team, &resources);
+        bytes += assignment_bytes(&task(index), attempt, &team, &resources);
         if !MachineRecord::holds(bytes, &record.type_name, &record.zone, limit) {
             break;
         }
-        record.entries.push((task(index), attempt, team, resources));
+        record.assignments.push((task(index), attempt, team, resources));
         let value = record.to_value(limit).expect("what is placed can be stored");
         let stored: MachineRecord = serde_json::from_str(&value).expect("readable");
-        assert!(value.len() <= limit && stored.entries == record.entries);
+        assert!(value.len() <= limit && stored.assignments == record.assignments);
         assert!(stored.images.is_empty() || stored.images.last() == record.images.last());
     }
-    assert!(record.entries.len() > 12, "{} tasks", record.entries.len());
-    (0..9).for_each(|i| record.entries.push((task(100 + i), Attempt(1), "duty-desk".into(), resources)));
+    assert!(record.assignments.len() > 12, "{} tasks", record.assignments.len());
+    (0..9).for_each(|i| record.assignments.push((task(100 + i), Attempt(1), "duty-desk".into(), resources)));
     assert_eq!(record.to_value(limit), None, "more than fits is left as it is stored");
 }
--- a/crates/scheduler/src/feature/mod.rs
+++ b/crates/scheduler/src/feature/mod.rs
@@ -6,8 +6,8 @@
 
 pub use records::Records;
 
+use crate::assignments::MachineRecord;
 use crate::jobs::{Admission, Mirror};
-use crate::ledger::MachineRecord;
 use crate::settings::Settings;
 use crate::types::{
     FencingToken, JobId, MachineId, MonotonicTime, NodeName, RequestId, Resources, TeamName, WallTime,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub use pearford_types as types;
 
+pub mod assignments;
 pub mod blocks;
 pub mod compat;
 pub mod election;
@@ -10,7 +11,6 @@
 pub mod fleet;
 pub mod gangs;
 pub mod jobs;
-pub mod ledger;
 pub mod node;
 pub mod placement;
 pub mod preemption;
--- a/crates/scheduler/src/node/core/features.rs
+++ b/crates/scheduler/src/node/core/features.rs
@@ -1,10 +1,10 @@
 //! Features in their slots: what happens is handed to them, and what they want is done.
 
 use super::{Core, read_pause};
+use crate::assignments;
 use crate::election;
 use crate::feature::{Action, Call, Feature, Input, MachinePage, Machines, Outcome, Records, Share, View};
 use crate::jobs;
-use crate::ledger;
 use crate::node::Effect;
 use crate::node::follower::Follower;
 use crate::node::outbox::{Pending, Read, Whose};
@@ -203,17 +203,19 @@
             return self.hand(slot, Input::Machines { tag, found: Err(Outcome::NoBudget) });
         }
         let request = match which {
-            Machines::One(id) => StateRequest::Get { key: ledger::key(&id) },
-            Machines::Page { after, most } => {
-                StateRequest::Range { prefix: ledger::PREFIX, after: after.map(|id| ledger::key(&id)), most }
-            }
+            Machines::One(id) => StateRequest::Get { key: assignments::key(&id) },
+            Machines::Page { after, most } => StateRequest::Range {
+                prefix: assignments::PREFIX,
+                after: after.map(|id| assignments::key(&id)),
+                most,
+            },
         };
         self.out.ask_state(request, Pending::Machines { slot, tag });
     }
 
     pub(super) fn feature_machines(&mut self, slot: usize, tag: u64, reply: StateReply) {
         let read = |pair: &Pair| match serde_json::from_str(&pair.value) {
-            Ok(record) => Some((MachineId::from(pair.key.strip_prefix(ledger::PREFIX)?), record)),
+            Ok(record) => Some((MachineId::from(pair.key.strip_prefix(assignments::PREFIX)?), record)),
             Err(error) => {
                 tracing::error!(key = pair.key, %error, "a machine's record can't be read");
                 None
--- a/crates/scheduler/src/node/master/changes.rs
+++ b/crates/scheduler/src/node/master/changes.rs
@@ -17,7 +17,7 @@
     pub(super) fn spare_changes(&mut self, asks: &mut Vec<TaskAsk>) -> Option<usize> {
         let array = |ask: &TaskAsk| ask.shape == Shape::Array;
         let tasks: usize = asks.iter().filter(|a| array(a)).map(|a| a.tasks.len()).sum();
-        let records = (self.writes.rate() as usize).saturating_sub(self.journal.pressing());
+        let records = (self.writes.rate() as usize).saturating_sub(self.commit_pipeline.pressing());
         if tasks <= records {
             return None;
         }
@@ -40,7 +40,7 @@
         for (i, v) in field.views.iter().enumerate() {
             let slots = v.free.count_of(&resources).min(MOST_AT_ONCE);
             let cheap = v.spot || !cheap_will_do;
-            if self.journal.is_pressing(&ledger::key(&v.id)) {
+            if self.commit_pipeline.is_pressing(&assignments::key(&v.id)) {
                 kept[i] = true;
                 needed = needed.saturating_sub(if cheap { slots } else { 0 });
             } else {
--- a/crates/scheduler/src/node/master/changes/tests.rs
+++ b/crates/scheduler/src/node/master/changes/tests.rs
@@ -45,7 +45,11 @@
     let (mut m, now) = fleet();
     job(&mut m, "req-1", Shape::Array, 30, now);
     for i in 5..9 {
-        m.journal.put(&ledger::key(&format!("m-{i:02}").as_str().into()), Some("{}".into()), Haste::Urgent);
+        m.commit_pipeline.put(
+            &assignments::key(&format!("m-{i:02}").as_str().into()),
+            Some("{}".into()),
+            CommitPriority::Urgent,
+        );
     }
     let ids: Vec<MachineId> = (5..9).map(|i| format!("m-{i:02}").as_str().into()).collect();
     assert_eq!(look(&mut m, now)[0].0, ids);
--- a/crates/scheduler/src/node/master/commits.rs
+++ b/crates/scheduler/src/node/master/commits.rs
@@ -10,14 +10,14 @@
     /// Sends the next transaction, if the last is over and the budget has room.
     pub(super) fn commit(&mut self, ctx: &mut Ctx) {
         let now = ctx.now;
-        if self.correcting > 0 || now < self.commit_not_before || !self.journal.idle() {
+        if self.correcting > 0 || now < self.commit_not_before || !self.commit_pipeline.is_idle() {
             return;
         }
         let most = self.settings.state.txn_ops as f64;
         let ample = self.writes.ample(now);
-        if self.journal.wants(ample)
+        if self.commit_pipeline.wants(ample)
             && self.writes.take(most.min(USUAL_CHANGES), now)
-            && let Some(batch) = self.journal.next_batch(ample)
+            && let Some(batch) = self.commit_pipeline.next_batch(ample)
         {
             self.writes.settle(batch.changes.len() as f64 - USUAL_CHANGES);
             let request = StateRequest::Commit { conditions: batch.conditions, changes: batch.changes };
@@ -30,7 +30,7 @@
         let pause = Duration::from_millis(ctx.rng.random_range(80..250));
         match reply {
             StateReply::Committed { store_revision } => {
-                let settled = self.journal.committed(store_revision);
+                let settled = self.commit_pipeline.committed(store_revision);
                 for (key, version) in settled.keys {
                     if let Some(id) = self.settle(&key, version, now) {
                         ctx.mirror.learn(id, Revision(store_revision), Record::Done);
@@ -42,7 +42,7 @@
                 }
             }
             StateReply::Conflict { failed } => {
-                self.journal.failed();
+                self.commit_pipeline.failed();
                 self.commit_not_before = now + pause;
                 if failed.iter().any(|k| k == election::LEADER_KEY) {
                     return Some(Leave::Lost("the leader key has changed"));
@@ -52,13 +52,13 @@
             }
             StateReply::Malformed => {
                 self.commit_not_before = now + pause;
-                if let Some((key, bytes)) = self.journal.refused() {
+                if let Some((key, bytes)) = self.commit_pipeline.refused() {
                     tracing::error!(key, bytes, "the state service refuses this value; left as it is stored");
                     self.unwritable(&key, now);
                 }
             }
             _ => {
-                self.journal.failed();
+                self.commit_pipeline.failed();
                 self.commit_not_before = now + pause;
             }
         }
@@ -79,7 +79,7 @@
         self.correcting = self.correcting.saturating_sub(1);
         match reply {
             StateReply::Found(pair) => {
-                self.journal.corrected(key, pair.revision);
+                self.commit_pipeline.corrected(key, pair.revision);
                 ctx.mirror.learn_pair(&pair);
                 let over = key
                     .strip_prefix(jobs::PREFIX)
@@ -89,10 +89,10 @@
                 let unreadable =
                     key.strip_prefix(jobs::PREFIX).is_some_and(|id| ctx.mirror.is_unreadable(&id.into()));
                 if over || unreadable {
-                    self.journal.give_up(key);
+                    self.commit_pipeline.give_up(key);
                 }
             }
-            StateReply::Missing { .. } => self.journal.corrected(key, Revision(0)),
+            StateReply::Missing { .. } => self.commit_pipeline.corrected(key, Revision(0)),
             _ => {
                 self.correcting += 1;
                 self.recheck.push((ctx.now + CORRECT_AGAIN, key.to_string()));
--- a/crates/scheduler/src/node/master/field.rs
+++ b/crates/scheduler/src/node/master/field.rs
@@ -44,7 +44,7 @@
             |a: &TaskAsk| TaskId { job: a.job.clone(), index: a.tasks.last().copied().unwrap_or(0) };
         let bytes = asks
             .iter()
-            .filter_map(|a| self.runs.get(&a.job).map(|r| self.entry_bytes(&last_task(a), &r.job.spec)));
+            .filter_map(|a| self.runs.get(&a.job).map(|r| self.assignment_bytes(&last_task(a), &r.job.spec)));
         let (bytes, limit) = (bytes.max().unwrap_or(0), self.settings.state.value_bytes);
         let asked: BTreeSet<&Image> = asks.iter().map(|a| &a.image).collect();
         let mut open = Vec::new();
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -9,7 +9,7 @@
 impl Master {
     /// Begins to read what the leaders before left.
     pub(in crate::node) fn load(&mut self, ctx: &mut Ctx) {
-        self.load_page(ctx, ledger::PREFIX, None, LeaderRequest::LoadMachines);
+        self.load_page(ctx, assignments::PREFIX, None, LeaderRequest::LoadMachines);
         self.load_page(ctx, jobs::PROGRESS_PREFIX, None, LeaderRequest::LoadProgress);
     }
 
@@ -26,18 +26,18 @@
 
     pub(super) fn loaded_page(&mut self, ctx: &mut Ctx, request_id: LeaderRequest, reply: StateReply) {
         let machines = matches!(request_id, LeaderRequest::LoadMachines);
-        let prefix = if machines { ledger::PREFIX } else { jobs::PROGRESS_PREFIX };
+        let prefix = if machines { assignments::PREFIX } else { jobs::PROGRESS_PREFIX };
         let StateReply::Pairs { pairs, more, .. } = reply else {
             self.reload.push((ctx.now + Duration::from_millis(200), request_id));
             return;
         };
         for pair in &pairs {
-            self.journal.loaded(&pair.key, pair.revision);
+            self.commit_pipeline.loaded(&pair.key, pair.revision);
             if !machines {
                 self.progress.push(pair.clone());
                 continue;
             }
-            let Some(id) = pair.key.strip_prefix(ledger::PREFIX) else { continue };
+            let Some(id) = pair.key.strip_prefix(assignments::PREFIX) else { continue };
             match serde_json::from_str::<MachineRecord>(&pair.value) {
                 Ok(record) if record.is_possible() => self.inherit(id.into(), record, ctx.now),
                 Ok(_) => self.opaque(&pair.key, id.into(), "says what nobody can have stored", ctx.now),
@@ -70,7 +70,7 @@
         for request_id in due(&mut self.reload, ctx.now) {
             // From the top: taking in a page twice changes nothing.
             let machines = matches!(request_id, LeaderRequest::LoadMachines);
-            let prefix = if machines { ledger::PREFIX } else { jobs::PROGRESS_PREFIX };
+            let prefix = if machines { assignments::PREFIX } else { jobs::PROGRESS_PREFIX };
             self.load_page(ctx, prefix, None, request_id);
         }
     }
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -24,12 +24,12 @@
 use super::catalogue::Catalogue;
 use super::outbox::{LeaderRequest, Outbox, Pending};
 use super::peers::Peers;
+use crate::assignments::{self, Assignment, AssignmentState, CommitPipeline, CommitPriority, MachineRecord};
 use crate::blocks::{Blocks, PeerMessage};
 use crate::election;
 use crate::fleet::{self, Coming, Market, Need, Offer};
 use crate::gangs::{self, Attempts};
 use crate::jobs::{self, JobSpec, Mirror, Priority, Record, Run, Served, Shape};
-use crate::ledger::{self, Entry, EntryState, Haste, Journal, MachineRecord};
 use crate::placement::{self, Counts, Factors, Learned, MachineView, Proposal, TaskAsk};
 use crate::settings::Settings;
 use crate::store::Budget;
@@ -138,7 +138,7 @@
     guaranteed: Option<Arc<BTreeSet<JobId>>>,
     tombs: BTreeMap<MachineId, MonotonicTime>,
     runs: BTreeMap<JobId, Run>,
-    journal: Journal,
+    commit_pipeline: CommitPipeline,
     dirty: BTreeSet<MachineId>,
     recorded: BTreeMap<String, Vec<Recorded>>,
     correcting: usize,
@@ -205,7 +205,10 @@
         let run = self.runs.get(id)?;
         let running = run.placed().iter().filter(|(index, machine)| {
             let task = TaskId { job: id.clone(), index: **index };
-            self.machines.get(*machine).and_then(|m| m.entries.get(&task)).is_some_and(Entry::is_running)
+            self.machines
+                .get(*machine)
+                .and_then(|m| m.assignments.get(&task))
+                .is_some_and(Assignment::is_running)
         });
         Some((run.done().count(), running.count() as u32))
     }
@@ -247,7 +250,7 @@
         for (index, machine) in run.placed() {
             let task = TaskId { job: job.clone(), index: *index };
             if let Some(m) = self.machines.get(machine)
-                && m.entries.get(&task).is_some_and(Entry::counts)
+                && m.assignments.get(&task).is_some_and(Assignment::counts)
             {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
@@ -290,7 +293,7 @@
     /// Images that tasks on the machine wait for.
     fn fetching(&self, m: &Machine) -> Vec<Image> {
         let mut images: Vec<Image> = Vec::new();
-        for (task, _) in m.entries.iter().filter(|(_, e)| e.counts() && e.running_since.is_none()) {
+        for (task, _) in m.assignments.iter().filter(|(_, e)| e.counts() && e.running_since.is_none()) {
             let Some(run) = self.runs.get(&task.job) else { continue };
             let image = &run.job.spec.image;
             if !m.has_image(image) && !images.contains(image) {
@@ -355,7 +358,7 @@
             guaranteed: None,
             tombs: BTreeMap::new(),
             runs: BTreeMap::new(),
-            journal: Journal::new(election::LEADER_KEY, fencing_token, settings.state.txn_ops),
+            commit_pipeline: CommitPipeline::new(election::LEADER_KEY, fencing_token, settings.state.txn_ops),
             dirty: BTreeSet::new(),
             recorded: BTreeMap::new(),
             correcting: 0,
@@ -556,15 +559,15 @@
     // ---- for operators ----
 
     pub(super) fn metrics(&self, lines: &mut Vec<String>) {
-        let entries: usize = self.machines.values().map(|m| m.entries.len()).sum();
+        let assignments: usize = self.machines.values().map(|m| m.assignments.len()).sum();
         let up = self.machines.values().filter(|m| m.standing == Standing::Up).count();
         let waiting: u32 = self.runs.values().map(Run::waiting_count).sum();
         lines.push(format!("pearford_machines {}", self.machines.len()));
         lines.push(format!("pearford_machines_up {up}"));
-        lines.push(format!("pearford_ledger_entries {entries}"));
+        lines.push(format!("pearford_ledger_entries {assignments}"));
         lines.push(format!("pearford_jobs_open {}", self.runs.len()));
         lines.push(format!("pearford_tasks_waiting {waiting}"));
-        lines.push(format!("pearford_journal_backlog {}", self.journal.backlog()));
+        lines.push(format!("pearford_journal_backlog {}", self.commit_pipeline.backlog()));
         lines.push(format!("pearford_recovery_phase {}", self.gathering.phase() as u8));
         for (node, machines) in self.hub.counts() {
             lines.push(format!("pearford_reports_home{{node=\"{node}\"}} {machines}"));
@@ -585,7 +588,7 @@
         let mut gone = Vec::new();
         for m in self.machines.values_mut() {
             if m.last_report.is_some_and(|at| now.since(at) > Duration::from_millis(ms)) {
-                gone.extend(std::mem::take(&mut m.entries).into_keys().map(|t| (t, m.id.clone())));
+                gone.extend(std::mem::take(&mut m.assignments).into_keys().map(|t| (t, m.id.clone())));
                 m.recount(&mut self.used, now);
             }
         }
@@ -627,9 +630,9 @@
         let mut gone = Vec::new();
         for m in self.machines.values_mut() {
             let (stopping, stay) =
-                std::mem::take(&mut m.entries).into_iter().partition(|(_, e)| e.stop.is_some());
-            m.entries = stay;
-            let stopping: BTreeMap<TaskId, Entry> = stopping;
+                std::mem::take(&mut m.assignments).into_iter().partition(|(_, e)| e.stop.is_some());
+            m.assignments = stay;
+            let stopping: BTreeMap<TaskId, Assignment> = stopping;
             gone.extend(stopping.into_keys().map(|task| (task, m.id.clone())));
             m.recount(&mut self.used, now);
         }
@@ -644,8 +647,8 @@
     /// Starts leave before their machine's record is durable.
     pub(super) fn sabotage_start_early(&mut self) {
         for m in self.machines.values_mut() {
-            let planned = m.entries.values_mut().filter(|e| e.state == EntryState::Planned);
-            planned.for_each(|e| e.state = EntryState::Ready);
+            let planned = m.assignments.values_mut().filter(|e| e.state == AssignmentState::Planned);
+            planned.for_each(|e| e.state = AssignmentState::Ready);
             if m.has_starts() {
                 self.to_direct.insert(m.id.clone());
             }
@@ -654,7 +657,7 @@
 
     /// Nothing is ever to be stopped.
     pub(super) fn sabotage_no_stops(&mut self) {
-        self.machines.values_mut().flat_map(|m| m.entries.values_mut()).for_each(|e| e.stop = None);
+        self.machines.values_mut().flat_map(|m| m.assignments.values_mut()).for_each(|e| e.stop = None);
     }
 
     /// No machine ever counts as silent.
@@ -688,8 +691,8 @@
 
     /// The kept sums against a recount from the ground up.
     pub(super) fn sums_hold(&self) -> Result<(), String> {
-        let entries = self.machines.values().flat_map(|m| m.entries.values());
-        let used = ledger::used_by_team(entries);
+        let assignments = self.machines.values().flat_map(|m| m.assignments.values());
+        let used = assignments::used_by_team(assignments);
         for team in self.used.keys().chain(used.keys()) {
             let of = |sums: &BTreeMap<TeamName, Resources>| sums.get(team).copied().unwrap_or_default();
             let (kept, real) = (of(&self.used), of(&used));
@@ -698,9 +701,9 @@
             }
         }
         for m in self.machines.values() {
-            let booked = m.entries.values().filter(|e| e.counts());
+            let booked = m.assignments.values().filter(|e| e.counts());
             let free = booked.fold(m.total, |free, e| free.minus(&e.resources));
-            let empty = !m.entries.values().any(Entry::counts) && m.strays.is_empty();
+            let empty = !m.assignments.values().any(Assignment::counts) && m.strays.is_empty();
             if !free.fits_in(&m.free()) || !m.free().fits_in(&free) || empty != m.is_empty() {
                 return Err(format!("{}: kept {:?}, recounted {free:?}", m.id, m.free()));
             }
--- a/crates/scheduler/src/node/master/preemption.rs
+++ b/crates/scheduler/src/node/master/preemption.rs
@@ -177,9 +177,9 @@
                 continue;
             }
             let (mut free, mut victims) = (m.free(), Vec::new());
-            for (task, entry) in m.entries.iter().filter(|(_, e)| e.counts()) {
-                if entry.stop.is_some() {
-                    free = free.plus(&entry.resources); // leaves already
+            for (task, assignment) in m.assignments.iter().filter(|(_, e)| e.counts()) {
+                if assignment.stop.is_some() {
+                    free = free.plus(&assignment.resources); // leaves already
                     continue;
                 }
                 let Some(other) = self.runs.get(&task.job) else { continue };
@@ -195,13 +195,13 @@
                 if o.shape == Shape::Service || !may_stop {
                     continue;
                 }
-                let ran = entry.running_since.map_or(0.0, |at| now.since(at).as_secs_f64());
+                let ran = assignment.running_since.map_or(0.0, |at| now.since(at).as_secs_f64());
                 // Work since the last checkpoint, and a new start.
                 let again = if o.checkpoint.0 > 0 { o.save.as_secs_f64() } else { ran };
                 let loss_s = again + RESTART_S;
                 // With one task of a gang all of it stops.
                 let loss_s = if other.is_gang() { loss_s * f64::from(o.tasks) } else { loss_s };
-                victims.push(Victim { task: task.clone(), resources: entry.resources, loss_s });
+                victims.push(Victim { task: task.clone(), resources: assignment.resources, loss_s });
             }
             let fetch_rate = self.market.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s);
             let fetch_s = match m.has_image(&ask.image) || fetch_rate <= 0.0 {
--- a/crates/scheduler/src/node/master/rounds.rs
+++ b/crates/scheduler/src/node/master/rounds.rs
@@ -91,7 +91,7 @@
             let mut tasks = run.waiting(if gang { usize::MAX } else { left });
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = (ledger::fitting(team, sum, &spec.resources) as usize).min(tasks.len());
+            let fitting = (assignments::fitting(team, sum, &spec.resources) as usize).min(tasks.len());
             if fitting == 0 || (gang && fitting < tasks.len()) {
                 run.why = "its team is at its limit";
                 run.tried = version;
@@ -179,8 +179,8 @@
     }
 
     /// What an entry of the job's tasks takes in a record, whichever attempt it will be.
-    pub(super) fn entry_bytes(&self, task: &TaskId, spec: &JobSpec) -> usize {
-        ledger::entry_bytes(task, Attempt(u64::MAX), &spec.team, &spec.resources)
+    pub(super) fn assignment_bytes(&self, task: &TaskId, spec: &JobSpec) -> usize {
+        assignments::assignment_bytes(task, Attempt(u64::MAX), &spec.team, &spec.resources)
     }
 
     pub(super) fn health(&self, m: &Machine, now: MonotonicTime) -> Health {
@@ -252,10 +252,16 @@
             }
             let attempt = if gang { attempt } else { self.attempts.issue() };
             let Some(m) = self.machines.get_mut(&machine) else { continue };
-            let mut entry =
-                Entry::new(&task, attempt, spec.team.clone(), spec.resources, EntryState::Planned, now);
-            entry.after_fetches = slow_fetch && m.has_image(&spec.image);
-            m.entries.insert(task.clone(), entry);
+            let mut assignment = Assignment::new(
+                &task,
+                attempt,
+                spec.team.clone(),
+                spec.resources,
+                AssignmentState::Planned,
+                now,
+            );
+            assignment.after_fetches = slow_fetch && m.has_image(&spec.image);
+            m.assignments.insert(task.clone(), assignment);
             self.dirty.insert(machine.clone());
             self.recount(&machine, now);
             if let Some(run) = self.runs.get_mut(&ask.job) {
@@ -307,13 +313,13 @@
             && !stray
             && m.open_for_tasks(now)
             && m.held_for(now).is_none_or(|j| *j == task.job)
-            && !m.entries.contains_key(task)
+            && !m.assignments.contains_key(task)
             && spec.resources.fits_in(&m.free())
-            && m.record_holds(self.entry_bytes(task, spec), self.settings.state.value_bytes)
+            && m.record_holds(self.assignment_bytes(task, spec), self.settings.state.value_bytes)
             && spec.type_allowed(&m.type_name)
             && (spec.spot || !m.spot)
             && zones.iter().any(|(z, n)| *z == m.zone && *n > 0)
-            && ledger::within_limit(team, &used, &spec.resources)
+            && assignments::within_limit(team, &used, &spec.resources)
     }
 
     /// Whether the work fits its controller's block, if need be after moving machines there that
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -29,9 +29,10 @@
         if m.images.is_empty() {
             m.images = record.images;
         }
-        for (task, attempt, team, resources) in record.entries {
-            let entry = Entry::new(&task, attempt, team, resources, EntryState::Inherited, now);
-            m.entries.entry(task).or_insert(entry);
+        for (task, attempt, team, resources) in record.assignments {
+            let assignment =
+                Assignment::new(&task, attempt, team, resources, AssignmentState::Inherited, now);
+            m.assignments.entry(task).or_insert(assignment);
         }
         m.recount(&mut self.used, now);
     }
@@ -54,11 +55,11 @@
                 }
                 _ if mirror.is_unreadable(&id.into()) => self.unread.entry(id.into()).or_default().push(pair),
                 _ => {
-                    self.journal.put(&pair.key, None, Haste::Soon);
+                    self.commit_pipeline.put(&pair.key, None, CommitPriority::Normal);
                 }
             }
         }
-        let tasks = self.machines.values().flat_map(|m| m.entries.keys());
+        let tasks = self.machines.values().flat_map(|m| m.assignments.keys());
         let unread = tasks.map(|task| &task.job).filter(|job| mirror.is_unreadable(job));
         for job in unread.cloned().collect::<BTreeSet<_>>() {
             self.unread.entry(job).or_default();
@@ -84,7 +85,7 @@
                     }
                 }
                 _ => {
-                    self.journal.put(&pair.key, None, Haste::Soon);
+                    self.commit_pipeline.put(&pair.key, None, CommitPriority::Normal);
                 }
             }
         }
@@ -105,17 +106,17 @@
         // wasn't, the lower attempt is that old entry. Taken for a live one it hid the other, and
         // its proof of absence let the task start twice (tremorline grown, troubles).
         let mut newest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
-        for (task, entry) in self.machines.values().flat_map(|m| &m.entries) {
-            let attempt = newest.entry(task.clone()).or_insert(entry.attempt);
-            *attempt = entry.attempt.max(*attempt);
+        for (task, assignment) in self.machines.values().flat_map(|m| &m.assignments) {
+            let attempt = newest.entry(task.clone()).or_insert(assignment.attempt);
+            *attempt = assignment.attempt.max(*attempt);
         }
-        let entries: Vec<(MachineId, TaskId, EntryState, Attempt)> = self
+        let assignments: Vec<(MachineId, TaskId, AssignmentState, Attempt)> = self
             .machines
             .values()
-            .flat_map(|m| m.entries.iter().map(|(t, e)| (m.id.clone(), t.clone(), e.state, e.attempt)))
+            .flat_map(|m| m.assignments.iter().map(|(t, e)| (m.id.clone(), t.clone(), e.state, e.attempt)))
             .filter(|(_, task, ..)| ours(&task.job, &self.unread))
             .collect();
-        for (machine, task, state, attempt) in entries {
+        for (machine, task, state, attempt) in assignments {
             let superseded = newest.get(&task).is_some_and(|newest| attempt < *newest);
             let run = self.runs.get_mut(&task.job);
             let task_done = run.as_ref().is_some_and(|run| run.done().has(task.index));
@@ -130,7 +131,7 @@
                     if self.machines.get(&machine).is_some_and(|m| !m.has_image(&job.spec.image)) {
                         self.has_fetched(&machine, &job.spec);
                     }
-                    if state == EntryState::Done {
+                    if state == AssignmentState::Done {
                         self.task_done(&machine, &task, now);
                     }
                 }
@@ -156,11 +157,11 @@
                 // Withdrawn with a job that it needs. Status says so already; the record follows when
                 // nothing urgent waits.
                 let key = jobs::key(id);
-                self.journal.loaded(&key, known.revision);
-                self.journal.put(&key, Some(Record::Withdrawn.to_value()), Haste::Soon);
+                self.commit_pipeline.loaded(&key, known.revision);
+                self.commit_pipeline.put(&key, Some(Record::Withdrawn.to_value()), CommitPriority::Normal);
             }
         } else if let Some(job) = known.record.open().filter(|_| mirror.ready(id)) {
-            self.journal.loaded(&jobs::key(id), known.revision);
+            self.commit_pipeline.loaded(&jobs::key(id), known.revision);
             let run = self.runs.entry(id.clone()).or_insert_with(|| {
                 self.guaranteed = None;
                 Run::new(job.clone(), now)
@@ -177,10 +178,10 @@
     /// The state service refuses a value for good. What is stored stays; starts that depended on the
     /// new value are taken back, and nothing new goes to the machine for a while.
     pub(super) fn unwritable(&mut self, key: &str, now: MonotonicTime) {
-        let Some(id) = key.strip_prefix(ledger::PREFIX).map(MachineId::from) else { return };
+        let Some(id) = key.strip_prefix(assignments::PREFIX).map(MachineId::from) else { return };
         let Some(m) = self.machines.get_mut(&id) else { return };
         m.not_before = now + UNWRITABLE_PAUSE;
-        let planned = m.entries.iter().filter(|(_, e)| e.state == EntryState::Planned);
+        let planned = m.assignments.iter().filter(|(_, e)| e.state == AssignmentState::Planned);
         let planned: Vec<TaskId> = planned.map(|(t, _)| t.clone()).collect();
         for task in planned {
             self.stop_task(&id, &task, 0.0, now);
@@ -191,7 +192,7 @@
     /// A task of a job that is over, or done already: off the ledger if that is proved, else stopped.
     pub(super) fn drop_or_stop(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        if m.entries.get(task).is_some_and(|e| e.state == EntryState::Done) {
+        if m.assignments.get(task).is_some_and(|e| e.state == AssignmentState::Done) {
             self.take_off(machine, task, now);
         } else {
             self.stop_task(machine, task, 0.0, now);
@@ -201,7 +202,7 @@
     /// Takes an entry off the ledger.
     fn take_off(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        m.entries.remove(task);
+        m.assignments.remove(task);
         self.dirty.insert(machine.clone());
         self.recount(machine, now);
     }
@@ -217,7 +218,7 @@
     pub(super) fn job_over(&mut self, id: &JobId, now: MonotonicTime) {
         // A "done" still waiting to be written must not follow a withdrawal: with the new version
         // as its condition it would overwrite the verdict the user was told (seed 247).
-        self.journal.give_up(&jobs::key(id));
+        self.commit_pipeline.give_up(&jobs::key(id));
         self.stop_job(id, 0.0, now);
         let Some(run) = self.runs.remove(id) else { return };
         self.guaranteed = None;
@@ -227,8 +228,8 @@
         for chunk in 0..run.job.spec.tasks.div_ceil(jobs::CHUNK) {
             let key = format!("{PROGRESS_PREFIX}{id}/{chunk}");
             self.recorded.remove(&key);
-            if self.journal.revision(&key) > Revision(0) {
-                self.journal.put(&key, None, Haste::Soon);
+            if self.commit_pipeline.revision(&key) > Revision(0) {
+                self.commit_pipeline.put(&key, None, CommitPriority::Normal);
             }
         }
         self.recorded.remove(&jobs::key(id));
@@ -277,15 +278,15 @@
     /// the team's limit and the job's zones all together, or entries that have long made way would come back.
     fn start_again(&self, report: &Report) -> Vec<TaskId> {
         let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
-        let may_be_gone = |e: &Entry| match e.state.stored() {
+        let may_be_gone = |e: &Assignment| match e.state.stored() {
             Stored::Inherited => report.fencing_token == self.fencing_token,
             Stored::Listed => report.session > m.session,
             _ => false,
         };
-        if !m.entries.values().any(may_be_gone) || !Resources::default().fits_in(&m.free()) {
+        if !m.assignments.values().any(may_be_gone) || !Resources::default().fits_in(&m.free()) {
             return Vec::new();
         }
-        let wanted = |(task, e): &(&TaskId, &Entry)| {
+        let wanted = |(task, e): &(&TaskId, &Assignment)| {
             let Some(run) = self.runs.get(&task.job) else { return false };
             let spec = &run.job.spec;
             // A gang's tasks find one another by their attempt: it begins anew as a whole.
@@ -295,7 +296,7 @@
             let used = self.used.get(&spec.team).copied().unwrap_or_default();
             let stray = self.stray_on.iter().filter_map(|id| self.machines.get(id));
             let stray = stray.into_iter().any(|m| m.strays.contains(*task));
-            let within = |team| ledger::within_limit(team, &used, &Resources::default());
+            let within = |team| assignments::within_limit(team, &used, &Resources::default());
             let zones = self.zones_of(&task.job, run);
             let apart = spec.spread && zones.get(&m.zone).is_some_and(|n| *n > spec.zone_cap());
             run.placed().get(&task.index) == Some(&m.id)
@@ -304,7 +305,7 @@
                 && !stray
                 && !(spec.together && zones.len() > 1)
         };
-        m.entries.iter().filter(wanted).map(|(task, _)| task.clone()).collect()
+        m.assignments.iter().filter(wanted).map(|(task, _)| task.clone()).collect()
     }
 
     pub(super) fn take_digest(&mut self, machine: &MachineId, digest: Digest, now: MonotonicTime) {
@@ -335,29 +336,29 @@
             self.touch(&task.job);
             self.task_done(machine, &task, now);
         }
-        for (task, entry, outcome) in digest.gone {
+        for (task, assignment, outcome) in digest.gone {
             self.touch(&task.job);
-            self.task_gone(machine, &task, &entry, outcome, now);
+            self.task_gone(machine, &task, &assignment, outcome, now);
         }
     }
 
     /// Once all tasks of a gang that had to fetch have their image, the others start too.
     fn start_after_fetches(&mut self, job: &JobId) {
         let Some(run) = self.runs.get(job) else { return };
-        let entry = |machines: &BTreeMap<MachineId, Machine>, index: u32, id: &MachineId| {
+        let assignment = |machines: &BTreeMap<MachineId, Machine>, index: u32, id: &MachineId| {
             let task = TaskId { job: job.clone(), index };
-            machines.get(id).and_then(|m| m.entries.get(&task)).map(|e| (e.has_image, e.after_fetches))
+            machines.get(id).and_then(|m| m.assignments.get(&task)).map(|e| (e.has_image, e.after_fetches))
         };
         let tasks: Vec<(u32, MachineId)> = run.placed().iter().map(|(i, m)| (*i, m.clone())).collect();
         let state: Vec<Option<(bool, bool)>> =
-            tasks.iter().map(|(i, m)| entry(&self.machines, *i, m)).collect();
+            tasks.iter().map(|(i, m)| assignment(&self.machines, *i, m)).collect();
         if state.iter().flatten().any(|(has_image, after)| !has_image && !after) {
             return;
         }
         for ((index, id), state) in tasks.into_iter().zip(state) {
             let task = TaskId { job: job.clone(), index };
             if state.is_some_and(|(_, after)| after)
-                && let Some(e) = self.machines.get_mut(&id).and_then(|m| m.entries.get_mut(&task))
+                && let Some(e) = self.machines.get_mut(&id).and_then(|m| m.assignments.get_mut(&task))
             {
                 e.after_fetches = false;
                 self.to_direct.insert(id);
@@ -370,7 +371,7 @@
         let Some(run) = self.runs.get_mut(&task.job) else {
             // The verdict on the job stands; nothing is left to record.
             if let Some(m) = self.machines.get_mut(machine) {
-                m.entries.remove(task);
+                m.assignments.remove(task);
                 self.dirty.insert(machine.clone());
             }
             return self.recount(machine, now);
@@ -379,7 +380,7 @@
             // Services run until they are withdrawn: one that ends by itself is replaced.
             run.unplace(task.index, machine);
             if let Some(m) = self.machines.get_mut(machine) {
-                m.entries.remove(task);
+                m.assignments.remove(task);
                 self.dirty.insert(machine.clone());
             }
             return self.recount(machine, now);
@@ -404,7 +405,7 @@
             let key = format!("{PROGRESS_PREFIX}{}/{chunk}", task.job);
             let value = self.runs.get(&task.job).map(|r| r.done().chunk_value(chunk));
             // Not urgent: until it is written the worker goes on reporting the task as done.
-            let version = self.journal.put(&key, value, Haste::Soon);
+            let version = self.commit_pipeline.put(&key, value, CommitPriority::Normal);
             (key, version)
         };
         let recorded = Recorded { version, machine: machine.clone(), task: task.clone() };
@@ -418,22 +419,22 @@
         if let Some(run) = self.runs.get_mut(id) {
             run.finishing = true;
         }
-        let version = self.journal.put(&key, Some(Record::Done.to_value()), Haste::Urgent);
+        let version = self.commit_pipeline.put(&key, Some(Record::Done.to_value()), CommitPriority::Urgent);
         (key, version)
     }
 
     /// A version of a key is durable. Gives the job that is done by it.
     pub(super) fn settle(&mut self, key: &str, version: u64, now: MonotonicTime) -> Option<JobId> {
-        if let Some(id) = key.strip_prefix(ledger::PREFIX) {
+        if let Some(id) = key.strip_prefix(assignments::PREFIX) {
             let m = self.machines.get_mut(&MachineId::from(id))?;
             let ready: Vec<TaskId> =
                 m.planned.iter().filter(|(_, v)| **v <= version).map(|(t, _)| t.clone()).collect();
             for task in ready {
                 m.planned.remove(&task);
-                if let Some(entry) = m.entries.get_mut(&task)
-                    && entry.state == EntryState::Planned
+                if let Some(assignment) = m.assignments.get_mut(&task)
+                    && assignment.state == AssignmentState::Planned
                 {
-                    entry.state = EntryState::Ready;
+                    assignment.state = AssignmentState::Ready;
                     self.to_direct.insert(MachineId::from(id));
                 }
             }
@@ -449,9 +450,9 @@
             }
             for r in settled {
                 if let Some(m) = self.machines.get_mut(&r.machine)
-                    && m.entries.get(&r.task).is_some_and(|e| e.state == EntryState::Done)
+                    && m.assignments.get(&r.task).is_some_and(|e| e.state == AssignmentState::Done)
                 {
-                    m.entries.remove(&r.task);
+                    m.assignments.remove(&r.task);
                     self.dirty.insert(r.machine.clone());
                 }
                 if let Some(run) = self.runs.get_mut(&r.task.job) {
@@ -470,7 +471,7 @@
         &mut self,
         machine: &MachineId,
         task: &TaskId,
-        entry: &Entry,
+        assignment: &Assignment,
         outcome: Outcome,
         now: MonotonicTime,
     ) {
@@ -502,7 +503,7 @@
             }
             _ => {}
         }
-        let _ = entry;
+        let _ = assignment;
         if gangs::broken(run) {
             self.stop_job(&task.job, 0.0, now);
         }
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/master/stock/tests.rs
@@ -8,7 +8,7 @@
         spot: false,
         addr: Some("10.9.0.1:1".into()),
         session: Session(1),
-        entries: vec![(
+        assignments: vec![(
             TaskId { job: "req-1".into(), index: 0 },
             Attempt(attempt),
             "red".into(),
@@ -67,10 +67,16 @@
         m.take_report(&report(&id, "z0", 1), now);
         let id = MachineId::from(id.as_str());
         let task = TaskId { job: "req-1".into(), index: i };
-        let mut entry =
-            Entry::new(&task, Attempt(7), "red".into(), Resources::default(), EntryState::Ready, now);
-        entry.after_fetches = after_fetches;
-        m.machines.get_mut(&id).expect("there").entries.insert(task, entry);
+        let mut assignment = Assignment::new(
+            &task,
+            Attempt(7),
+            "red".into(),
+            Resources::default(),
+            AssignmentState::Ready,
+            now,
+        );
+        assignment.after_fetches = after_fetches;
+        m.machines.get_mut(&id).expect("there").assignments.insert(task, assignment);
         m.runs.get_mut(&JobId::from("req-1")).expect("there").place(i, id);
     }
     let starts = |m: &mut Master, id: &str| {
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -66,14 +66,14 @@
 
 /// A machine is given up: to be returned.
 fn lose(m: &mut Machine, blocks: &mut Blocks) {
-    tracing::warn!(machine = %m.id, standing = ?m.standing, tasks = m.entries.len(), "machine lost; returning it");
+    tracing::warn!(machine = %m.id, standing = ?m.standing, tasks = m.assignments.len(), "machine lost; returning it");
     m.standing = Standing::Releasing;
     blocks.remove(&m.id);
 }
 
 /// Since when a machine is to stop a task of a job that is over, if it is and has not said that it did.
 fn over_since(m: &Machine, runs: &BTreeMap<JobId, Run>) -> Option<MonotonicTime> {
-    let stopping = m.entries.iter().filter_map(|(task, e)| Some((task, e.stop?.since)));
+    let stopping = m.assignments.iter().filter_map(|(task, e)| Some((task, e.stop?.since)));
     stopping.filter(|(task, _)| !runs.contains_key(&task.job)).map(|(_, since)| since).min()
 }
 
@@ -105,11 +105,11 @@
         for m in self.machines.values() {
             let Some(taken_at) = m.taken_at else { continue };
             let left = taken_at.since(now);
-            for (task, entry) in m.entries.iter().filter(|(_, e)| e.stop.is_none() && e.counts()) {
+            for (task, assignment) in m.assignments.iter().filter(|(_, e)| e.stop.is_none() && e.counts()) {
                 let Some(run) = self.runs.get(&task.job) else { continue };
                 let spec = &run.job.spec;
                 let save = gangs::save_grace_s(spec);
-                let ran = entry.running_since.map(|s| now.since(s)).unwrap_or_default();
+                let ran = assignment.running_since.map(|s| now.since(s)).unwrap_or_default();
                 // It may end by itself in time: then stopping it only loses its work.
                 let ends_in_time =
                     spec.shape != Shape::Service && spec.estimate.0 < ran.0 + left.0 && spec.estimate.0 > 0;
@@ -248,9 +248,9 @@
         let blind = renewal.is_blind_for(haunts, now);
         for m in self.machines.values_mut().filter(|m| m.standing != Standing::Releasing) {
             let haunted = m.doubtful.keys().any(|(task, attempt)| {
-                m.entries.get(task).is_some_and(|e| {
+                m.assignments.get(task).is_some_and(|e| {
                     e.attempt == *attempt
-                        && matches!(e.state, EntryState::Sent { .. })
+                        && matches!(e.state, AssignmentState::Sent { .. })
                         && e.stop.is_some_and(|s| now.since(s.since) > haunts)
                 })
             });
@@ -311,7 +311,7 @@
         if silence < ASK_EVERY_S || late.as_secs_f64() <= ASK_EVERY_S {
             return false;
         }
-        m.entries.iter().any(|(task, e)| {
+        m.assignments.iter().any(|(task, e)| {
             let spec = e.counts().then(|| self.runs.get(&task.job)).flatten().map(|run| &run.job.spec);
             spec.filter(|spec| spec.shape == Shape::Service)
                 .and_then(|spec| self.settings.wait_objective(&spec.kind, false))
@@ -324,7 +324,7 @@
         let idle = Duration::from_secs_f64(self.settings.operator.idle_return_s);
         let may_return = self.gathering.allows(Act::ReturnIdle);
         for m in self.machines.values_mut() {
-            let empty = m.entries.is_empty() && m.strays.is_empty();
+            let empty = m.assignments.is_empty() && m.strays.is_empty();
             let idle_for = m.empty_since.map(|at| now.since(at)).unwrap_or_default();
             if m.standing == Standing::Up && may_return && empty && (idle_for >= idle || m.draining) {
                 tracing::info!(machine = %m.id, faulty = m.draining, "idle; returning it");
@@ -354,19 +354,19 @@
         self.tombs.insert(id.clone(), now);
         self.blocks.remove(id);
         let Some(mut m) = self.machines.remove(id) else { return };
-        let entries = std::mem::take(&mut m.entries);
+        let assignments = std::mem::take(&mut m.assignments);
         m.recount(&mut self.used, now);
         self.stray_on.remove(id);
         self.dirty.remove(id);
-        for (task, entry) in entries {
-            if entry.state == EntryState::Done {
+        for (task, assignment) in assignments {
+            if assignment.state == AssignmentState::Done {
                 continue; // being recorded; the outcome is known
             }
-            self.task_gone(id, &task, &entry, Outcome::Vanished, now);
+            self.task_gone(id, &task, &assignment, Outcome::Vanished, now);
         }
         self.dirty.remove(id);
-        if self.journal.holds(&ledger::key(id)) {
-            self.journal.put(&ledger::key(id), None, Haste::Soon);
+        if self.commit_pipeline.holds(&assignments::key(id)) {
+            self.commit_pipeline.put(&assignments::key(id), None, CommitPriority::Normal);
         }
     }
 
@@ -405,7 +405,7 @@
         for id in std::mem::take(&mut self.dirty) {
             let Some(m) = self.machines.get_mut(&id).filter(|_| !self.opaque.contains(&id)) else { continue };
             // A machine without tasks needs no record: its reports and the cloud's list show it.
-            if m.entries.is_empty() && !self.journal.holds(&ledger::key(&id)) {
+            if m.assignments.is_empty() && !self.commit_pipeline.holds(&assignments::key(&id)) {
                 continue;
             }
             let Some(value) = m.record().to_value(self.settings.state.value_bytes) else {
@@ -413,21 +413,21 @@
                 continue;
             };
             let planned: Vec<TaskId> = m
-                .entries
+                .assignments
                 .iter()
-                .filter(|(t, e)| e.state == EntryState::Planned && !m.planned.contains_key(*t))
+                .filter(|(t, e)| e.state == AssignmentState::Planned && !m.planned.contains_key(*t))
                 .map(|(t, _)| t.clone())
                 .collect();
             // Starts wait for it; what has only left is proved gone again by whoever reads it.
             let replica = |task: &TaskId| {
                 self.runs.get(&task.job).is_some_and(|run| run.job.spec.shape == Shape::Service)
             };
-            let haste = match planned.is_empty() {
-                true => Haste::Idle,
-                false if planned.iter().any(replica) => Haste::First,
-                false => Haste::Urgent,
+            let commit_priority = match planned.is_empty() {
+                true => CommitPriority::Background,
+                false if planned.iter().any(replica) => CommitPriority::Critical,
+                false => CommitPriority::Urgent,
             };
-            let version = self.journal.put(&ledger::key(&id), Some(value), haste);
+            let version = self.commit_pipeline.put(&assignments::key(&id), Some(value), commit_priority);
             for task in planned {
                 m.planned.insert(task, version);
             }
@@ -450,7 +450,7 @@
             let spec = &run.job.spec;
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = ledger::fitting(team, sum, &spec.resources).min(run.waiting_count()).min(left);
+            let fitting = assignments::fitting(team, sum, &spec.resources).min(run.waiting_count()).min(left);
             if fitting == 0 || (run.is_gang() && fitting < spec.tasks) {
                 continue;
             }
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,6 +1,6 @@
 //! Workers: what their reports say, what that proves, and the orders they get.
 
-use crate::ledger::{Entry, EntryState, MachineRecord, Stop};
+use crate::assignments::{Assignment, AssignmentState, MachineRecord, Stop};
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, Session, TaskId,
     TeamName, TypeName, Zone,
@@ -68,14 +68,14 @@
     pub fencing_token: FencingToken,
     /// When the cloud will take it away.
     pub taken_at: Option<MonotonicTime>,
-    pub entries: BTreeMap<TaskId, Entry>,
+    pub assignments: BTreeMap<TaskId, Assignment>,
     /// What the entries leave free, whether none counts, and what each team takes here: kept by
     /// `recount`, since rounds ask far more often than entries change.
     free: Resources,
     empty: bool,
     tally: Vec<(TeamName, Resources)>,
     /// What the entries take in the machine's record.
-    entry_bytes: usize,
+    assignment_bytes: usize,
     /// Tasks reported that the ledger doesn't know: stopped, and until then nothing starts here.
     pub strays: BTreeSet<TaskId>,
     /// Images a task got here and their sizes, in order of last use.
@@ -108,7 +108,7 @@
 #[derive(Debug, Default)]
 pub struct Digest {
     /// Tasks that are proved gone; their entries are out of the ledger.
-    pub gone: Vec<(TaskId, Entry, Outcome)>,
+    pub gone: Vec<(TaskId, Assignment, Outcome)>,
     /// Tasks that are done; their entries stay until that is recorded.
     pub done: Vec<(TaskId, Attempt)>,
     /// Tasks that have their image now, or had it here.
@@ -155,11 +155,11 @@
             serial: 0,
             fencing_token: FencingToken(0),
             taken_at: None,
-            entries: BTreeMap::new(),
+            assignments: BTreeMap::new(),
             free: total,
             empty: true,
             tally: Vec::new(),
-            entry_bytes: 0,
+            assignment_bytes: 0,
             strays: BTreeSet::new(),
             images: Vec::new(),
             empty_since: Some(now),
@@ -183,8 +183,8 @@
             spot: self.spot,
             addr: self.addr.clone(),
             session: self.session,
-            entries: self
-                .entries
+            assignments: self
+                .assignments
                 .iter()
                 .map(|(t, e)| (t.clone(), e.attempt, e.team.clone(), e.resources))
                 .collect(),
@@ -209,8 +209,8 @@
             }
         }
         self.free = self.total;
-        self.entry_bytes = self.entries.values().map(|e| e.bytes).sum();
-        for e in self.entries.values().filter(|e| e.counts()) {
+        self.assignment_bytes = self.assignments.values().map(|e| e.bytes).sum();
+        for e in self.assignments.values().filter(|e| e.counts()) {
             self.free = self.free.minus(&e.resources);
             match self.tally.iter_mut().find(|(team, _)| *team == e.team) {
                 Some((_, sum)) => *sum = sum.plus(&e.resources),
@@ -244,7 +244,7 @@
 
     /// Whether a start of this leader's may still arrive there, for all that is known.
     pub fn in_doubt(&self) -> bool {
-        !self.doubtful.is_empty() || self.entries.values().any(|e| e.state == EntryState::Direct)
+        !self.doubtful.is_empty() || self.assignments.values().any(|e| e.state == AssignmentState::Direct)
     }
 
     /// Whether this leader has heard the worker. The record of a machine that was returned may outlive
@@ -261,12 +261,12 @@
             && self.taken_at.is_none()
             && self.strays.is_empty()
             && now >= self.not_before
-            && self.entries.len() < crate::ledger::MAX_ENTRIES
+            && self.assignments.len() < crate::assignments::MAX_ASSIGNMENTS
     }
 
     /// Whether its record, of at most `limit` bytes, can hold an entry of `bytes` more.
     pub fn record_holds(&self, bytes: usize, limit: usize) -> bool {
-        MachineRecord::holds(self.entry_bytes + bytes, &self.type_name, &self.zone, limit)
+        MachineRecord::holds(self.assignment_bytes + bytes, &self.type_name, &self.zone, limit)
     }
 
     /// The job it is held for, if the hold is still on.
@@ -291,19 +291,19 @@
 
     /// Asks a task to stop. True if it is off the ledger at once, since no order can have
     /// reached the worker.
-    pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Entry> {
-        let entry = self.entries.get_mut(task)?;
-        if entry.unsent() {
+    pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Assignment> {
+        let assignment = self.assignments.get_mut(task)?;
+        if assignment.unsent() {
             self.planned.remove(task);
-            return self.entries.remove(task);
+            return self.assignments.remove(task);
         }
-        match &mut entry.stop {
+        match &mut assignment.stop {
             Some(stop) if stop.grace_s <= grace_s => {}
             Some(stop) => {
                 stop.grace_s = grace_s;
                 stop.told = false;
             }
-            None => entry.stop = Some(Stop { grace_s, since: now, told: false }),
+            None => assignment.stop = Some(Stop { grace_s, since: now, told: false }),
         }
         None
     }
@@ -344,7 +344,7 @@
         let mut kept = 0;
         for reported in &report.tasks {
             let Some(task) = reported.task() else { continue };
-            match self.entries.get(&task) {
+            match self.assignments.get(&task) {
                 Some(e) if e.attempt == reported.attempt => {
                     listed.insert(task, reported);
                 }
@@ -364,41 +364,41 @@
         }
         let open = !self.draining && self.taken_at.is_none() && self.standing == Standing::Up;
         let open = open && self.strays.is_empty() && self.sessions_ended <= SESSIONS_ENDED;
-        let tasks: Vec<TaskId> = self.entries.keys().cloned().collect();
+        let tasks: Vec<TaskId> = self.assignments.keys().cloned().collect();
         for task in tasks {
-            let Some(entry) = self.entries.get_mut(&task) else { continue };
+            let Some(assignment) = self.assignments.get_mut(&task) else { continue };
             let reported = listed.get(&task);
             let case = Case {
-                stored: entry.state.stored(),
-                stopping: entry.stop.is_some(),
+                stored: assignment.state.stored(),
+                stopping: assignment.stop.is_some(),
                 said: reported.map_or(Said::Absent, |r| r.said()),
-                after_order: entry.state.is_before(report.session, report.serial),
+                after_order: assignment.state.is_before(report.session, report.serial),
                 under_fencing_token: report.fencing_token == mine,
                 wanted_here: open && again.contains(&task),
                 may_come: false,
             };
             match square(&case) {
-                Verdict::There => there(entry, case.said, now, &task, &mut digest),
+                Verdict::There => there(assignment, case.said, now, &task, &mut digest),
                 Verdict::Done => {
-                    fetched(entry, &task, &mut digest);
-                    entry.state = EntryState::Done;
-                    digest.done.push((task.clone(), entry.attempt));
+                    fetched(assignment, &task, &mut digest);
+                    assignment.state = AssignmentState::Done;
+                    digest.done.push((task.clone(), assignment.attempt));
                 }
                 Verdict::StartHere => {
                     if matches!(case.stored, Stored::Inherited | Stored::Listed) {
-                        entry.planned_at = now;
-                        entry.running_since = None;
+                        assignment.planned_at = now;
+                        assignment.running_since = None;
                         digest.again.push(task.clone());
                     }
-                    entry.state = EntryState::Ready;
+                    assignment.state = AssignmentState::Ready;
                 }
                 Verdict::Gone(outcome) => {
                     if outcome == Outcome::Ended(Ending::GangBroke) {
-                        fetched(entry, &task, &mut digest);
+                        fetched(assignment, &task, &mut digest);
                     }
                     self.planned.remove(&task);
-                    if let Some(entry) = self.entries.remove(&task) {
-                        digest.gone.push((task, entry, outcome));
+                    if let Some(assignment) = self.assignments.remove(&task) {
+                        digest.gone.push((task, assignment, outcome));
                     }
                 }
                 Verdict::Unproved | Verdict::Stop | Verdict::Forget => {}
@@ -419,22 +419,25 @@
     /// Whether a report that says what the last one said has nothing to prove and needs no orders: each task in
     /// it is one of the ledger's, and nothing is under way to or from the worker.
     pub fn is_settled(&self) -> bool {
-        let settled = |e: &Entry| match e.state {
-            EntryState::Planned => true,
+        let settled = |e: &Assignment| match e.state {
+            AssignmentState::Planned => true,
             // Its start could not be sent while the worker had not seen this leader's fence.
-            EntryState::Ready => e.after_fetches,
-            EntryState::Preparing | EntryState::Running | EntryState::Saving | EntryState::Done => {
-                e.stop.is_none()
-            }
-            EntryState::Sent { .. } | EntryState::Direct | EntryState::Inherited => false,
+            AssignmentState::Ready => e.after_fetches,
+            AssignmentState::Preparing
+            | AssignmentState::Running
+            | AssignmentState::Saving
+            | AssignmentState::Done => e.stop.is_none(),
+            AssignmentState::Sent { .. } | AssignmentState::Direct | AssignmentState::Inherited => false,
         };
-        let listed = self.entries.values().filter(|e| !e.unsent()).count();
-        self.strays.is_empty() && listed == self.listed && self.entries.values().all(settled)
+        let listed = self.assignments.values().filter(|e| !e.unsent()).count();
+        self.strays.is_empty() && listed == self.listed && self.assignments.values().all(settled)
     }
 
     /// Whether starts could leave now.
     pub fn has_starts(&self) -> bool {
-        self.entries.values().any(|e| e.state == EntryState::Ready && e.stop.is_none() && !e.after_fetches)
+        self.assignments
+            .values()
+            .any(|e| e.state == AssignmentState::Ready && e.stop.is_none() && !e.after_fetches)
     }
 
     /// Takes in a report that says what the last one said, of a settled machine.
@@ -460,7 +463,7 @@
         for reported in &report.tasks {
             let Some(task) = reported.task() else { continue };
             let attempt = reported.attempt;
-            if !leads || self.entries.get(&task).is_some_and(|e| e.attempt == attempt) {
+            if !leads || self.assignments.get(&task).is_some_and(|e| e.attempt == attempt) {
                 continue;
             }
             match self.square_unknown(&task, reported) {
@@ -469,27 +472,27 @@
                 _ => {}
             }
         }
-        for (task, entry) in &mut self.entries {
+        for (task, assignment) in &mut self.assignments {
             if orders.len() >= ORDERS_AT_ONCE {
                 break;
             }
-            match (entry.state, entry.stop) {
-                (EntryState::Ready, None) if entry.after_fetches => {}
-                (EntryState::Ready | EntryState::Sent { .. }, None) if may_start => {
-                    orders.push(Order::Start { task: task.clone(), attempt: entry.attempt });
-                    let serial = match self.doubtful.contains_key(&(task.clone(), entry.attempt)) {
+            match (assignment.state, assignment.stop) {
+                (AssignmentState::Ready, None) if assignment.after_fetches => {}
+                (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
+                    orders.push(Order::Start { task: task.clone(), attempt: assignment.attempt });
+                    let serial = match self.doubtful.contains_key(&(task.clone(), assignment.attempt)) {
                         true => u64::MAX,
                         false => report.serial,
                     };
-                    entry.state = EntryState::Sent { session: report.session, serial };
+                    assignment.state = AssignmentState::Sent { session: report.session, serial };
                 }
                 // A task that already saves got its stop; a second one would cut it short.
-                (EntryState::Saving, Some(stop)) if stop.grace_s > 0.0 => {}
-                (EntryState::Planned | EntryState::Ready | EntryState::Done, _) => {}
+                (AssignmentState::Saving, Some(stop)) if stop.grace_s > 0.0 => {}
+                (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
                 (_, Some(stop)) if may_start || may_stop(task) => {
                     orders.push(Order::Stop {
                         task: task.clone(),
-                        attempt: entry.attempt,
+                        attempt: assignment.attempt,
                         grace_s: stop.grace_s,
                     });
                 }
@@ -520,16 +523,16 @@
         now: MonotonicTime,
     ) -> (Vec<Order>, Vec<(TaskId, Attempt)>) {
         let (mut orders, mut starts) = (Vec::new(), Vec::new());
-        for (task, entry) in &mut self.entries {
-            let attempt = entry.attempt;
-            match (entry.state, &mut entry.stop) {
-                (EntryState::Ready, None) if may_start && !entry.after_fetches => {
-                    entry.state = EntryState::Direct;
+        for (task, assignment) in &mut self.assignments {
+            let attempt = assignment.attempt;
+            match (assignment.state, &mut assignment.stop) {
+                (AssignmentState::Ready, None) if may_start && !assignment.after_fetches => {
+                    assignment.state = AssignmentState::Direct;
                     orders.push(Order::Start { task: task.clone(), attempt });
                     starts.push((task.clone(), attempt));
                     self.sent.insert((task.clone(), attempt), now);
                 }
-                (EntryState::Planned | EntryState::Ready | EntryState::Done, _) => {}
+                (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
                 (_, Some(stop)) if !stop.told => {
                     stop.told = true;
                     orders.push(Order::Stop { task: task.clone(), attempt, grace_s: stop.grace_s });
@@ -550,8 +553,8 @@
         now: MonotonicTime,
     ) -> (Vec<Order>, Vec<Order>) {
         let errands = self.orders(report, false, |task| may_start || may_stop(task), may_start);
-        let again = self.entries.iter().filter(|(_, e)| {
-            let doubtful = matches!(e.state, EntryState::Sent { serial: u64::MAX, .. });
+        let again = self.assignments.iter().filter(|(_, e)| {
+            let doubtful = matches!(e.state, AssignmentState::Sent { serial: u64::MAX, .. });
             may_start && doubtful && e.stop.is_none()
         });
         let again: Vec<(TaskId, Attempt)> = again.map(|(t, e)| (t.clone(), e.attempt)).collect();
@@ -569,17 +572,17 @@
         at: Option<Option<(Session, u64)>>,
     ) {
         for (task, attempt) in starts {
-            let Some(entry) = self.entries.get_mut(&task) else { continue };
+            let Some(assignment) = self.assignments.get_mut(&task) else { continue };
             // If a report has listed it meanwhile, the command has run.
-            if entry.attempt != attempt || entry.state != EntryState::Direct {
+            if assignment.attempt != attempt || assignment.state != AssignmentState::Direct {
                 continue;
             }
-            entry.state = match at {
-                Some(Some((session, serial))) => EntryState::Sent { session, serial },
-                Some(None) => EntryState::Ready,
+            assignment.state = match at {
+                Some(Some((session, serial))) => AssignmentState::Sent { session, serial },
+                Some(None) => AssignmentState::Ready,
                 None => {
                     self.doubtful.insert((task, attempt), session);
-                    EntryState::Sent { session, serial: u64::MAX }
+                    AssignmentState::Sent { session, serial: u64::MAX }
                 }
             };
         }
@@ -587,24 +590,24 @@
 }
 
 /// Takes over the phase of a task that is there.
-fn there(entry: &mut Entry, said: Said, now: MonotonicTime, task: &TaskId, digest: &mut Digest) {
+fn there(assignment: &mut Assignment, said: Said, now: MonotonicTime, task: &TaskId, digest: &mut Digest) {
     if matches!(said, Said::Waiting | Said::Running) {
-        fetched(entry, task, digest);
+        fetched(assignment, task, digest);
     }
-    entry.state = match said {
-        Said::Running => EntryState::Running,
-        Said::Saving => EntryState::Saving,
-        _ => EntryState::Preparing,
+    assignment.state = match said {
+        Said::Running => AssignmentState::Running,
+        Said::Saving => AssignmentState::Saving,
+        _ => AssignmentState::Preparing,
     };
-    if said == Said::Running && entry.running_since.is_none() {
-        entry.running_since = Some(now);
+    if said == Said::Running && assignment.running_since.is_none() {
+        assignment.running_since = Some(now);
         digest.began.push(task.clone());
     }
 }
 
-fn fetched(entry: &mut Entry, task: &TaskId, digest: &mut Digest) {
-    if !entry.has_image {
-        entry.has_image = true;
+fn fetched(assignment: &mut Assignment, task: &TaskId, digest: &mut Digest) {
+    if !assignment.has_image {
+        assignment.has_image = true;
         digest.fetched.push(task.clone());
     }
 }
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-fn machine_with(state: EntryState) -> (Machine, TaskId) {
+fn machine_with(state: AssignmentState) -> (Machine, TaskId) {
     let resources = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 4.0 };
     let mut m =
         Machine::new("m-1".into(), "t".into(), "z".into(), false, resources, MonotonicTime::default());
     let task = TaskId::parse("req-1/0").expect("valid");
-    let entry = Entry::new(&task, Attempt(7), "red".into(), resources, state, MonotonicTime::default());
-    m.entries.insert(task.clone(), entry);
+    let assignment =
+        Assignment::new(&task, Attempt(7), "red".into(), resources, state, MonotonicTime::default());
+    m.assignments.insert(task.clone(), assignment);
     (m, task)
 }
 
@@ -24,7 +25,7 @@
 /// records were still there, and waited for them to be given up (andina, inc-72db).
 #[test]
 fn nothing_is_placed_on_a_machine_that_this_leader_has_not_heard() {
-    let (mut m, _) = machine_with(EntryState::Inherited);
+    let (mut m, _) = machine_with(AssignmentState::Inherited);
     let now = MonotonicTime::from_millis(9_000);
     (m.standing, m.last_report) = (Standing::Up, Some(now));
     assert!(!m.open_for_tasks(now));
@@ -34,7 +35,7 @@
 
 #[test]
 fn silence_about_an_inherited_task_proves_nothing_until_the_worker_saw_the_fencing_token() {
-    let (mut m, _) = machine_with(EntryState::Inherited);
+    let (mut m, _) = machine_with(AssignmentState::Inherited);
     assert!(m.digest(&report(1, 1, 8, ""), MINE, &[], MonotonicTime::from_millis(1)).gone.is_empty());
     assert_eq!(
         m.digest(&report(1, 2, 9, ""), MINE, &[], MonotonicTime::from_millis(2)).gone[0].2,
@@ -44,7 +45,7 @@
 
 #[test]
 fn a_start_counts_until_a_later_report_lacks_it_and_only_then_can_be_dropped() {
-    let (mut m, task) = machine_with(EntryState::Ready);
+    let (mut m, task) = machine_with(AssignmentState::Ready);
     let first = report(1, 5, 9, "");
     m.digest(&first, MINE, &[], MonotonicTime::from_millis(1));
     assert_eq!(m.orders(&first, true, |_| false, true).len(), 1);
@@ -56,26 +57,26 @@
 
 #[test]
 fn nothing_starts_before_it_is_durable_nor_without_leadership() {
-    let (mut m, _) = machine_with(EntryState::Planned);
+    let (mut m, _) = machine_with(AssignmentState::Planned);
     let r = report(1, 1, 9, "");
     assert!(m.orders(&r, true, |_| false, true).is_empty());
-    let (mut m, _) = machine_with(EntryState::Ready);
+    let (mut m, _) = machine_with(AssignmentState::Ready);
     assert!(m.orders(&r, false, |_| false, false).is_empty());
 }
 
 #[test]
 fn a_done_task_is_not_forgotten_before_it_is_recorded() {
-    let (mut m, task) = machine_with(EntryState::Running);
+    let (mut m, task) = machine_with(AssignmentState::Running);
     let r = report(1, 1, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"done"}"#);
     assert_eq!(m.digest(&r, MINE, &[], MonotonicTime::from_millis(1)).done.len(), 1);
     assert!(m.orders(&r, true, |_| false, true).is_empty());
-    m.entries.remove(&task);
+    m.assignments.remove(&task);
     assert_eq!(m.orders(&r, true, |_| false, true), [Order::Forget { task, attempt: Attempt(7) }]);
 }
 
 #[test]
 fn a_direct_start_without_answer_is_neither_disproved_by_reports_nor_forgotten() {
-    let (mut m, task) = machine_with(EntryState::Ready);
+    let (mut m, task) = machine_with(AssignmentState::Ready);
     m.digest(&report(1, 5, 9, ""), MINE, &[], MonotonicTime::from_millis(1));
     let (orders, starts) = m.direct_orders(true, MonotonicTime::from_millis(1));
     assert_eq!(orders.len(), 1);
@@ -95,7 +96,7 @@
 
 #[test]
 fn tasks_the_ledger_does_not_know_are_stopped_and_block_the_machine() {
-    let (mut m, _) = machine_with(EntryState::Running);
+    let (mut m, _) = machine_with(AssignmentState::Running);
     let r = report(1, 1, 9, r#"{"shard":"req-1/0","try":6,"phase":"running"}"#);
     let digest = m.digest(&r, MINE, &[], MonotonicTime::from_millis(1));
     assert_eq!(digest.gone.len(), 1, "attempt 7 is not there");
