--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/failover.rs
@@ -7,19 +7,19 @@
 use pearford_types::{Duration, MonotonicTime};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum FailoverPhase {
     /// The stored records are not all read.
-    Reading,
+    ReadingRecords,
     /// Most machines' reports are still to come.
-    Gathering,
+    CollectingHeartbeats,
     /// Nearly all are in; the rest are asked, and given up one by one if they don't answer.
-    Squaring,
+    Reconciling,
     Steady,
 }
 
 /// What a leader does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Act {
+pub enum LeaderAction {
     /// Answering reports, which renews leases.
     Renew,
     /// Stopping what is surely over.
@@ -35,14 +35,16 @@
     ReturnIdle,
 }
 
-impl Phase {
+impl FailoverPhase {
     /// The one table of what is allowed when.
-    pub fn allows(self, act: Act) -> bool {
+    pub fn allows(self, act: LeaderAction) -> bool {
         match act {
-            Act::Renew | Act::Stop => true,
-            Act::Start => self >= Phase::Gathering,
+            LeaderAction::Renew | LeaderAction::Stop => true,
+            LeaderAction::Start => self >= FailoverPhase::CollectingHeartbeats,
             // Room and machines that are merely unheard come back with their reports.
-            Act::Preempt | Act::Rent | Act::GiveUp | Act::ReturnIdle => self >= Phase::Squaring,
+            LeaderAction::Preempt | LeaderAction::Rent | LeaderAction::GiveUp | LeaderAction::ReturnIdle => {
+                self >= FailoverPhase::Reconciling
+            }
         }
     }
 }
@@ -56,36 +58,36 @@
 
 /// What is waited for.
 #[derive(Debug, Clone)]
-pub struct Gathering {
+pub struct HeartbeatCollection {
     interval: Duration,
     lease: Duration,
     read_at: Option<MonotonicTime>,
-    phase: Phase,
+    phase: FailoverPhase,
 }
 
-impl Gathering {
+impl HeartbeatCollection {
     /// `interval`: of workers' reports; `lease`: how long their tasks live without an answer.
     pub fn new(interval: Duration, lease: Duration) -> Self {
-        Self { interval, lease, read_at: None, phase: Phase::Reading }
+        Self { interval, lease, read_at: None, phase: FailoverPhase::ReadingRecords }
     }
 
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> FailoverPhase {
         self.phase
     }
 
-    pub fn allows(&self, act: Act) -> bool {
+    pub fn allows(&self, act: LeaderAction) -> bool {
         self.phase.allows(act)
     }
 
     /// Whether an unheard machine may be given up.
     pub fn may_give_up(&self, now: MonotonicTime) -> bool {
         let waited = self.read_at.map(|at| now.since(at));
-        self.allows(Act::GiveUp) && waited.is_some_and(|w| w >= self.interval.times(GIVE_UP_AFTER))
+        self.allows(LeaderAction::GiveUp) && waited.is_some_and(|w| w >= self.interval.times(GIVE_UP_AFTER))
     }
 
     pub fn records_read(&mut self, now: MonotonicTime) {
         self.read_at.get_or_insert(now);
-        self.phase = self.phase.max(Phase::Gathering);
+        self.phase = self.phase.max(FailoverPhase::CollectingHeartbeats);
     }
 
     /// `heard` of `all` machines that should report have. Gives the phase if it is a new one; none is ever left for
@@ -93,17 +95,17 @@
     ///
     /// Bounds: with nine tenths heard at once, with two thirds after 2.5 intervals; in any case once every lease that ran
     /// when the records were read is over, since then what is unheard runs nothing.
-    pub fn heard(&mut self, heard: usize, all: usize, now: MonotonicTime) -> Option<Phase> {
+    pub fn heard(&mut self, heard: usize, all: usize, now: MonotonicTime) -> Option<FailoverPhase> {
         let waited = now.since(self.read_at?);
         let share = if all == 0 { 1.0 } else { heard as f64 / all as f64 };
         let next = match self.phase {
-            Phase::Reading => return None,
-            _ if waited >= self.lease || heard >= all => Phase::Steady,
+            FailoverPhase::ReadingRecords => return None,
+            _ if waited >= self.lease || heard >= all => FailoverPhase::Steady,
             phase => {
                 let enough = |(part, intervals): &(f64, f64)| {
                     share >= *part && waited >= self.interval.times(*intervals)
                 };
-                if ENOUGH.iter().any(enough) { phase.max(Phase::Squaring) } else { phase }
+                if ENOUGH.iter().any(enough) { phase.max(FailoverPhase::Reconciling) } else { phase }
             }
         };
         let new = next > self.phase;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -4,10 +4,12 @@
 //! Plain data in, verdicts out: nothing here does I/O, and time comes in as an argument.
 #![forbid(unsafe_code)]
 
-mod pace;
-mod phases;
-mod table;
+mod failover;
+mod pacing;
+mod reconcile;
 
-pub use pace::Pace;
-pub use phases::{Act, Gathering, Phase};
-pub use table::{Case, Claim, Ending, Outcome, Said, Stored, Verdict, claim, square};
+pub use failover::{FailoverPhase, HeartbeatCollection, LeaderAction};
+pub use pacing::Pacer;
+pub use reconcile::{
+    Adoption, Decision, Observation, Outcome, RecordedState, ReportedState, TaskExit, adopt, reconcile,
+};
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pacing.rs
@@ -8,7 +8,7 @@
 /// ten times a second whatever it costs, it took all of a leader's processor just after a take-over at four times the
 /// machines, the grant was not renewed, and the next leader began again.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct Pacer {
     every: Duration,
     /// For each part of time that the work takes, so many parts go to all else.
     rest: f64,
@@ -17,7 +17,7 @@
     done: bool,
 }
 
-impl Pace {
+impl Pacer {
     pub fn new(every: Duration, rest: f64, first: MonotonicTime) -> Self {
         Self { every, rest, next: first, done: false }
     }
--- a/crates/recovery/src/pace/tests.rs
+++ b/crates/recovery/src/pacing/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn costly_work_leaves_its_rest_to_others_and_cheap_work_comes_as_often_as_it_may() {
-    let mut pace = Pace::new(Duration::from_millis(100), 3.0, T(0));
+    let mut pace = Pacer::new(Duration::from_millis(100), 3.0, T(0));
     let (mut now, mut worked) = (0, 0);
     while now < 30_000 {
         let cost = if now < 15_000 { 5 } else { 400 };
--- a/crates/recovery/src/table.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -3,7 +3,7 @@
 
 /// What the ledger says of one task on one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Stored {
+pub enum RecordedState {
     /// Nothing of this attempt.
     Nothing,
     /// An entry that is not durable yet: no order can have left.
@@ -25,18 +25,18 @@
 
 /// What the worker's report says of that attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Said {
+pub enum ReportedState {
     Absent,
     /// Fetching, or in a phase that this version does not know.
     Fetching,
     Waiting,
     Running,
     Saving,
-    Ended(Ending),
+    Ended(TaskExit),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ending {
+pub enum TaskExit {
     Done,
     Failed,
     Stopped {
@@ -52,7 +52,7 @@
 /// How a task left its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    Ended(Ending),
+    Ended(TaskExit),
     /// Its worker's session ended, and with it all its tasks; or no order for it can act any more.
     Vanished,
     /// It never was there: the order did not arrive, or wasn't sent any more.
@@ -61,38 +61,38 @@
 
 /// A task on a machine, as stored and as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Case {
-    pub stored: Stored,
+pub struct Observation {
+    pub recorded_state: RecordedState,
     /// It is to stop.
     pub stopping: bool,
-    pub said: Said,
+    pub reported_state: ReportedState,
     /// The report was made after the start that has left had run, if it ever ran.
-    pub after_order: bool,
+    pub after_command: bool,
     /// The worker had seen this leader's fence as it made the report: no earlier leader's order can act any more.
     pub under_fencing_token: bool,
     /// The task is still wanted, and may start again on this machine with the same attempt.
     pub wanted_here: bool,
     /// A start of this attempt, carried out or not, may still come (again) in the worker's present session.
-    pub may_come: bool,
+    pub may_still_arrive: bool,
 }
 
-impl Case {
+impl Observation {
     /// Of an attempt that the ledger does not have.
-    pub fn not_stored(said: Said, may_come: bool) -> Self {
+    pub fn unrecorded(reported_state: ReportedState, may_still_arrive: bool) -> Self {
         Self {
-            stored: Stored::Nothing,
+            recorded_state: RecordedState::Nothing,
             stopping: false,
-            said,
-            after_order: false,
+            reported_state,
+            after_command: false,
             under_fencing_token: false,
             wanted_here: false,
-            may_come,
+            may_still_arrive,
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Nothing is proved: the entry stays as it is.
     Unproved,
     /// It is there, in the phase that the report says.
@@ -110,37 +110,39 @@
 }
 
 /// Squares what is stored with what is reported. `docs/design/recovery.md` has the table with its reasons.
-pub fn square(case: &Case) -> Verdict {
-    use {Said::*, Stored::*};
-    match (case.stored, case.said) {
-        (Nothing, Absent) => Verdict::Unproved,
+pub fn reconcile(observation: &Observation) -> Decision {
+    use {RecordedState::*, ReportedState::*};
+    match (observation.recorded_state, observation.reported_state) {
+        (Nothing, Absent) => Decision::Unproved,
         // A worker that has forgotten an attempt starts it anew, should a start of it come again.
-        (Nothing, Ended(_)) if case.may_come => Verdict::Unproved,
-        (Nothing, Ended(_)) => Verdict::Forget,
-        (Nothing, _) => Verdict::Stop,
+        (Nothing, Ended(_)) if observation.may_still_arrive => Decision::Unproved,
+        (Nothing, Ended(_)) => Decision::Forget,
+        (Nothing, _) => Decision::Stop,
         // Recorded first, whatever became of the worker since.
-        (Done, _) => Verdict::Unproved,
-        (_, Ended(Ending::Done)) => Verdict::Done,
-        (_, Fetching | Waiting | Running | Saving) => Verdict::There,
+        (Done, _) => Decision::Unproved,
+        (_, Ended(TaskExit::Done)) => Decision::Done,
+        (_, Fetching | Waiting | Running | Saving) => Decision::There,
         // No order has left, or its answer will say what became of it.
-        (Planned | Ready | Direct, Absent) => Verdict::Unproved,
+        (Planned | Ready | Direct, Absent) => Decision::Unproved,
         // An earlier leader may have ordered the same attempt in a session that it knew of, and the order be on its
         // way. (Found by the search of all orders: a late report from the session before had it alive.)
-        _ if !case.under_fencing_token => Verdict::Unproved,
-        (_, Ended(ending)) => Verdict::Gone(Outcome::Ended(ending)),
-        (Sent, Absent) => match (case.after_order, case.stopping) {
-            (false, _) => Verdict::Unproved,
-            (true, true) => Verdict::Gone(Outcome::NeverStarted),
-            (true, false) => Verdict::StartHere,
+        _ if !observation.under_fencing_token => Decision::Unproved,
+        (_, Ended(task_exit)) => Decision::Gone(Outcome::Ended(task_exit)),
+        (Sent, Absent) => match (observation.after_command, observation.stopping) {
+            (false, _) => Decision::Unproved,
+            (true, true) => Decision::Gone(Outcome::NeverStarted),
+            (true, false) => Decision::StartHere,
         },
-        (Inherited | Listed, Absent) if case.wanted_here && !case.stopping => Verdict::StartHere,
-        (Inherited | Listed, Absent) => Verdict::Gone(Outcome::Vanished),
+        (Inherited | Listed, Absent) if observation.wanted_here && !observation.stopping => {
+            Decision::StartHere
+        }
+        (Inherited | Listed, Absent) => Decision::Gone(Outcome::Vanished),
     }
 }
 
 /// What becomes of a stored entry at a take-over, by its job and the other entries of its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Claim {
+pub enum Adoption {
     Keep,
     /// An entry of a later attempt is stored: that was only planned once this one was proved gone, and the removal
     /// was not written in time.
@@ -149,11 +151,11 @@
     Over,
 }
 
-pub fn claim(job_open: bool, task_done: bool, superseded: bool) -> Claim {
+pub fn adopt(job_open: bool, task_done: bool, superseded: bool) -> Adoption {
     match (superseded, job_open && !task_done) {
-        (true, _) => Claim::Superseded,
-        (false, true) => Claim::Keep,
-        (false, false) => Claim::Over,
+        (true, _) => Adoption::Superseded,
+        (false, true) => Adoption::Keep,
+        (false, false) => Adoption::Over,
     }
 }
 
--- a/crates/recovery/tests/every_order.rs
+++ b/crates/recovery/tests/every_order.rs
@@ -2,7 +2,9 @@
 //! commits, orders and reports that come late or never, sessions that end, and answers that get lost. After each step:
 //! the task is never on both machines. With a guard out of the table the search finds how it gets there.
 
-use pearford_recovery::{Case, Claim, Ending, Outcome, Said, Stored, Verdict, claim, square};
+use pearford_recovery::{
+    Adoption, Decision, Observation, Outcome, RecordedState, ReportedState, TaskExit, adopt, reconcile,
+};
 use std::collections::HashSet;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
@@ -48,9 +50,9 @@
 
 /// A leader's entry for the task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Entry {
+struct Assignment {
     attempt: u8,
-    state: Stored,
+    state: RecordedState,
     /// Session in which the start was ordered: without an answer it may act while that lasts.
     sent_in: u8,
 }
@@ -60,7 +62,7 @@
     fencing_token: u8,
     /// It has read the records.
     ready: bool,
-    entries: [Option<Entry>; MACHINES],
+    assignments: [Option<Assignment>; MACHINES],
     known: [(u8, u8); MACHINES],
 }
 
@@ -68,7 +70,7 @@
 struct State {
     workers: [Worker; MACHINES],
     /// The records: attempt stored on each machine, and the fence under which commits pass.
-    stored: [Option<u8>; MACHINES],
+    recorded_state: [Option<u8>; MACHINES],
     store_fencing_token: u8,
     leaders: Vec<Leader>,
     orders: Vec<Order>,
@@ -100,7 +102,7 @@
     let worker = Worker { session: 1, serial: 0, fencing_token: 0, has: Has::Nothing };
     State {
         workers: [worker; MACHINES],
-        stored: [None; MACHINES],
+        recorded_state: [None; MACHINES],
         store_fencing_token: 1,
         leaders: vec![lead(1, true)],
         orders: Vec::new(),
@@ -111,30 +113,32 @@
 }
 
 fn lead(fencing_token: u8, ready: bool) -> Leader {
-    Leader { fencing_token, ready, entries: [None; MACHINES], known: [(0, 0); MACHINES] }
+    Leader { fencing_token, ready, assignments: [None; MACHINES], known: [(0, 0); MACHINES] }
 }
 
 /// The verdict of the table for what a leader has and a report says.
-fn verdict(entry: Option<Entry>, report: &Report, mine: u8, (out, wanted_here): Way) -> Verdict {
-    let said = match (report.has, entry) {
-        (Has::Nothing, _) => Said::Absent,
-        (Has::Runs(a), Some(e)) if a == e.attempt => Said::Running,
-        (Has::Ended(a), Some(e)) if a == e.attempt => Said::Ended(Ending::Stopped { saved: false }),
-        (Has::Runs(_), None) => Said::Running,
-        (Has::Ended(_), None) => Said::Ended(Ending::Stopped { saved: false }),
+fn verdict(assignment: Option<Assignment>, report: &Report, mine: u8, (out, wanted_here): Way) -> Decision {
+    let reported_state = match (report.has, assignment) {
+        (Has::Nothing, _) => ReportedState::Absent,
+        (Has::Runs(a), Some(e)) if a == e.attempt => ReportedState::Running,
+        (Has::Ended(a), Some(e)) if a == e.attempt => {
+            ReportedState::Ended(TaskExit::Stopped { saved: false })
+        }
+        (Has::Runs(_), None) => ReportedState::Running,
+        (Has::Ended(_), None) => ReportedState::Ended(TaskExit::Stopped { saved: false }),
         // Another attempt is there: of the leader's own nothing is said.
-        (_, Some(_)) => Said::Absent,
+        (_, Some(_)) => ReportedState::Absent,
     };
-    let stored = entry.map_or(Stored::Nothing, |e| e.state);
-    square(&Case {
-        stored,
+    let recorded_state = assignment.map_or(RecordedState::Nothing, |e| e.state);
+    reconcile(&Observation {
+        recorded_state,
         // What isn't to start again here is to stop.
         stopping: !wanted_here,
-        said,
-        after_order: out == Out::Doubt || entry.is_some_and(|e| report.session > e.sent_in),
+        reported_state,
+        after_command: out == Out::Doubt || assignment.is_some_and(|e| report.session > e.sent_in),
         under_fencing_token: out == Out::FencingToken || report.fencing_token == mine,
         wanted_here,
-        may_come: false,
+        may_still_arrive: false,
     })
 }
 
@@ -183,13 +187,13 @@
     for (i, l) in s.leaders.iter().enumerate() {
         if !l.ready {
             let mut n = s.clone();
-            let newest = s.stored.iter().flatten().max().copied();
+            let newest = s.recorded_state.iter().flatten().max().copied();
             for m in 0..MACHINES {
-                n.leaders[i].entries[m] = s.stored[m].and_then(|attempt| {
+                n.leaders[i].assignments[m] = s.recorded_state[m].and_then(|attempt| {
                     let superseded = Some(attempt) < newest && out != Out::Superseded;
-                    (claim(true, false, superseded) == Claim::Keep).then_some(Entry {
+                    (adopt(true, false, superseded) == Adoption::Keep).then_some(Assignment {
                         attempt,
-                        state: Stored::Inherited,
+                        state: RecordedState::Inherited,
                         sent_in: 0,
                     })
                 });
@@ -207,26 +211,30 @@
             }
         }
         // It plans the task on a machine, if no entry has it, and writes that if it still leads.
-        if l.entries.iter().all(Option::is_none) && s.attempts < ATTEMPTS {
+        if l.assignments.iter().all(Option::is_none) && s.attempts < ATTEMPTS {
             for m in 0..MACHINES {
                 if s.store_fencing_token != l.fencing_token && out != Out::Commit {
                     continue;
                 }
                 let mut n = s.clone();
                 n.attempts += 1;
-                n.stored[m] = Some(n.attempts);
-                n.leaders[i].entries[m] =
-                    Some(Entry { attempt: n.attempts, state: Stored::Ready, sent_in: 0 });
+                n.recorded_state[m] = Some(n.attempts);
+                n.leaders[i].assignments[m] =
+                    Some(Assignment { attempt: n.attempts, state: RecordedState::Ready, sent_in: 0 });
                 all.push(n);
             }
         }
         for m in 0..MACHINES {
-            let Some(e) = l.entries[m] else { continue };
+            let Some(e) = l.assignments[m] else { continue };
             // The start leaves for the session that the leader knows, and nobody answers it; it may be sent again.
-            if matches!(e.state, Stored::Ready | Stored::Sent) && s.orders.len() < 2 && l.known[m].0 > 0 {
+            if matches!(e.state, RecordedState::Ready | RecordedState::Sent)
+                && s.orders.len() < 2
+                && l.known[m].0 > 0
+            {
                 let mut n = s.clone();
                 let session = l.known[m].0;
-                n.leaders[i].entries[m] = Some(Entry { state: Stored::Sent, sent_in: session, ..e });
+                n.leaders[i].assignments[m] =
+                    Some(Assignment { state: RecordedState::Sent, sent_in: session, ..e });
                 n.orders.push(Order {
                     to: m,
                     fencing_token: l.fencing_token,
@@ -273,30 +281,32 @@
                 continue;
             }
             l.known[r.from] = (r.session, r.serial);
-            let entry = l.entries[r.from];
+            let assignment = l.assignments[r.from];
             let (leads, fencing_token) = (n.store_fencing_token == l.fencing_token, l.fencing_token);
-            match (verdict(entry, &r, fencing_token, way), entry) {
-                (Verdict::There, Some(e)) => l.entries[r.from] = Some(Entry { state: Stored::Listed, ..e }),
-                (Verdict::StartHere, Some(e)) => {
-                    l.entries[r.from] = Some(Entry { state: Stored::Ready, ..e })
+            match (verdict(assignment, &r, fencing_token, way), assignment) {
+                (Decision::There, Some(e)) => {
+                    l.assignments[r.from] = Some(Assignment { state: RecordedState::Listed, ..e })
+                }
+                (Decision::StartHere, Some(e)) => {
+                    l.assignments[r.from] = Some(Assignment { state: RecordedState::Ready, ..e })
                 }
-                (Verdict::Gone(Outcome::Vanished | Outcome::NeverStarted | Outcome::Ended(_)), Some(_)) => {
-                    l.entries[r.from] = None;
+                (Decision::Gone(Outcome::Vanished | Outcome::NeverStarted | Outcome::Ended(_)), Some(_)) => {
+                    l.assignments[r.from] = None;
                     // A start that may still act would start again what was forgotten.
-                    let doubt = entry.is_some_and(|e| e.sent_in == r.session) && out != Out::Forget;
+                    let doubt = assignment.is_some_and(|e| e.sent_in == r.session) && out != Out::Forget;
                     // The answer gets there or not; the removal is written late, or never: all are followed.
                     let mut answered = n.clone();
                     forget(&mut answered.workers[r.from], &r, fencing_token, doubt);
                     for mut n in [n.clone(), answered] {
                         all.push(n.clone());
                         if leads {
-                            n.stored[r.from] = None;
+                            n.recorded_state[r.from] = None;
                             all.push(n);
                         }
                     }
                     continue;
                 }
-                (Verdict::Stop, None) => {
+                (Decision::Stop, None) => {
                     if let Has::Runs(attempt) = r.has
                         && n.orders.len() < 2
                     {
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -10,7 +10,7 @@
 use crate::types::{
     Attempt, Image, MachineId, MonotonicTime, Resources, Session, TaskId, TeamName, TypeName, Zone,
 };
-use pearford_recovery::Stored;
+use pearford_recovery::RecordedState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -44,15 +44,15 @@
 
 impl AssignmentState {
     /// As the table of verdicts knows it.
-    pub fn stored(&self) -> Stored {
+    pub fn recorded_state(&self) -> RecordedState {
         match self {
-            Self::Planned => Stored::Planned,
-            Self::Ready => Stored::Ready,
-            Self::Sent { .. } => Stored::Sent,
-            Self::Direct => Stored::Direct,
-            Self::Inherited => Stored::Inherited,
-            Self::Preparing | Self::Running | Self::Saving => Stored::Listed,
-            Self::Done => Stored::Done,
+            Self::Planned => RecordedState::Planned,
+            Self::Ready => RecordedState::Ready,
+            Self::Sent { .. } => RecordedState::Sent,
+            Self::Direct => RecordedState::Direct,
+            Self::Inherited => RecordedState::Inherited,
+            Self::Preparing | Self::Running | Self::Saving => RecordedState::Listed,
+            Self::Done => RecordedState::Done,
         }
     }
 
--- a/crates/scheduler/src/assignments/tests.rs
+++ b/crates/scheduler/src/assignments/tests.rs
@@ -24,9 +24,9 @@
         }
         record.assignments.push((task(index), attempt, team, resources));
         let value = record.to_value(limit).expect("what is placed can be stored");
-        let stored: MachineRecord = serde_json::from_str(&value).expect("readable");
-        assert!(value.len() <= limit && stored.assignments == record.assignments);
-        assert!(stored.images.is_empty() || stored.images.last() == record.images.last());
+        let recorded_state: MachineRecord = serde_json::from_str(&value).expect("readable");
+        assert!(value.len() <= limit && recorded_state.assignments == record.assignments);
+        assert!(recorded_state.images.is_empty() || recorded_state.images.last() == record.images.last());
     }
     assert!(record.assignments.len() > 12, "{} tasks", record.assignments.len());
     (0..9).for_each(|i| record.assignments.push((task(100 + i), Attempt(1), "duty-desk".into(), resources)));
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -82,7 +82,7 @@
         if self.loaded() || !self.machines_loaded || !self.progress_loaded || self.wants_jobs(ctx.fresh_at) {
             return;
         }
-        self.gathering.records_read(ctx.now);
+        self.heartbeat_collection.records_read(ctx.now);
         self.take_stock(ctx.mirror, ctx.now);
         tracing::info!(machines = self.machines.len(), jobs = self.runs.len(), "records read");
         self.take_early(ctx);
@@ -90,12 +90,12 @@
 
     /// How far the reports are in.
     pub(super) fn gather(&mut self, now: MonotonicTime) {
-        if self.gathering.phase() == Phase::Steady {
+        if self.heartbeat_collection.phase() == FailoverPhase::Steady {
             return;
         }
         let up = self.machines.values().filter(|m| m.standing == Standing::Up);
         let (heard, all) = up.fold((0, 0), |(heard, all), m| (heard + usize::from(m.heard()), all + 1));
-        if let Some(phase) = self.gathering.heard(heard, all, now) {
+        if let Some(phase) = self.heartbeat_collection.heard(heard, all, now) {
             let after_ms = now.since(self.since).0;
             tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "take-over");
             self.capacity_version += 1;
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -43,7 +43,7 @@
 use crate::workers::{Digest, Health, Machine, Outcome, Standing};
 use cloud::CloudCall;
 use pearford_homes::{Full, Hub, Renewal, Told};
-use pearford_recovery::{Act, Gathering, Pace, Phase};
+use pearford_recovery::{FailoverPhase, HeartbeatCollection, LeaderAction, Pacer};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::cmp::Reverse;
@@ -156,10 +156,10 @@
     /// Beats sent so far, and jobs that have moved since the last one.
     beats: u64,
     touched: BTreeSet<JobId>,
-    looks: Pace,
+    looks: Pacer,
     /// While changes are short: the last look was at arrays.
     arrays_looked: bool,
-    plans: Pace,
+    plans: Pacer,
     cloud_calls_open: BTreeMap<RequestId, CloudCall>,
     cloud_calls: Budget,
     list_after: Option<MachineId>,
@@ -193,7 +193,7 @@
     /// Orders that go out with answers to the next reports at other nodes.
     errands: BTreeMap<NodeName, Vec<(MachineId, Vec<workers::Order>)>>,
     phases: homes::Phases,
-    gathering: Gathering,
+    heartbeat_collection: HeartbeatCollection,
     served: Served,
     reload: Vec<(MonotonicTime, LeaderRequest)>,
     recheck: Vec<(MonotonicTime, String)>,
@@ -220,7 +220,7 @@
 
     /// Whether all records are read and taken in.
     fn loaded(&self) -> bool {
-        self.gathering.phase() > Phase::Reading
+        self.heartbeat_collection.phase() > FailoverPhase::ReadingRecords
     }
 
     /// Brings the kept sums in line after a change of a machine's entries.
@@ -374,9 +374,9 @@
             learned: Vec::new(),
             beats: 0,
             touched: BTreeSet::new(),
-            looks: Pace::new(offers::LOOK_EVERY, LOOKS_REST, now),
+            looks: Pacer::new(offers::LOOK_EVERY, LOOKS_REST, now),
             arrays_looked: false,
-            plans: Pace::new(HOUSEKEEPING_EVERY, PLANS_REST, now),
+            plans: Pacer::new(HOUSEKEEPING_EVERY, PLANS_REST, now),
             cloud_calls_open: BTreeMap::new(),
             cloud_calls: Budget::new(settings.cloud.rps * 0.7),
             list_after: None,
@@ -403,7 +403,7 @@
             errands: BTreeMap::new(),
             phases: homes::Phases::default(),
             served: Served::default(),
-            gathering: Gathering::new(
+            heartbeat_collection: HeartbeatCollection::new(
                 Duration::from_secs_f64(settings.workers.report_s),
                 Duration::from_secs_f64(settings.workers.lease_s),
             ),
@@ -448,7 +448,7 @@
     /// Whether starts may leave: validly leading, all records read, withdrawals known.
     fn may_start(&self, ctx: &Ctx) -> bool {
         ctx.valid
-            && self.gathering.allows(Act::Start)
+            && self.heartbeat_collection.allows(LeaderAction::Start)
             && self.opaque.is_empty()
             && ctx.renewal.is_fresh(ctx.now)
     }
@@ -568,7 +568,7 @@
         lines.push(format!("pearford_jobs_open {}", self.runs.len()));
         lines.push(format!("pearford_tasks_waiting {waiting}"));
         lines.push(format!("pearford_journal_backlog {}", self.commit_pipeline.backlog()));
-        lines.push(format!("pearford_recovery_phase {}", self.gathering.phase() as u8));
+        lines.push(format!("pearford_recovery_phase {}", self.heartbeat_collection.phase() as u8));
         for (node, machines) in self.hub.counts() {
             lines.push(format!("pearford_reports_home{{node=\"{node}\"}} {machines}"));
         }
@@ -617,12 +617,12 @@
         }
         self.machines.values_mut().filter(|m| !m.heard()).for_each(|m| m.unanswered = 9);
         let workers = &self.settings.workers;
-        self.gathering = Gathering::new(
+        self.heartbeat_collection = HeartbeatCollection::new(
             Duration::from_secs_f64(workers.report_s),
             Duration::from_secs_f64(workers.lease_s),
         );
-        self.gathering.records_read(MonotonicTime::default());
-        self.gathering.heard(1, 1, self.since);
+        self.heartbeat_collection.records_read(MonotonicTime::default());
+        self.heartbeat_collection.heard(1, 1, self.since);
     }
 
     /// What is to stop makes room for its team at once, without a proof that it is gone.
--- a/crates/scheduler/src/node/master/preemption.rs
+++ b/crates/scheduler/src/node/master/preemption.rs
@@ -135,7 +135,7 @@
         }
         let fetch_rate = self.market.types.iter().map(|t| t.fetch_gb_per_s).fold(0.0, f64::max);
         let worth_it = fetch_rate > 0.0 && ask.image_gb / fetch_rate > IMAGE_WORTH_S;
-        let may = *scans > 0 && self.gathering.allows(Act::Preempt);
+        let may = *scans > 0 && self.heartbeat_collection.allows(LeaderAction::Preempt);
         if run.promised == 0 && ready < tasks && worth_it && may && run.preempting_until.is_none() {
             *scans -= 1;
             let spec = run.job.spec.clone();
--- a/crates/scheduler/src/node/master/rounds.rs
+++ b/crates/scheduler/src/node/master/rounds.rs
@@ -153,7 +153,7 @@
             }
             // What fits nowhere is not offered: a round's answer would only say the same.
             if !self.make_fit(&home, &ask, &mut field, &mut claims) {
-                if scans > 0 && field.whole && self.gathering.allows(Act::Preempt) {
+                if scans > 0 && field.whole && self.heartbeat_collection.allows(LeaderAction::Preempt) {
                     scans -= usize::from(self.preempt(&ask, now));
                 }
                 if ask.shape == Shape::Gang && ask.tasks.len() > 1 {
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::jobs::{PROGRESS_PREFIX, Stage};
-use pearford_recovery::{Claim, Ending, Stored, claim};
+use pearford_recovery::{Adoption, RecordedState, TaskExit, adopt};
 
 /// How long nothing is placed on a machine whose record the state service refuses.
 const UNWRITABLE_PAUSE: Duration = Duration::from_millis(30_000);
@@ -64,7 +64,7 @@
         for job in unread.cloned().collect::<BTreeSet<_>>() {
             self.unread.entry(job).or_default();
         }
-        self.claim_entries(None, now);
+        self.adopt_assignments(None, now);
         // All tasks may be recorded as done without the job being so.
         let over: Vec<JobId> =
             self.runs.iter().filter(|(_, r)| r.all_done()).map(|(id, _)| id.clone()).collect();
@@ -89,14 +89,14 @@
                 }
             }
         }
-        self.claim_entries(Some(id), now);
+        self.adopt_assignments(Some(id), now);
         if self.runs.get(id).is_some_and(Run::all_done) {
             self.finish(id);
         }
     }
 
     /// Squares inherited entries, of one job or of all whose record can be read, with the runs.
-    fn claim_entries(&mut self, only: Option<&JobId>, now: MonotonicTime) {
+    fn adopt_assignments(&mut self, only: Option<&JobId>, now: MonotonicTime) {
         let ours = |job: &JobId, unread: &BTreeMap<JobId, Vec<Pair>>| match only {
             Some(only) => job == only,
             None => !unread.contains_key(job),
@@ -120,9 +120,9 @@
             let superseded = newest.get(&task).is_some_and(|newest| attempt < *newest);
             let run = self.runs.get_mut(&task.job);
             let task_done = run.as_ref().is_some_and(|run| run.done().has(task.index));
-            match (claim(run.is_some(), task_done, superseded), run) {
-                (Claim::Superseded, _) => self.take_off(&machine, &task, now),
-                (Claim::Keep, Some(run)) => {
+            match (adopt(run.is_some(), task_done, superseded), run) {
+                (Adoption::Superseded, _) => self.take_off(&machine, &task, now),
+                (Adoption::Keep, Some(run)) => {
                     run.place(task.index, machine.clone());
                     run.attempt = Some(attempt);
                     // It was started there, so its image is there or on its way. The record was written before the
@@ -135,7 +135,7 @@
                         self.task_done(&machine, &task, now);
                     }
                 }
-                (Claim::Keep | Claim::Over, _) => self.drop_or_stop(&machine, &task, now),
+                (Adoption::Keep | Adoption::Over, _) => self.drop_or_stop(&machine, &task, now),
             }
         }
     }
@@ -278,9 +278,9 @@
     /// the team's limit and the job's zones all together, or entries that have long made way would come back.
     fn start_again(&self, report: &Report) -> Vec<TaskId> {
         let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
-        let may_be_gone = |e: &Assignment| match e.state.stored() {
-            Stored::Inherited => report.fencing_token == self.fencing_token,
-            Stored::Listed => report.session > m.session,
+        let may_be_gone = |e: &Assignment| match e.state.recorded_state() {
+            RecordedState::Inherited => report.fencing_token == self.fencing_token,
+            RecordedState::Listed => report.session > m.session,
             _ => false,
         };
         if !m.assignments.values().any(may_be_gone) || !Resources::default().fits_in(&m.free()) {
@@ -477,7 +477,7 @@
     ) {
         self.dirty.insert(machine.clone());
         self.capacity_version += 1;
-        if outcome == Outcome::Ended(Ending::NoRoom)
+        if outcome == Outcome::Ended(TaskExit::NoRoom)
             && let Some(m) = self.machines.get_mut(machine)
         {
             m.not_before = now + Duration::from_millis(2000);
@@ -487,7 +487,7 @@
         tracing::debug!(%task, %machine, ?outcome, "task left");
         let mut blamed = None;
         match outcome {
-            Outcome::Ended(Ending::Failed) => {
+            Outcome::Ended(TaskExit::Failed) => {
                 run.errors += 1;
                 // One failure speaks of the machine; several in a row may speak of the job.
                 let pause = if run.errors < 3 { 0 } else { 250u64 << (run.errors - 2).min(7) };
@@ -498,7 +498,7 @@
                 }
                 blamed = Some(errors);
             }
-            Outcome::Ended(Ending::Refused | Ending::NoRoom) => {
+            Outcome::Ended(TaskExit::Refused | TaskExit::NoRoom) => {
                 run.not_before = now + Duration::from_millis(1000)
             }
             _ => {}
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -173,9 +173,9 @@
         self.cut.clone_from(&cut);
         let lost_after = report.times(o.lost_reports);
         let lease_ends = Duration::from_secs_f64(self.settings.workers.lease_s - LEASE_MARGIN_S);
-        let may_give_up = self.gathering.may_give_up(now);
+        let may_give_up = self.heartbeat_collection.may_give_up(now);
         let words_came = now.since(self.since) >= WORDS_COME;
-        let gives_up = self.gathering.allows(Act::GiveUp);
+        let gives_up = self.heartbeat_collection.allows(LeaderAction::GiveUp);
         let haunts = self.haunts();
         for m in self.machines.values_mut() {
             let over = over_since(m, &self.runs);
@@ -322,7 +322,7 @@
     /// Machines to return now.
     pub(super) fn returns(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudCall)> {
         let idle = Duration::from_secs_f64(self.settings.operator.idle_return_s);
-        let may_return = self.gathering.allows(Act::ReturnIdle);
+        let may_return = self.heartbeat_collection.allows(LeaderAction::ReturnIdle);
         for m in self.machines.values_mut() {
             let empty = m.assignments.is_empty() && m.strays.is_empty();
             let idle_for = m.empty_since.map(|at| now.since(at)).unwrap_or_default();
@@ -494,7 +494,7 @@
     }
 
     pub(super) fn rentals(&mut self, now: MonotonicTime) -> Vec<(CloudRequest, CloudCall)> {
-        if !self.gathering.allows(Act::Rent)
+        if !self.heartbeat_collection.allows(LeaderAction::Rent)
             || now < self.rent_not_before
             || now.since(self.since) < Duration::from_millis(2000)
             || self.market.types.is_empty()
--- a/crates/scheduler/src/node/master/upkeep/tests.rs
+++ b/crates/scheduler/src/node/master/upkeep/tests.rs
@@ -6,7 +6,7 @@
     for (i, zone) in zones.iter().enumerate() {
         m.take_report(&report(&format!("m-{i}"), zone, 1), MonotonicTime::from_millis(1_000));
     }
-    m.gathering.records_read(MonotonicTime::from_millis(1_000));
+    m.heartbeat_collection.records_read(MonotonicTime::from_millis(1_000));
     m.gather(MonotonicTime::from_millis(1_000));
     m
 }
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::types::{Attempt, FencingToken, JobId, MachineId, NodeName, Session, TaskId, TypeName, Zone};
 use pearford_homes::Stamped;
-use pearford_recovery::{Ending, Said};
+use pearford_recovery::{ReportedState, TaskExit};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Deserialize)]
@@ -93,19 +93,19 @@
     }
 
     /// What it says of the task.
-    pub fn said(&self) -> Said {
+    pub fn reported_state(&self) -> ReportedState {
         match self.phase {
-            TaskPhase::Fetching | TaskPhase::Other => Said::Fetching,
-            TaskPhase::Waiting => Said::Waiting,
-            TaskPhase::Running => Said::Running,
-            TaskPhase::Saving => Said::Saving,
-            TaskPhase::Exited => Said::Ended(match self.cause {
-                Some(Cause::Done) => Ending::Done,
-                Some(Cause::Error) => Ending::Failed,
-                Some(Cause::Stopped) => Ending::Stopped { saved: self.saved },
-                Some(Cause::Peers | Cause::Alone) => Ending::GangBroke,
-                Some(Cause::NoRoom) => Ending::NoRoom,
-                Some(Cause::Busy | Cause::Unknown | Cause::Other) | None => Ending::Refused,
+            TaskPhase::Fetching | TaskPhase::Other => ReportedState::Fetching,
+            TaskPhase::Waiting => ReportedState::Waiting,
+            TaskPhase::Running => ReportedState::Running,
+            TaskPhase::Saving => ReportedState::Saving,
+            TaskPhase::Exited => ReportedState::Ended(match self.cause {
+                Some(Cause::Done) => TaskExit::Done,
+                Some(Cause::Error) => TaskExit::Failed,
+                Some(Cause::Stopped) => TaskExit::Stopped { saved: self.saved },
+                Some(Cause::Peers | Cause::Alone) => TaskExit::GangBroke,
+                Some(Cause::NoRoom) => TaskExit::NoRoom,
+                Some(Cause::Busy | Cause::Unknown | Cause::Other) | None => TaskExit::Refused,
             }),
         }
     }
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -7,7 +7,7 @@
 };
 use crate::wire::workers::{Order, Report, ReportedTask, TaskPhase};
 pub use pearford_recovery::Outcome;
-use pearford_recovery::{Case, Ending, Said, Stored, Verdict, square};
+use pearford_recovery::{Decision, Observation, RecordedState, ReportedState, TaskExit, reconcile};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Keeps an answer's one line below 64 KiB.
@@ -348,11 +348,11 @@
                 Some(e) if e.attempt == reported.attempt => {
                     listed.insert(task, reported);
                 }
-                _ => match self.square_unknown(&task, reported) {
-                    Verdict::Stop => {
+                _ => match self.reconcile_unknown(&task, reported) {
+                    Decision::Stop => {
                         self.strays.insert(task);
                     }
-                    Verdict::Unproved => kept += 1,
+                    Decision::Unproved => kept += 1,
                     _ => {}
                 },
             }
@@ -368,32 +368,33 @@
         for task in tasks {
             let Some(assignment) = self.assignments.get_mut(&task) else { continue };
             let reported = listed.get(&task);
-            let case = Case {
-                stored: assignment.state.stored(),
+            let observation = Observation {
+                recorded_state: assignment.state.recorded_state(),
                 stopping: assignment.stop.is_some(),
-                said: reported.map_or(Said::Absent, |r| r.said()),
-                after_order: assignment.state.is_before(report.session, report.serial),
+                reported_state: reported.map_or(ReportedState::Absent, |r| r.reported_state()),
+                after_command: assignment.state.is_before(report.session, report.serial),
                 under_fencing_token: report.fencing_token == mine,
                 wanted_here: open && again.contains(&task),
-                may_come: false,
+                may_still_arrive: false,
             };
-            match square(&case) {
-                Verdict::There => there(assignment, case.said, now, &task, &mut digest),
-                Verdict::Done => {
+            match reconcile(&observation) {
+                Decision::There => there(assignment, observation.reported_state, now, &task, &mut digest),
+                Decision::Done => {
                     fetched(assignment, &task, &mut digest);
                     assignment.state = AssignmentState::Done;
                     digest.done.push((task.clone(), assignment.attempt));
                 }
-                Verdict::StartHere => {
-                    if matches!(case.stored, Stored::Inherited | Stored::Listed) {
+                Decision::StartHere => {
+                    if matches!(observation.recorded_state, RecordedState::Inherited | RecordedState::Listed)
+                    {
                         assignment.planned_at = now;
                         assignment.running_since = None;
                         digest.again.push(task.clone());
                     }
                     assignment.state = AssignmentState::Ready;
                 }
-                Verdict::Gone(outcome) => {
-                    if outcome == Outcome::Ended(Ending::GangBroke) {
+                Decision::Gone(outcome) => {
+                    if outcome == Outcome::Ended(TaskExit::GangBroke) {
                         fetched(assignment, &task, &mut digest);
                     }
                     self.planned.remove(&task);
@@ -401,19 +402,19 @@
                         digest.gone.push((task, assignment, outcome));
                     }
                 }
-                Verdict::Unproved | Verdict::Stop | Verdict::Forget => {}
+                Decision::Unproved | Decision::Stop | Decision::Forget => {}
             }
         }
         digest
     }
 
     /// What becomes of an attempt that is reported and not stored.
-    fn square_unknown(&self, task: &TaskId, reported: &ReportedTask) -> Verdict {
+    fn reconcile_unknown(&self, task: &TaskId, reported: &ReportedTask) -> Decision {
         let key = (task.clone(), reported.attempt);
-        let said = reported.said();
+        let reported_state = reported.reported_state();
         // Started again, one that is done ends as soon as it has its image; one without an answer may be anything.
-        let again = said != Said::Ended(Ending::Done) && self.sent.contains_key(&key);
-        square(&Case::not_stored(said, again || self.doubtful.contains_key(&key)))
+        let again = reported_state != ReportedState::Ended(TaskExit::Done) && self.sent.contains_key(&key);
+        reconcile(&Observation::unrecorded(reported_state, again || self.doubtful.contains_key(&key)))
     }
 
     /// Whether a report that says what the last one said has nothing to prove and needs no orders: each task in
@@ -466,9 +467,9 @@
             if !leads || self.assignments.get(&task).is_some_and(|e| e.attempt == attempt) {
                 continue;
             }
-            match self.square_unknown(&task, reported) {
-                Verdict::Stop => orders.push(Order::Stop { task, attempt, grace_s: 0.0 }),
-                Verdict::Forget => orders.push(Order::Forget { task, attempt }),
+            match self.reconcile_unknown(&task, reported) {
+                Decision::Stop => orders.push(Order::Stop { task, attempt, grace_s: 0.0 }),
+                Decision::Forget => orders.push(Order::Forget { task, attempt }),
                 _ => {}
             }
         }
@@ -590,16 +591,22 @@
 }
 
 /// Takes over the phase of a task that is there.
-fn there(assignment: &mut Assignment, said: Said, now: MonotonicTime, task: &TaskId, digest: &mut Digest) {
-    if matches!(said, Said::Waiting | Said::Running) {
+fn there(
+    assignment: &mut Assignment,
+    reported_state: ReportedState,
+    now: MonotonicTime,
+    task: &TaskId,
+    digest: &mut Digest,
+) {
+    if matches!(reported_state, ReportedState::Waiting | ReportedState::Running) {
         fetched(assignment, task, digest);
     }
-    assignment.state = match said {
-        Said::Running => AssignmentState::Running,
-        Said::Saving => AssignmentState::Saving,
+    assignment.state = match reported_state {
+        ReportedState::Running => AssignmentState::Running,
+        ReportedState::Saving => AssignmentState::Saving,
         _ => AssignmentState::Preparing,
     };
-    if said == Said::Running && assignment.running_since.is_none() {
+    if reported_state == ReportedState::Running && assignment.running_since.is_none() {
         assignment.running_since = Some(now);
         digest.began.push(task.clone());
     }
