--- a/crates/homes/src/hub.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -1,8 +1,8 @@
 //! The leader's part: what digests are worth, which way a worker is reached, who is home to how many.
 
-use crate::messages::{Delegation, Digest, Full, Stamped};
-use crate::rule::{Homes, Place};
-use crate::{Delegate, Turn, content_hash};
+use crate::messages::{Delegation, FullHeartbeat, HeartbeatDigest, HeartbeatPosition};
+use crate::rendezvous::{NodeWeight, NodeWeights};
+use crate::{Delegate, Routing, content_hash};
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,7 +10,7 @@
 /// A digest that left before this delegation came is at most so much younger than the next one.
 const SLACK: Duration = Duration::from_millis(1500);
 /// Delegations whose time is remembered.
-const BEATS: usize = 128;
+const REMEMBERED_DELEGATIONS: usize = 128;
 /// How old a node's last digest may be for orders to go through it, and the delegation that it names.
 const FRESH: Duration = Duration::from_millis(1500);
 const DELEGATED: Duration = Duration::from_millis(3500);
@@ -27,9 +27,9 @@
 
 /// What a digest says of one machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeardHeartbeat {
     pub machine: MachineId,
-    pub at: Stamped,
+    pub at: HeartbeatPosition,
     /// When the report was heard, by the leader's clock, and rather too early than too late.
     pub heard: MonotonicTime,
     /// What it says is new; else it is what the last one said.
@@ -38,63 +38,63 @@
 
 /// What a machine last said, and to which node.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownHeartbeat {
     pub node: NodeName,
-    pub at: Stamped,
+    pub at: HeartbeatPosition,
     pub content: Vec<u8>,
     hash: u64,
 }
 
 #[derive(Debug, Clone)]
-pub struct Hub {
+pub struct Coordinator {
     me: NodeName,
     fencing_token: FencingToken,
-    beat: u64,
+    sequence: u64,
     sent: VecDeque<(u64, MonotonicTime)>,
     next: MonotonicTime,
     /// When a node's last digest came, and when the delegation had left that it named.
     digests: BTreeMap<NodeName, (MonotonicTime, MonotonicTime)>,
     /// Since when nodes have been there for a leader that is ready.
     listed: BTreeMap<NodeName, MonotonicTime>,
-    known: BTreeMap<MachineId, Known>,
-    wanted: BTreeMap<NodeName, BTreeSet<MachineId>>,
+    known: BTreeMap<MachineId, KnownHeartbeat>,
+    missing: BTreeMap<NodeName, BTreeSet<MachineId>>,
     weights: BTreeMap<NodeName, u16>,
     next_balance: MonotonicTime,
     /// Decides about the leader's own reports, as any node does.
     own: Delegate,
     #[cfg(test)]
-    trusts_all: bool,
+    skip_content_check: bool,
 }
 
-impl Hub {
+impl Coordinator {
     pub fn new(me: NodeName, fencing_token: FencingToken, now: MonotonicTime) -> Self {
         Self {
             own: Delegate::new(me.clone()),
             me,
             fencing_token,
-            beat: 0,
+            sequence: 0,
             sent: VecDeque::new(),
             next: now,
             digests: BTreeMap::new(),
             listed: BTreeMap::new(),
             known: BTreeMap::new(),
-            wanted: BTreeMap::new(),
+            missing: BTreeMap::new(),
             weights: BTreeMap::new(),
             next_balance: now + BALANCE_EVERY,
             #[cfg(test)]
-            trusts_all: false,
+            skip_content_check: false,
         }
     }
 
     /// Takes the guard out that a report told as the same as before is that of the same content.
     #[cfg(test)]
-    pub fn trust_all(&mut self) {
-        self.trusts_all = true;
+    pub fn disable_content_check(&mut self) {
+        self.skip_content_check = true;
     }
 
-    fn trusts(&self) -> bool {
+    fn skips_content_check(&self) -> bool {
         #[cfg(test)]
-        return self.trusts_all;
+        return self.skip_content_check;
         #[cfg(not(test))]
         false
     }
@@ -111,9 +111,9 @@
             return None;
         }
         self.next = now + DELEGATE_EVERY;
-        self.beat += 1;
-        self.sent.push_back((self.beat, now));
-        if self.sent.len() > BEATS {
+        self.sequence += 1;
+        self.sent.push_back((self.sequence, now));
+        if self.sent.len() > REMEMBERED_DELEGATIONS {
             self.sent.pop_front();
         }
         self.balance(live, now);
@@ -125,12 +125,13 @@
         }
         let place = |(node, zone): &(NodeName, Zone)| {
             let weight = self.weights.get(node).copied().unwrap_or(self.first_weight(node));
-            let weight = if self.is_deaf(node, now) { 0 } else { weight };
-            Place { node: node.clone(), zone: zone.clone(), weight }
+            let weight = if self.is_unresponsive(node, now) { 0 } else { weight };
+            NodeWeight { node: node.clone(), zone: zone.clone(), weight }
         };
-        let homes = Homes::new(live.iter().map(place).collect());
-        let delegation = Delegation { fencing_token: self.fencing_token, beat: self.beat, ready, homes };
-        self.own.granted(&self.me.clone(), delegation.clone(), now);
+        let node_weights = NodeWeights::new(live.iter().map(place).collect());
+        let delegation =
+            Delegation { fencing_token: self.fencing_token, sequence: self.sequence, ready, node_weights };
+        self.own.delegation_received(&self.me.clone(), delegation.clone(), now);
         self.own.prune(now);
         Some(delegation)
     }
@@ -173,16 +174,16 @@
     }
 
     /// The node to which a worker is sent that reports to the leader itself, if it is not answered here.
-    pub fn elsewhere(&mut self, machine: &MachineId, zone: &Zone, now: MonotonicTime) -> Option<NodeName> {
-        match self.own.elsewhere(machine, zone, now) {
-            Some(Turn::Home(home)) if self.is_fresh(&home, now) => Some(home),
+    pub fn redirect_for(&mut self, machine: &MachineId, zone: &Zone, now: MonotonicTime) -> Option<NodeName> {
+        match self.own.redirect_for(machine, zone, now) {
+            Some(Routing::Redirect(home)) if self.is_fresh(&home, now) => Some(home),
             _ => None,
         }
     }
 
     fn is_fresh(&self, node: &NodeName, now: MonotonicTime) -> bool {
-        let fresh = |(at, beat): &(MonotonicTime, MonotonicTime)| {
-            now.since(*at) < FRESH && now.since(*beat) < DELEGATED
+        let fresh = |(at, sequence): &(MonotonicTime, MonotonicTime)| {
+            now.since(*at) < FRESH && now.since(*sequence) < DELEGATED
         };
         self.digests.get(node).is_some_and(fresh)
     }
@@ -190,19 +191,19 @@
     /// Whether a node that is there does not get what is sent to it, or what it sends gets lost: then it must be
     /// home to none. (Connections to a node were refused that had one back: it answered, told of it under a
     /// delegation long past, and 440 machines that it heard were given up; andina fleet, apart.)
-    fn is_deaf(&self, node: &NodeName, now: MonotonicTime) -> bool {
+    fn is_unresponsive(&self, node: &NodeName, now: MonotonicTime) -> bool {
         *node != self.me
             && self.listed.get(node).is_some_and(|since| now.since(*since) >= GRACE)
             && !self.is_fresh(node, now)
     }
 
     /// A report that came to the leader itself.
-    pub fn reported_here(&mut self, machine: &MachineId, at: Stamped, content: Vec<u8>) {
+    pub fn reported_here(&mut self, machine: &MachineId, at: HeartbeatPosition, content: Vec<u8>) {
         let (node, hash) = (self.me.clone(), content_hash(&content));
-        self.known.insert(machine.clone(), Known { node, at, content, hash });
+        self.known.insert(machine.clone(), KnownHeartbeat { node, at, content, hash });
     }
 
-    pub fn known(&self, machine: &MachineId) -> Option<&Known> {
+    pub fn known(&self, machine: &MachineId) -> Option<&KnownHeartbeat> {
         self.known.get(machine)
     }
 
@@ -227,34 +228,41 @@
 
     /// Takes a digest in. What it says is worth what the report said: newer ones than known only, and "the same
     /// as before" only of the content that is known here; else it is asked for.
-    pub fn digest(&mut self, from: &NodeName, digest: Digest, now: MonotonicTime) -> Vec<Heard> {
+    pub fn digest(
+        &mut self,
+        from: &NodeName,
+        digest: HeartbeatDigest,
+        now: MonotonicTime,
+    ) -> Vec<HeardHeartbeat> {
         if digest.fencing_token != self.fencing_token {
             return Vec::new();
         }
         // A digest that a cut has held back says with its beat how old it is at least.
-        let Some(beat) = self.sent.iter().find(|(beat, _)| *beat == digest.beat).map(|(_, at)| *at) else {
+        let Some(sequence) =
+            self.sent.iter().find(|(sequence, _)| *sequence == digest.sequence).map(|(_, at)| *at)
+        else {
             return Vec::new();
         };
-        self.digests.insert(from.clone(), (now, beat));
-        let heard = |age: Duration| now.before(age).min(beat + SLACK);
+        self.digests.insert(from.clone(), (now, sequence));
+        let heard = |age: Duration| now.before(age).min(sequence + SLACK);
         let mut out = Vec::new();
         for full in digest.full {
             let at = heard(full.age);
             out.extend(self.take_full(from, at, full));
         }
-        let trusts = self.trusts();
+        let skips_content_check = self.skips_content_check();
         for same in digest.same {
             match self.known.get_mut(&same.machine) {
                 Some(k) if !same.at.is_newer(&k.at) => {}
                 Some(k)
-                    if trusts
+                    if skips_content_check
                         || (k.hash == same.hash
                             && (k.at.session, k.at.fencing_token)
                                 == (same.at.session, same.at.fencing_token)) =>
                 {
                     k.at = same.at;
                     k.node = from.clone();
-                    out.push(Heard {
+                    out.push(HeardHeartbeat {
                         machine: same.machine,
                         at: same.at,
                         heard: heard(same.age),
@@ -262,7 +270,7 @@
                     });
                 }
                 _ => {
-                    self.wanted.entry(from.clone()).or_default().insert(same.machine);
+                    self.missing.entry(from.clone()).or_default().insert(same.machine);
                 }
             }
         }
@@ -270,29 +278,39 @@
     }
 
     /// Takes in what this node heard before it led, as of `since`.
-    pub fn seed(&mut self, own: Vec<Full>, since: MonotonicTime, now: MonotonicTime) -> Vec<Heard> {
+    pub fn seed(
+        &mut self,
+        own: Vec<FullHeartbeat>,
+        since: MonotonicTime,
+        now: MonotonicTime,
+    ) -> Vec<HeardHeartbeat> {
         let me = self.me.clone();
-        let heard = |f: &Full| since.before(f.age).min(now);
+        let heard = |f: &FullHeartbeat| since.before(f.age).min(now);
         own.into_iter().filter_map(|full| self.take_full(&me, heard(&full), full)).collect()
     }
 
-    fn take_full(&mut self, from: &NodeName, heard: MonotonicTime, full: Full) -> Option<Heard> {
+    fn take_full(
+        &mut self,
+        from: &NodeName,
+        heard: MonotonicTime,
+        full: FullHeartbeat,
+    ) -> Option<HeardHeartbeat> {
         if self.known.get(&full.machine).is_some_and(|k| !full.at.is_newer(&k.at)) {
             return None;
         }
         let hash = content_hash(&full.content);
-        let known = Known { node: from.clone(), at: full.at, content: full.content, hash };
+        let known = KnownHeartbeat { node: from.clone(), at: full.at, content: full.content, hash };
         self.known.insert(full.machine.clone(), known);
-        if let Some(wanted) = self.wanted.get_mut(from) {
-            wanted.remove(&full.machine);
+        if let Some(missing) = self.missing.get_mut(from) {
+            missing.remove(&full.machine);
         }
-        Some(Heard { machine: full.machine, at: full.at, heard, new: true })
+        Some(HeardHeartbeat { machine: full.machine, at: full.at, heard, new: true })
     }
 
     /// Machines whose last words are to be asked for, by node.
-    pub fn wants(&mut self) -> Vec<(NodeName, Vec<MachineId>)> {
-        let wanted = std::mem::take(&mut self.wanted);
-        wanted
+    pub fn take_missing(&mut self) -> Vec<(NodeName, Vec<MachineId>)> {
+        let missing = std::mem::take(&mut self.missing);
+        missing
             .into_iter()
             .filter(|(_, machines)| !machines.is_empty())
             .map(|(node, machines)| (node, machines.into_iter().collect()))
--- a/crates/homes/src/delegate.rs
+++ b/crates/heartbeat/src/delegate.rs
@@ -1,7 +1,7 @@
 //! Every node's part: whose reports it answers, and what it tells the leader of them.
 
-use crate::messages::{Delegation, Digest, Full, Same, Stamped};
-use crate::{Homes, content_hash};
+use crate::messages::{Delegation, FullHeartbeat, HeartbeatDigest, HeartbeatPosition, UnchangedHeartbeat};
+use crate::{NodeWeights, content_hash};
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,50 +21,50 @@
 
 /// Guards that tests take out, to prove that what checks them can fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub enum DelegateCheck {
     /// A worker that has seen a higher fence is not answered by a lower one.
     OlderFencingToken,
     /// Answers end with this node's own look at the job records.
-    OwnLook,
+    OwnRead,
 }
 
 /// A report, as far as it matters whose it is to answer.
 #[derive(Debug)]
-pub struct Ask<'a> {
+pub struct IncomingHeartbeat<'a> {
     pub machine: &'a MachineId,
     pub zone: &'a Zone,
-    pub at: Stamped,
+    pub at: HeartbeatPosition,
     pub content: Vec<u8>,
 }
 
 /// What becomes of a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Turn {
+pub enum Routing {
     /// Answered with 200 by this fence.
     Answer(FencingToken),
     /// Sent to the node that is its home.
-    Home(NodeName),
+    Redirect(NodeName),
     /// Sent on to whichever node comes next.
-    On,
+    TryAnotherNode,
     /// This node has no delegation: as if there were none anywhere.
-    NotOurs,
+    NoDelegation,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldDelegation {
     leader: NodeName,
     fencing_token: FencingToken,
-    beat: u64,
+    sequence: u64,
     at: MonotonicTime,
     ready: bool,
-    homes: Homes,
+    node_weights: NodeWeights,
     /// Workers of this zone alone are answered by it.
     only: Option<Zone>,
 }
 
 #[derive(Debug, Clone)]
-struct Report {
-    at: Stamped,
+struct ReceivedHeartbeat {
+    at: HeartbeatPosition,
     heard: MonotonicTime,
     content: Vec<u8>,
     hash: u64,
@@ -72,7 +72,7 @@
 
 /// When a worker was sent elsewhere, and why.
 #[derive(Debug, Clone, Copy)]
-struct SentOn {
+struct Redirected {
     at: MonotonicTime,
     /// To its home; else on, as no delegation had come since this time.
     alone_since: Option<MonotonicTime>,
@@ -81,19 +81,19 @@
 #[derive(Debug, Clone)]
 pub struct Delegate {
     me: NodeName,
-    held: Option<Held>,
+    held: Option<HeldDelegation>,
     /// The leader that all reports have been told in full.
-    told: FencingToken,
-    heard: BTreeMap<MachineId, Report>,
+    fully_reported_to: FencingToken,
+    heard: BTreeMap<MachineId, ReceivedHeartbeat>,
     /// To be told in full, and to be told as the same as before.
     changed: BTreeSet<MachineId>,
     same: BTreeSet<MachineId>,
-    sent_on: BTreeMap<MachineId, SentOn>,
+    redirected: BTreeMap<MachineId, Redirected>,
     moves: (MonotonicTime, u32),
     next_changed: MonotonicTime,
     next_same: MonotonicTime,
     next_prune: MonotonicTime,
-    out: Option<Guard>,
+    out: Option<DelegateCheck>,
 }
 
 impl Delegate {
@@ -101,11 +101,11 @@
         Self {
             me,
             held: None,
-            told: FencingToken(0),
+            fully_reported_to: FencingToken(0),
             heard: BTreeMap::new(),
             changed: BTreeSet::new(),
             same: BTreeSet::new(),
-            sent_on: BTreeMap::new(),
+            redirected: BTreeMap::new(),
             moves: (MonotonicTime::default(), 0),
             next_changed: MonotonicTime::default(),
             next_same: MonotonicTime::default(),
@@ -115,7 +115,7 @@
     }
 
     /// Takes a guard out, for tests.
-    pub fn take_out(&mut self, guard: Guard) {
+    pub fn disable(&mut self, guard: DelegateCheck) {
         self.out = Some(guard);
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// This node leads now: it answers in its own right. What it has heard as a delegate is for itself.
-    pub fn leads(&mut self, now: MonotonicTime) -> Vec<Full> {
+    pub fn became_leader(&mut self, now: MonotonicTime) -> Vec<FullHeartbeat> {
         self.held = None;
         self.changed.clear();
         self.same.clear();
@@ -142,33 +142,45 @@
         heard
             .into_iter()
             .filter(|(_, r)| now.since(r.heard) < REMEMBERED)
-            .map(|(machine, r)| Full { machine, at: r.at, age: now.since(r.heard), content: r.content })
+            .map(|(machine, r)| FullHeartbeat {
+                machine,
+                at: r.at,
+                age: now.since(r.heard),
+                content: r.content,
+            })
             .collect()
     }
 
     /// A leader delegates. An older leader's word, however late, changes nothing.
-    pub fn granted(&mut self, from: &NodeName, delegation: Delegation, now: MonotonicTime) {
-        let Delegation { fencing_token, beat, ready, homes } = delegation;
-        if self.held.as_ref().is_some_and(|h| (fencing_token, beat) <= (h.fencing_token, h.beat)) {
+    pub fn delegation_received(&mut self, from: &NodeName, delegation: Delegation, now: MonotonicTime) {
+        let Delegation { fencing_token, sequence, ready, node_weights } = delegation;
+        if self.held.as_ref().is_some_and(|h| (fencing_token, sequence) <= (h.fencing_token, h.sequence)) {
             return;
         }
-        if ready && self.told < fencing_token {
+        if ready && self.fully_reported_to < fencing_token {
             // A new leader knows nothing yet: what each node has heard spares it a rush of every worker.
-            self.told = fencing_token;
+            self.fully_reported_to = fencing_token;
             self.heard.retain(|_, r| now.since(r.heard) < REMEMBERED);
             self.changed = self.heard.keys().cloned().collect();
             self.same.clear();
             self.next_changed = now;
         }
-        self.held =
-            Some(Held { leader: from.clone(), fencing_token, beat, at: now, ready, homes, only: None });
+        self.held = Some(HeldDelegation {
+            leader: from.clone(),
+            fencing_token,
+            sequence,
+            at: now,
+            ready,
+            node_weights,
+            only: None,
+        });
     }
 
     /// The state service says who leads, though no delegation comes from there: what the leader delegates to all alike,
     /// this node has. Nobody is home anywhere by it, and nothing is told to the leader: a worker is sent on once, as
     /// somebody else may reach the leader, and answered when it comes back; and only those of this node's zone, `only`,
     /// since others may reach more than this node, and what stays here the leader doesn't hear.
-    pub fn granted_by_record(
+    pub fn delegation_inferred(
         &mut self,
         leader: &NodeName,
         fencing_token: FencingToken,
@@ -177,14 +189,21 @@
     ) {
         if self.held.as_ref().is_none_or(|h| h.fencing_token < fencing_token) {
             let at = now.before(FRESH);
-            let (homes, only) = (Homes::default(), Some(only.clone()));
-            self.held =
-                Some(Held { leader: leader.clone(), fencing_token, beat: 0, at, ready: false, homes, only });
+            let (node_weights, only) = (NodeWeights::default(), Some(only.clone()));
+            self.held = Some(HeldDelegation {
+                leader: leader.clone(),
+                fencing_token,
+                sequence: 0,
+                at,
+                ready: false,
+                node_weights,
+                only,
+            });
         }
     }
 
     /// The leader lacks what these machines last said.
-    pub fn wanted(&mut self, machines: Vec<MachineId>) {
+    pub fn resend_requested(&mut self, machines: Vec<MachineId>) {
         self.changed.extend(machines.into_iter().filter(|m| self.heard.contains_key(m)));
     }
 
@@ -200,45 +219,57 @@
 
     /// Takes a report. `top`: the highest fence that this node knows of. `may_renew`: its own last look at the
     /// job records allows it to renew leases.
-    pub fn report(&mut self, ask: Ask<'_>, top: FencingToken, may_renew: bool, now: MonotonicTime) -> Turn {
-        let Some(held) = &self.held else { return Turn::NotOurs };
+    pub fn heartbeat_received(
+        &mut self,
+        heartbeat: IncomingHeartbeat<'_>,
+        top: FencingToken,
+        may_renew: bool,
+        now: MonotonicTime,
+    ) -> Routing {
+        let Some(held) = &self.held else { return Routing::NoDelegation };
         // A worker drops an answer by a lower fence than it has seen, and stays here while its lease runs out.
         // (The second is the same guard: whoever has seen a higher one says so with its next report.)
-        let older = held.fencing_token < ask.at.fencing_token || held.fencing_token < top;
-        if older && self.out != Some(Guard::OlderFencingToken) {
-            return Turn::NotOurs;
+        let older = held.fencing_token < heartbeat.at.fencing_token || held.fencing_token < top;
+        if older && self.out != Some(DelegateCheck::OlderFencingToken) {
+            return Routing::NoDelegation;
         }
-        if held.only.as_ref().is_some_and(|zone| zone != ask.zone) {
-            return Turn::NotOurs;
+        if held.only.as_ref().is_some_and(|zone| zone != heartbeat.zone) {
+            return Routing::NoDelegation;
         }
         // A withdrawal that no node inside a cut can see was told after the look; see the design's "Outages".
-        if !may_renew && self.out != Some(Guard::OwnLook) {
-            return Turn::On;
+        if !may_renew && self.out != Some(DelegateCheck::OwnRead) {
+            return Routing::TryAnotherNode;
         }
         let fencing_token = held.fencing_token;
-        if let Some(turn) = self.elsewhere(ask.machine, ask.zone, now) {
+        if let Some(turn) = self.redirect_for(heartbeat.machine, heartbeat.zone, now) {
             return turn;
         }
-        self.heard(ask, now);
-        Turn::Answer(fencing_token)
+        self.heard(heartbeat, now);
+        Routing::Answer(fencing_token)
     }
 
     /// Where a worker is sent instead of being answered here, if it is.
-    pub(crate) fn elsewhere(&mut self, machine: &MachineId, zone: &Zone, now: MonotonicTime) -> Option<Turn> {
+    pub(crate) fn redirect_for(
+        &mut self,
+        machine: &MachineId,
+        zone: &Zone,
+        now: MonotonicTime,
+    ) -> Option<Routing> {
         let held = self.held.as_ref()?;
         let fresh = now.since(held.at) < FRESH;
-        let home = held.homes.home_of(machine, zone).filter(|home| fresh && **home != self.me).cloned();
+        let home =
+            held.node_weights.assigned_node(machine, zone).filter(|home| fresh && **home != self.me).cloned();
         let alone_since = (!fresh).then_some(held.at);
         if (fresh && home.is_none()) || self.came_back(machine, alone_since, now) {
             return None;
         }
         let turn = match home {
             Some(_) if !self.may_move(now) => return None,
-            Some(home) => Turn::Home(home),
+            Some(home) => Routing::Redirect(home),
             // The leader may be reached from elsewhere. Whoever finds that it isn't comes back.
-            None => Turn::On,
+            None => Routing::TryAnotherNode,
         };
-        self.sent_on.insert(machine.clone(), SentOn { at: now, alone_since });
+        self.redirected.insert(machine.clone(), Redirected { at: now, alone_since });
         // What it says next elsewhere is not known here.
         self.heard.remove(machine);
         self.changed.remove(machine);
@@ -251,7 +282,7 @@
     /// meets the leader (440 machines were answered by nodes that the leader did not hear, and given up; andina
     /// fleet, apart).
     fn came_back(&self, machine: &MachineId, alone_since: Option<MonotonicTime>, now: MonotonicTime) -> bool {
-        self.sent_on.get(machine).is_some_and(|s| match alone_since {
+        self.redirected.get(machine).is_some_and(|s| match alone_since {
             Some(_) => s.alone_since == alone_since,
             None => s.alone_since.is_none() && now.since(s.at) < COMES_BACK,
         })
@@ -265,27 +296,28 @@
         self.moves.1 <= MOVES_A_SECOND
     }
 
-    fn heard(&mut self, ask: Ask<'_>, now: MonotonicTime) {
-        let hash = content_hash(&ask.content);
-        let known = self.heard.get(ask.machine);
-        if known.is_some_and(|k| !ask.at.is_newer(&k.at)) {
+    fn heard(&mut self, heartbeat: IncomingHeartbeat<'_>, now: MonotonicTime) {
+        let hash = content_hash(&heartbeat.content);
+        let known = self.heard.get(heartbeat.machine);
+        if known.is_some_and(|k| !heartbeat.at.is_newer(&k.at)) {
             return; // an old one, that came late
         }
-        let like = |k: &Report| {
-            k.hash == hash && (k.at.session, k.at.fencing_token) == (ask.at.session, ask.at.fencing_token)
+        let like = |k: &ReceivedHeartbeat| {
+            k.hash == hash
+                && (k.at.session, k.at.fencing_token) == (heartbeat.at.session, heartbeat.at.fencing_token)
         };
-        if known.is_some_and(like) && !self.changed.contains(ask.machine) {
-            self.same.insert(ask.machine.clone());
+        if known.is_some_and(like) && !self.changed.contains(heartbeat.machine) {
+            self.same.insert(heartbeat.machine.clone());
         } else {
-            self.same.remove(ask.machine);
-            self.changed.insert(ask.machine.clone());
+            self.same.remove(heartbeat.machine);
+            self.changed.insert(heartbeat.machine.clone());
         }
-        let report = Report { at: ask.at, heard: now, content: ask.content, hash };
-        self.heard.insert(ask.machine.clone(), report);
+        let report = ReceivedHeartbeat { at: heartbeat.at, heard: now, content: heartbeat.content, hash };
+        self.heard.insert(heartbeat.machine.clone(), report);
     }
 
     /// What the leader is to be told now, and which node that is.
-    pub fn digest(&mut self, now: MonotonicTime) -> Option<(NodeName, Digest)> {
+    pub fn digest(&mut self, now: MonotonicTime) -> Option<(NodeName, HeartbeatDigest)> {
         self.prune(now);
         let held = self.held.as_ref().filter(|h| h.ready)?;
         let changed = !self.changed.is_empty() && now >= self.next_changed;
@@ -294,8 +326,12 @@
             return None;
         }
         self.next_changed = now + CHANGED_EVERY;
-        let mut digest =
-            Digest { fencing_token: held.fencing_token, beat: held.beat, full: Vec::new(), same: Vec::new() };
+        let mut digest = HeartbeatDigest {
+            fencing_token: held.fencing_token,
+            sequence: held.sequence,
+            full: Vec::new(),
+            same: Vec::new(),
+        };
         let mut bytes = 0;
         while bytes < DIGEST_BYTES
             && let Some(machine) = self.changed.pop_first()
@@ -303,13 +339,18 @@
             let Some(r) = self.heard.get(&machine) else { continue };
             bytes += r.content.len();
             let (age, content) = (now.since(r.heard), r.content.clone());
-            digest.full.push(Full { machine, at: r.at, age, content });
+            digest.full.push(FullHeartbeat { machine, at: r.at, age, content });
         }
         if same {
             self.next_same = now + SAME_EVERY;
             for machine in std::mem::take(&mut self.same) {
                 let Some(r) = self.heard.get(&machine) else { continue };
-                digest.same.push(Same { machine, at: r.at, age: now.since(r.heard), hash: r.hash });
+                digest.same.push(UnchangedHeartbeat {
+                    machine,
+                    at: r.at,
+                    age: now.since(r.heard),
+                    hash: r.hash,
+                });
             }
         }
         Some((held.leader.clone(), digest))
@@ -323,8 +364,8 @@
         self.next_prune = now + Duration::from_millis(5000);
         self.heard.retain(|_, r| now.since(r.heard) < COMES_BACK);
         let delegated = self.held.as_ref().map(|h| h.at);
-        let lasts = |s: &SentOn| s.alone_since.is_some() && s.alone_since == delegated;
-        self.sent_on.retain(|_, s| now.since(s.at) < COMES_BACK || lasts(s));
+        let lasts = |s: &Redirected| s.alone_since.is_some() && s.alone_since == delegated;
+        self.redirected.retain(|_, s| now.since(s.at) < COMES_BACK || lasts(s));
     }
 }
 
--- a/crates/homes/src/apart.rs
+++ b/crates/heartbeat/src/isolation.rs
@@ -20,7 +20,7 @@
 
 /// What a node that is apart from the leader says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct IsolationReport {
     /// Of the leader that it does not hear.
     #[serde(rename = "fence")]
     pub fencing_token: FencingToken,
@@ -30,7 +30,7 @@
 
 /// Every node's part: whom it answers, and when to say so.
 #[derive(Debug, Default)]
-pub struct Teller {
+pub struct IsolationReporter {
     answered: BTreeMap<MachineId, (Zone, MonotonicTime)>,
     /// Under which fence it spoke last, and when it speaks again.
     said: FencingToken,
@@ -38,7 +38,7 @@
     next_prune: MonotonicTime,
 }
 
-impl Teller {
+impl IsolationReporter {
     /// It has answered a worker's report.
     pub fn answered(&mut self, machine: &MachineId, zone: &Zone, lease: Duration, now: MonotonicTime) {
         self.answered.insert(machine.clone(), (zone.clone(), now));
@@ -50,14 +50,14 @@
 
     /// What to say now, if something is due: of whom it has answered in its `own` zone, and elsewhere `since` it is
     /// apart. `fencing_token`: of the leader that this node doesn't hear.
-    pub fn word(
+    pub fn isolation_report(
         &mut self,
         fencing_token: FencingToken,
         since: MonotonicTime,
         own: &Zone,
         lease: Duration,
         now: MonotonicTime,
-    ) -> Option<Word> {
+    ) -> Option<IsolationReport> {
         if now < self.next && fencing_token == self.said {
             return None;
         }
@@ -67,42 +67,50 @@
         let mut heard = BTreeMap::new();
         let apart = self.answered.values().filter(|(zone, at)| zone == own || *at >= since);
         apart.for_each(|(zone, _)| *heard.entry(zone.clone()).or_default() += 1);
-        Some(Word { fencing_token, heard })
+        Some(IsolationReport { fencing_token, heard })
     }
 }
 
 /// The leader's part: what it was told.
 #[derive(Debug, Default)]
-pub struct Told(BTreeMap<NodeName, (Revision, MonotonicTime, Word)>);
+pub struct IsolationReports(BTreeMap<NodeName, (Revision, MonotonicTime, IsolationReport)>);
 
-impl Told {
+impl IsolationReports {
     /// A word as it was read. One that was there before says nothing new, however often it is read.
-    pub fn learn(&mut self, node: NodeName, revision: Revision, word: Word, now: MonotonicTime) {
+    pub fn learn(
+        &mut self,
+        node: NodeName,
+        revision: Revision,
+        isolation_report: IsolationReport,
+        now: MonotonicTime,
+    ) {
         if self.0.get(&node).is_none_or(|(known, ..)| *known < revision) {
-            self.0.insert(node, (revision, now, word));
+            self.0.insert(node, (revision, now, isolation_report));
         }
     }
 
-    fn words(&self, now: MonotonicTime) -> impl Iterator<Item = &Word> {
-        let holds = move |(_, at, _): &&(Revision, MonotonicTime, Word)| now.since(*at) < HOLDS;
-        self.0.values().filter(holds).map(|(_, _, word)| word)
+    fn recent(&self, now: MonotonicTime) -> impl Iterator<Item = &IsolationReport> {
+        let holds = move |(_, at, _): &&(Revision, MonotonicTime, IsolationReport)| now.since(*at) < HOLDS;
+        self.0.values().filter(holds).map(|(_, _, isolation_report)| isolation_report)
     }
 
     /// Zones whose workers are answered by nodes that are apart, whichever leader they speak of: their leases live on.
     pub fn alive(&self, now: MonotonicTime) -> BTreeSet<Zone> {
-        self.words(now).flat_map(|word| word.heard.keys().cloned()).collect()
+        self.recent(now).flat_map(|isolation_report| isolation_report.heard.keys().cloned()).collect()
     }
 
     /// Whether so many more workers are with nodes that are apart than the `mine` that the leader hears that one of
     /// those should lead. `mine` is counted only where somebody is apart.
-    pub fn outweigh(
+    pub fn is_outnumbered(
         &self,
         mine: impl FnOnce() -> u32,
         fencing_token: FencingToken,
         now: MonotonicTime,
     ) -> bool {
-        let words = self.words(now).filter(|word| word.fencing_token == fencing_token);
-        let theirs = words.map(|word| word.heard.values().sum::<u32>()).max().unwrap_or(0);
+        let recent =
+            self.recent(now).filter(|isolation_report| isolation_report.fencing_token == fencing_token);
+        let theirs =
+            recent.map(|isolation_report| isolation_report.heard.values().sum::<u32>()).max().unwrap_or(0);
         if theirs < AT_LEAST {
             return false;
         }
--- a/crates/homes/src/messages.rs
+++ b/crates/heartbeat/src/messages.rs
@@ -1,20 +1,20 @@
 //! What leader and delegates say to each other about reports.
 
-use crate::rule::Homes;
+use crate::rendezvous::NodeWeights;
 use pearford_types::{Duration, FencingToken, MachineId, Session};
 use serde::{Deserialize, Serialize};
 
 /// Where in its life a worker made a report, and the highest fence it had seen then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct HeartbeatPosition {
     pub session: Session,
     pub serial: u64,
     pub fencing_token: FencingToken,
 }
 
-impl Stamped {
+impl HeartbeatPosition {
     /// Whether it was made after `other`.
-    pub fn is_newer(&self, other: &Stamped) -> bool {
+    pub fn is_newer(&self, other: &HeartbeatPosition) -> bool {
         (self.session, self.serial) > (other.session, other.serial)
     }
 }
@@ -24,17 +24,17 @@
 pub struct Delegation {
     pub fencing_token: FencingToken,
     /// Counts the leader's delegations: a digest says which one its sender has had last.
-    pub beat: u64,
+    pub sequence: u64,
     /// The leader has read all records and can judge what it is told.
     pub ready: bool,
-    pub homes: Homes,
+    pub node_weights: NodeWeights,
 }
 
 /// A report in full.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Full {
+pub struct FullHeartbeat {
     pub machine: MachineId,
-    pub at: Stamped,
+    pub at: HeartbeatPosition,
     /// How long ago it was heard when the digest left.
     pub age: Duration,
     /// What it says, in the form of the node's own.
@@ -43,9 +43,9 @@
 
 /// A report that says what an earlier one of the same session said.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Same {
+pub struct UnchangedHeartbeat {
     pub machine: MachineId,
-    pub at: Stamped,
+    pub at: HeartbeatPosition,
     pub age: Duration,
     /// Of the content: whoever has another one for this machine must not take it for that.
     pub hash: u64,
@@ -53,16 +53,16 @@
 
 /// From a delegate: what it has heard since its last one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct HeartbeatDigest {
     pub fencing_token: FencingToken,
-    pub beat: u64,
-    pub full: Vec<Full>,
-    pub same: Vec<Same>,
+    pub sequence: u64,
+    pub full: Vec<FullHeartbeat>,
+    pub same: Vec<UnchangedHeartbeat>,
 }
 
 /// A direct order for a delegate to pass on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayedCall {
+pub struct RelayedCommand {
     pub call: u64,
     pub addr: String,
     pub body: String,
@@ -72,8 +72,8 @@
 /// What became of one: the worker's status (0: no answer came; it may still run) and where in its life the
 /// worker answered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayResult {
     pub call: u64,
     pub status: u16,
-    pub at: Option<Stamped>,
+    pub at: Option<HeartbeatPosition>,
 }
--- a/crates/homes/src/rule.rs
+++ b/crates/heartbeat/src/rendezvous.rs
@@ -13,7 +13,7 @@
 
 /// A node that may be a home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct NodeWeight {
     pub node: NodeName,
     pub zone: Zone,
     /// How much it is to get, beside the others' weights. 0: nothing.
@@ -21,22 +21,22 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Homes(Vec<Place>);
+pub struct NodeWeights(Vec<NodeWeight>);
 
-impl Homes {
-    pub fn new(mut places: Vec<Place>) -> Self {
+impl NodeWeights {
+    pub fn new(mut places: Vec<NodeWeight>) -> Self {
         places.sort_by(|a, b| a.node.cmp(&b.node));
         Self(places)
     }
 
-    pub fn places(&self) -> &[Place] {
+    pub fn places(&self) -> &[NodeWeight] {
         &self.0
     }
 
     /// The home of a machine; none if there is no node.
-    pub fn home_of(&self, machine: &MachineId, zone: &Zone) -> Option<&NodeName> {
+    pub fn assigned_node(&self, machine: &MachineId, zone: &Zone) -> Option<&NodeName> {
         let key = xxh3_64_with_seed(machine.as_str().as_bytes(), 0);
-        let score = |place: &Place| {
+        let score = |place: &NodeWeight| {
             let hash = xxh3_64_with_seed(place.node.as_str().as_bytes(), key);
             // In (0, 1): of 53 bits, as many as the number holds.
             let u = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
--- a/crates/homes/src/rule/tests.rs
+++ b/crates/heartbeat/src/rendezvous/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use std::collections::BTreeMap;
 
-fn homes(weights: &[(&str, &str, u16)]) -> Homes {
-    let place = |(node, zone, weight): &(&str, &str, u16)| Place {
+fn node_weights(weights: &[(&str, &str, u16)]) -> NodeWeights {
+    let place = |(node, zone, weight): &(&str, &str, u16)| NodeWeight {
         node: (*node).into(),
         zone: (*zone).into(),
         weight: *weight,
     };
-    Homes::new(weights.iter().map(place).collect())
+    NodeWeights::new(weights.iter().map(place).collect())
 }
 
 fn machines() -> Vec<(MachineId, Zone)> {
@@ -15,22 +15,22 @@
     (0..3000).map(|i| (format!("m-{i:06}").as_str().into(), zone(i))).collect()
 }
 
-fn shares(homes: &Homes) -> BTreeMap<NodeName, u32> {
+fn shares(node_weights: &NodeWeights) -> BTreeMap<NodeName, u32> {
     let mut out = BTreeMap::new();
     for (machine, zone) in machines() {
-        *out.entry(homes.home_of(&machine, &zone).expect("a home").clone()).or_default() += 1;
+        *out.entry(node_weights.assigned_node(&machine, &zone).expect("a home").clone()).or_default() += 1;
     }
     out
 }
 
 #[test]
 fn machines_live_near_and_only_a_part_moves_when_a_node_goes() {
-    let all = homes(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
+    let all = node_weights(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
     for (node, n) in shares(&all) {
         assert!((900..1100).contains(&n), "{node}: {n}");
     }
     let near = machines().into_iter().filter(|(m, z)| {
-        let home = all.home_of(m, z).map(NodeName::as_str);
+        let home = all.assigned_node(m, z).map(NodeName::as_str);
         home == Some(match z.as_str() {
             "x" => "a",
             "y" => "b",
@@ -38,23 +38,23 @@
         })
     });
     assert!(near.count() > 1900);
-    let fewer = homes(&[("a", "x", 100), ("c", "z", 100)]);
+    let fewer = node_weights(&[("a", "x", 100), ("c", "z", 100)]);
     for (m, z) in machines() {
-        let before = all.home_of(&m, &z).expect("a home");
+        let before = all.assigned_node(&m, &z).expect("a home");
         if before.as_str() != "b" {
-            assert_eq!(fewer.home_of(&m, &z), Some(before), "only b's move");
+            assert_eq!(fewer.assigned_node(&m, &z), Some(before), "only b's move");
         }
     }
-    assert_eq!(homes(&[("a", "x", 0)]).home_of(&"m".into(), &"x".into()), None);
+    assert_eq!(node_weights(&[("a", "x", 0)]).assigned_node(&"m".into(), &"x".into()), None);
 }
 
 #[test]
 fn a_lower_weight_sheds_machines_and_moves_no_others() {
-    let before = homes(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
-    let after = homes(&[("a", "x", 50), ("b", "y", 100), ("c", "z", 100)]);
+    let before = node_weights(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
+    let after = node_weights(&[("a", "x", 50), ("b", "y", 100), ("c", "z", 100)]);
     assert!(shares(&after)[&NodeName::from("a")] < shares(&before)[&NodeName::from("a")]);
     for (m, z) in machines() {
-        let (old, new) = (before.home_of(&m, &z), after.home_of(&m, &z));
+        let (old, new) = (before.assigned_node(&m, &z), after.assigned_node(&m, &z));
         assert!(old == new || old.map(NodeName::as_str) == Some("a"));
     }
 }
--- a/crates/homes/src/tests.rs
+++ b/crates/heartbeat/src/tests.rs
@@ -3,7 +3,10 @@
 //! what the leader takes for a report's content is what the worker said in it, and no worker is answered by a
 //! lower fence than it has seen. Without the guards the search finds a way to break each.
 
-use crate::{Ask, Delegate, Delegation, Digest, Guard, Homes, Hub, Place, Stamped, Turn};
+use crate::{
+    Coordinator, Delegate, DelegateCheck, Delegation, HeartbeatDigest, HeartbeatPosition, IncomingHeartbeat,
+    NodeWeight, NodeWeights, Routing,
+};
 use arbtest::arbtest;
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Session, Zone};
 use std::collections::HashSet;
@@ -13,11 +16,11 @@
 const IN_FLIGHT: usize = 1;
 
 #[derive(Debug, Clone)]
-struct Cell {
+struct SmallCluster {
     now: MonotonicTime,
     delegates: [Delegate; 2],
-    hub: Hub,
-    flying: Vec<(usize, Digest)>,
+    coordinator: Coordinator,
+    flying: Vec<(usize, HeartbeatDigest)>,
     /// What the worker said in each report.
     said: Vec<u8>,
     fencing_token: u64,
@@ -32,26 +35,26 @@
 }
 
 /// A delegation by which the node is home to all.
-fn delegation(fencing_token: u64, beat: u64, i: usize) -> Delegation {
-    let homes = Homes::new(vec![Place { node: node(i), zone: "z".into(), weight: 1 }]);
-    Delegation { fencing_token: FencingToken(fencing_token), beat, ready: true, homes }
+fn delegation(fencing_token: u64, sequence: u64, i: usize) -> Delegation {
+    let node_weights = NodeWeights::new(vec![NodeWeight { node: node(i), zone: "z".into(), weight: 1 }]);
+    Delegation { fencing_token: FencingToken(fencing_token), sequence, ready: true, node_weights }
 }
 
-impl Cell {
+impl SmallCluster {
     /// `alone`: there is no second leader.
     fn new(alone: bool) -> Self {
         let now = MonotonicTime::from_millis(1_000);
-        let mut hub = Hub::new("l".into(), FencingToken(1), now);
-        hub.delegation(&[], true, now);
+        let mut coordinator = Coordinator::new("l".into(), FencingToken(1), now);
+        coordinator.delegation(&[], true, now);
         let delegates = [0, 1].map(|i| {
             let mut d = Delegate::new(node(i));
-            d.granted(&"l".into(), delegation(1, 1, i), now);
+            d.delegation_received(&"l".into(), delegation(1, 1, i), now);
             d
         });
         Self {
             now,
             delegates,
-            hub,
+            coordinator,
             flying: Vec::new(),
             said: Vec::new(),
             fencing_token: 1,
@@ -63,15 +66,15 @@
 
     fn report(&mut self, i: usize, content: u8) -> Result<(), String> {
         self.said.push(content);
-        let at = Stamped {
+        let at = HeartbeatPosition {
             session: Session(1),
             serial: self.said.len() as u64,
             fencing_token: FencingToken(self.fencing_token),
         };
         let (machine, zone): (MachineId, Zone) = ("m".into(), "z".into());
-        let ask = Ask { machine: &machine, zone: &zone, at, content: vec![content] };
-        match self.delegates[i].report(ask, FencingToken(0), true, self.now) {
-            Turn::Answer(fencing_token) if fencing_token.0 < self.fencing_token => {
+        let heartbeat = IncomingHeartbeat { machine: &machine, zone: &zone, at, content: vec![content] };
+        match self.delegates[i].heartbeat_received(heartbeat, FencingToken(0), true, self.now) {
+            Routing::Answer(fencing_token) if fencing_token.0 < self.fencing_token => {
                 Err(format!("answered by {fencing_token} whoever has seen {}", self.fencing_token))
             }
             _ => Ok(()),
@@ -80,23 +83,23 @@
 
     fn deliver(&mut self, k: usize) -> Result<(), String> {
         let (i, digest) = self.flying[k].clone();
-        for heard in self.hub.digest(&node(i), digest, self.now) {
-            let known = self.hub.known(&heard.machine).ok_or("heard and not known")?;
+        for heard in self.coordinator.digest(&node(i), digest, self.now) {
+            let known = self.coordinator.known(&heard.machine).ok_or("heard and not known")?;
             let said = self.said[heard.at.serial as usize - 1];
             if known.content != [said] {
                 return Err(format!("report {} said {said}, taken for {:?}", heard.at.serial, known.content));
             }
         }
-        for (to, machines) in self.hub.wants() {
-            self.delegates[usize::from(to == node(1))].wanted(machines);
+        for (to, machines) in self.coordinator.take_missing() {
+            self.delegates[usize::from(to == node(1))].resend_requested(machines);
         }
         Ok(())
     }
 
     /// All that may happen next.
-    fn next(&self) -> Vec<Result<Cell, String>> {
+    fn next(&self) -> Vec<Result<SmallCluster, String>> {
         let mut out = Vec::new();
-        let mut then = |what: &dyn Fn(&mut Cell) -> Result<(), String>| {
+        let mut then = |what: &dyn Fn(&mut SmallCluster) -> Result<(), String>| {
             let mut cell = self.clone();
             out.push(what(&mut cell).map(|()| cell));
         };
@@ -137,7 +140,7 @@
         if !self.delegated {
             then(&|c| {
                 c.delegated = true;
-                c.delegates[0].granted(&"k".into(), delegation(2, 1, 0), c.now);
+                c.delegates[0].delegation_received(&"k".into(), delegation(2, 1, 0), c.now);
                 Ok(())
             });
         }
@@ -146,7 +149,7 @@
 }
 
 /// Goes through all states up to `depth` events; the first fault found, and how many states there are.
-fn search(first: Cell, depth: usize) -> (Option<String>, usize) {
+fn search(first: SmallCluster, depth: usize) -> (Option<String>, usize) {
     let mut seen = HashSet::new();
     let mut level = vec![first];
     for _ in 0..depth {
@@ -170,22 +173,22 @@
 
 #[test]
 fn no_order_of_events_makes_a_digest_say_what_the_report_did_not() {
-    let (fault, states) = search(Cell::new(true), 9);
+    let (fault, states) = search(SmallCluster::new(true), 9);
     assert_eq!(fault, None);
     assert!(states > 1_000, "{states}");
-    let (fault, states) = search(Cell::new(false), 5);
+    let (fault, states) = search(SmallCluster::new(false), 5);
     assert_eq!(fault, None);
     assert!(states > 1_000, "{states}");
 }
 
 #[test]
 fn the_search_finds_what_missing_guards_allow() {
-    let mut trusting = Cell::new(true);
-    trusting.hub.trust_all();
+    let mut trusting = SmallCluster::new(true);
+    trusting.coordinator.disable_content_check();
     let (fault, _) = search(trusting, 9);
     assert!(fault.as_ref().is_some_and(|f| f.contains("taken for")), "{fault:?}");
-    let mut older = Cell::new(false);
-    older.delegates.iter_mut().for_each(|d| d.take_out(Guard::OlderFencingToken));
+    let mut older = SmallCluster::new(false);
+    older.delegates.iter_mut().for_each(|d| d.disable(DelegateCheck::OlderFencingToken));
     let (fault, _) = search(older, 5);
     assert!(fault.as_ref().is_some_and(|f| f.contains("answered by")), "{fault:?}");
 }
@@ -195,18 +198,18 @@
 fn hostile_messages_change_nothing_that_matters() {
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
-        let mut hub = Hub::new("l".into(), FencingToken(1), MonotonicTime::from_millis(5));
-        hub.delegation(&[], true, MonotonicTime::from_millis(5));
-        if let Ok(digest) = postcard::from_bytes::<Digest>(&bytes) {
-            hub.digest(
+        let mut coordinator = Coordinator::new("l".into(), FencingToken(1), MonotonicTime::from_millis(5));
+        coordinator.delegation(&[], true, MonotonicTime::from_millis(5));
+        if let Ok(digest) = postcard::from_bytes::<HeartbeatDigest>(&bytes) {
+            coordinator.digest(
                 &"a".into(),
-                Digest { fencing_token: FencingToken(1), beat: 1, ..digest },
+                HeartbeatDigest { fencing_token: FencingToken(1), sequence: 1, ..digest },
                 MonotonicTime::from_millis(9),
             );
         }
         let mut delegate = Delegate::new("a".into());
         if let Ok(delegation) = postcard::from_bytes::<Delegation>(&bytes) {
-            delegate.granted(&"l".into(), delegation, MonotonicTime::from_millis(9));
+            delegate.delegation_received(&"l".into(), delegation, MonotonicTime::from_millis(9));
             let _ = delegate.digest(MonotonicTime::from_millis(900));
         }
         Ok(())
--- a/crates/homes/tests/gap.rs
+++ b/crates/heartbeat/tests/outage_orders.rs
@@ -1,16 +1,16 @@
 //! The gap, in every order of events at small size: two nodes, one worker, one task, one cancellation. The state service
 //! refuses the first node alone, then everybody, for as long as it takes; looks are answered late, answers are lost, a
 //! node starts anew, a start is held up. After each step: a task of the cancelled job is gone `cancel_s` after the
-//! cancellation was confirmed. With a guard out of `Renewal` the search finds how it lives on.
+//! cancellation was confirmed. With a guard out of `LeaseRenewal` the search finds how it lives on.
 //!
 //! Steps are of a second; what clocks add is counted to the millisecond, each clock at either end of the drift.
 
-use pearford_homes::{Bounds, Doubt, Renewal, Without};
+use pearford_heartbeat::{Bounds, DisabledCheck, LeaseRenewal, UnacknowledgedStarts};
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime};
 use std::collections::HashSet;
 
 /// In seconds, as they are to one another in the service or worse.
-const YOUNG: u32 = 1;
+const RECENT: u32 = 1;
 const FRESH: u32 = 2;
 const LEASE: u32 = 1;
 const HOLD: u32 = 5;
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct Node {
     /// Age of the newest look that was answered.
-    looked: Option<u32>,
+    records_read: Option<u32>,
     under_way: Option<Look>,
     knows: bool,
 }
@@ -72,11 +72,11 @@
     session: bool,
     task: Task,
     /// When the first node has told the other where it has starts in doubt, and whether this was one.
-    told: (u32, bool, bool),
+    announced: (u32, bool, bool),
 }
 
 struct Search {
-    out: Option<Without>,
+    out: Option<DisabledCheck>,
     /// Parts of a million by which each node's clock is slow (or fast, below 0).
     slow: [i64; 2],
 }
@@ -92,23 +92,27 @@
 
     /// Whether node `i` renews the lease of a report that it gets now.
     fn renews(&self, s: &State, i: usize) -> bool {
-        let [hold, fresh, young] = [HOLD, FRESH, YOUNG].map(|s| Duration::from_millis(u64::from(s) * 1_000));
-        let mut r = Renewal::new(Bounds { hold, fresh, young });
+        let [hold, fresh, recent] =
+            [HOLD, FRESH, RECENT].map(|s| Duration::from_millis(u64::from(s) * 1_000));
+        let mut r = LeaseRenewal::new(Bounds { hold, fresh, recent });
         if let Some(without) = self.out {
-            r.take_out(without);
+            r.disable(without);
         }
-        if let Some(age) = s.nodes[i].looked {
-            r.looked(self.ago(i, age), self.ago(i, age));
+        if let Some(age) = s.nodes[i].records_read {
+            r.records_read(self.ago(i, age), self.ago(i, age));
         }
         let (now, fencing_token, machine) =
             (MonotonicTime::from_millis(NOW), FencingToken(1), MachineId::from("m"));
         if i == 0 {
-            return r.by_leader(s.task == Task::OnItsWay, now);
+            return r.leader_may_renew(s.task == Task::OnItsWay, now);
         }
-        let machines = if s.told.1 { vec![machine.clone()] } else { Vec::new() };
-        let never = if s.told.2 { vec![machine.clone()] } else { Vec::new() };
-        r.told(Doubt::new(fencing_token, 1, machines, never), self.ago(1, s.told.0));
-        r.by_delegate(&machine, fencing_token, true, now)
+        let machines = if s.announced.1 { vec![machine.clone()] } else { Vec::new() };
+        let never_renew = if s.announced.2 { vec![machine.clone()] } else { Vec::new() };
+        r.unacknowledged_starts_received(
+            UnacknowledgedStarts::new(fencing_token, 1, machines, never_renew),
+            self.ago(1, s.announced.0),
+        );
+        r.delegate_may_renew(&machine, fencing_token, true, now)
     }
 
     fn tenure(s: &State) -> bool {
@@ -116,7 +120,7 @@
             Service::Serves => true,
             Service::RefusesFirst(age) => age < TENURE,
             // Counted from its last look: that renews nothing, but is no older than what does.
-            Service::Away => s.nodes[0].looked.is_some_and(|age| age < TENURE),
+            Service::Away => s.nodes[0].records_read.is_some_and(|age| age < TENURE),
         }
     }
 
@@ -132,7 +136,7 @@
     fn older(mut s: State) -> State {
         let up = |age: &mut u32, most: u32| *age = (*age + 1).min(most);
         for n in &mut s.nodes {
-            n.looked.iter_mut().for_each(|age| up(age, OLD));
+            n.records_read.iter_mut().for_each(|age| up(age, OLD));
             n.under_way.iter_mut().for_each(|l| up(&mut l.age, OLD));
         }
         s.cancelled.iter_mut().for_each(|c| up(c, CANCEL + 1));
@@ -142,9 +146,9 @@
         if let Service::RefusesFirst(age) = &mut s.service {
             up(age, REPLACED);
         }
-        up(&mut s.told.0, HOLD);
+        up(&mut s.announced.0, HOLD);
         up(&mut s.renewed, LEASE + 1);
-        let blind = s.nodes[0].looked.is_none_or(|age| age >= FRESH + RETURNED);
+        let blind = s.nodes[0].records_read.is_none_or(|age| age >= FRESH + RETURNED);
         let returned = s.task == Task::OnItsWay && (blind || s.knew >= RETURNED) && Self::tenure(&s);
         s.session &= s.renewed <= LEASE && !returned;
         s
@@ -196,8 +200,8 @@
         let answered = |age: u32, found: bool| {
             let mut s = with(None);
             // Without the guard it counts from now.
-            let age = if self.out == Some(Without::Beginning) { 0 } else { age };
-            s.nodes[i].looked = Some(s.nodes[i].looked.map_or(age, |known| known.min(age)));
+            let age = if self.out == Some(DisabledCheck::ReadStart) { 0 } else { age };
+            s.nodes[i].records_read = Some(s.nodes[i].records_read.map_or(age, |known| known.min(age)));
             s.nodes[i].knows |= found;
             s
         };
@@ -232,15 +236,15 @@
     /// The leader's word of its doubts.
     fn tells(s: &State) -> Vec<State> {
         let doubt = s.task == Task::OnItsWay;
-        let blind = s.nodes[0].looked.is_none_or(|age| age >= FRESH);
-        let told = State { told: (0, doubt, doubt && blind), ..s.clone() };
-        Self::tenure(s).then_some(told).into_iter().collect()
+        let blind = s.nodes[0].records_read.is_none_or(|age| age >= FRESH);
+        let announced = State { announced: (0, doubt, doubt && blind), ..s.clone() };
+        Self::tenure(s).then_some(announced).into_iter().collect()
     }
 
     /// A start leaves, or one that has left arrives.
     fn starts(s: &State) -> Vec<State> {
-        let young = s.nodes[0].looked.is_some_and(|age| age < FRESH);
-        let may = s.task == Task::Gone && Self::tenure(s) && young && !s.nodes[0].knows;
+        let recent = s.nodes[0].records_read.is_some_and(|age| age < FRESH);
+        let may = s.task == Task::Gone && Self::tenure(s) && recent && !s.nodes[0].knows;
         let next = match s.task {
             Task::Gone if may => Task::OnItsWay,
             Task::OnItsWay => Task::Runs,
@@ -254,7 +258,7 @@
         let by = (0..2).filter(|i| s.session && self.renews(s, *i));
         by.map(|i| {
             let mut s = State { renewed: 0, ..s.clone() };
-            let stops = s.nodes[i].knows && self.out != Some(Without::Stops);
+            let stops = s.nodes[i].knows && self.out != Some(DisabledCheck::Stops);
             // Once the first node is replaced the worker learns the next leader's fence, and obeys no older start.
             let void = i == 1 && s.service == Service::RefusesFirst(REPLACED) && s.task == Task::OnItsWay;
             if void || stops && s.task == Task::Runs {
@@ -274,16 +278,16 @@
 
     /// A way to a broken rule, or how many states there are.
     fn run(&self) -> Result<usize, State> {
-        let looked = Node { looked: Some(0), ..Node::default() };
+        let records_read = Node { records_read: Some(0), ..Node::default() };
         let first = State {
             service: Service::Serves,
-            nodes: [looked; 2],
+            nodes: [records_read; 2],
             cancelled: None,
             knew: 0,
             renewed: 0,
             session: true,
             task: Task::Runs,
-            told: (0, false, false),
+            announced: (0, false, false),
         };
         let mut seen = HashSet::new();
         let mut open = vec![(first.clone(), 0), (State { task: Task::Gone, ..first }, 0)];
@@ -314,8 +318,14 @@
 
 #[test]
 fn without_a_guard_the_search_finds_how_it_does() {
-    let margin = Without::Margin(Duration::from_millis(u64::from(MARGIN) * 1_000));
-    let guards = [margin, Without::Beginning, Without::FirstLook, Without::Doubt, Without::Stops];
+    let margin = DisabledCheck::Margin(Duration::from_millis(u64::from(MARGIN) * 1_000));
+    let guards = [
+        margin,
+        DisabledCheck::ReadStart,
+        DisabledCheck::FirstRead,
+        DisabledCheck::UnacknowledgedStarts,
+        DisabledCheck::Stops,
+    ];
     for out in guards.map(Some) {
         let way = Search { out, slow: [500, 500] }.run();
         println!("{out:?}: {way:?}");
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -68,7 +68,7 @@
     pub grace_s: f64,
     pub since: MonotonicTime,
     /// Whether a direct command for it has left.
-    pub told: bool,
+    pub sent: bool,
 }
 
 #[derive(Debug, Clone)]
--- a/crates/scheduler/src/blocks/mod.rs
+++ b/crates/scheduler/src/blocks/mod.rs
@@ -4,7 +4,7 @@
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
 use crate::types::{Duration, FencingToken, JobId, MachineId, MonotonicTime, NodeName, Zone};
 use crate::wire::workers::Order;
-use pearford_homes::{Delegation, Digest, Doubt, Relayed, RelayedCall};
+use pearford_heartbeat::{Delegation, HeartbeatDigest, RelayResult, RelayedCommand, UnacknowledgedStarts};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,11 +31,16 @@
     },
     /// From the leader: it leads, how jobs stand that have moved since its last beat, and what was
     /// learned of machines.
-    Beat { fencing_token: FencingToken, beat: u64, jobs: Vec<(JobId, u32, u32)>, learned: Vec<Learned> },
+    StatusBroadcast {
+        fencing_token: FencingToken,
+        beat: u64,
+        jobs: Vec<(JobId, u32, u32)>,
+        learned: Vec<Learned>,
+    },
     /// From the leader: all of that as of a beat, for a controller that missed some.
-    Table { fencing_token: FencingToken, beat: u64, jobs: Vec<(JobId, u32, u32)>, counts: Counts },
+    StatusSnapshot { fencing_token: FencingToken, beat: u64, jobs: Vec<(JobId, u32, u32)>, counts: Counts },
     /// From the leader: a round's work inside the receiver's block.
-    Offer {
+    RoundRequest {
         fencing_token: FencingToken,
         block: u64,
         round: u64,
@@ -43,23 +48,23 @@
         asks: Vec<TaskAsk>,
     },
     /// The controller's answer.
-    Proposals { fencing_token: FencingToken, block: u64, round: u64, proposals: Vec<Proposal> },
-    // What follows is understood from level `HOMES` on, and is sent from then on only.
+    RoundProposals { fencing_token: FencingToken, block: u64, round: u64, proposals: Vec<Proposal> },
+    // What follows is understood from level `HEARTBEAT_DELEGATION` on, and is sent from then on only.
     /// From the leader: the receiver may answer workers' reports.
     Delegation(Delegation),
     /// To the leader: what was heard of workers.
-    Digest(Digest),
+    HeartbeatDigest(HeartbeatDigest),
     /// From the leader: it lacks what these machines last said.
-    Want { fencing_token: FencingToken, machines: Vec<MachineId> },
+    ResendHeartbeats { fencing_token: FencingToken, machines: Vec<MachineId> },
     /// From the leader: direct orders to pass on.
-    Relay { fencing_token: FencingToken, calls: Vec<RelayedCall> },
+    RelayCommands { fencing_token: FencingToken, calls: Vec<RelayedCommand> },
     /// To the leader: what became of them.
-    Relayed { fencing_token: FencingToken, calls: Vec<Relayed> },
+    RelayResults { fencing_token: FencingToken, calls: Vec<RelayResult> },
     /// From the leader: orders to go out with the answers to the next reports.
-    Errands { fencing_token: FencingToken, orders: Vec<(MachineId, Vec<Order>)> },
-    /// From the leader, before each delegation: where its starts may still arrive. Versions before level `DOUBTS` drop
+    QueuedCommands { fencing_token: FencingToken, orders: Vec<(MachineId, Vec<Order>)> },
+    /// From the leader, before each delegation: where its starts may still arrive. Versions before level `UNACKNOWLEDGED_STARTS` drop
     /// it unread, and hold on as they did.
-    Doubt(Doubt),
+    UnacknowledgedStarts(UnacknowledgedStarts),
 }
 
 pub fn encode(from: &NodeName, message: PeerMessage) -> Vec<u8> {
--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/compat/mod.rs
@@ -17,11 +17,11 @@
 /// Jobs that need others.
 pub const DEPENDENCIES: Level = 1;
 /// Reports are answered by every node, in the leader's name.
-pub const HOMES: Level = 2;
+pub const HEARTBEAT_DELEGATION: Level = 2;
 /// Whoever leads tells where its starts are in doubt.
-pub const DOUBTS: Level = 3;
+pub const UNACKNOWLEDGED_STARTS: Level = 3;
 /// What this version understands.
-pub const OURS: Level = DOUBTS;
+pub const OURS: Level = UNACKNOWLEDGED_STARTS;
 
 const PREFIX: &str = "level/";
 const NODES: &str = "level/node/";
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/compat/tests.rs
@@ -95,10 +95,16 @@
             hears_workers: false,
             zones_heard: vec![("z0".into(), Duration::from_millis(1200))],
         },
-        PeerMessage::Beat { fencing_token, beat, jobs: jobs.clone(), learned: learned() },
-        PeerMessage::Table { fencing_token, beat, jobs, counts: counts() },
-        PeerMessage::Offer { fencing_token, block: 7, round: 8, machines: vec![view], asks: vec![ask] },
-        PeerMessage::Proposals { fencing_token, block: 7, round: 8, proposals: vec![proposal] },
+        PeerMessage::StatusBroadcast { fencing_token, beat, jobs: jobs.clone(), learned: learned() },
+        PeerMessage::StatusSnapshot { fencing_token, beat, jobs, counts: counts() },
+        PeerMessage::RoundRequest {
+            fencing_token,
+            block: 7,
+            round: 8,
+            machines: vec![view],
+            asks: vec![ask],
+        },
+        PeerMessage::RoundProposals { fencing_token, block: 7, round: 8, proposals: vec![proposal] },
     ]
 }
 
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -7,7 +7,7 @@
 
 use super::catalogue::Catalogue;
 use super::follower::{Follower, Turn as ReadTurn};
-use super::master::{Ctx, Leave, Master, homes_on};
+use super::master::{Ctx, Leave, Master, heartbeats_delegated};
 use super::outbox::{LeaderRequest, Outbox, Pending, Whose};
 use super::peers::Peers;
 use super::{Effect, Input, Method, Now};
@@ -23,7 +23,7 @@
 use crate::wire::state::{Change, StateReply, StateRequest};
 use crate::wire::workers::{self, Report};
 use features::Slot;
-use pearford_homes::{Bounds, Delegate, Renewal, Stamped, Teller};
+use pearford_heartbeat::{Bounds, Delegate, HeartbeatPosition, IsolationReporter, LeaseRenewal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use reports::Passing;
@@ -69,9 +69,9 @@
     levels: Levels,
     master: Option<Master>,
     delegate: Delegate,
-    renewal: Renewal,
+    lease_renewal: LeaseRenewal,
     passing: Passing,
-    teller: Teller,
+    isolation_reporter: IsolationReporter,
     served: Served,
     /// Messages in the name of nodes that are none of its peers.
     dropped: u64,
@@ -119,9 +119,9 @@
             levels: Levels::new(settings.node.clone(), settings.peers.iter().map(|p| p.name.clone())),
             master: None,
             delegate: Delegate::new(settings.node.clone()),
-            renewal: Renewal::new(Bounds::of(settings.workers.hold())),
+            lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.hold())),
             passing: Passing::default(),
-            teller: Teller::default(),
+            isolation_reporter: IsolationReporter::default(),
             served: Served::default(),
             dropped: 0,
             features: Vec::new(),
@@ -184,8 +184,8 @@
             valid: self.election.valid(self.now),
             holds: self.election.leads(),
             fresh_at: self.follower.fresh_at(),
-            renewal: &self.renewal,
-            homes: homes_on(&self.settings, self.levels.reached()),
+            lease_renewal: &self.lease_renewal,
+            heartbeats_delegated: heartbeats_delegated(&self.settings, self.levels.reached()),
             mirror: &mut self.mirror,
             counts: &mut self.counts,
             peers: &mut self.peers,
@@ -351,7 +351,7 @@
                 );
                 if let ReadTurn::ReadEnds(fresh) = turn {
                     if fresh {
-                        self.renewal.looked(self.follower.fresh_at(), self.now);
+                        self.lease_renewal.records_read(self.follower.fresh_at(), self.now);
                     }
                     self.read_ends(fresh);
                 }
@@ -404,7 +404,7 @@
         self.latest_revision = self.latest_revision.max(fencing_token.0);
         self.saw_fencing_token(fencing_token);
         let types = self.catalogue.types().to_vec();
-        let early = self.delegate.leads(self.now);
+        let early = self.delegate.became_leader(self.now);
         self.master = Some(Master::new(self.settings.clone(), fencing_token, self.now, types, early));
         if let Some((master, mut ctx)) = self.leading() {
             master.load(&mut ctx);
@@ -455,7 +455,7 @@
                 }
                 self.peers.pinged(from, state_ok, beat_at, hears_workers, self.now);
             }
-            PeerMessage::Beat { fencing_token, beat, jobs, learned } => {
+            PeerMessage::StatusBroadcast { fencing_token, beat, jobs, learned } => {
                 if !self.heed(fencing_token, &from) {
                     return;
                 }
@@ -468,7 +468,7 @@
                     self.beat_at = (FencingToken(0), 0);
                 }
             }
-            PeerMessage::Table { fencing_token, beat, jobs, counts } => {
+            PeerMessage::StatusSnapshot { fencing_token, beat, jobs, counts } => {
                 if self.heed(fencing_token, &from) {
                     self.counts = counts;
                     self.beat_at = (fencing_token, beat);
@@ -476,7 +476,7 @@
                     self.take_standings(jobs);
                 }
             }
-            PeerMessage::Offer { fencing_token, block, round, mut machines, asks } => {
+            PeerMessage::RoundRequest { fencing_token, block, round, mut machines, asks } => {
                 if !self.heed(fencing_token, &from) {
                     return;
                 }
@@ -487,9 +487,9 @@
                     &Factors::of(&self.settings.operator),
                     &mut self.rng,
                 );
-                self.out.tell(&from, PeerMessage::Proposals { fencing_token, block, round, proposals });
+                self.out.tell(&from, PeerMessage::RoundProposals { fencing_token, block, round, proposals });
             }
-            PeerMessage::Proposals { fencing_token, block, round, proposals } => {
+            PeerMessage::RoundProposals { fencing_token, block, round, proposals } => {
                 if let Some((master, mut ctx)) = self.leading() {
                     master.proposals(&mut ctx, &from, fencing_token, block, round, proposals);
                 }
@@ -608,8 +608,8 @@
         self.mirror.skip_dependent = true;
     }
 
-    pub fn sabotage_renewal(&mut self, without: pearford_homes::Without) {
-        self.renewal.take_out(without);
+    pub fn sabotage_renewal(&mut self, without: pearford_heartbeat::DisabledCheck) {
+        self.lease_renewal.disable(without);
     }
 
     pub fn sabotage_level(&mut self) {
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 use crate::compat;
-use crate::node::master::APART;
+use crate::node::master::ISOLATION_PREFIX;
 use crate::types::MachineId;
 use crate::wire::workers::{Order, Passed};
 use crate::workers::stop_what_is_over;
-use pearford_homes::{Ask, Relayed, RelayedCall, Turn as Whose};
+use pearford_heartbeat::{IncomingHeartbeat, RelayResult, RelayedCommand, Routing};
 use std::collections::VecDeque;
 
 /// Orders passed on for a leader at a time; more are answered as not sent.
@@ -75,7 +75,7 @@
         if taken && self.election.leads() {
             // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
             let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-            self.teller.answered(&report.machine, &report.zone, lease, self.now);
+            self.isolation_reporter.answered(&report.machine, &report.zone, lease, self.now);
         }
         taken || self.report_to_delegate(request, report)
     }
@@ -102,19 +102,21 @@
             return false;
         };
         let (machine, zone) = (&report.machine, &report.zone);
-        let tells = self.levels.reached() >= compat::DOUBTS;
-        let (top, may_renew) =
-            (self.highest_fencing_token, self.renewal.by_delegate(machine, fencing_token, tells, self.now));
-        let ask = Ask { machine, zone, at: report.stamped(), content: report.content() };
-        match self.delegate.report(ask, top, may_renew, self.now) {
-            Whose::NotOurs => return false,
-            Whose::Home(node) => self.out.answer(request, 421, workers::redirect(Some(&node))),
-            Whose::On => {
+        let tells = self.levels.reached() >= compat::UNACKNOWLEDGED_STARTS;
+        let (top, may_renew) = (
+            self.highest_fencing_token,
+            self.lease_renewal.delegate_may_renew(machine, fencing_token, tells, self.now),
+        );
+        let ask = IncomingHeartbeat { machine, zone, at: report.position(), content: report.content() };
+        match self.delegate.heartbeat_received(ask, top, may_renew, self.now) {
+            Routing::NoDelegation => return false,
+            Routing::Redirect(node) => self.out.answer(request, 421, workers::redirect(Some(&node))),
+            Routing::TryAnotherNode => {
                 self.heard_worker = self.now;
                 self.out.answer(request, 421, workers::redirect(None));
             }
-            Whose::Answer(fencing_token) => {
-                self.teller.answered(
+            Routing::Answer(fencing_token) => {
+                self.isolation_reporter.answered(
                     machine,
                     zone,
                     Duration::from_secs_f64(self.settings.workers.lease_s),
@@ -126,7 +128,7 @@
                     _ => Vec::new(),
                 };
                 let mirror = &self.mirror;
-                if self.renewal.stops() {
+                if self.lease_renewal.stops() {
                     stop_what_is_over(report, |job| mirror.verdict(job).is_some(), &mut orders);
                 }
                 self.out.answer(request, 200, workers::answer(fencing_token, &orders));
@@ -153,20 +155,20 @@
 
     /// A worker's answer to something direct: for this node as leader, or to be passed on.
     pub(super) fn worker(&mut self, request_id: RequestId, status: u16, body: &[u8]) {
-        let at = serde_json::from_slice::<Report>(body).ok().map(|r| r.stamped());
+        let at = serde_json::from_slice::<Report>(body).ok().map(|r| r.position());
         match self.passing.calls.remove(&request_id) {
             Some((leader, fencing_token, call)) => {
                 if let Some(at) = at {
                     self.saw_fencing_token(at.fencing_token);
                 }
-                let calls = vec![Relayed { call, status, at }];
-                self.out.tell(&leader, PeerMessage::Relayed { fencing_token, calls });
+                let calls = vec![RelayResult { call, status, at }];
+                self.out.tell(&leader, PeerMessage::RelayResults { fencing_token, calls });
             }
             None => self.worker_answered(request_id, status, at),
         }
     }
 
-    fn worker_answered(&mut self, request_id: RequestId, status: u16, at: Option<Stamped>) {
+    fn worker_answered(&mut self, request_id: RequestId, status: u16, at: Option<HeartbeatPosition>) {
         let seen = self.leading().and_then(|(master, ctx)| master.worker(request_id, status, at, ctx.now));
         if let Some(fencing_token) = seen {
             self.saw_fencing_token(fencing_token);
@@ -177,33 +179,37 @@
     pub(super) fn about_reports(&mut self, from: &NodeName, message: PeerMessage) {
         match message {
             PeerMessage::Delegation(d) if self.heed(d.fencing_token, from) && !self.election.leads() => {
-                self.delegate.granted(from, d, self.now);
+                self.delegate.delegation_received(from, d, self.now);
             }
-            PeerMessage::Doubt(doubt) if doubt.fencing_token >= self.highest_fencing_token => {
-                self.renewal.told(doubt, self.now)
+            PeerMessage::UnacknowledgedStarts(unacknowledged_starts)
+                if unacknowledged_starts.fencing_token >= self.highest_fencing_token =>
+            {
+                self.lease_renewal.unacknowledged_starts_received(unacknowledged_starts, self.now)
             }
-            PeerMessage::Want { fencing_token, machines }
+            PeerMessage::ResendHeartbeats { fencing_token, machines }
                 if self.delegate.fencing_token() == Some(fencing_token) =>
             {
-                self.delegate.wanted(machines);
+                self.delegate.resend_requested(machines);
             }
-            PeerMessage::Errands { fencing_token, orders } if fencing_token >= self.highest_fencing_token => {
+            PeerMessage::QueuedCommands { fencing_token, orders }
+                if fencing_token >= self.highest_fencing_token =>
+            {
                 for (machine, orders) in orders {
                     if self.passing.errands.len() < ERRANDS {
                         self.passing.errands.insert(machine, (fencing_token, orders));
                     }
                 }
             }
-            PeerMessage::Relay { fencing_token, calls } => self.pass_on(from, fencing_token, calls),
-            PeerMessage::Digest(digest) => {
+            PeerMessage::RelayCommands { fencing_token, calls } => self.pass_on(from, fencing_token, calls),
+            PeerMessage::HeartbeatDigest(digest) => {
                 if let Some((master, mut ctx)) = self.leading() {
                     master.digest(&mut ctx, from, digest);
                 }
             }
-            PeerMessage::Relayed { fencing_token, calls }
+            PeerMessage::RelayResults { fencing_token, calls }
                 if fencing_token == self.election.fencing_token() =>
             {
-                for Relayed { call, status, at } in calls {
+                for RelayResult { call, status, at } in calls {
                     if self.out.relay_answered(RequestId(call)) {
                         self.worker_answered(RequestId(call), status, at);
                     }
@@ -215,9 +221,9 @@
 
     /// Passes a leader's direct orders on. One that a cut has held back is as good as one that was late on its
     /// way to the worker: it names session and fence, and its sender has long counted it as in doubt.
-    fn pass_on(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCall>) {
+    fn pass_on(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCommand>) {
         let mut refused = Vec::new();
-        for RelayedCall { call, addr, mut body, patience } in calls {
+        for RelayedCommand { call, addr, mut body, patience } in calls {
             // The leader may not know yet what this node has told a user: that a job is withdrawn.
             let mirror = &self.mirror;
             let passed = workers::without_starts(&body, |job| mirror.verdict(job).is_some());
@@ -228,14 +234,14 @@
                 body = rest;
             }
             if late || self.passing.calls.len() >= PASSING {
-                refused.push(Relayed { call, status: if late { NOT_SENT } else { MAY_COME }, at: None });
+                refused.push(RelayResult { call, status: if late { NOT_SENT } else { MAY_COME }, at: None });
                 continue;
             }
             let request_id = self.out.ask_worker(addr, body, patience);
             self.passing.calls.insert(request_id, (from.clone(), fencing_token, call));
         }
         if !refused.is_empty() {
-            self.out.tell(from, PeerMessage::Relayed { fencing_token, calls: refused });
+            self.out.tell(from, PeerMessage::RelayResults { fencing_token, calls: refused });
         }
     }
 
@@ -244,23 +250,27 @@
     /// leases, and a leader on the smaller side never learns of the others.
     fn apart_tick(&mut self) {
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-        let on = homes_on(&self.settings, self.levels.reached()) && self.known_leader().is_none();
+        let on = heartbeats_delegated(&self.settings, self.levels.reached()) && self.known_leader().is_none();
         let Some((leader, fencing_token)) = self.election.other_leader(LOOKED, self.now).filter(|_| on)
         else {
             return;
         };
         let leader = leader.clone();
         self.saw_fencing_token(fencing_token);
-        self.delegate.granted_by_record(&leader, fencing_token, &self.settings.zone, self.now);
+        self.delegate.delegation_inferred(&leader, fencing_token, &self.settings.zone, self.now);
         let up_for = self.now.since(self.started_at.unwrap_or(self.now));
         if self.delegate.is_fresh(self.now) || up_for < LOOKED {
             return;
         }
-        if let Some(word) =
-            self.teller.word(fencing_token, self.delegate.heard_at(), &self.settings.zone, lease, self.now)
-        {
-            let key = format!("{APART}{}", self.settings.node);
-            let value = serde_json::to_string(&word).unwrap_or_default();
+        if let Some(isolation_report) = self.isolation_reporter.isolation_report(
+            fencing_token,
+            self.delegate.heard_at(),
+            &self.settings.zone,
+            lease,
+            self.now,
+        ) {
+            let key = format!("{ISOLATION_PREFIX}{}", self.settings.node);
+            let value = serde_json::to_string(&isolation_report).unwrap_or_default();
             let changes = vec![Change::Put { key, value, lease: None }];
             self.out.ask_state(StateRequest::Commit { conditions: Vec::new(), changes }, Pending::Apart);
         }
@@ -275,7 +285,7 @@
         if !self.election.leads()
             && let Some((leader, digest)) = self.delegate.digest(self.now)
         {
-            self.out.tell(&leader, PeerMessage::Digest(digest));
+            self.out.tell(&leader, PeerMessage::HeartbeatDigest(digest));
         }
         let (top, errands) = (self.highest_fencing_token, &mut self.passing.errands);
         if errands.values().any(|(fencing_token, _)| *fencing_token < top) {
--- a/crates/scheduler/src/node/master/beat.rs
+++ b/crates/scheduler/src/node/master/beat.rs
@@ -41,9 +41,19 @@
         }
         for (peer, in_step) in ctx.peers.names().iter().zip(in_step) {
             let message = if in_step {
-                PeerMessage::Beat { fencing_token, beat, jobs: jobs.clone(), learned: learned.clone() }
+                PeerMessage::StatusBroadcast {
+                    fencing_token,
+                    beat,
+                    jobs: jobs.clone(),
+                    learned: learned.clone(),
+                }
             } else {
-                PeerMessage::Table { fencing_token, beat, jobs: all.clone(), counts: ctx.counts.clone() }
+                PeerMessage::StatusSnapshot {
+                    fencing_token,
+                    beat,
+                    jobs: all.clone(),
+                    counts: ctx.counts.clone(),
+                }
             };
             ctx.out.tell(peer, message);
         }
--- a/crates/scheduler/src/node/master/calls.rs
+++ b/crates/scheduler/src/node/master/calls.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::workers::stop_what_is_over;
-use pearford_homes::Stamped;
+use pearford_heartbeat::HeartbeatPosition;
 
 /// How long a worker has to answer an order.
 pub(super) const WORKER_PATIENCE: Duration = Duration::from_millis(3000);
@@ -25,12 +25,12 @@
             ctx.out.refuse(request, 503, "this machine was returned");
             return true;
         }
-        if ctx.homes && self.loaded() {
-            if let Some(home) = self.hub.elsewhere(&report.machine, &report.zone, ctx.now) {
+        if ctx.heartbeats_delegated && self.loaded() {
+            if let Some(home) = self.coordinator.redirect_for(&report.machine, &report.zone, ctx.now) {
                 ctx.out.answer(request, 421, workers::redirect(Some(&home)));
                 return true;
             }
-            self.hub.reported_here(&report.machine, report.stamped(), Vec::new());
+            self.coordinator.reported_here(&report.machine, report.position(), Vec::new());
         }
         ctx.peers.heard_zone(&report.zone, ctx.now);
         let mirror = &ctx.mirror;
@@ -46,7 +46,7 @@
                 orders = m.orders(report, may_start, over, may_start);
             }
         }
-        if ctx.renewal.stops() {
+        if ctx.lease_renewal.stops() {
             stop_what_is_over(report, |job| mirror.verdict(job).is_some(), &mut orders);
         }
         ctx.out.answer(request, 200, workers::answer(self.fencing_token, &orders));
@@ -58,7 +58,7 @@
         &mut self,
         request_id: RequestId,
         status: u16,
-        report: Option<Stamped>,
+        report: Option<HeartbeatPosition>,
         now: MonotonicTime,
     ) -> Option<FencingToken> {
         if let Some(call) = self.directs.remove(&request_id) {
@@ -106,7 +106,7 @@
         body: String,
         patience: Duration,
     ) -> RequestId {
-        let via = self.hub.route(id, ctx.now).filter(|_| ctx.homes);
+        let via = self.coordinator.route(id, ctx.now).filter(|_| ctx.heartbeats_delegated);
         ask_by(ctx, via, addr, body, patience)
     }
 
@@ -153,10 +153,11 @@
             // answered itself, andina fleet, apart.)
             let again = self.machines.get(&id).is_some_and(|m| m.unanswered % 2 == 1);
             let via = match again {
-                true => self.hub.detour(&id, ctx.now),
-                false => self.hub.route(&id, ctx.now),
+                true => self.coordinator.detour(&id, ctx.now),
+                false => self.coordinator.route(&id, ctx.now),
             };
-            let request_id = ask_by(ctx, via.filter(|_| ctx.homes), addr, body, PROBE_PATIENCE);
+            let request_id =
+                ask_by(ctx, via.filter(|_| ctx.heartbeats_delegated), addr, body, PROBE_PATIENCE);
             self.probes.insert(request_id, id);
         }
     }
--- a/crates/scheduler/src/node/master/homes.rs
+++ b/crates/scheduler/src/node/master/delegation.rs
@@ -1,9 +1,9 @@
 //! The leader's part in reports that other nodes answer: delegations out, digests in, orders by way of whoever
-//! hears the worker. `pearford_homes` decides; here what it says meets the ledger.
+//! hears the worker. `pearford_heartbeat` decides; here what it says meets the ledger.
 
 use super::*;
 use crate::compat;
-use pearford_homes::{Digest, Doubt, Heard};
+use pearford_heartbeat::{HeardHeartbeat, HeartbeatDigest, UnacknowledgedStarts};
 
 /// Orders in one message to a node.
 const ERRANDS_AT_ONCE: usize = 500;
@@ -38,7 +38,7 @@
     /// Lets the other nodes answer reports. All of them are told, also those that seem away: a delegation
     /// that comes late changes nothing.
     pub(super) fn delegate(&mut self, ctx: &mut Ctx) {
-        if !ctx.homes || !ctx.valid {
+        if !ctx.heartbeats_delegated || !ctx.valid {
             return;
         }
         let live = ctx.peers.live(ctx.now);
@@ -46,10 +46,11 @@
         let peers = peers.map(|p| (p.name.clone(), p.zone.clone()));
         let all: Vec<(NodeName, Zone)> =
             std::iter::once((self.settings.node.clone(), self.settings.zone.clone())).chain(peers).collect();
-        let Some(delegation) = self.hub.delegation(&all, self.loaded(), ctx.now) else { return };
-        let doubt = self.doubt(delegation.beat, !ctx.renewal.is_fresh(ctx.now));
+        let Some(delegation) = self.coordinator.delegation(&all, self.loaded(), ctx.now) else { return };
+        let unacknowledged_starts =
+            self.unacknowledged_starts(delegation.sequence, !ctx.lease_renewal.is_fresh(ctx.now));
         for peer in ctx.peers.names() {
-            ctx.out.tell(peer, PeerMessage::Doubt(doubt.clone()));
+            ctx.out.tell(peer, PeerMessage::UnacknowledgedStarts(unacknowledged_starts.clone()));
             ctx.out.tell(peer, PeerMessage::Delegation(delegation.clone()));
         }
         let up = || self.machines.values().filter(|m| m.standing == Standing::Up);
@@ -65,44 +66,45 @@
     }
 
     /// Where starts of this leader may still arrive. `blind`: its own look is too old to know what is cancelled.
-    fn doubt(&self, beat: u64, blind: bool) -> Doubt {
+    fn unacknowledged_starts(&self, sequence: u64, blind: bool) -> UnacknowledgedStarts {
         let doubtful = self.machines.values().filter(|m| m.in_doubt());
-        let (mut machines, mut never) = (Vec::new(), Vec::new());
+        let (mut machines, mut never_renew) = (Vec::new(), Vec::new());
         for m in doubtful {
             machines.push(m.id.clone());
             if blind || m.standing == Standing::Releasing {
-                never.push(m.id.clone());
+                never_renew.push(m.id.clone());
             }
         }
-        Doubt::new(self.fencing_token, beat, machines, never)
+        UnacknowledgedStarts::new(self.fencing_token, sequence, machines, never_renew)
     }
 
     /// What another node has heard of workers.
-    pub(in crate::node) fn digest(&mut self, ctx: &mut Ctx, from: &NodeName, digest: Digest) {
+    pub(in crate::node) fn digest(&mut self, ctx: &mut Ctx, from: &NodeName, digest: HeartbeatDigest) {
         if !self.loaded() || !ctx.holds {
             return; // told again once all records are read
         }
         Phases::told(&mut self.phases.digest, "first digest", self.fencing_token, self.since, ctx.now);
-        for heard in self.hub.digest(from, digest, ctx.now) {
+        for heard in self.coordinator.digest(from, digest, ctx.now) {
             self.heard_elsewhere(ctx, from, heard);
         }
-        for (node, machines) in self.hub.wants() {
-            ctx.out.tell(&node, PeerMessage::Want { fencing_token: self.fencing_token, machines });
+        for (node, machines) in self.coordinator.take_missing() {
+            ctx.out
+                .tell(&node, PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines });
         }
     }
 
     /// Takes in what this node heard before it led.
     pub(super) fn take_early(&mut self, ctx: &mut Ctx) {
         let me = self.settings.node.clone();
-        for heard in self.hub.seed(std::mem::take(&mut self.early), self.since, ctx.now) {
+        for heard in self.coordinator.seed(std::mem::take(&mut self.early), self.since, ctx.now) {
             self.heard_elsewhere(ctx, &me, heard);
         }
     }
 
-    fn heard_elsewhere(&mut self, ctx: &mut Ctx, from: &NodeName, heard: Heard) {
+    fn heard_elsewhere(&mut self, ctx: &mut Ctx, from: &NodeName, heard: HeardHeartbeat) {
         let id = &heard.machine;
         if self.tombs.contains_key(id) {
-            return self.hub.forget(id);
+            return self.coordinator.forget(id);
         }
         let settled = self.machines.get(id).is_some_and(|m| m.heard() && m.is_settled());
         if settled && !heard.new {
@@ -114,7 +116,7 @@
         }
         // A report is worth the same whoever has heard it: it carries session, serial and the fence that the
         // worker had seen.
-        let Some(known) = self.hub.known(id) else { return };
+        let Some(known) = self.coordinator.known(id) else { return };
         let Some(report) = Report::of(id, heard.at, &known.content) else {
             tracing::error!(machine = %id, node = %from, "a report told by another node can't be read");
             return;
@@ -149,7 +151,8 @@
         for (node, mut orders) in std::mem::take(&mut self.errands) {
             while !orders.is_empty() {
                 let rest = orders.split_off(orders.len().min(ERRANDS_AT_ONCE));
-                ctx.out.tell(&node, PeerMessage::Errands { fencing_token: self.fencing_token, orders });
+                ctx.out
+                    .tell(&node, PeerMessage::QueuedCommands { fencing_token: self.fencing_token, orders });
                 orders = rest;
             }
         }
@@ -158,5 +161,5 @@
 
 /// Whether all nodes understand what is needed for it, and the operators want it.
 pub(in crate::node) fn on(settings: &Settings, reached: compat::Level) -> bool {
-    settings.operator.report_homes && reached >= compat::HOMES
+    settings.operator.report_homes && reached >= compat::HEARTBEAT_DELEGATION
 }
--- a/crates/scheduler/src/node/master/apart.rs
+++ b/crates/scheduler/src/node/master/isolation.rs
@@ -1,7 +1,7 @@
 //! Nodes that the leader can't reach, while they reach the state service: what they say there of the workers they answer.
 
 use super::*;
-use pearford_homes::Word;
+use pearford_heartbeat::IsolationReport;
 
 /// Prefix of what nodes say that are apart from the leader.
 pub(in crate::node) const PREFIX: &str = "apart/";
@@ -12,16 +12,16 @@
 
 impl Master {
     /// While some node isn't heard, what it says is looked up.
-    pub(super) fn ask_apart(&mut self, ctx: &mut Ctx) {
-        if ctx.now < self.next_told || ctx.peers.live(ctx.now).len() >= ctx.peers.names().len() {
+    pub(super) fn read_isolation_reports(&mut self, ctx: &mut Ctx) {
+        if ctx.now < self.next_isolation_read || ctx.peers.live(ctx.now).len() >= ctx.peers.names().len() {
             return;
         }
-        self.next_told = ctx.now + ASK_EVERY;
+        self.next_isolation_read = ctx.now + ASK_EVERY;
         let request = StateRequest::Range { prefix: PREFIX, after: None, most: MOST };
         ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::Apart));
     }
 
-    pub(super) fn apart_told(&mut self, ctx: &mut Ctx, reply: StateReply) {
+    pub(super) fn isolation_reports_read(&mut self, ctx: &mut Ctx, reply: StateReply) {
         let StateReply::Pairs { pairs, .. } = reply else { return };
         for pair in pairs {
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
@@ -30,8 +30,10 @@
             if pair.revision.0 <= self.fencing_token.0 {
                 continue;
             }
-            match serde_json::from_str::<Word>(&pair.value) {
-                Ok(word) => self.told.learn(node.into(), pair.revision, word, ctx.now),
+            match serde_json::from_str::<IsolationReport>(&pair.value) {
+                Ok(isolation_report) => {
+                    self.isolation_reports.learn(node.into(), pair.revision, isolation_report, ctx.now)
+                }
                 Err(error) => tracing::error!(key = pair.key, %error, "a node's word can't be read"),
             }
         }
@@ -39,7 +41,7 @@
 
     /// Whether a node that is apart hears so many more workers that it should lead: this one would place work on the
     /// smaller side only for as long as the cut lasts.
-    pub(super) fn is_outweighed(&self, now: MonotonicTime) -> bool {
+    pub(super) fn is_outnumbered(&self, now: MonotonicTime) -> bool {
         let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(1.25);
         // A new leader has not heard its own side yet: compared too early each resigned to the next, all stood aside, and
         // nobody led for 14 s (parted days, seed 928).
@@ -47,6 +49,10 @@
             return false;
         }
         let heard = |m: &&Machine| m.heard() && m.last_report.is_some_and(|at| now.since(at) <= interval);
-        self.told.outweigh(|| self.machines.values().filter(heard).count() as u32, self.fencing_token, now)
+        self.isolation_reports.is_outnumbered(
+            || self.machines.values().filter(heard).count() as u32,
+            self.fencing_token,
+            now,
+        )
     }
 }
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -3,14 +3,14 @@
 //! It knows its node only by the `Ctx` that it is given for a step, and says by what it returns when
 //! the lead is to be left.
 
-mod apart;
 mod beat;
 mod calls;
 mod changes;
 mod cloud;
 mod commits;
+mod delegation;
 mod field;
-mod homes;
+mod isolation;
 mod load;
 mod offers;
 mod preemption;
@@ -18,8 +18,8 @@
 mod stock;
 mod upkeep;
 
-pub(super) use apart::PREFIX as APART;
-pub(super) use homes::on as homes_on;
+pub(super) use delegation::on as heartbeats_delegated;
+pub(super) use isolation::PREFIX as ISOLATION_PREFIX;
 
 use super::catalogue::Catalogue;
 use super::outbox::{LeaderRequest, Outbox, Pending};
@@ -42,7 +42,7 @@
 use crate::wire::workers::{self, Report};
 use crate::workers::{Digest, Health, Machine, Outcome, Standing};
 use cloud::CloudCall;
-use pearford_homes::{Full, Hub, Renewal, Told};
+use pearford_heartbeat::{Coordinator, FullHeartbeat, IsolationReports, LeaseRenewal};
 use pearford_recovery::{FailoverPhase, HeartbeatCollection, LeaderAction, Pacer};
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -69,11 +69,11 @@
     pub holds: bool,
     /// Start of the newest read of the job records.
     pub fresh_at: MonotonicTime,
-    pub renewal: &'a Renewal,
+    pub lease_renewal: &'a LeaseRenewal,
     pub mirror: &'a mut Mirror,
     pub counts: &'a mut Counts,
     /// Every node understands delegations, and answers reports in the leader's name.
-    pub homes: bool,
+    pub heartbeats_delegated: bool,
     pub peers: &'a mut Peers,
     pub catalogue: &'a mut Catalogue,
     pub rng: &'a mut StdRng,
@@ -181,18 +181,18 @@
     /// Workers with orders that needn't wait for their next report, and calls under way.
     to_direct: BTreeSet<MachineId>,
     directs: BTreeMap<RequestId, DirectCall>,
-    hub: Hub,
+    coordinator: Coordinator,
     /// What nodes say that are apart from this one, and the zones that are cut off as far as this node can tell.
-    told: Told,
-    next_told: MonotonicTime,
+    isolation_reports: IsolationReports,
+    next_isolation_read: MonotonicTime,
     cut: BTreeSet<Zone>,
     /// Until when a zone was cut off and answered by a node in there.
     parted: BTreeMap<Zone, MonotonicTime>,
     /// What this node heard before it led, for when all records are read.
-    early: Vec<Full>,
+    early: Vec<FullHeartbeat>,
     /// Orders that go out with answers to the next reports at other nodes.
     errands: BTreeMap<NodeName, Vec<(MachineId, Vec<workers::Order>)>>,
-    phases: homes::Phases,
+    phases: delegation::Phases,
     heartbeat_collection: HeartbeatCollection,
     served: Served,
     reload: Vec<(MonotonicTime, LeaderRequest)>,
@@ -337,7 +337,7 @@
         fencing_token: FencingToken,
         now: MonotonicTime,
         types: Vec<MachineType>,
-        early: Vec<Full>,
+        early: Vec<FullHeartbeat>,
     ) -> Self {
         let o = &settings.operator;
         // Users seldom use theirs, so the two overlap a little; what is over the limit is refused by
@@ -394,14 +394,14 @@
             probes: BTreeMap::new(),
             to_direct: BTreeSet::new(),
             directs: BTreeMap::new(),
-            hub: Hub::new(settings.node.clone(), fencing_token, now),
-            told: Told::default(),
-            next_told: now,
+            coordinator: Coordinator::new(settings.node.clone(), fencing_token, now),
+            isolation_reports: IsolationReports::default(),
+            next_isolation_read: now,
             cut: BTreeSet::new(),
             parted: BTreeMap::new(),
             early,
             errands: BTreeMap::new(),
-            phases: homes::Phases::default(),
+            phases: delegation::Phases::default(),
             served: Served::default(),
             heartbeat_collection: HeartbeatCollection::new(
                 Duration::from_secs_f64(settings.workers.report_s),
@@ -450,14 +450,14 @@
         ctx.valid
             && self.heartbeat_collection.allows(LeaderAction::Start)
             && self.opaque.is_empty()
-            && ctx.renewal.is_fresh(ctx.now)
+            && ctx.lease_renewal.is_fresh(ctx.now)
     }
 
     /// Whether a machine's reports may be answered with 200, which renews the worker's lease.
     fn may_renew(&self, ctx: &Ctx, machine: &MachineId) -> bool {
         let doubtful = self.machines.get(machine).filter(|m| m.in_doubt());
         let returned = doubtful.is_some_and(|m| m.standing == Standing::Releasing);
-        ctx.holds && !returned && ctx.renewal.by_leader(doubtful.is_some(), ctx.now)
+        ctx.holds && !returned && ctx.lease_renewal.leader_may_renew(doubtful.is_some(), ctx.now)
     }
 
     /// An answer of the state service to one of this leader's requests.
@@ -473,7 +473,7 @@
             }
             LeaderRequest::Commit => return self.committed(ctx, reply),
             LeaderRequest::Correct { key } => self.corrected(ctx, &key, reply),
-            LeaderRequest::Apart => self.apart_told(ctx, reply),
+            LeaderRequest::Apart => self.isolation_reports_read(ctx, reply),
             LeaderRequest::SaveCounts | LeaderRequest::Resign => {}
         }
         None
@@ -503,15 +503,15 @@
         if self.self_cut_off(ctx.peers.hear_workers(now), now) {
             return Some(Leave::Resign("most workers are silent: the fault may be here"));
         }
-        self.ask_apart(ctx);
-        if self.is_outweighed(now) {
+        self.read_isolation_reports(ctx);
+        if self.is_outnumbered(now) {
             return Some(Leave::Resign("nodes that are apart from this one hear more workers"));
         }
         self.gather(now);
         self.drain_warned(now);
         self.mend_gangs(now);
         self.find_lost(ctx.peers.zones_heard(), now);
-        self.find_haunted(ctx.renewal, now);
+        self.find_haunted(ctx.lease_renewal, now);
         self.probe(ctx);
         self.call_cloud(ctx);
         None
@@ -569,7 +569,7 @@
         lines.push(format!("pearford_tasks_waiting {waiting}"));
         lines.push(format!("pearford_journal_backlog {}", self.commit_pipeline.backlog()));
         lines.push(format!("pearford_recovery_phase {}", self.heartbeat_collection.phase() as u8));
-        for (node, machines) in self.hub.counts() {
+        for (node, machines) in self.coordinator.counts() {
             lines.push(format!("pearford_reports_home{{node=\"{node}\"}} {machines}"));
         }
     }
@@ -607,7 +607,7 @@
 
     /// Nothing that nodes say through the state service is heeded.
     pub(super) fn sabotage_apart(&mut self) {
-        self.told = Told::default();
+        self.isolation_reports = IsolationReports::default();
     }
 
     /// Unheard machines are given up at once.
--- a/crates/scheduler/src/node/master/offers.rs
+++ b/crates/scheduler/src/node/master/offers.rs
@@ -29,7 +29,8 @@
             } else {
                 let outstanding = Outstanding { round, sent: now, asks: asks.clone() };
                 self.offers.insert(node.clone(), outstanding);
-                ctx.out.tell(&node, PeerMessage::Offer { fencing_token, block, round, machines, asks });
+                ctx.out
+                    .tell(&node, PeerMessage::RoundRequest { fencing_token, block, round, machines, asks });
             }
         }
     }
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -161,7 +161,7 @@
         // Silence of a good part of every zone is ours: too few nodes, or overloaded ones, hear the workers.
         let everywhere =
             zones.len() > 1 && zones.values().all(|z| f64::from(z.silent) > FLEET_SILENT * f64::from(z.all));
-        let alive = self.told.alive(now);
+        let alive = self.isolation_reports.alive(now);
         let is_cut = |zone: &Zone, z: &ZoneSilence| {
             everywhere || z.is_cut(report, now) || (alive.contains(zone) && !z.is_heard(now))
         };
@@ -243,9 +243,9 @@
 
     /// A start that may still act can't be stopped before it does; the cloud can prove it gone, long before a
     /// withdrawal's time is up. Nor can a leader that has not seen the job records for as long know what is withdrawn.
-    pub(super) fn find_haunted(&mut self, renewal: &Renewal, now: MonotonicTime) {
+    pub(super) fn find_haunted(&mut self, lease_renewal: &LeaseRenewal, now: MonotonicTime) {
         let haunts = self.haunts();
-        let blind = renewal.is_blind_for(haunts, now);
+        let blind = lease_renewal.is_blind_for(haunts, now);
         for m in self.machines.values_mut().filter(|m| m.standing != Standing::Releasing) {
             let haunted = m.doubtful.keys().any(|(task, attempt)| {
                 m.assignments.get(task).is_some_and(|e| {
@@ -350,7 +350,7 @@
     pub(super) fn released(&mut self, id: &MachineId, now: MonotonicTime) {
         self.releasing.remove(id);
         self.opaque.remove(id);
-        self.hub.forget(id);
+        self.coordinator.forget(id);
         self.tombs.insert(id.clone(), now);
         self.blocks.remove(id);
         let Some(mut m) = self.machines.remove(id) else { return };
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -7,7 +7,7 @@
 use crate::wire::cloud::CloudRequest;
 use crate::wire::state::{Change, StateRequest};
 use crate::wire::users;
-use pearford_homes::RelayedCall;
+use pearford_heartbeat::RelayedCommand;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -92,7 +92,7 @@
     next_request_id: u64,
     pending: BTreeMap<RequestId, Pending>,
     /// Direct orders of this step that go by way of other nodes.
-    relays: BTreeMap<NodeName, Vec<RelayedCall>>,
+    relays: BTreeMap<NodeName, Vec<RelayedCommand>>,
     /// Those on their way, and when no answer is waited for any more: the node may be gone.
     relayed: BTreeMap<RequestId, MonotonicTime>,
 }
@@ -112,7 +112,7 @@
     /// The effects of the step that ends. `fencing_token`: of the orders that go by way of other nodes.
     pub fn take(&mut self, fencing_token: FencingToken) -> Vec<Effect> {
         for (node, calls) in std::mem::take(&mut self.relays) {
-            self.tell(&node, PeerMessage::Relay { fencing_token, calls });
+            self.tell(&node, PeerMessage::RelayCommands { fencing_token, calls });
         }
         std::mem::take(&mut self.effects)
     }
@@ -181,7 +181,7 @@
         now: MonotonicTime,
     ) -> RequestId {
         let request_id = self.request_id();
-        let call = RelayedCall { call: request_id.0, addr, body, patience };
+        let call = RelayedCommand { call: request_id.0, addr, body, patience };
         self.relays.entry(via.clone()).or_default().push(call);
         self.relayed.insert(request_id, now + patience + RELAY_SLACK);
         request_id
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -1,7 +1,7 @@
 //! Workers <-> controller nodes.
 
 use crate::types::{Attempt, FencingToken, JobId, MachineId, NodeName, Session, TaskId, TypeName, Zone};
-use pearford_homes::Stamped;
+use pearford_heartbeat::HeartbeatPosition;
 use pearford_recovery::{ReportedState, TaskExit};
 use serde::{Deserialize, Serialize};
 
@@ -39,8 +39,8 @@
 }
 
 impl Report {
-    pub fn stamped(&self) -> Stamped {
-        Stamped { session: self.session, serial: self.serial, fencing_token: self.fencing_token }
+    pub fn position(&self) -> HeartbeatPosition {
+        HeartbeatPosition { session: self.session, serial: self.serial, fencing_token: self.fencing_token }
     }
 
     /// Its content, as nodes tell it one another.
@@ -57,7 +57,7 @@
     }
 
     /// The report that had this content; none if it can't be read.
-    pub fn of(machine: &MachineId, at: Stamped, content: &[u8]) -> Option<Self> {
+    pub fn of(machine: &MachineId, at: HeartbeatPosition, content: &[u8]) -> Option<Self> {
         let c: Content = postcard::from_bytes(content).ok()?;
         Some(Self {
             machine: machine.clone(),
--- a/crates/scheduler/src/wire/workers/tests.rs
+++ b/crates/scheduler/src/wire/workers/tests.rs
@@ -13,9 +13,9 @@
     assert_eq!(r.tasks[1].cause, Some(Cause::Done));
     assert_eq!(r.tasks[2].cause, Some(Cause::NoRoom));
     assert_eq!(r.tasks[3].phase, TaskPhase::Other);
-    let told = Report::of(&r.machine, r.stamped(), &r.content()).expect("readable");
+    let told = Report::of(&r.machine, r.position(), &r.content()).expect("readable");
     assert_eq!(format!("{told:?}"), format!("{r:?}"), "nodes tell one another all of it");
-    assert!(Report::of(&r.machine, r.stamped(), &r.content()[1..]).is_none_or(|t| t.tasks.len() != 4));
+    assert!(Report::of(&r.machine, r.position(), &r.content()[1..]).is_none_or(|t| t.tasks.len() != 4));
     let task = TaskId::parse("req-000412/4").expect("valid");
     let orders = [
         Order::Start { task: task.clone(), attempt: Attempt(2) },
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -301,9 +301,9 @@
             Some(stop) if stop.grace_s <= grace_s => {}
             Some(stop) => {
                 stop.grace_s = grace_s;
-                stop.told = false;
+                stop.sent = false;
             }
-            None => assignment.stop = Some(Stop { grace_s, since: now, told: false }),
+            None => assignment.stop = Some(Stop { grace_s, since: now, sent: false }),
         }
         None
     }
@@ -534,8 +534,8 @@
                     self.sent.insert((task.clone(), attempt), now);
                 }
                 (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
-                (_, Some(stop)) if !stop.told => {
-                    stop.told = true;
+                (_, Some(stop)) if !stop.sent => {
+                    stop.sent = true;
                     orders.push(Order::Stop { task: task.clone(), attempt, grace_s: stop.grace_s });
                 }
                 _ => {}
--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/world/bad_records.rs
@@ -119,7 +119,7 @@
     w.run_until(10_000);
     let leader = w.leader().expect("somebody leads");
     for (n, from) in ["n9", "", "stranger"].into_iter().enumerate() {
-        let message = PeerMessage::Table {
+        let message = PeerMessage::StatusSnapshot {
             fencing_token: FencingToken(u64::MAX - n as u64),
             beat: 1,
             jobs: Vec::new(),
--- a/crates/scheduler/src/world/directed.rs
+++ b/crates/scheduler/src/world/directed.rs
@@ -303,7 +303,7 @@
 }
 
 /// Orders, their answers and nodes' words to one another are held up; one node is apart while the cloud does not answer.
-fn held_words(seed: u64) -> World {
+fn held_announcements(seed: u64) -> World {
     let mut w = day(seed, |w| {
         stream(w, 20, 60, 75_000, 0.5);
         machines_fail(w, 3);
@@ -335,7 +335,7 @@
 const ROWS: [Row; 15] = [
     Row {
         name: "held words",
-        day: held_words,
+        day: held_announcements,
         met: &[("a link held", 10), ("called off now", 1)],
         without: |w| sabotage(w, |core, _| core.sabotage_forget_silent(4_000)),
     },
@@ -385,7 +385,7 @@
         met: &[("accepted", 800)],
         without: |w| {
             sabotage(w, |core, _| {
-                core.sabotage_renewal(pearford_homes::Without::Stops);
+                core.sabotage_renewal(pearford_heartbeat::DisabledCheck::Stops);
                 core.sabotage_no_stops();
             });
         },
--- a/crates/scheduler/src/world/gap.rs
+++ b/crates/scheduler/src/world/gap.rs
@@ -7,7 +7,7 @@
 use super::{Event, Fault, Host, Leader, NODES, World, job};
 use crate::node::Core;
 use crate::types::Duration;
-use pearford_homes::Without;
+use pearford_heartbeat::DisabledCheck;
 use rand::RngExt;
 use std::ops::Range;
 use std::sync::Mutex;
@@ -186,13 +186,13 @@
 #[test]
 fn the_checker_notices_each_guard_of_the_gap_taken_out() {
     fn stops(core: &mut Core, _: u64) {
-        core.sabotage_renewal(Without::Stops);
+        core.sabotage_renewal(DisabledCheck::Stops);
     }
     fn longer(core: &mut Core, _: u64) {
-        core.sabotage_renewal(Without::Margin(Duration::from_millis(15_000)));
+        core.sabotage_renewal(DisabledCheck::Margin(Duration::from_millis(15_000)));
     }
     fn doubt(core: &mut Core, _: u64) {
-        core.sabotage_renewal(Without::Doubt);
+        core.sabotage_renewal(DisabledCheck::UnacknowledgedStarts);
     }
     assert!(
         !of_seeds(3_238..3_250, |seed| broken(gap_day, seed, Some(stops))).is_empty(),
