--- a/crates/heartbeat/src/coordinator.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -198,7 +198,7 @@
     }
 
     /// A report that came to the leader itself.
-    pub fn reported_here(&mut self, machine: &MachineId, at: HeartbeatPosition, content: Vec<u8>) {
+    pub fn heartbeat_received_here(&mut self, machine: &MachineId, at: HeartbeatPosition, content: Vec<u8>) {
         let (node, hash) = (self.me.clone(), content_hash(&content));
         self.known.insert(machine.clone(), KnownHeartbeat { node, at, content, hash });
     }
@@ -257,8 +257,8 @@
                 Some(k)
                     if skips_content_check
                         || (k.hash == same.hash
-                            && (k.at.session, k.at.fencing_token)
-                                == (same.at.session, same.at.fencing_token)) =>
+                            && (k.at.worker_epoch, k.at.fencing_token)
+                                == (same.at.worker_epoch, same.at.fencing_token)) =>
                 {
                     k.at = same.at;
                     k.node = from.clone();
--- a/crates/heartbeat/src/coordinator/tests.rs
+++ b/crates/heartbeat/src/coordinator/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::messages::UnchangedHeartbeat;
-use pearford_types::Session;
+use pearford_types::WorkerEpoch;
 
 const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
 
 fn position(serial: u64) -> HeartbeatPosition {
-    HeartbeatPosition { session: Session(1), serial, fencing_token: FencingToken(7) }
+    HeartbeatPosition { worker_epoch: WorkerEpoch(1), serial, fencing_token: FencingToken(7) }
 }
 
 fn coordinator() -> (Coordinator, Delegation) {
@@ -74,7 +74,7 @@
     assert_eq!(coordinator.detour(&"m".into(), T(4_000)), Some(&"b".into()));
     coordinator.digest(&"b".into(), digest(vec![], vec![]), T(5_000));
     assert_eq!(coordinator.detour(&"m".into(), T(5_000)), None, "b is heard, and hears nothing");
-    coordinator.reported_here(&"m".into(), position(2), b"x".to_vec());
+    coordinator.heartbeat_received_here(&"m".into(), position(2), b"x".to_vec());
     assert_eq!(coordinator.detour(&"m".into(), T(1_200)), Some(&"a".into()), "this node may have lost it");
     assert_eq!(coordinator.route(&"m".into(), T(1_200)), None);
     assert_eq!(coordinator.route(&"unheard".into(), T(1_200)), None);
--- a/crates/heartbeat/src/delegate.rs
+++ b/crates/heartbeat/src/delegate.rs
@@ -304,7 +304,8 @@
         }
         let like = |k: &ReceivedHeartbeat| {
             k.hash == hash
-                && (k.at.session, k.at.fencing_token) == (heartbeat.at.session, heartbeat.at.fencing_token)
+                && (k.at.worker_epoch, k.at.fencing_token)
+                    == (heartbeat.at.worker_epoch, heartbeat.at.fencing_token)
         };
         if known.is_some_and(like) && !self.changed.contains(heartbeat.machine) {
             self.same.insert(heartbeat.machine.clone());
--- a/crates/heartbeat/src/delegate/tests.rs
+++ b/crates/heartbeat/src/delegate/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::NodeWeight;
-use pearford_types::Session;
+use pearford_types::WorkerEpoch;
 
 fn delegation(fencing_token: u64, sequence: u64, home: &str) -> Delegation {
     let place = NodeWeight { node: home.into(), zone: "z".into(), weight: 100 };
@@ -20,7 +20,11 @@
     top: u64,
     now: MonotonicTime,
 ) -> Routing {
-    let at = HeartbeatPosition { session: Session(1), serial, fencing_token: FencingToken(fencing_token) };
+    let at = HeartbeatPosition {
+        worker_epoch: WorkerEpoch(1),
+        serial,
+        fencing_token: FencingToken(fencing_token),
+    };
     let (machine, zone) = ("m".into(), "z".into());
     let heartbeat =
         IncomingHeartbeat { machine: &machine, zone: &zone, at, content: content.as_bytes().to_vec() };
@@ -130,7 +134,8 @@
     let mut moved = 0;
     for i in 0..1000u64 {
         let (machine, zone) = (format!("m-{i}").as_str().into(), "z".into());
-        let at = HeartbeatPosition { session: Session(1), serial: 1, fencing_token: FencingToken(5) };
+        let at =
+            HeartbeatPosition { worker_epoch: WorkerEpoch(1), serial: 1, fencing_token: FencingToken(5) };
         let heartbeat = IncomingHeartbeat { machine: &machine, zone: &zone, at, content: Vec::new() };
         moved += u32::from(
             d.heartbeat_received(heartbeat, FencingToken(5), true, T(10)) == Routing::Redirect("b".into()),
--- a/crates/heartbeat/src/lease_renewal.rs
+++ b/crates/heartbeat/src/lease_renewal.rs
@@ -162,11 +162,13 @@
         }
     }
 
-    /// Whether the leader, in its tenure or holding on, may renew a machine's lease. `doubtful`: a start of its own may
+    /// Whether the leader, in its tenure or holding on, may renew a machine's lease. `unacknowledged`: a start of its own may
     /// still arrive there.
-    pub fn leader_may_renew(&self, doubtful: bool, now: MonotonicTime) -> bool {
+    pub fn leader_may_renew(&self, unacknowledged: bool, now: MonotonicTime) -> bool {
         self.allows(now)
-            && (self.is_recent(now) || !doubtful || self.out == Some(DisabledCheck::UnacknowledgedStarts))
+            && (self.is_recent(now)
+                || !unacknowledged
+                || self.out == Some(DisabledCheck::UnacknowledgedStarts))
     }
 
     /// Whether this node may renew a machine's lease in the name of the leader with `fencing_token`. `tells`: every version
--- a/crates/heartbeat/src/messages.rs
+++ b/crates/heartbeat/src/messages.rs
@@ -1,13 +1,13 @@
 //! What leader and delegates say to each other about reports.
 
 use crate::rendezvous::NodeWeights;
-use pearford_types::{Duration, FencingToken, MachineId, Session};
+use pearford_types::{Duration, FencingToken, MachineId, WorkerEpoch};
 use serde::{Deserialize, Serialize};
 
 /// Where in its life a worker made a report, and the highest fence it had seen then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatPosition {
-    pub session: Session,
+    pub worker_epoch: WorkerEpoch,
     pub serial: u64,
     pub fencing_token: FencingToken,
 }
@@ -15,7 +15,7 @@
 impl HeartbeatPosition {
     /// Whether it was made after `other`.
     pub fn is_newer(&self, other: &HeartbeatPosition) -> bool {
-        (self.session, self.serial) > (other.session, other.serial)
+        (self.worker_epoch, self.serial) > (other.worker_epoch, other.serial)
     }
 }
 
--- a/crates/heartbeat/src/tests.rs
+++ b/crates/heartbeat/src/tests.rs
@@ -8,7 +8,7 @@
     NodeWeight, NodeWeights, Routing,
 };
 use arbtest::arbtest;
-use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Session, Zone};
+use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, WorkerEpoch, Zone};
 use std::collections::HashSet;
 
 const REPORTS: usize = 3;
@@ -67,7 +67,7 @@
     fn report(&mut self, i: usize, content: u8) -> Result<(), String> {
         self.said.push(content);
         let at = HeartbeatPosition {
-            session: Session(1),
+            worker_epoch: WorkerEpoch(1),
             serial: self.said.len() as u64,
             fencing_token: FencingToken(self.fencing_token),
         };
--- a/crates/heartbeat/tests/outage_orders.rs
+++ b/crates/heartbeat/tests/outage_orders.rs
@@ -69,7 +69,7 @@
     knew: u32,
     /// How long ago the report was sent that was answered last.
     renewed: u32,
-    session: bool,
+    worker_epoch: bool,
     task: Task,
     /// When the first node has told the other where it has starts in doubt, and whether this was one.
     announced: (u32, bool, bool),
@@ -150,14 +150,14 @@
         up(&mut s.renewed, LEASE + 1);
         let blind = s.nodes[0].records_read.is_none_or(|age| age >= FRESH + RETURNED);
         let returned = s.task == Task::OnItsWay && (blind || s.knew >= RETURNED) && Self::tenure(&s);
-        s.session &= s.renewed <= LEASE && !returned;
+        s.worker_epoch &= s.renewed <= LEASE && !returned;
         s
     }
 
     /// Whether the task lives longer than it may, be it by a moment before the next step.
     fn broken(s: &State) -> bool {
         let lives_ms = LEASE.saturating_sub(s.renewed) * 1_000 + (LEASE * PPM).div_ceil(1_000);
-        s.session
+        s.worker_epoch
             && s.task == Task::Runs
             && s.cancelled.is_some_and(|c| c * 1_000 + lives_ms.min(999) > CANCEL * 1_000)
     }
@@ -255,7 +255,7 @@
 
     /// A report is answered by either node.
     fn reports(&self, s: &State) -> Vec<State> {
-        let by = (0..2).filter(|i| s.session && self.renews(s, *i));
+        let by = (0..2).filter(|i| s.worker_epoch && self.renews(s, *i));
         by.map(|i| {
             let mut s = State { renewed: 0, ..s.clone() };
             let stops = s.nodes[i].knows && self.out != Some(DisabledCheck::Stops);
@@ -285,7 +285,7 @@
             cancelled: None,
             knew: 0,
             renewed: 0,
-            session: true,
+            worker_epoch: true,
             task: Task::Runs,
             announced: (0, false, false),
         };
@@ -296,7 +296,7 @@
                 return Err(s);
             }
             // Once the session or the time is over nothing follows.
-            let over = !s.session || s.cancelled.is_some_and(|c| c > CANCEL);
+            let over = !s.worker_epoch || s.cancelled.is_some_and(|c| c > CANCEL);
             if !over && seen.insert((s.clone(), turn)) {
                 open.extend(self.next(&s, turn));
             }
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -126,7 +126,7 @@
         services: client(8),
         // Kept without use, thousands of them held half of all sockets.
         workers: client(0),
-        orders: Arc::new(Semaphore::new(settings.limits.orders())),
+        orders: Arc::new(Semaphore::new(settings.limits.commands())),
         settings: settings.clone(),
         tx,
     };
--- a/crates/recovery/tests/every_order.rs
+++ b/crates/recovery/tests/every_order.rs
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Worker {
-    session: u8,
+    worker_epoch: u8,
     serial: u8,
     fencing_token: u8,
     has: Has,
@@ -33,7 +33,7 @@
 struct Order {
     to: usize,
     fencing_token: u8,
-    session: u8,
+    worker_epoch: u8,
     attempt: u8,
     start: bool,
 }
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Report {
     from: usize,
-    session: u8,
+    worker_epoch: u8,
     serial: u8,
     fencing_token: u8,
     has: Has,
@@ -99,7 +99,7 @@
 type Way = (Out, bool);
 
 fn first() -> State {
-    let worker = Worker { session: 1, serial: 0, fencing_token: 0, has: Has::Nothing };
+    let worker = Worker { worker_epoch: 1, serial: 0, fencing_token: 0, has: Has::Nothing };
     State {
         workers: [worker; MACHINES],
         recorded_state: [None; MACHINES],
@@ -135,7 +135,7 @@
         // What isn't to start again here is to stop.
         stopping: !wanted_here,
         reported_state,
-        after_command: out == Out::Doubt || assignment.is_some_and(|e| report.session > e.sent_in),
+        after_command: out == Out::Doubt || assignment.is_some_and(|e| report.worker_epoch > e.sent_in),
         under_fencing_token: out == Out::FencingToken || report.fencing_token == mine,
         wanted_here,
         may_still_arrive: false,
@@ -149,7 +149,7 @@
     if s.sessions_left > 0 {
         let mut n = s.clone();
         n.sessions_left -= 1;
-        n.workers[0] = Worker { session: 2, serial: 0, has: Has::Nothing, ..s.workers[0] };
+        n.workers[0] = Worker { worker_epoch: 2, serial: 0, has: Has::Nothing, ..s.workers[0] };
         all.push(n);
     }
     // A task ends by itself, and is listed until it is forgotten.
@@ -169,7 +169,7 @@
             let serial = w.serial + 1;
             n.reports.push(Report {
                 from: m,
-                session: w.session,
+                worker_epoch: w.worker_epoch,
                 serial,
                 fencing_token: w.fencing_token,
                 has: w.has,
@@ -232,13 +232,13 @@
                 && l.known[m].0 > 0
             {
                 let mut n = s.clone();
-                let session = l.known[m].0;
+                let worker_epoch = l.known[m].0;
                 n.leaders[i].assignments[m] =
-                    Some(Assignment { state: RecordedState::Sent, sent_in: session, ..e });
+                    Some(Assignment { state: RecordedState::Sent, sent_in: worker_epoch, ..e });
                 n.orders.push(Order {
                     to: m,
                     fencing_token: l.fencing_token,
-                    session,
+                    worker_epoch,
                     attempt: e.attempt,
                     start: true,
                 });
@@ -252,7 +252,7 @@
         let mut n = s.clone();
         let o = n.orders.remove(k);
         let w = &mut n.workers[o.to];
-        if o.fencing_token >= w.fencing_token && o.session == w.session {
+        if o.fencing_token >= w.fencing_token && o.worker_epoch == w.worker_epoch {
             w.fencing_token = o.fencing_token;
             match (o.start, w.has) {
                 (true, Has::Nothing) => w.has = Has::Runs(o.attempt),
@@ -276,11 +276,11 @@
             let mut n = s.clone();
             let r = n.reports.remove(k);
             let l = &mut n.leaders[i];
-            if !l.ready || (r.session, r.serial) <= l.known[r.from] {
+            if !l.ready || (r.worker_epoch, r.serial) <= l.known[r.from] {
                 all.push(n);
                 continue;
             }
-            l.known[r.from] = (r.session, r.serial);
+            l.known[r.from] = (r.worker_epoch, r.serial);
             let assignment = l.assignments[r.from];
             let (leads, fencing_token) = (n.store_fencing_token == l.fencing_token, l.fencing_token);
             match (verdict(assignment, &r, fencing_token, way), assignment) {
@@ -293,7 +293,7 @@
                 (Decision::Gone(Outcome::Vanished | Outcome::NeverStarted | Outcome::Ended(_)), Some(_)) => {
                     l.assignments[r.from] = None;
                     // A start that may still act would start again what was forgotten.
-                    let doubt = assignment.is_some_and(|e| e.sent_in == r.session) && out != Out::Forget;
+                    let doubt = assignment.is_some_and(|e| e.sent_in == r.worker_epoch) && out != Out::Forget;
                     // The answer gets there or not; the removal is written late, or never: all are followed.
                     let mut answered = n.clone();
                     forget(&mut answered.workers[r.from], &r, fencing_token, doubt);
@@ -313,7 +313,7 @@
                         n.orders.push(Order {
                             to: r.from,
                             fencing_token,
-                            session: r.session,
+                            worker_epoch: r.worker_epoch,
                             attempt,
                             start: false,
                         });
@@ -330,7 +330,7 @@
 
 /// The answer to a report that lists an ended task lets the worker forget it, and tells it the fence.
 fn forget(worker: &mut Worker, report: &Report, fencing_token: u8, doubt: bool) {
-    if (worker.session, worker.serial) == (report.session, report.serial)
+    if (worker.worker_epoch, worker.serial) == (report.worker_epoch, report.serial)
         && fencing_token >= worker.fencing_token
     {
         worker.fencing_token = fencing_token;
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -8,7 +8,7 @@
 pub use commit_pipeline::{CommitBatch, CommitPipeline, CommitPriority, CommittedKeys};
 
 use crate::types::{
-    Attempt, Image, MachineId, MonotonicTime, Resources, Session, TaskId, TeamName, TypeName, Zone,
+    Attempt, Image, MachineId, MonotonicTime, Resources, TaskId, TeamName, TypeName, WorkerEpoch, Zone,
 };
 use pearford_recovery::RecordedState;
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
     Ready,
     /// The start went out in the answer to the report with this session and serial.
     Sent {
-        session: Session,
+        worker_epoch: WorkerEpoch,
         serial: u64,
     },
     /// The start is on its way straight to the worker, whose answer is awaited.
@@ -58,8 +58,8 @@
 
     /// Whether a start that has left had run, if it ever ran, when the worker made this report. One in doubt has the
     /// last serial of its session.
-    pub fn is_before(&self, session: Session, serial: u64) -> bool {
-        matches!(self, Self::Sent { session: s, serial: n } if (session, serial) > (*s, *n))
+    pub fn is_before(&self, worker_epoch: WorkerEpoch, serial: u64) -> bool {
+        matches!(self, Self::Sent { worker_epoch: s, serial: n } if (worker_epoch, serial) > (*s, *n))
     }
 }
 
@@ -140,7 +140,7 @@
     #[serde(rename = "a", default)]
     pub addr: Option<String>,
     #[serde(rename = "n", default)]
-    pub session: Session,
+    pub worker_epoch: WorkerEpoch,
     #[serde(rename = "t", default)]
     pub assignments: Vec<(TaskId, Attempt, TeamName, Resources)>,
     /// Images there and their sizes: a new leader that didn't know them would have them fetched
--- a/crates/scheduler/src/assignments/tests.rs
+++ b/crates/scheduler/src/assignments/tests.rs
@@ -11,7 +11,7 @@
         zone: "columbia".into(),
         spot: false,
         addr: Some("255.255.255.255:65535".into()),
-        session: Session(u64::from(u32::MAX)),
+        worker_epoch: WorkerEpoch(u64::from(u32::MAX)),
         assignments: Vec::new(),
         images: (0..64).map(|i| (Image::from(format!("img-{i:02}").as_str()), 6.25)).collect(),
     };
--- a/crates/scheduler/src/blocks/mod.rs
+++ b/crates/scheduler/src/blocks/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
 use crate::types::{Duration, FencingToken, JobId, MachineId, MonotonicTime, NodeName, Zone};
-use crate::wire::workers::Order;
+use crate::wire::workers::WorkerCommand;
 use pearford_heartbeat::{Delegation, HeartbeatDigest, RelayResult, RelayedCommand, UnacknowledgedStarts};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -61,7 +61,7 @@
     /// To the leader: what became of them.
     RelayResults { fencing_token: FencingToken, calls: Vec<RelayResult> },
     /// From the leader: orders to go out with the answers to the next reports.
-    QueuedCommands { fencing_token: FencingToken, orders: Vec<(MachineId, Vec<Order>)> },
+    QueuedCommands { fencing_token: FencingToken, commands: Vec<(MachineId, Vec<WorkerCommand>)> },
     /// From the leader, before each delegation: where its starts may still arrive. Versions before level `UNACKNOWLEDGED_STARTS` drop
     /// it unread, and hold on as they did.
     UnacknowledgedStarts(UnacknowledgedStarts),
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/compat/tests.rs
@@ -3,7 +3,7 @@
 use crate::blocks::{PeerMessage, decode, encode};
 use crate::jobs::{self, JobSpec, OpenJob, Priority, Record, Shape};
 use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
-use crate::types::{Attempt, Resources, Session, TaskId, WallTime};
+use crate::types::{Attempt, Resources, TaskId, WallTime, WorkerEpoch};
 use crate::workers::Health;
 use std::sync::Arc;
 
@@ -144,7 +144,7 @@
     let machine: MachineRecord = serde_json::from_str(golden("machine")[0]).expect("read");
     let task = TaskId { job: "req-000412".into(), index: 3 };
     assert_eq!(machine.assignments, [(task, Attempt(432_013_319), "red".into(), resources())]);
-    assert_eq!((machine.session, &machine.images[..]), (Session(2), &[("img-07".into(), 6.2)][..]));
+    assert_eq!((machine.worker_epoch, &machine.images[..]), (WorkerEpoch(2), &[("img-07".into(), 6.2)][..]));
     assert_eq!(serde_json::to_string(&machine).expect("writable"), golden("machine")[0]);
     let mut bits = jobs::Bits::default();
     for (n, text) in golden("progress").into_iter().enumerate() {
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/core/mod.rs
@@ -21,12 +21,12 @@
 use crate::types::{Duration, FencingToken, JobId, MonotonicTime, NodeName, RequestId, Revision, WallTime};
 use crate::wire::cloud::CloudReply;
 use crate::wire::state::{Change, StateReply, StateRequest};
-use crate::wire::workers::{self, Report};
+use crate::wire::workers::{self, Heartbeat};
 use features::Slot;
 use pearford_heartbeat::{Bounds, Delegate, HeartbeatPosition, IsolationReporter, LeaseRenewal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reports::Passing;
+use reports::Relay;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -70,7 +70,7 @@
     master: Option<Master>,
     delegate: Delegate,
     lease_renewal: LeaseRenewal,
-    passing: Passing,
+    relay: Relay,
     isolation_reporter: IsolationReporter,
     served: Served,
     /// Messages in the name of nodes that are none of its peers.
@@ -120,7 +120,7 @@
             master: None,
             delegate: Delegate::new(settings.node.clone()),
             lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.hold())),
-            passing: Passing::default(),
+            relay: Relay::default(),
             isolation_reporter: IsolationReporter::default(),
             served: Served::default(),
             dropped: 0,
@@ -236,7 +236,7 @@
         }
         self.levels_tick();
         self.features_tick();
-        self.reports_tick();
+        self.heartbeats_tick();
         let leave = self.leading().and_then(|(master, mut ctx)| master.tick(&mut ctx));
         self.leave(leave);
     }
@@ -283,7 +283,7 @@
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, parts.as_slice()) {
             (Method::Get, ["up"]) => self.up(request),
-            (Method::Post, ["v1", "report"]) => self.report(request, &body),
+            (Method::Post, ["v1", "report"]) => self.heartbeat(request, &body),
             (Method::Post, ["submissions"]) => self.submit(request, &body),
             (Method::Get, ["submissions", id]) => self.status(request, id),
             (Method::Post, ["submissions", id, "withdraw"]) => self.ask_to_withdraw(request, id),
@@ -494,7 +494,7 @@
                     master.proposals(&mut ctx, &from, fencing_token, block, round, proposals);
                 }
             }
-            message => self.about_reports(&from, message),
+            message => self.heartbeat_message(&from, message),
         }
     }
 
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/core/reports.rs
@@ -5,109 +5,110 @@
 use crate::compat;
 use crate::node::master::ISOLATION_PREFIX;
 use crate::types::MachineId;
-use crate::wire::workers::{Order, Passed};
-use crate::workers::stop_what_is_over;
+use crate::wire::workers::{Filtered, WorkerCommand};
+use crate::workers::stop_finished;
 use pearford_heartbeat::{IncomingHeartbeat, RelayResult, RelayedCommand, Routing};
 use std::collections::VecDeque;
 
 /// Orders passed on for a leader at a time; more are answered as not sent.
-const PASSING: usize = 4096;
+const MAX_RELAYED: usize = 4096;
 /// Machines that orders wait for.
-const ERRANDS: usize = 10_000;
+const MAX_QUEUED_COMMANDS: usize = 10_000;
 /// Not passed on, and never will be: its leader is not the latest, or it only starts what is over.
 const NOT_SENT: u16 = 409;
 /// As one without an answer: should it come again, it may be passed on then.
-const MAY_COME: u16 = 0;
+const NO_ANSWER: u16 = 0;
 
 /// Reports that wait for a leader here, at most, and for how long. A worker that is turned away comes back in a second,
 /// one that gets no answer in five: while nobody led, being turned away made five times the usual load, and no node got
 /// as far as to lead (four times the andina fleet). Workers wait 4 s for an answer.
-const PARKED: usize = 8192;
-const PARKED_FOR: Duration = Duration::from_millis(2800);
+const MAX_DEFERRED: usize = 8192;
+const DEFER_AT_MOST: Duration = Duration::from_millis(2800);
 /// A node that has just started may be the first that is back.
 const ALONE_AFTER: Duration = Duration::from_millis(10_000);
 /// A look at the leader key counts for so long.
 const LOOKED: Duration = Duration::from_millis(3000);
 /// Reports taken out of waiting in a step: they come beside all else.
-const UNPARKED_AT_ONCE: usize = 100;
+const DEFERRED_AT_ONCE: usize = 100;
 
 /// What passes through this node between the leader and workers.
 #[derive(Debug, Default)]
-pub(super) struct Passing {
+pub(super) struct Relay {
     /// Direct orders under way, for whom, and as what they know it.
     calls: BTreeMap<RequestId, (NodeName, FencingToken, u64)>,
     /// Orders that go out with the answers to the next reports.
-    errands: BTreeMap<MachineId, (FencingToken, Vec<Order>)>,
+    queued_commands: BTreeMap<MachineId, (FencingToken, Vec<WorkerCommand>)>,
     /// Reports that came while no leader was known, in their order.
-    parked: VecDeque<(MonotonicTime, RequestId, Report)>,
+    deferred: VecDeque<(MonotonicTime, RequestId, Heartbeat)>,
     /// Guard out: starts of what is over are passed on.
     #[cfg(any(test, feature = "world"))]
     passes_all: bool,
 }
 
 impl Core {
-    pub(super) fn report(&mut self, request: RequestId, body: &[u8]) {
-        let report: Report = match serde_json::from_slice(body) {
-            Ok(report) => report,
+    pub(super) fn heartbeat(&mut self, request: RequestId, body: &[u8]) {
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => return self.out.refuse(request, 400, &error.to_string()),
         };
-        if !self.is_possible(report.fencing_token) {
-            tracing::warn!(machine = %report.machine, fencing_token = %report.fencing_token, "a report names a fence that nobody can have given");
+        if !self.is_possible(heartbeat.fencing_token) {
+            tracing::warn!(machine = %heartbeat.machine, fencing_token = %heartbeat.fencing_token, "a report names a fence that nobody can have given");
             return self.out.refuse(request, 400, "fence: no controller can have given it");
         }
-        self.saw_fencing_token(report.fencing_token);
-        if !self.answer_report(request, &report) {
+        self.saw_fencing_token(heartbeat.fencing_token);
+        if !self.answer_heartbeat(request, &heartbeat) {
             self.heard_worker = self.now;
             // Where no peer is heard, it may be this node that is apart: others may reach a leader.
             let up_for = self.now.since(self.started_at.unwrap_or(self.now));
             let alone = self.peers.live(self.now).is_empty() && up_for > ALONE_AFTER;
             let waits = self.known_leader().is_none() && !alone;
-            match waits && self.passing.parked.len() < PARKED {
-                true => self.passing.parked.push_back((self.now, request, report)),
+            match waits && self.relay.deferred.len() < MAX_DEFERRED {
+                true => self.relay.deferred.push_back((self.now, request, heartbeat)),
                 false => self.redirect(request),
             }
         }
     }
 
     /// Answers a report as the leader or in its name; false: this node can do neither.
-    fn answer_report(&mut self, request: RequestId, report: &Report) -> bool {
-        let taken = self.leading().is_some_and(|(master, mut ctx)| master.report(&mut ctx, request, report));
+    fn answer_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
+        let taken =
+            self.leading().is_some_and(|(master, mut ctx)| master.heartbeat(&mut ctx, request, heartbeat));
         if taken && self.election.leads() {
             // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
             let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-            self.isolation_reporter.answered(&report.machine, &report.zone, lease, self.now);
+            self.isolation_reporter.answered(&heartbeat.machine, &heartbeat.zone, lease, self.now);
         }
-        taken || self.report_to_delegate(request, report)
+        taken || self.answer_as_delegate(request, heartbeat)
     }
 
     /// Reports that wait are answered once somebody leads, and sent on before their workers give up.
-    fn unpark(&mut self) {
+    fn answer_deferred(&mut self) {
         let leads = self.known_leader().is_some() || self.election.leads();
-        for _ in 0..UNPARKED_AT_ONCE {
-            let Some((at, ..)) = self.passing.parked.front() else { return };
-            let late = self.now.since(*at) >= PARKED_FOR;
+        for _ in 0..DEFERRED_AT_ONCE {
+            let Some((at, ..)) = self.relay.deferred.front() else { return };
+            let late = self.now.since(*at) >= DEFER_AT_MOST;
             if !late && !leads {
                 return;
             }
-            let Some((_, request, report)) = self.passing.parked.pop_front() else { return };
-            if !self.answer_report(request, &report) {
+            let Some((_, request, heartbeat)) = self.relay.deferred.pop_front() else { return };
+            if !self.answer_heartbeat(request, &heartbeat) {
                 self.redirect(request);
             }
         }
     }
 
     /// Answers in the leader's name, or sends the worker where it belongs; false: this node has no delegation.
-    fn report_to_delegate(&mut self, request: RequestId, report: &Report) -> bool {
+    fn answer_as_delegate(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
         let Some(fencing_token) = self.delegate.fencing_token().filter(|_| !self.election.leads()) else {
             return false;
         };
-        let (machine, zone) = (&report.machine, &report.zone);
+        let (machine, zone) = (&heartbeat.machine, &heartbeat.zone);
         let tells = self.levels.reached() >= compat::UNACKNOWLEDGED_STARTS;
         let (top, may_renew) = (
             self.highest_fencing_token,
             self.lease_renewal.delegate_may_renew(machine, fencing_token, tells, self.now),
         );
-        let ask = IncomingHeartbeat { machine, zone, at: report.position(), content: report.content() };
+        let ask = IncomingHeartbeat { machine, zone, at: heartbeat.position(), content: heartbeat.content() };
         match self.delegate.heartbeat_received(ask, top, may_renew, self.now) {
             Routing::NoDelegation => return false,
             Routing::Redirect(node) => self.out.answer(request, 421, workers::redirect(Some(&node))),
@@ -123,15 +124,15 @@
                     self.now,
                 );
                 // No start ever goes this way; what the leader sends on its own goes directly.
-                let mut orders = match self.passing.errands.remove(&report.machine) {
-                    Some((of, errands)) if of == fencing_token => errands,
+                let mut commands = match self.relay.queued_commands.remove(&heartbeat.machine) {
+                    Some((of, queued_commands)) if of == fencing_token => queued_commands,
                     _ => Vec::new(),
                 };
                 let mirror = &self.mirror;
                 if self.lease_renewal.stops() {
-                    stop_what_is_over(report, |job| mirror.verdict(job).is_some(), &mut orders);
+                    stop_finished(heartbeat, |job| mirror.verdict(job).is_some(), &mut commands);
                 }
-                self.out.answer(request, 200, workers::answer(fencing_token, &orders));
+                self.out.answer(request, 200, workers::answer(fencing_token, &commands));
             }
         }
         true
@@ -155,8 +156,8 @@
 
     /// A worker's answer to something direct: for this node as leader, or to be passed on.
     pub(super) fn worker(&mut self, request_id: RequestId, status: u16, body: &[u8]) {
-        let at = serde_json::from_slice::<Report>(body).ok().map(|r| r.position());
-        match self.passing.calls.remove(&request_id) {
+        let at = serde_json::from_slice::<Heartbeat>(body).ok().map(|r| r.position());
+        match self.relay.calls.remove(&request_id) {
             Some((leader, fencing_token, call)) => {
                 if let Some(at) = at {
                     self.saw_fencing_token(at.fencing_token);
@@ -176,7 +177,7 @@
     }
 
     /// What nodes say to one another about reports.
-    pub(super) fn about_reports(&mut self, from: &NodeName, message: PeerMessage) {
+    pub(super) fn heartbeat_message(&mut self, from: &NodeName, message: PeerMessage) {
         match message {
             PeerMessage::Delegation(d) if self.heed(d.fencing_token, from) && !self.election.leads() => {
                 self.delegate.delegation_received(from, d, self.now);
@@ -191,16 +192,18 @@
             {
                 self.delegate.resend_requested(machines);
             }
-            PeerMessage::QueuedCommands { fencing_token, orders }
+            PeerMessage::QueuedCommands { fencing_token, commands }
                 if fencing_token >= self.highest_fencing_token =>
             {
-                for (machine, orders) in orders {
-                    if self.passing.errands.len() < ERRANDS {
-                        self.passing.errands.insert(machine, (fencing_token, orders));
+                for (machine, commands) in commands {
+                    if self.relay.queued_commands.len() < MAX_QUEUED_COMMANDS {
+                        self.relay.queued_commands.insert(machine, (fencing_token, commands));
                     }
                 }
             }
-            PeerMessage::RelayCommands { fencing_token, calls } => self.pass_on(from, fencing_token, calls),
+            PeerMessage::RelayCommands { fencing_token, calls } => {
+                self.relay_commands(from, fencing_token, calls)
+            }
             PeerMessage::HeartbeatDigest(digest) => {
                 if let Some((master, mut ctx)) = self.leading() {
                     master.digest(&mut ctx, from, digest);
@@ -221,24 +224,24 @@
 
     /// Passes a leader's direct orders on. One that a cut has held back is as good as one that was late on its
     /// way to the worker: it names session and fence, and its sender has long counted it as in doubt.
-    fn pass_on(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCommand>) {
+    fn relay_commands(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCommand>) {
         let mut refused = Vec::new();
         for RelayedCommand { call, addr, mut body, patience } in calls {
             // The leader may not know yet what this node has told a user: that a job is withdrawn.
             let mirror = &self.mirror;
             let passed = workers::without_starts(&body, |job| mirror.verdict(job).is_some());
             #[cfg(any(test, feature = "world"))]
-            let passed = if self.passing.passes_all { Passed::AsItIs } else { passed };
-            let late = fencing_token < self.highest_fencing_token || passed == Passed::Nothing;
-            if let Passed::Without(rest) = passed {
+            let passed = if self.relay.passes_all { Filtered::AsItIs } else { passed };
+            let late = fencing_token < self.highest_fencing_token || passed == Filtered::Nothing;
+            if let Filtered::Without(rest) = passed {
                 body = rest;
             }
-            if late || self.passing.calls.len() >= PASSING {
-                refused.push(RelayResult { call, status: if late { NOT_SENT } else { MAY_COME }, at: None });
+            if late || self.relay.calls.len() >= MAX_RELAYED {
+                refused.push(RelayResult { call, status: if late { NOT_SENT } else { NO_ANSWER }, at: None });
                 continue;
             }
             let request_id = self.out.ask_worker(addr, body, patience);
-            self.passing.calls.insert(request_id, (from.clone(), fencing_token, call));
+            self.relay.calls.insert(request_id, (from.clone(), fencing_token, call));
         }
         if !refused.is_empty() {
             self.out.tell(from, PeerMessage::RelayResults { fencing_token, calls: refused });
@@ -276,9 +279,9 @@
         }
     }
 
-    pub(super) fn reports_tick(&mut self) {
+    pub(super) fn heartbeats_tick(&mut self) {
         self.apart_tick();
-        self.unpark();
+        self.answer_deferred();
         for request_id in self.out.relays_overdue(self.now) {
             self.worker_answered(request_id, 0, None);
         }
@@ -287,9 +290,9 @@
         {
             self.out.tell(&leader, PeerMessage::HeartbeatDigest(digest));
         }
-        let (top, errands) = (self.highest_fencing_token, &mut self.passing.errands);
-        if errands.values().any(|(fencing_token, _)| *fencing_token < top) {
-            errands.retain(|_, (fencing_token, _)| *fencing_token >= top);
+        let (top, queued_commands) = (self.highest_fencing_token, &mut self.relay.queued_commands);
+        if queued_commands.values().any(|(fencing_token, _)| *fencing_token < top) {
+            queued_commands.retain(|_, (fencing_token, _)| *fencing_token >= top);
         }
     }
 }
@@ -298,7 +301,7 @@
 #[cfg(any(test, feature = "world"))]
 impl Core {
     pub fn sabotage_pass_all(&mut self) {
-        self.passing.passes_all = true;
+        self.relay.passes_all = true;
     }
 
     /// Requests are answered from memory, without the read that they wait for.
--- a/crates/scheduler/src/node/master/calls.rs
+++ b/crates/scheduler/src/node/master/calls.rs
@@ -1,7 +1,7 @@
 //! Workers' reports, and what goes straight to a worker: orders, the fence, questions.
 
 use super::*;
-use crate::workers::stop_what_is_over;
+use crate::workers::stop_finished;
 use pearford_heartbeat::HeartbeatPosition;
 
 /// How long a worker has to answer an order.
@@ -16,40 +16,45 @@
 
 impl Master {
     /// Takes a report and answers it; false: this node may not speak for the controllers now.
-    pub(in crate::node) fn report(&mut self, ctx: &mut Ctx, request: RequestId, report: &Report) -> bool {
+    pub(in crate::node) fn heartbeat(
+        &mut self,
+        ctx: &mut Ctx,
+        request: RequestId,
+        heartbeat: &Heartbeat,
+    ) -> bool {
         let may_start = self.may_start(ctx);
-        if !self.may_renew(ctx, &report.machine) {
+        if !self.may_renew(ctx, &heartbeat.machine) {
             return false;
         }
-        if self.tombs.contains_key(&report.machine) {
+        if self.tombstones.contains_key(&heartbeat.machine) {
             ctx.out.refuse(request, 503, "this machine was returned");
             return true;
         }
         if ctx.heartbeats_delegated && self.loaded() {
-            if let Some(home) = self.coordinator.redirect_for(&report.machine, &report.zone, ctx.now) {
+            if let Some(home) = self.coordinator.redirect_for(&heartbeat.machine, &heartbeat.zone, ctx.now) {
                 ctx.out.answer(request, 421, workers::redirect(Some(&home)));
                 return true;
             }
-            self.coordinator.reported_here(&report.machine, report.position(), Vec::new());
+            self.coordinator.heartbeat_received_here(&heartbeat.machine, heartbeat.position(), Vec::new());
         }
-        ctx.peers.heard_zone(&report.zone, ctx.now);
+        ctx.peers.heard_zone(&heartbeat.zone, ctx.now);
         let mirror = &ctx.mirror;
         let over = |task: &TaskId| mirror.verdict(&task.job).is_some();
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         // Before the records are read its lease is renewed and it learns the fence; what it says of its tasks can only
         // be judged afterwards.
         if self.loaded() {
-            self.take_report(report, ctx.now);
-            if let Some(m) = self.machines.get_mut(&report.machine)
-                && (m.session, m.serial) == (report.session, report.serial)
+            self.process_heartbeat(heartbeat, ctx.now);
+            if let Some(m) = self.machines.get_mut(&heartbeat.machine)
+                && (m.worker_epoch, m.serial) == (heartbeat.worker_epoch, heartbeat.serial)
             {
-                orders = m.orders(report, may_start, over, may_start);
+                commands = m.commands(heartbeat, may_start, over, may_start);
             }
         }
         if ctx.lease_renewal.stops() {
-            stop_what_is_over(report, |job| mirror.verdict(job).is_some(), &mut orders);
+            stop_finished(heartbeat, |job| mirror.verdict(job).is_some(), &mut commands);
         }
-        ctx.out.answer(request, 200, workers::answer(self.fencing_token, &orders));
+        ctx.out.answer(request, 200, workers::answer(self.fencing_token, &commands));
         true
     }
 
@@ -58,19 +63,19 @@
         &mut self,
         request_id: RequestId,
         status: u16,
-        report: Option<HeartbeatPosition>,
+        heartbeat: Option<HeartbeatPosition>,
         now: MonotonicTime,
     ) -> Option<FencingToken> {
         if let Some(call) = self.directs.remove(&request_id) {
-            let at = match (&report, status) {
-                (Some(r), 200) => Some(Some((r.session, r.serial))),
+            let at = match (&heartbeat, status) {
+                (Some(r), 200) => Some(Some((r.worker_epoch, r.serial))),
                 (_, 400 | 409) => Some(None),
                 _ => None,
             };
             if let Some(m) = self.machines.get_mut(&call.machine) {
-                m.direct_answered(call.starts, call.session, at);
+                m.direct_answered(call.starts, call.worker_epoch, at);
             }
-            return report.map(|r| r.fencing_token);
+            return heartbeat.map(|r| r.fencing_token);
         }
         if let Some(machine) = self.probes.remove(&request_id) {
             if let Some(m) = self.machines.get_mut(&machine) {
@@ -85,16 +90,16 @@
         let machine = self.pushes.remove(&request_id)?;
         // The body is a report, but only what it says of fence and session is used: it may have
         // been made before an order sent in answer to a report ran, and would prove nothing.
-        let report = report?;
+        let heartbeat = heartbeat?;
         if let Some(m) = self.machines.get_mut(&machine)
             && status == 409
-            && report.fencing_token < self.fencing_token
-            && report.session > m.session
+            && heartbeat.fencing_token < self.fencing_token
+            && heartbeat.worker_epoch > m.worker_epoch
         {
-            m.push_session = report.session;
+            m.last_known_epoch = heartbeat.worker_epoch;
             self.to_push.insert(machine);
         }
-        Some(report.fencing_token)
+        Some(heartbeat.fencing_token)
     }
 
     /// Sends something straight to a worker, by way of the node that hears it if that is another one.
@@ -120,7 +125,7 @@
                 continue;
             };
             let Some(addr) = m.addr.clone() else { continue };
-            let body = workers::command(self.fencing_token, m.session.max(m.push_session), &[]);
+            let body = workers::command(self.fencing_token, m.worker_epoch.max(m.last_known_epoch), &[]);
             let request_id = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
             self.pushes.insert(request_id, id);
         }
@@ -129,18 +134,18 @@
     /// Orders that needn't wait for a worker's next report go straight to it.
     pub(super) fn send_directs(&mut self, ctx: &mut Ctx) {
         let (may_start, fencing_token) = (self.may_start(ctx), self.fencing_token);
-        let at_once = DIRECTS_AT_ONCE.min(self.settings.limits.orders());
+        let at_once = DIRECTS_AT_ONCE.min(self.settings.limits.commands());
         while self.directs.len() < at_once
             && let Some(id) = self.to_direct.pop_first()
         {
             let Some(m) = self.machines.get_mut(&id).filter(|m| m.reachable(fencing_token)) else { continue };
-            let (orders, starts) = m.direct_orders(may_start, ctx.now);
-            if let (false, Some(addr)) = (orders.is_empty(), m.addr.clone()) {
+            let (commands, starts) = m.direct_commands(may_start, ctx.now);
+            if let (false, Some(addr)) = (commands.is_empty(), m.addr.clone()) {
                 self.phases.ordered(self.fencing_token, self.since, ctx.now);
-                let body = workers::command(fencing_token, m.session, &orders);
-                let session = m.session;
+                let body = workers::command(fencing_token, m.worker_epoch, &commands);
+                let worker_epoch = m.worker_epoch;
                 let request_id = self.ask(ctx, &id, addr, body, WORKER_PATIENCE);
-                self.directs.insert(request_id, DirectCall { machine: id, session, starts });
+                self.directs.insert(request_id, DirectCall { machine: id, worker_epoch, starts });
             }
         }
     }
--- a/crates/scheduler/src/node/master/changes/tests.rs
+++ b/crates/scheduler/src/node/master/changes/tests.rs
@@ -1,4 +1,4 @@
-use super::super::stock::tests::{master, report};
+use super::super::stock::tests::{heartbeat, master};
 use super::*;
 
 /// Two large machines and twenty small ones, and a leader that may write four changes a second.
@@ -7,7 +7,7 @@
     m.writes = Budget::new(4.0);
     for i in 0..22 {
         let id = format!("m-{i:02}");
-        m.take_report(&report(&id, "z0", 1), now);
+        m.process_heartbeat(&heartbeat(&id, "z0", 1), now);
         let size = if i < 2 { 16.0 } else { 1.0 };
         let total = Resources { cpus: size, gpus: 0.0, memory_gb: size };
         m.machines.get_mut(&MachineId::from(id.as_str())).expect("there").total = total;
--- a/crates/scheduler/src/node/master/delegation.rs
+++ b/crates/scheduler/src/node/master/delegation.rs
@@ -6,7 +6,7 @@
 use pearford_heartbeat::{HeardHeartbeat, HeartbeatDigest, UnacknowledgedStarts};
 
 /// Orders in one message to a node.
-const ERRANDS_AT_ONCE: usize = 500;
+const COMMANDS_PER_MESSAGE: usize = 500;
 
 /// How a take-over goes on, for operators: each is logged once.
 #[derive(Debug, Default)]
@@ -53,8 +53,8 @@
             ctx.out.tell(peer, PeerMessage::UnacknowledgedStarts(unacknowledged_starts.clone()));
             ctx.out.tell(peer, PeerMessage::Delegation(delegation.clone()));
         }
-        let up = || self.machines.values().filter(|m| m.standing == Standing::Up);
-        if !self.phases.heard && self.loaded() && up().next().is_some() && up().all(Machine::heard) {
+        let up = || self.machines.values().filter(|m| m.status == MachineStatus::Up);
+        if !self.phases.heard && self.loaded() && up().next().is_some() && up().all(Machine::has_been_heard) {
             Phases::told(
                 &mut self.phases.heard,
                 "all machines heard",
@@ -67,11 +67,11 @@
 
     /// Where starts of this leader may still arrive. `blind`: its own look is too old to know what is cancelled.
     fn unacknowledged_starts(&self, sequence: u64, blind: bool) -> UnacknowledgedStarts {
-        let doubtful = self.machines.values().filter(|m| m.in_doubt());
+        let unacknowledged = self.machines.values().filter(|m| m.has_unacknowledged_starts());
         let (mut machines, mut never_renew) = (Vec::new(), Vec::new());
-        for m in doubtful {
+        for m in unacknowledged {
             machines.push(m.id.clone());
-            if blind || m.standing == Standing::Releasing {
+            if blind || m.status == MachineStatus::Releasing {
                 never_renew.push(m.id.clone());
             }
         }
@@ -85,7 +85,7 @@
         }
         Phases::told(&mut self.phases.digest, "first digest", self.fencing_token, self.since, ctx.now);
         for heard in self.coordinator.digest(from, digest, ctx.now) {
-            self.heard_elsewhere(ctx, from, heard);
+            self.process_delegated_heartbeat(ctx, from, heard);
         }
         for (node, machines) in self.coordinator.take_missing() {
             ctx.out
@@ -97,19 +97,19 @@
     pub(super) fn take_early(&mut self, ctx: &mut Ctx) {
         let me = self.settings.node.clone();
         for heard in self.coordinator.seed(std::mem::take(&mut self.early), self.since, ctx.now) {
-            self.heard_elsewhere(ctx, &me, heard);
+            self.process_delegated_heartbeat(ctx, &me, heard);
         }
     }
 
-    fn heard_elsewhere(&mut self, ctx: &mut Ctx, from: &NodeName, heard: HeardHeartbeat) {
+    fn process_delegated_heartbeat(&mut self, ctx: &mut Ctx, from: &NodeName, heard: HeardHeartbeat) {
         let id = &heard.machine;
-        if self.tombs.contains_key(id) {
+        if self.tombstones.contains_key(id) {
             return self.coordinator.forget(id);
         }
-        let settled = self.machines.get(id).is_some_and(|m| m.heard() && m.is_settled());
+        let settled = self.machines.get(id).is_some_and(|m| m.has_been_heard() && m.is_settled());
         if settled && !heard.new {
             if let Some(m) = self.machines.get_mut(id) {
-                m.heard_again(heard.at.session, heard.at.serial, heard.heard);
+                m.heartbeat_unchanged(heard.at.worker_epoch, heard.at.serial, heard.heard);
                 ctx.peers.heard_zone(&m.zone, heard.heard);
             }
             return;
@@ -117,43 +117,43 @@
         // A report is worth the same whoever has heard it: it carries session, serial and the fence that the
         // worker had seen.
         let Some(known) = self.coordinator.known(id) else { return };
-        let Some(report) = Report::of(id, heard.at, &known.content) else {
+        let Some(heartbeat) = Heartbeat::of(id, heard.at, &known.content) else {
             tracing::error!(machine = %id, node = %from, "a report told by another node can't be read");
             return;
         };
-        self.take_report(&report, ctx.now);
-        ctx.peers.heard_zone(&report.zone, heard.heard);
+        self.process_heartbeat(&heartbeat, ctx.now);
+        ctx.peers.heard_zone(&heartbeat.zone, heard.heard);
         let may_start = self.may_start(ctx);
         let Some(m) = self.machines.get_mut(id) else { return };
-        if (m.session, m.serial) != (report.session, report.serial) {
+        if (m.worker_epoch, m.serial) != (heartbeat.worker_epoch, heartbeat.serial) {
             return;
         }
-        m.last_report = Some(heard.heard);
+        m.last_heartbeat = Some(heard.heard);
         let mirror = &ctx.mirror;
         let over = |task: &TaskId| mirror.verdict(&task.job).is_some();
-        let (errands, again) = m.orders_elsewhere(&report, may_start, over, ctx.now);
-        if !errands.is_empty() && *from != self.settings.node {
-            self.errands.entry(from.clone()).or_default().push((id.clone(), errands));
+        let (queued_commands, again) = m.commands_for_delegate(&heartbeat, may_start, over, ctx.now);
+        if !queued_commands.is_empty() && *from != self.settings.node {
+            self.queued_commands.entry(from.clone()).or_default().push((id.clone(), queued_commands));
         }
         if m.has_starts() {
             self.to_direct.insert(id.clone());
         }
         if let (false, Some(addr)) = (again.is_empty(), m.addr.clone()) {
             // In doubt until the worker's session ends, whatever becomes of this one.
-            let body = workers::command(self.fencing_token, m.session, &again);
-            let (machine, session) = (id.clone(), m.session);
+            let body = workers::command(self.fencing_token, m.worker_epoch, &again);
+            let (machine, worker_epoch) = (id.clone(), m.worker_epoch);
             let request_id = self.ask(ctx, &machine, addr, body, calls::WORKER_PATIENCE);
-            self.directs.insert(request_id, DirectCall { machine, session, starts: Vec::new() });
+            self.directs.insert(request_id, DirectCall { machine, worker_epoch, starts: Vec::new() });
         }
     }
 
-    pub(super) fn send_errands(&mut self, ctx: &mut Ctx) {
-        for (node, mut orders) in std::mem::take(&mut self.errands) {
-            while !orders.is_empty() {
-                let rest = orders.split_off(orders.len().min(ERRANDS_AT_ONCE));
+    pub(super) fn send_queued_commands(&mut self, ctx: &mut Ctx) {
+        for (node, mut commands) in std::mem::take(&mut self.queued_commands) {
+            while !commands.is_empty() {
+                let rest = commands.split_off(commands.len().min(COMMANDS_PER_MESSAGE));
                 ctx.out
-                    .tell(&node, PeerMessage::QueuedCommands { fencing_token: self.fencing_token, orders });
-                orders = rest;
+                    .tell(&node, PeerMessage::QueuedCommands { fencing_token: self.fencing_token, commands });
+                commands = rest;
             }
         }
     }
--- a/crates/scheduler/src/node/master/field.rs
+++ b/crates/scheduler/src/node/master/field.rs
@@ -49,7 +49,7 @@
         let asked: BTreeSet<&Image> = asks.iter().map(|a| &a.image).collect();
         let mut open = Vec::new();
         // Orders to a zone that is cut off arrive when the cut is over, or never.
-        let reached = |m: &&Machine| m.standing == Standing::Up && !self.cut.contains(&m.zone);
+        let reached = |m: &&Machine| m.status == MachineStatus::Up && !self.cut.contains(&m.zone);
         for m in self.machines.values().filter(reached) {
             if !least.fits_in(&m.free()) || !m.open_for_tasks(now) || !m.record_holds(bytes, limit) {
                 continue;
--- a/crates/scheduler/src/node/master/isolation.rs
+++ b/crates/scheduler/src/node/master/isolation.rs
@@ -48,7 +48,8 @@
         if now.since(self.since) < interval + SETTLES {
             return false;
         }
-        let heard = |m: &&Machine| m.heard() && m.last_report.is_some_and(|at| now.since(at) <= interval);
+        let heard =
+            |m: &&Machine| m.has_been_heard() && m.last_heartbeat.is_some_and(|at| now.since(at) <= interval);
         self.isolation_reports.is_outnumbered(
             || self.machines.values().filter(heard).count() as u32,
             self.fencing_token,
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/master/load.rs
@@ -40,8 +40,10 @@
             let Some(id) = pair.key.strip_prefix(assignments::PREFIX) else { continue };
             match serde_json::from_str::<MachineRecord>(&pair.value) {
                 Ok(record) if record.is_possible() => self.inherit(id.into(), record, ctx.now),
-                Ok(_) => self.opaque(&pair.key, id.into(), "says what nobody can have stored", ctx.now),
-                Err(error) => self.opaque(&pair.key, id.into(), &error.to_string(), ctx.now),
+                Ok(_) => {
+                    self.return_unreadable(&pair.key, id.into(), "says what nobody can have stored", ctx.now)
+                }
+                Err(error) => self.return_unreadable(&pair.key, id.into(), &error.to_string(), ctx.now),
             }
         }
         match pairs.last() {
@@ -53,16 +55,16 @@
 
     /// What is on a machine whose record can't be read is not known, and might be started elsewhere too: it is
     /// returned, and nothing starts anywhere until the cloud has confirmed that.
-    fn opaque(&mut self, key: &str, id: MachineId, why: &str, now: MonotonicTime) {
+    fn return_unreadable(&mut self, key: &str, id: MachineId, why: &str, now: MonotonicTime) {
         tracing::error!(
             key,
             why,
             "machine record can't be read; returning the machine before anything starts"
         );
         let mut m = Machine::new(id.clone(), "".into(), "".into(), false, Resources::default(), now);
-        m.standing = Standing::Releasing;
+        m.status = MachineStatus::Releasing;
         self.machines.insert(id.clone(), m);
-        self.opaque.insert(id);
+        self.unreadable_machines.insert(id);
     }
 
     /// Reads again what could not be read.
@@ -93,8 +95,9 @@
         if self.heartbeat_collection.phase() == FailoverPhase::Steady {
             return;
         }
-        let up = self.machines.values().filter(|m| m.standing == Standing::Up);
-        let (heard, all) = up.fold((0, 0), |(heard, all), m| (heard + usize::from(m.heard()), all + 1));
+        let up = self.machines.values().filter(|m| m.status == MachineStatus::Up);
+        let (heard, all) =
+            up.fold((0, 0), |(heard, all), m| (heard + usize::from(m.has_been_heard()), all + 1));
         if let Some(phase) = self.heartbeat_collection.heard(heard, all, now) {
             let after_ms = now.since(self.since).0;
             tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "take-over");
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/master/mod.rs
@@ -35,12 +35,12 @@
 use crate::store::Budget;
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, NodeName, RequestId, Resources,
-    Revision, Session, TaskId, TeamName, Zone,
+    Revision, TaskId, TeamName, WorkerEpoch, Zone,
 };
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
 use crate::wire::state::{Change, Pair, StateReply, StateRequest};
-use crate::wire::workers::{self, Report};
-use crate::workers::{Digest, Health, Machine, Outcome, Standing};
+use crate::wire::workers::{self, Heartbeat};
+use crate::workers::{Health, HeartbeatOutcome, Machine, MachineStatus, Outcome};
 use cloud::CloudCall;
 use pearford_heartbeat::{Coordinator, FullHeartbeat, IsolationReports, LeaseRenewal};
 use pearford_recovery::{FailoverPhase, HeartbeatCollection, LeaderAction, Pacer};
@@ -56,7 +56,7 @@
 const PLANS_REST: f64 = 9.0;
 const RETRY_EVERY: Duration = Duration::from_millis(2000);
 /// A returned machine's late reports and listings are ignored for this long.
-const TOMB_LIFE: Duration = Duration::from_millis(600_000);
+const TOMBSTONE_LIFE: Duration = Duration::from_millis(600_000);
 /// Failures in a row from which on they speak of the job rather than of machines.
 const JOB_AT_FAULT: u32 = 4;
 
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 struct DirectCall {
     machine: MachineId,
-    session: Session,
+    worker_epoch: WorkerEpoch,
     starts: Vec<(TaskId, Attempt)>,
 }
 
@@ -129,14 +129,14 @@
     /// What teams take on all machines, kept as sums.
     used: BTreeMap<TeamName, Resources>,
     /// Machines whose record can't be read.
-    opaque: BTreeSet<MachineId>,
+    unreadable_machines: BTreeSet<MachineId>,
     /// Progress of jobs whose own record can't be read: what they have on machines is left as it is.
-    unread: BTreeMap<JobId, Vec<Pair>>,
+    unreadable_jobs: BTreeMap<JobId, Vec<Pair>>,
     /// Machines that report tasks the ledger doesn't know.
-    stray_on: BTreeSet<MachineId>,
+    machines_with_unknown_tasks: BTreeSet<MachineId>,
     /// Jobs within their team's guarantee, until the jobs change.
     guaranteed: Option<Arc<BTreeSet<JobId>>>,
-    tombs: BTreeMap<MachineId, MonotonicTime>,
+    tombstones: BTreeMap<MachineId, MonotonicTime>,
     runs: BTreeMap<JobId, Run>,
     commit_pipeline: CommitPipeline,
     dirty: BTreeSet<MachineId>,
@@ -191,7 +191,7 @@
     /// What this node heard before it led, for when all records are read.
     early: Vec<FullHeartbeat>,
     /// Orders that go out with answers to the next reports at other nodes.
-    errands: BTreeMap<NodeName, Vec<(MachineId, Vec<workers::Order>)>>,
+    queued_commands: BTreeMap<NodeName, Vec<(MachineId, Vec<workers::WorkerCommand>)>>,
     phases: delegation::Phases,
     heartbeat_collection: HeartbeatCollection,
     served: Served,
@@ -227,10 +227,10 @@
     fn recount(&mut self, machine: &MachineId, now: MonotonicTime) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.recount(&mut self.used, now);
-            if m.strays.is_empty() {
-                self.stray_on.remove(machine);
+            if m.unknown_tasks.is_empty() {
+                self.machines_with_unknown_tasks.remove(machine);
             } else {
-                self.stray_on.insert(machine.clone());
+                self.machines_with_unknown_tasks.insert(machine.clone());
             }
         }
     }
@@ -352,11 +352,11 @@
             progress: Vec::new(),
             machines: BTreeMap::new(),
             used: BTreeMap::new(),
-            opaque: BTreeSet::new(),
-            unread: BTreeMap::new(),
-            stray_on: BTreeSet::new(),
+            unreadable_machines: BTreeSet::new(),
+            unreadable_jobs: BTreeMap::new(),
+            machines_with_unknown_tasks: BTreeSet::new(),
             guaranteed: None,
-            tombs: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
             runs: BTreeMap::new(),
             commit_pipeline: CommitPipeline::new(election::LEADER_KEY, fencing_token, settings.state.txn_ops),
             dirty: BTreeSet::new(),
@@ -400,7 +400,7 @@
             cut: BTreeSet::new(),
             parted: BTreeMap::new(),
             early,
-            errands: BTreeMap::new(),
+            queued_commands: BTreeMap::new(),
             phases: delegation::Phases::default(),
             served: Served::default(),
             heartbeat_collection: HeartbeatCollection::new(
@@ -449,15 +449,15 @@
     fn may_start(&self, ctx: &Ctx) -> bool {
         ctx.valid
             && self.heartbeat_collection.allows(LeaderAction::Start)
-            && self.opaque.is_empty()
+            && self.unreadable_machines.is_empty()
             && ctx.lease_renewal.is_fresh(ctx.now)
     }
 
     /// Whether a machine's reports may be answered with 200, which renews the worker's lease.
     fn may_renew(&self, ctx: &Ctx, machine: &MachineId) -> bool {
-        let doubtful = self.machines.get(machine).filter(|m| m.in_doubt());
-        let returned = doubtful.is_some_and(|m| m.standing == Standing::Releasing);
-        ctx.holds && !returned && ctx.lease_renewal.leader_may_renew(doubtful.is_some(), ctx.now)
+        let unacknowledged = self.machines.get(machine).filter(|m| m.has_unacknowledged_starts());
+        let returned = unacknowledged.is_some_and(|m| m.status == MachineStatus::Releasing);
+        ctx.holds && !returned && ctx.lease_renewal.leader_may_renew(unacknowledged.is_some(), ctx.now)
     }
 
     /// An answer of the state service to one of this leader's requests.
@@ -499,7 +499,7 @@
             self.next_retry = now + RETRY_EVERY;
             self.capacity_version += 1;
         }
-        self.tombs.retain(|_, at| now.since(*at) < TOMB_LIFE);
+        self.tombstones.retain(|_, at| now.since(*at) < TOMBSTONE_LIFE);
         if self.self_cut_off(ctx.peers.hear_workers(now), now) {
             return Some(Leave::Resign("most workers are silent: the fault may be here"));
         }
@@ -511,7 +511,7 @@
         self.drain_warned(now);
         self.mend_gangs(now);
         self.find_lost(ctx.peers.zones_heard(), now);
-        self.find_haunted(ctx.lease_renewal, now);
+        self.find_unstoppable(ctx.lease_renewal, now);
         self.probe(ctx);
         self.call_cloud(ctx);
         None
@@ -529,7 +529,7 @@
         }
         self.offer_rounds(ctx);
         self.send_directs(ctx);
-        self.send_errands(ctx);
+        self.send_queued_commands(ctx);
         self.write_records();
         self.commit(ctx);
     }
@@ -560,7 +560,7 @@
 
     pub(super) fn metrics(&self, lines: &mut Vec<String>) {
         let assignments: usize = self.machines.values().map(|m| m.assignments.len()).sum();
-        let up = self.machines.values().filter(|m| m.standing == Standing::Up).count();
+        let up = self.machines.values().filter(|m| m.status == MachineStatus::Up).count();
         let waiting: u32 = self.runs.values().map(Run::waiting_count).sum();
         lines.push(format!("pearford_machines {}", self.machines.len()));
         lines.push(format!("pearford_machines_up {up}"));
@@ -587,7 +587,7 @@
     pub(super) fn sabotage_forget_silent(&mut self, ms: u64, now: MonotonicTime) {
         let mut gone = Vec::new();
         for m in self.machines.values_mut() {
-            if m.last_report.is_some_and(|at| now.since(at) > Duration::from_millis(ms)) {
+            if m.last_heartbeat.is_some_and(|at| now.since(at) > Duration::from_millis(ms)) {
                 gone.extend(std::mem::take(&mut m.assignments).into_keys().map(|t| (t, m.id.clone())));
                 m.recount(&mut self.used, now);
             }
@@ -615,7 +615,7 @@
         if !self.loaded() {
             return;
         }
-        self.machines.values_mut().filter(|m| !m.heard()).for_each(|m| m.unanswered = 9);
+        self.machines.values_mut().filter(|m| !m.has_been_heard()).for_each(|m| m.unanswered = 9);
         let workers = &self.settings.workers;
         self.heartbeat_collection = HeartbeatCollection::new(
             Duration::from_secs_f64(workers.report_s),
@@ -662,14 +662,14 @@
 
     /// No machine ever counts as silent.
     pub(super) fn sabotage_keep_silent(&mut self, now: MonotonicTime) {
-        for m in self.machines.values_mut().filter(|m| m.last_report.is_some()) {
-            (m.last_report, m.unanswered) = (Some(now), 0);
+        for m in self.machines.values_mut().filter(|m| m.last_heartbeat.is_some()) {
+            (m.last_heartbeat, m.unanswered) = (Some(now), 0);
         }
     }
 
     /// The newest report is whichever came last.
     pub(super) fn sabotage_any_serial(&mut self) {
-        self.machines.values_mut().for_each(|m| (m.session, m.serial) = (Session(0), 1));
+        self.machines.values_mut().for_each(|m| (m.worker_epoch, m.serial) = (WorkerEpoch(0), 1));
     }
 
     /// Jobs bound to a zone go anywhere.
@@ -703,7 +703,7 @@
         for m in self.machines.values() {
             let booked = m.assignments.values().filter(|e| e.counts());
             let free = booked.fold(m.total, |free, e| free.minus(&e.resources));
-            let empty = !m.assignments.values().any(Assignment::counts) && m.strays.is_empty();
+            let empty = !m.assignments.values().any(Assignment::counts) && m.unknown_tasks.is_empty();
             if !free.fits_in(&m.free()) || !m.free().fits_in(&free) || empty != m.is_empty() {
                 return Err(format!("{}: kept {:?}, recounted {free:?}", m.id, m.free()));
             }
--- a/crates/scheduler/src/node/master/preemption.rs
+++ b/crates/scheduler/src/node/master/preemption.rs
@@ -78,7 +78,7 @@
         for v in views.iter().filter(|v| ask.allows(v)) {
             zones.entry(v.zone.clone()).or_default().0 += v.free.count_of(&ask.resources);
         }
-        for m in self.machines.values().filter(|m| m.standing == Standing::Booting) {
+        for m in self.machines.values().filter(|m| m.status == MachineStatus::Booting) {
             let boot = self.market.type_of(&m.type_name).map(MachineType::boot).unwrap_or_default();
             // One that is long overdue may never come.
             let due = m.rented_at + boot;
--- a/crates/scheduler/src/node/master/rounds.rs
+++ b/crates/scheduler/src/node/master/rounds.rs
@@ -18,7 +18,7 @@
 impl Master {
     // ---- rounds ----
 
-    pub(super) fn order_key(
+    pub(super) fn priority_key(
         &self,
         id: &JobId,
         run: &Run,
@@ -67,7 +67,7 @@
             return Vec::new();
         }
         let guaranteed = self.guaranteed();
-        ids.sort_by_cached_key(|id| self.order_key(id, &self.runs[id], &guaranteed));
+        ids.sort_by_cached_key(|id| self.priority_key(id, &self.runs[id], &guaranteed));
         let mut used = self.used.clone();
         for run in self.runs.values().filter(|r| r.offered > 0) {
             let sum = used.entry(run.job.spec.team.clone()).or_default();
@@ -118,7 +118,7 @@
                 let home = if live.contains(&run.home) { &run.home } else { me };
                 *work.entry(home.clone()).or_default() += run.waiting_count().min(1000);
             }
-            let up = self.machines.values().filter(|m| m.standing == Standing::Up);
+            let up = self.machines.values().filter(|m| m.status == MachineStatus::Up);
             let up: BTreeSet<MachineId> = up.map(|m| m.id.clone()).collect();
             let lease = Duration::from_secs_f64(self.settings.operator.block_lease_s);
             self.blocks.cut(&up, &work, lease, now);
@@ -185,8 +185,8 @@
 
     pub(super) fn health(&self, m: &Machine, now: MonotonicTime) -> Health {
         let o = &self.settings.operator;
-        let report = Duration::from_secs_f64(self.settings.workers.report_s);
-        m.health(now, report, o.degraded_reports, o.unreachable_reports)
+        let heartbeat = Duration::from_secs_f64(self.settings.workers.report_s);
+        m.health(now, heartbeat, o.degraded_reports, o.unreachable_reports)
     }
 
     /// A controller's proposals are in: commits those that the ledger and the global checks
@@ -305,12 +305,12 @@
         };
         let used = self.used.get(&spec.team).copied().unwrap_or_default();
         let zones = self.zone_capacity(&task.job, run);
-        let stray = self.stray_on.iter().filter_map(|id| self.machines.get(id));
-        let stray = stray.into_iter().any(|m| m.strays.contains(task));
+        let unknown = self.machines_with_unknown_tasks.iter().filter_map(|id| self.machines.get(id));
+        let unknown = unknown.into_iter().any(|m| m.unknown_tasks.contains(task));
         !run.finishing
             && !run.done().has(task.index)
             && !run.placed().contains_key(&task.index)
-            && !stray
+            && !unknown
             && m.open_for_tasks(now)
             && m.held_for(now).is_none_or(|j| *j == task.job)
             && !m.assignments.contains_key(task)
--- a/crates/scheduler/src/node/master/rounds/tests.rs
+++ b/crates/scheduler/src/node/master/rounds/tests.rs
@@ -1,4 +1,4 @@
-use super::super::stock::tests::{master, report};
+use super::super::stock::tests::{heartbeat, master};
 use super::*;
 
 /// A master with machines that hold one GPU task each, and nodes n0 (itself), n1 and n2.
@@ -6,7 +6,7 @@
     let (mut m, now) = (master(), MonotonicTime::from_millis(1_000));
     for i in 0..machines {
         let id = format!("m-{i}");
-        m.take_report(&report(&id, "z0", 1), now);
+        m.process_heartbeat(&heartbeat(&id, "z0", 1), now);
         let m = m.machines.get_mut(&MachineId::from(id.as_str())).expect("there");
         m.total = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 8.0 };
     }
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/master/stock.rs
@@ -19,11 +19,11 @@
         if m.addr.is_none() {
             m.addr = record.addr;
         }
-        if m.addr.is_some() && m.last_report.is_none() {
+        if m.addr.is_some() && m.last_heartbeat.is_none() {
             // It has reported before: a silence from now on means something.
-            m.standing = Standing::Up;
-            m.last_report = Some(now);
-            m.push_session = record.session;
+            m.status = MachineStatus::Up;
+            m.last_heartbeat = Some(now);
+            m.last_known_epoch = record.worker_epoch;
             self.to_push.insert(id);
         }
         if m.images.is_empty() {
@@ -53,16 +53,18 @@
                         tracing::error!(key = pair.key, %error, "progress can't be read");
                     }
                 }
-                _ if mirror.is_unreadable(&id.into()) => self.unread.entry(id.into()).or_default().push(pair),
+                _ if mirror.is_unreadable(&id.into()) => {
+                    self.unreadable_jobs.entry(id.into()).or_default().push(pair)
+                }
                 _ => {
                     self.commit_pipeline.put(&pair.key, None, CommitPriority::Normal);
                 }
             }
         }
         let tasks = self.machines.values().flat_map(|m| m.assignments.keys());
-        let unread = tasks.map(|task| &task.job).filter(|job| mirror.is_unreadable(job));
-        for job in unread.cloned().collect::<BTreeSet<_>>() {
-            self.unread.entry(job).or_default();
+        let unreadable_jobs = tasks.map(|task| &task.job).filter(|job| mirror.is_unreadable(job));
+        for job in unreadable_jobs.cloned().collect::<BTreeSet<_>>() {
+            self.unreadable_jobs.entry(job).or_default();
         }
         self.adopt_assignments(None, now);
         // All tasks may be recorded as done without the job being so.
@@ -75,7 +77,7 @@
 
     /// A job's record can be read again, or is over: what it has on machines and its progress become its run's.
     fn take_in_unread(&mut self, id: &JobId, now: MonotonicTime) {
-        let Some(chunks) = self.unread.remove(id) else { return };
+        let Some(chunks) = self.unreadable_jobs.remove(id) else { return };
         for pair in chunks {
             let chunk = pair.key.rsplit_once('/').and_then(|(_, chunk)| chunk.parse().ok());
             match (self.runs.get_mut(id), chunk) {
@@ -97,9 +99,9 @@
 
     /// Squares inherited entries, of one job or of all whose record can be read, with the runs.
     fn adopt_assignments(&mut self, only: Option<&JobId>, now: MonotonicTime) {
-        let ours = |job: &JobId, unread: &BTreeMap<JobId, Vec<Pair>>| match only {
+        let ours = |job: &JobId, unreadable_jobs: &BTreeMap<JobId, Vec<Pair>>| match only {
             Some(only) => job == only,
-            None => !unread.contains_key(job),
+            None => !unreadable_jobs.contains_key(job),
         };
         // A task is planned anew only once its old entry is proved gone, but the records of the two
         // machines are written apart. Where the new one was in time and the old one's removal
@@ -114,7 +116,7 @@
             .machines
             .values()
             .flat_map(|m| m.assignments.iter().map(|(t, e)| (m.id.clone(), t.clone(), e.state, e.attempt)))
-            .filter(|(_, task, ..)| ours(&task.job, &self.unread))
+            .filter(|(_, task, ..)| ours(&task.job, &self.unreadable_jobs))
             .collect();
         for (machine, task, state, attempt) in assignments {
             let superseded = newest.get(&task).is_some_and(|newest| attempt < *newest);
@@ -238,37 +240,37 @@
 
     // ---- reports and outcomes ----
 
-    pub(super) fn take_report(&mut self, report: &Report, now: MonotonicTime) {
-        if !self.machines.contains_key(&report.machine) {
+    pub(super) fn process_heartbeat(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
+        if !self.machines.contains_key(&heartbeat.machine) {
             // Unexpected: a rental answered late or never. It is used like any other.
             let total =
-                self.market.type_of(&report.type_name).map(MachineType::resources).unwrap_or_default();
+                self.market.type_of(&heartbeat.type_name).map(MachineType::resources).unwrap_or_default();
             let m = Machine::new(
-                report.machine.clone(),
-                report.type_name.clone(),
-                report.zone.clone(),
-                report.spot,
+                heartbeat.machine.clone(),
+                heartbeat.type_name.clone(),
+                heartbeat.zone.clone(),
+                heartbeat.spot,
                 total,
                 now,
             );
-            self.machines.insert(report.machine.clone(), m);
-            self.dirty.insert(report.machine.clone());
+            self.machines.insert(heartbeat.machine.clone(), m);
+            self.dirty.insert(heartbeat.machine.clone());
         }
         let fencing_token = self.fencing_token;
-        let again = self.start_again(report);
-        let Some(m) = self.machines.get_mut(&report.machine) else { return };
-        let was = (m.standing, m.session, m.addr.is_some());
-        let digest = m.digest(report, fencing_token, &again, now);
-        if digest.stale {
+        let again = self.start_again(heartbeat);
+        let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
+        let was = (m.status, m.worker_epoch, m.addr.is_some());
+        let outcome = m.process_heartbeat(heartbeat, fencing_token, &again, now);
+        if outcome.stale {
             return;
         }
-        if (m.standing, m.session, m.addr.is_some()) != was {
-            self.dirty.insert(report.machine.clone());
+        if (m.status, m.worker_epoch, m.addr.is_some()) != was {
+            self.dirty.insert(heartbeat.machine.clone());
             self.capacity_version += 1;
         }
-        let id = report.machine.clone();
+        let id = heartbeat.machine.clone();
         self.recount(&id, now);
-        self.take_digest(&id, digest, now);
+        self.apply_heartbeat_outcome(&id, outcome, now);
     }
 
     /// Tasks stored on a machine that, should they not be there any more, start again right there: with the attempt
@@ -276,11 +278,11 @@
     ///
     /// Records may name more than was there: removals are written late. So what is stored must be within the machine,
     /// the team's limit and the job's zones all together, or entries that have long made way would come back.
-    fn start_again(&self, report: &Report) -> Vec<TaskId> {
-        let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
+    fn start_again(&self, heartbeat: &Heartbeat) -> Vec<TaskId> {
+        let Some(m) = self.machines.get(&heartbeat.machine) else { return Vec::new() };
         let may_be_gone = |e: &Assignment| match e.state.recorded_state() {
-            RecordedState::Inherited => report.fencing_token == self.fencing_token,
-            RecordedState::Listed => report.session > m.session,
+            RecordedState::Inherited => heartbeat.fencing_token == self.fencing_token,
+            RecordedState::Listed => heartbeat.worker_epoch > m.worker_epoch,
             _ => false,
         };
         if !m.assignments.values().any(may_be_gone) || !Resources::default().fits_in(&m.free()) {
@@ -294,22 +296,27 @@
                 return false;
             }
             let used = self.used.get(&spec.team).copied().unwrap_or_default();
-            let stray = self.stray_on.iter().filter_map(|id| self.machines.get(id));
-            let stray = stray.into_iter().any(|m| m.strays.contains(*task));
+            let unknown = self.machines_with_unknown_tasks.iter().filter_map(|id| self.machines.get(id));
+            let unknown = unknown.into_iter().any(|m| m.unknown_tasks.contains(*task));
             let within = |team| assignments::within_limit(team, &used, &Resources::default());
             let zones = self.zones_of(&task.job, run);
             let apart = spec.spread && zones.get(&m.zone).is_some_and(|n| *n > spec.zone_cap());
             run.placed().get(&task.index) == Some(&m.id)
                 && self.settings.teams.get(&spec.team).is_some_and(within)
                 && !apart
-                && !stray
+                && !unknown
                 && !(spec.together && zones.len() > 1)
         };
         m.assignments.iter().filter(wanted).map(|(task, _)| task.clone()).collect()
     }
 
-    pub(super) fn take_digest(&mut self, machine: &MachineId, digest: Digest, now: MonotonicTime) {
-        for task in digest.began {
+    pub(super) fn apply_heartbeat_outcome(
+        &mut self,
+        machine: &MachineId,
+        outcome: HeartbeatOutcome,
+        now: MonotonicTime,
+    ) {
+        for task in outcome.began {
             tracing::debug!(%task, %machine, "runs");
             self.touch(&task.job);
             if let Some(run) = self.runs.get_mut(&task.job).filter(|run| !run.started) {
@@ -319,7 +326,7 @@
                 self.served.count(Stage::Started, spec);
             }
         }
-        for task in digest.fetched {
+        for task in outcome.fetched {
             let Some(run) = self.runs.get(&task.job) else { continue };
             let (job, gang) = (run.job.clone(), run.is_gang());
             self.has_fetched(machine, &job.spec);
@@ -327,16 +334,16 @@
                 self.start_after_fetches(&task.job);
             }
         }
-        if !digest.again.is_empty() {
-            tracing::debug!(%machine, tasks = digest.again.len(), "not there any more; they start again here");
-            digest.again.iter().for_each(|task| self.touch(&task.job));
+        if !outcome.again.is_empty() {
+            tracing::debug!(%machine, tasks = outcome.again.len(), "not there any more; they start again here");
+            outcome.again.iter().for_each(|task| self.touch(&task.job));
             self.to_direct.insert(machine.clone());
         }
-        for (task, _) in digest.done {
+        for (task, _) in outcome.done {
             self.touch(&task.job);
             self.task_done(machine, &task, now);
         }
-        for (task, assignment, outcome) in digest.gone {
+        for (task, assignment, outcome) in outcome.gone {
             self.touch(&task.job);
             self.task_gone(machine, &task, &assignment, outcome, now);
         }
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/master/stock/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::wire::workers::Report;
+use crate::wire::workers::Heartbeat;
 
 fn record(attempt: u64) -> MachineRecord {
     MachineRecord {
@@ -7,7 +7,7 @@
         zone: "z0".into(),
         spot: false,
         addr: Some("10.9.0.1:1".into()),
-        session: Session(1),
+        worker_epoch: WorkerEpoch(1),
         assignments: vec![(
             TaskId { job: "req-1".into(), index: 0 },
             Attempt(attempt),
@@ -18,7 +18,7 @@
     }
 }
 
-pub fn report(machine: &str, zone: &str, serial: u64) -> Report {
+pub fn heartbeat(machine: &str, zone: &str, serial: u64) -> Heartbeat {
     serde_json::from_str(&format!(
         r#"{{"host":"{machine}","addr":"10.9.0.1:1","flavor":"t","region":"{zone}","preemptible":false,
             "tenure":1,"serial":{serial},"fence":9,"shards":[]}}"#
@@ -48,7 +48,7 @@
         mirror.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
         m.take_stock(&mirror, now);
         let dead = if live == "m-1" { "m-2" } else { "m-1" };
-        m.take_report(&report(dead, "z0", 8), MonotonicTime::from_millis(2));
+        m.process_heartbeat(&heartbeat(dead, "z0", 8), MonotonicTime::from_millis(2));
         let run = &m.runs[&JobId::from("req-1")];
         assert_eq!(run.placed().get(&0), Some(&MachineId::from(live)), "it is still on {live}");
     }
@@ -64,7 +64,7 @@
     m.runs.insert("req-1".into(), Run::new(job, now));
     for (i, after_fetches) in [(0, true), (1, false)] {
         let id = format!("m-{i}");
-        m.take_report(&report(&id, "z0", 1), now);
+        m.process_heartbeat(&heartbeat(&id, "z0", 1), now);
         let id = MachineId::from(id.as_str());
         let task = TaskId { job: "req-1".into(), index: i };
         let mut assignment = Assignment::new(
@@ -83,14 +83,14 @@
         m.machines
             .get_mut(&MachineId::from(id))
             .expect("there")
-            .direct_orders(true, MonotonicTime::from_millis(1))
+            .direct_commands(true, MonotonicTime::from_millis(1))
             .1
             .len()
     };
     assert_eq!((starts(&mut m, "m-0"), starts(&mut m, "m-1")), (0, 1));
     let waiting = r#"{"host":"m-1","addr":"10.9.0.1:1","flavor":"t","region":"z0","preemptible":false,
             "tenure":1,"serial":2,"fence":9,"shards":[{"shard":"req-1/1","try":7,"phase":"waiting"}]}"#;
-    m.take_report(&serde_json::from_str(waiting).expect("valid"), now);
+    m.process_heartbeat(&serde_json::from_str(waiting).expect("valid"), now);
     assert!(m.to_direct.contains(&MachineId::from("m-0")));
     assert_eq!(starts(&mut m, "m-0"), 1);
     assert!(m.machines[&MachineId::from("m-1")].has_image(&"i".into()));
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/master/upkeep.rs
@@ -33,9 +33,9 @@
 const SUSPECT_REPORTS: f64 = 4.0;
 
 /// Report intervals after which a machine is returned where a start may still arrive that is to be stopped.
-const HAUNTED_REPORTS: f64 = 4.0;
+const UNSTOPPED_HEARTBEATS: f64 = 4.0;
 /// The same as a part of the hold: see the inequality in the design ("Outages").
-const HAUNTED_HOLD: f64 = 0.25;
+const UNSTOPPED_HOLD_SHARE: f64 = 0.25;
 
 /// How a zone's machines are heard.
 #[derive(Debug, Default)]
@@ -51,9 +51,9 @@
     /// before would only stop what runs. But of a zone where many have died the rest is heard, and what ran on
     /// the dead must start elsewhere at once: 82 machines that died together were taken for a cut zone, and
     /// their replicas were down for 20 s (tremorline fleet, loss).
-    fn is_cut(&self, report: Duration, now: MonotonicTime) -> bool {
+    fn is_cut(&self, heartbeat: Duration, now: MonotonicTime) -> bool {
         let share = f64::from(self.silent) / f64::from(self.all.max(1));
-        let missed = f64::from(self.all) * now.since(self.newest).as_secs_f64() / report.as_secs_f64();
+        let missed = f64::from(self.all) * now.since(self.newest).as_secs_f64() / heartbeat.as_secs_f64();
         let quiet = !self.is_heard(now);
         quiet && missed >= REPORTS_MISSED
             || self.silent > 2 && share > ZONE_SILENT && (share > ZONE_MOSTLY || quiet)
@@ -66,8 +66,8 @@
 
 /// A machine is given up: to be returned.
 fn lose(m: &mut Machine, blocks: &mut Blocks) {
-    tracing::warn!(machine = %m.id, standing = ?m.standing, tasks = m.assignments.len(), "machine lost; returning it");
-    m.standing = Standing::Releasing;
+    tracing::warn!(machine = %m.id, status = ?m.status, tasks = m.assignments.len(), "machine lost; returning it");
+    m.status = MachineStatus::Releasing;
     blocks.remove(&m.id);
 }
 
@@ -84,12 +84,12 @@
     /// if a peer hears workers meanwhile; else they are really gone, and another leader would
     /// only find the same.
     pub(super) fn self_cut_off(&mut self, peers_hear: bool, now: MonotonicTime) -> bool {
-        let report = Duration::from_secs_f64(self.settings.workers.report_s);
-        let up = self.machines.values().filter(|m| m.standing == Standing::Up);
+        let heartbeat = Duration::from_secs_f64(self.settings.workers.report_s);
+        let up = self.machines.values().filter(|m| m.status == MachineStatus::Up);
         let (mut all, mut silent) = (0, 0);
         for m in up {
             all += 1;
-            let late = m.last_report.is_none_or(|at| now.since(at) > report.times(2.0));
+            let late = m.last_heartbeat.is_none_or(|at| now.since(at) > heartbeat.times(2.0));
             silent += u32::from(late);
         }
         if all < 2 || silent * 2 <= all {
@@ -97,7 +97,7 @@
             return false;
         }
         let since = *self.silent_since.get_or_insert(now);
-        peers_hear && now.since(since) >= report.times(2.0)
+        peers_hear && now.since(since) >= heartbeat.times(2.0)
     }
 
     pub(super) fn drain_warned(&mut self, now: MonotonicTime) {
@@ -146,15 +146,15 @@
     /// proof that their tasks are gone.
     pub(super) fn find_lost(&mut self, zones_heard: &BTreeMap<Zone, MonotonicTime>, now: MonotonicTime) {
         let o = &self.settings.operator;
-        let report = Duration::from_secs_f64(self.settings.workers.report_s);
-        let suspect = self.silent_since.is_some_and(|at| now.since(at) < report.times(SUSPECT_REPORTS));
-        let late = report.times(PROBE_AFTER_REPORTS);
+        let heartbeat = Duration::from_secs_f64(self.settings.workers.report_s);
+        let suspect = self.silent_since.is_some_and(|at| now.since(at) < heartbeat.times(SUSPECT_REPORTS));
+        let late = heartbeat.times(PROBE_AFTER_REPORTS);
         let mut zones: BTreeMap<&Zone, ZoneSilence> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.standing == Standing::Up) {
+        for m in self.machines.values().filter(|m| m.status == MachineStatus::Up) {
             let zone = zones.entry(&m.zone).or_default();
             zone.all += 1;
-            zone.silent += u32::from(m.last_report.is_some_and(|at| now.since(at) > late));
-            zone.newest = zone.newest.max(m.last_report.unwrap_or_default()).max(m.answered_at);
+            zone.silent += u32::from(m.last_heartbeat.is_some_and(|at| now.since(at) > late));
+            zone.newest = zone.newest.max(m.last_heartbeat.unwrap_or_default()).max(m.answered_at);
         }
         let heard: BTreeSet<Zone> =
             zones.iter().filter(|(_, z)| z.is_heard(now)).map(|(zone, _)| (*zone).clone()).collect();
@@ -163,7 +163,7 @@
             zones.len() > 1 && zones.values().all(|z| f64::from(z.silent) > FLEET_SILENT * f64::from(z.all));
         let alive = self.isolation_reports.alive(now);
         let is_cut = |zone: &Zone, z: &ZoneSilence| {
-            everywhere || z.is_cut(report, now) || (alive.contains(zone) && !z.is_heard(now))
+            everywhere || z.is_cut(heartbeat, now) || (alive.contains(zone) && !z.is_heard(now))
         };
         let cut = zones.into_iter().filter(|(zone, z)| is_cut(zone, z));
         let cut: BTreeSet<Zone> = cut.map(|(zone, _)| zone.clone()).collect();
@@ -171,43 +171,43 @@
             self.parted.insert(zone.clone(), now);
         });
         self.cut.clone_from(&cut);
-        let lost_after = report.times(o.lost_reports);
+        let lost_after = heartbeat.times(o.lost_reports);
         let lease_ends = Duration::from_secs_f64(self.settings.workers.lease_s - LEASE_MARGIN_S);
         let may_give_up = self.heartbeat_collection.may_give_up(now);
         let words_came = now.since(self.since) >= WORDS_COME;
         let gives_up = self.heartbeat_collection.allows(LeaderAction::GiveUp);
-        let haunts = self.haunts();
+        let unstopped_limit = self.unstopped_limit();
         for m in self.machines.values_mut() {
             let over = over_since(m, &self.runs);
-            let lost = match (m.standing, m.last_report) {
+            let lost = match (m.status, m.last_heartbeat) {
                 // Nobody may have it: what is withdrawn must be gone in time, also from a machine that hangs, and each
                 // leader counts its silence anew (seven of 500 seeds with a leader every ten seconds). In a cut zone
                 // leases end in time by what its nodes may renew, but a machine that hangs there is not told apart.
-                (Standing::Up, Some(_))
+                (MachineStatus::Up, Some(_))
                     if m.unanswered >= PROBES_LOST
                         && over.is_some_and(|at| {
                             let waited = now.since(at);
-                            waited >= report && !cut.contains(&m.zone) || waited > haunts
+                            waited >= heartbeat && !cut.contains(&m.zone) || waited > unstopped_limit
                         }) =>
                 {
                     gives_up
                 }
                 // A node in there answers its workers: their leases live on, and nothing follows from this silence.
-                (Standing::Up, Some(_)) if cut.contains(&m.zone) && alive.contains(&m.zone) => {
+                (MachineStatus::Up, Some(_)) if cut.contains(&m.zone) && alive.contains(&m.zone) => {
                     m.unanswered = 0;
                     false
                 }
-                (Standing::Up, Some(at)) if cut.contains(&m.zone) => {
+                (MachineStatus::Up, Some(at)) if cut.contains(&m.zone) => {
                     let heard = zones_heard.get(&m.zone).map_or(at, |heard| at.min(*heard));
                     // A node in there that crashes may be back before the leases end that it has renewed.
                     let heard = self.parted.get(&m.zone).map_or(heard, |parted| heard.max(*parted));
                     !suspect && words_came && now.since(heard) > lost_after.max(lease_ends)
                 }
                 // Just after a take-over it may be this leader that is not found yet.
-                (Standing::Up, Some(_)) if !m.heard() && !may_give_up => {
+                (MachineStatus::Up, Some(_)) if !m.has_been_heard() && !may_give_up => {
                     gives_up && heard.contains(&m.zone) && m.unanswered >= PROBES_LOST_UNHEARD
                 }
-                (Standing::Up, Some(at)) => {
+                (MachineStatus::Up, Some(at)) => {
                     // One that answers questions is there, though its reports reach nobody just now: it was returned
                     // with work on it where nodes crashed in turn (seed 5017). Its tasks live until their lease ends.
                     // Silence in a parted zone counts from when it is no longer parted.
@@ -218,7 +218,7 @@
                     let asked = heard.contains(&m.zone) || now.since(at) > late && words_came;
                     !suspect && (silent || asked && m.unanswered >= PROBES_LOST)
                 }
-                (Standing::Booting, _) => self
+                (MachineStatus::Booting, _) => self
                     .market
                     .types
                     .iter()
@@ -234,27 +234,27 @@
 
     /// How long what is withdrawn may go without a proof that it is stopped: with a lease to run out after it, should
     /// the cloud not answer either.
-    fn haunts(&self) -> Duration {
+    fn unstopped_limit(&self) -> Duration {
         let workers = &self.settings.workers;
         Duration::from_secs_f64(workers.report_s)
-            .times(HAUNTED_REPORTS)
-            .min(workers.hold().times(HAUNTED_HOLD))
+            .times(UNSTOPPED_HEARTBEATS)
+            .min(workers.hold().times(UNSTOPPED_HOLD_SHARE))
     }
 
     /// A start that may still act can't be stopped before it does; the cloud can prove it gone, long before a
     /// withdrawal's time is up. Nor can a leader that has not seen the job records for as long know what is withdrawn.
-    pub(super) fn find_haunted(&mut self, lease_renewal: &LeaseRenewal, now: MonotonicTime) {
-        let haunts = self.haunts();
-        let blind = lease_renewal.is_blind_for(haunts, now);
-        for m in self.machines.values_mut().filter(|m| m.standing != Standing::Releasing) {
-            let haunted = m.doubtful.keys().any(|(task, attempt)| {
+    pub(super) fn find_unstoppable(&mut self, lease_renewal: &LeaseRenewal, now: MonotonicTime) {
+        let unstopped_limit = self.unstopped_limit();
+        let blind = lease_renewal.is_blind_for(unstopped_limit, now);
+        for m in self.machines.values_mut().filter(|m| m.status != MachineStatus::Releasing) {
+            let overdue = m.unacknowledged.keys().any(|(task, attempt)| {
                 m.assignments.get(task).is_some_and(|e| {
                     e.attempt == *attempt
                         && matches!(e.state, AssignmentState::Sent { .. })
-                        && e.stop.is_some_and(|s| now.since(s.since) > haunts)
+                        && e.stop.is_some_and(|s| now.since(s.since) > unstopped_limit)
                 })
             });
-            if haunted || blind && m.in_doubt() {
+            if overdue || blind && m.has_unacknowledged_starts() {
                 lose(m, &mut self.blocks);
             }
         }
@@ -281,9 +281,11 @@
         // Those first that are to stop what is over, and at once if this leader has not heard them.
         let over = |m: &Machine| over_since(m, &self.runs).is_some();
         let silent = self.machines.values().filter(|m| {
-            m.standing == Standing::Up
-                && m.last_report.is_some_and(|at| {
-                    now.since(at) > late || self.is_to_be_asked(m, at, late, now) || !m.heard() && over(m)
+            m.status == MachineStatus::Up
+                && m.last_heartbeat.is_some_and(|at| {
+                    now.since(at) > late
+                        || self.is_to_be_asked(m, at, late, now)
+                        || !m.has_been_heard() && over(m)
                 })
                 && !asked.contains(&m.id)
         });
@@ -291,7 +293,7 @@
         silent.sort_by_cached_key(|m| !over(m));
         let most = PROBES_AT_ONCE.max(self.machines.len() / PROBES_PART).saturating_sub(asked.len());
         let question = |m: &Machine| {
-            let body = workers::command(self.fencing_token, m.session.max(m.push_session), &[]);
+            let body = workers::command(self.fencing_token, m.worker_epoch.max(m.last_known_epoch), &[]);
             m.addr.clone().map(|addr| (m.id.clone(), addr, body))
         };
         silent.into_iter().filter_map(question).take(most).collect()
@@ -324,18 +326,18 @@
         let idle = Duration::from_secs_f64(self.settings.operator.idle_return_s);
         let may_return = self.heartbeat_collection.allows(LeaderAction::ReturnIdle);
         for m in self.machines.values_mut() {
-            let empty = m.assignments.is_empty() && m.strays.is_empty();
+            let empty = m.assignments.is_empty() && m.unknown_tasks.is_empty();
             let idle_for = m.empty_since.map(|at| now.since(at)).unwrap_or_default();
-            if m.standing == Standing::Up && may_return && empty && (idle_for >= idle || m.draining) {
+            if m.status == MachineStatus::Up && may_return && empty && (idle_for >= idle || m.draining) {
                 tracing::info!(machine = %m.id, faulty = m.draining, "idle; returning it");
-                m.standing = Standing::Releasing;
+                m.status = MachineStatus::Releasing;
                 self.blocks.remove(&m.id);
             }
         }
         let due: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Releasing && !self.releasing.contains(&m.id))
+            .filter(|m| m.status == MachineStatus::Releasing && !self.releasing.contains(&m.id))
             .map(|m| m.id.clone())
             .take(100)
             .collect();
@@ -349,14 +351,14 @@
     /// The cloud has answered 200: the machine and everything on it are gone.
     pub(super) fn released(&mut self, id: &MachineId, now: MonotonicTime) {
         self.releasing.remove(id);
-        self.opaque.remove(id);
+        self.unreadable_machines.remove(id);
         self.coordinator.forget(id);
-        self.tombs.insert(id.clone(), now);
+        self.tombstones.insert(id.clone(), now);
         self.blocks.remove(id);
         let Some(mut m) = self.machines.remove(id) else { return };
         let assignments = std::mem::take(&mut m.assignments);
         m.recount(&mut self.used, now);
-        self.stray_on.remove(id);
+        self.machines_with_unknown_tasks.remove(id);
         self.dirty.remove(id);
         for (task, assignment) in assignments {
             if assignment.state == AssignmentState::Done {
@@ -371,7 +373,7 @@
     }
 
     pub(super) fn rented(&mut self, id: MachineId, offer: &Offer, now: MonotonicTime) {
-        if self.tombs.contains_key(&id) || self.machines.contains_key(&id) {
+        if self.tombstones.contains_key(&id) || self.machines.contains_key(&id) {
             return;
         }
         let Some(total) = self.market.type_of(&offer.type_name).map(MachineType::resources) else { return };
@@ -381,7 +383,7 @@
     }
 
     pub(super) fn listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
-        if self.tombs.contains_key(&listed.id) {
+        if self.tombstones.contains_key(&listed.id) {
             return;
         }
         if !self.machines.contains_key(&listed.id) {
@@ -392,9 +394,9 @@
         if m.addr.is_none() {
             m.addr = listed.addr;
         }
-        if listed.phase == MachinePhase::Failed && m.standing != Standing::Releasing {
+        if listed.phase == MachinePhase::Failed && m.status != MachineStatus::Releasing {
             tracing::warn!(machine = %m.id, "machine failed; returning it");
-            m.standing = Standing::Releasing;
+            m.status = MachineStatus::Releasing;
             self.blocks.remove(&m.id);
         }
     }
@@ -403,7 +405,10 @@
 
     pub(super) fn write_records(&mut self) {
         for id in std::mem::take(&mut self.dirty) {
-            let Some(m) = self.machines.get_mut(&id).filter(|_| !self.opaque.contains(&id)) else { continue };
+            let Some(m) = self.machines.get_mut(&id).filter(|_| !self.unreadable_machines.contains(&id))
+            else {
+                continue;
+            };
             // A machine without tasks needs no record: its reports and the cloud's list show it.
             if m.assignments.is_empty() && !self.commit_pipeline.holds(&assignments::key(&id)) {
                 continue;
@@ -442,7 +447,7 @@
             .iter()
             .filter(|(_, r)| r.waiting_count() > 0 && !r.finishing && r.not_before <= now)
             .collect();
-        ids.sort_by_cached_key(|(id, r)| self.order_key(id, r, &guaranteed));
+        ids.sort_by_cached_key(|(id, r)| self.priority_key(id, r, &guaranteed));
         let mut used = self.used.clone();
         let mut left = NEEDS_AT_MOST;
         let mut needs = Vec::new();
@@ -482,7 +487,7 @@
         }
         let Some(need) = needs.iter().find(|n| n.patient).map(|n| n.resources) else { return };
         let placed: usize = arrays().map(|r| r.placed().len()).sum();
-        let coming = self.machines.values().filter(|m| m.standing == Standing::Booting);
+        let coming = self.machines.values().filter(|m| m.status == MachineStatus::Booting);
         let coming: u32 = coming.map(|m| m.free().count_of(&need)).sum();
         let places = (placed as f64 + f64::from(coming)).max(1.0);
         let boot_s = self.market.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
@@ -524,7 +529,8 @@
             *per_zone.entry(m.zone.clone()).or_default() += 1;
             // Room that is free now is about to be used by what waits.
             // Just after a take-over most have not been heard yet; their room will be there.
-            let soon = m.standing == Standing::Booting || (m.standing == Standing::Up && !m.heard());
+            let soon =
+                m.status == MachineStatus::Booting || (m.status == MachineStatus::Up && !m.has_been_heard());
             if m.free().gpus + 1e-6 >= least && (soon || m.open_for_tasks(now)) {
                 let offer = Offer { type_name: m.type_name.clone(), zone: m.zone.clone(), spot: m.spot };
                 add(offer, m.free(), 1);
--- a/crates/scheduler/src/node/master/upkeep/tests.rs
+++ b/crates/scheduler/src/node/master/upkeep/tests.rs
@@ -1,10 +1,10 @@
-use super::super::stock::tests::{master, report};
+use super::super::stock::tests::{heartbeat, master};
 use super::*;
 
 fn fleet(zones: &[&str]) -> Master {
     let mut m = master();
     for (i, zone) in zones.iter().enumerate() {
-        m.take_report(&report(&format!("m-{i}"), zone, 1), MonotonicTime::from_millis(1_000));
+        m.process_heartbeat(&heartbeat(&format!("m-{i}"), zone, 1), MonotonicTime::from_millis(1_000));
     }
     m.heartbeat_collection.records_read(MonotonicTime::from_millis(1_000));
     m.gather(MonotonicTime::from_millis(1_000));
@@ -12,7 +12,7 @@
 }
 
 fn lost(m: &Master) -> Vec<&str> {
-    let lost = m.machines.values().filter(|m| m.standing == Standing::Releasing);
+    let lost = m.machines.values().filter(|m| m.status == MachineStatus::Releasing);
     lost.map(|m| m.id.as_str()).collect()
 }
 
@@ -22,8 +22,8 @@
     let mut m = fleet(&["z0", "z0", "z1"]);
     let interval = (m.settings.workers.report_s * 1000.0) as u64;
     let at = MonotonicTime::from_millis(1_000 + interval * 14 / 10);
-    m.take_report(&report("m-1", "z0", 2), at);
-    m.take_report(&report("m-2", "z1", 2), at);
+    m.process_heartbeat(&heartbeat("m-1", "z0", 2), at);
+    m.process_heartbeat(&heartbeat("m-2", "z1", 2), at);
     let asked = m.silent_workers(at);
     assert_eq!(asked.iter().map(|(id, ..)| id.as_str()).collect::<Vec<_>>(), ["m-0"]);
     m.machines.get_mut(&MachineId::from("m-0")).expect("there").unanswered = PROBES_LOST - 1;
@@ -42,7 +42,7 @@
     let lease = (m.settings.workers.lease_s * 1000.0) as u64;
     let hear_others =
         |m: &mut Master, heard: &BTreeMap<Zone, MonotonicTime>, at: MonotonicTime, serial: u64| {
-            (4..9).for_each(|i| m.take_report(&report(&format!("m-{i}"), "z1", serial), at));
+            (4..9).for_each(|i| m.process_heartbeat(&heartbeat(&format!("m-{i}"), "z1", serial), at));
             m.machines.values_mut().filter(|m| m.zone == "z0".into()).for_each(|m| m.unanswered = 9);
             m.find_lost(heard, at);
         };
@@ -68,7 +68,7 @@
     while at < MonotonicTime::from_millis(1_000 + interval * 2) {
         at = at + Duration::from_millis(interval / 5);
         serial += 1;
-        m.take_report(&report(&format!("m-{}", 5 + serial % 5), "z0", serial), at);
+        m.process_heartbeat(&heartbeat(&format!("m-{}", 5 + serial % 5), "z0", serial), at);
     }
     (0..5).for_each(|i| {
         m.machines.get_mut(&MachineId::from(format!("m-{i}").as_str())).expect("there").unanswered =
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -169,7 +169,7 @@
 
     /// Orders to workers under way at a time, a socket each. A part of `outward`: with orders as many as there were, a
     /// node reached its limit, and could no longer reach its peers (offshore deployment at 1.5 times, rough).
-    pub fn orders(&self) -> usize {
+    pub fn commands(&self) -> usize {
         self.outward() * 3 / 4
     }
 }
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -1,12 +1,12 @@
 //! Workers <-> controller nodes.
 
-use crate::types::{Attempt, FencingToken, JobId, MachineId, NodeName, Session, TaskId, TypeName, Zone};
+use crate::types::{Attempt, FencingToken, JobId, MachineId, NodeName, TaskId, TypeName, WorkerEpoch, Zone};
 use pearford_heartbeat::HeartbeatPosition;
 use pearford_recovery::{ReportedState, TaskExit};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "host")]
     pub machine: MachineId,
     pub addr: String,
@@ -17,7 +17,7 @@
     #[serde(rename = "preemptible", default)]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: Session,
+    pub worker_epoch: WorkerEpoch,
     pub serial: u64,
     #[serde(rename = "fence", default)]
     pub fencing_token: FencingToken,
@@ -38,9 +38,13 @@
     tasks: Vec<ReportedTask>,
 }
 
-impl Report {
+impl Heartbeat {
     pub fn position(&self) -> HeartbeatPosition {
-        HeartbeatPosition { session: self.session, serial: self.serial, fencing_token: self.fencing_token }
+        HeartbeatPosition {
+            worker_epoch: self.worker_epoch,
+            serial: self.serial,
+            fencing_token: self.fencing_token,
+        }
     }
 
     /// Its content, as nodes tell it one another.
@@ -65,7 +69,7 @@
             type_name: c.type_name,
             zone: c.zone,
             spot: c.spot,
-            session: at.session,
+            worker_epoch: at.worker_epoch,
             serial: at.serial,
             fencing_token: at.fencing_token,
             notice_s: c.notice_s,
@@ -144,14 +148,14 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Order {
+pub enum WorkerCommand {
     Start { task: TaskId, attempt: Attempt },
     Stop { task: TaskId, attempt: Attempt, grace_s: f64 },
     Forget { task: TaskId, attempt: Attempt },
 }
 
 #[derive(Serialize)]
-struct WireOrder {
+struct WireCommand {
     verb: &'static str,
     shard: String,
     #[serde(rename = "try")]
@@ -160,66 +164,68 @@
     drain_s: Option<f64>,
 }
 
-impl Order {
-    fn to_wire(&self) -> WireOrder {
+impl WorkerCommand {
+    fn to_wire(&self) -> WireCommand {
         let (verb, task, attempt, drain_s) = match self {
-            Order::Start { task, attempt } => ("start", task, attempt, None),
-            Order::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
-            Order::Forget { task, attempt } => ("forget", task, attempt, None),
+            WorkerCommand::Start { task, attempt } => ("start", task, attempt, None),
+            WorkerCommand::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
+            WorkerCommand::Forget { task, attempt } => ("forget", task, attempt, None),
         };
-        WireOrder { verb, shard: task.to_string(), attempt: *attempt, drain_s }
+        WireCommand { verb, shard: task.to_string(), attempt: *attempt, drain_s }
     }
 }
 
 /// The answer to a report.
-pub fn answer(fencing_token: FencingToken, orders: &[Order]) -> String {
+pub fn answer(fencing_token: FencingToken, commands: &[WorkerCommand]) -> String {
     #[derive(Serialize)]
     struct Answer {
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
-        orders: Vec<WireOrder>,
+        #[serde(rename = "orders")]
+        commands: Vec<WireCommand>,
     }
-    let orders = orders.iter().map(Order::to_wire).collect();
-    serde_json::to_string(&Answer { fencing_token, orders }).unwrap_or_default()
+    let commands = commands.iter().map(WorkerCommand::to_wire).collect();
+    serde_json::to_string(&Answer { fencing_token, commands }).unwrap_or_default()
 }
 
 /// A direct command.
-pub fn command(fencing_token: FencingToken, session: Session, orders: &[Order]) -> String {
+pub fn command(fencing_token: FencingToken, worker_epoch: WorkerEpoch, commands: &[WorkerCommand]) -> String {
     #[derive(Serialize)]
     struct Command {
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
-        tenure: Session,
-        orders: Vec<WireOrder>,
+        tenure: WorkerEpoch,
+        #[serde(rename = "orders")]
+        commands: Vec<WireCommand>,
     }
-    let orders = orders.iter().map(Order::to_wire).collect();
-    serde_json::to_string(&Command { fencing_token, tenure: session, orders }).unwrap_or_default()
+    let commands = commands.iter().map(WorkerCommand::to_wire).collect();
+    serde_json::to_string(&Command { fencing_token, tenure: worker_epoch, commands }).unwrap_or_default()
 }
 
 /// What is left of a direct command without the starts of jobs that are over.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Passed {
+pub enum Filtered {
     AsItIs,
     Without(String),
     Nothing,
 }
 
 /// Takes out of a direct command the starts of jobs that `over` names.
-pub fn without_starts(body: &str, over: impl Fn(&JobId) -> bool) -> Passed {
+pub fn without_starts(body: &str, over: impl Fn(&JobId) -> bool) -> Filtered {
     if !body.contains("\"start\"") {
-        return Passed::AsItIs;
+        return Filtered::AsItIs;
     }
-    let Ok(mut command) = serde_json::from_str::<serde_json::Value>(body) else { return Passed::AsItIs };
-    let Some(orders) = command["orders"].as_array_mut() else { return Passed::AsItIs };
-    let all = orders.len();
-    orders.retain(|order| {
-        let task = order["shard"].as_str().and_then(TaskId::parse);
-        order["verb"] != "start" || !task.is_some_and(|task| over(&task.job))
+    let Ok(mut command) = serde_json::from_str::<serde_json::Value>(body) else { return Filtered::AsItIs };
+    let Some(commands) = command["orders"].as_array_mut() else { return Filtered::AsItIs };
+    let all = commands.len();
+    commands.retain(|command| {
+        let task = command["shard"].as_str().and_then(TaskId::parse);
+        command["verb"] != "start" || !task.is_some_and(|task| over(&task.job))
     });
-    match orders.len() {
-        0 if all > 0 => Passed::Nothing,
-        left if left < all => Passed::Without(command.to_string()),
-        _ => Passed::AsItIs,
+    match commands.len() {
+        0 if all > 0 => Filtered::Nothing,
+        left if left < all => Filtered::Without(command.to_string()),
+        _ => Filtered::AsItIs,
     }
 }
 
--- a/crates/scheduler/src/wire/workers/tests.rs
+++ b/crates/scheduler/src/wire/workers/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn reports_and_orders_match_the_protocol() {
-    let r: Report = serde_json::from_str(
+    let r: Heartbeat = serde_json::from_str(
             r#"{"host":"m-000231","addr":"10.1.0.232:9000","flavor":"g8","region":"a","preemptible":true,
             "tenure":1,"serial":88,"fence":41,"warning_s":null,"new_field":{},
             "shards":[{"shard":"req-000412/3","try":2,"phase":"running"},{"shard":"req-000398/0","try":1,"phase":"ended","cause":"done"},
@@ -13,17 +13,17 @@
     assert_eq!(r.tasks[1].cause, Some(Cause::Done));
     assert_eq!(r.tasks[2].cause, Some(Cause::NoRoom));
     assert_eq!(r.tasks[3].phase, TaskPhase::Other);
-    let told = Report::of(&r.machine, r.position(), &r.content()).expect("readable");
+    let told = Heartbeat::of(&r.machine, r.position(), &r.content()).expect("readable");
     assert_eq!(format!("{told:?}"), format!("{r:?}"), "nodes tell one another all of it");
-    assert!(Report::of(&r.machine, r.position(), &r.content()[1..]).is_none_or(|t| t.tasks.len() != 4));
+    assert!(Heartbeat::of(&r.machine, r.position(), &r.content()[1..]).is_none_or(|t| t.tasks.len() != 4));
     let task = TaskId::parse("req-000412/4").expect("valid");
-    let orders = [
-        Order::Start { task: task.clone(), attempt: Attempt(2) },
-        Order::Stop { task: task.clone(), attempt: Attempt(1), grace_s: 10.0 },
-        Order::Forget { task, attempt: Attempt(1) },
+    let commands = [
+        WorkerCommand::Start { task: task.clone(), attempt: Attempt(2) },
+        WorkerCommand::Stop { task: task.clone(), attempt: Attempt(1), grace_s: 10.0 },
+        WorkerCommand::Forget { task, attempt: Attempt(1) },
     ];
     assert_eq!(
-        answer(FencingToken(41), &orders),
+        answer(FencingToken(41), &commands),
         r#"{"fence":41,"orders":[{"verb":"start","shard":"req-000412/4","try":2},{"verb":"stop","shard":"req-000412/4","try":1,"drain_s":10.0},{"verb":"forget","shard":"req-000412/4","try":1}]}"#
     );
     assert_eq!(redirect(None), "{}");
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -2,37 +2,41 @@
 
 use crate::assignments::{Assignment, AssignmentState, MachineRecord, Stop};
 use crate::types::{
-    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, Session, TaskId,
-    TeamName, TypeName, Zone,
+    Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, TaskId, TeamName,
+    TypeName, WorkerEpoch, Zone,
 };
-use crate::wire::workers::{Order, Report, ReportedTask, TaskPhase};
+use crate::wire::workers::{Heartbeat, ReportedTask, TaskPhase, WorkerCommand};
 pub use pearford_recovery::Outcome;
 use pearford_recovery::{Decision, Observation, RecordedState, ReportedState, TaskExit, reconcile};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Keeps an answer's one line below 64 KiB.
-const ORDERS_AT_ONCE: usize = 200;
+const COMMANDS_AT_ONCE: usize = 200;
 
-/// Stops for all that a report lists of jobs that are over, but for what `orders` stop anyway.
+/// Stops for all that a report lists of jobs that are over, but for what `commands` stop anyway.
 ///
 /// Every answer that renews a lease stops these, whoever gives it: the leader in its tenure, one that only holds or has
 /// not read the records yet, or another node in its name. The bound on how long leases are renewed after a look covers
 /// only cancellations that the look can't see; of those that it saw, the tasks must not live by that answer. (A leader
 /// that had not read the records as the state service went away renewed the leases of cancelled tasks without a stop
 /// until the hold was over: seeds 3182, 3284.)
-pub fn stop_what_is_over(report: &Report, over: impl Fn(&JobId) -> bool, orders: &mut Vec<Order>) {
-    for reported in report.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
+pub fn stop_finished(
+    heartbeat: &Heartbeat,
+    over: impl Fn(&JobId) -> bool,
+    commands: &mut Vec<WorkerCommand>,
+) {
+    for reported in heartbeat.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
         let Some(task) = reported.task().filter(|task| over(&task.job)) else { continue };
         let attempt = reported.attempt;
-        let stops = |o: &Order| matches!(o, Order::Stop { task: t, attempt: a, grace_s: 0.0 } if (t, a) == (&task, &attempt));
-        if orders.len() < ORDERS_AT_ONCE && !orders.iter().any(stops) {
-            orders.push(Order::Stop { task, attempt, grace_s: 0.0 });
+        let stops = |o: &WorkerCommand| matches!(o, WorkerCommand::Stop { task: t, attempt: a, grace_s: 0.0 } if (t, a) == (&task, &attempt));
+        if commands.len() < COMMANDS_AT_ONCE && !commands.iter().any(stops) {
+            commands.push(WorkerCommand::Stop { task, attempt, grace_s: 0.0 });
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MachineStatus {
     /// Rented; its worker has not reported yet.
     Booting,
     Up,
@@ -56,14 +60,14 @@
     pub zone: Zone,
     pub spot: bool,
     pub total: Resources,
-    pub standing: Standing,
+    pub status: MachineStatus,
     pub rented_at: MonotonicTime,
-    pub last_report: Option<MonotonicTime>,
+    pub last_heartbeat: Option<MonotonicTime>,
     /// Questions in a row, since the last report, that the worker didn't answer.
     pub unanswered: u32,
     /// When it answered a question last.
     pub answered_at: MonotonicTime,
-    pub session: Session,
+    pub worker_epoch: WorkerEpoch,
     pub serial: u64,
     pub fencing_token: FencingToken,
     /// When the cloud will take it away.
@@ -77,13 +81,13 @@
     /// What the entries take in the machine's record.
     assignment_bytes: usize,
     /// Tasks reported that the ledger doesn't know: stopped, and until then nothing starts here.
-    pub strays: BTreeSet<TaskId>,
+    pub unknown_tasks: BTreeSet<TaskId>,
     /// Images a task got here and their sizes, in order of last use.
     pub images: Vec<(Image, f64)>,
     pub empty_since: Option<MonotonicTime>,
     pub not_before: MonotonicTime,
     /// The session that a direct command should name, as far as an earlier leader knew.
-    pub push_session: Session,
+    pub last_known_epoch: WorkerEpoch,
     /// Version from which each planned entry is durable.
     pub planned: BTreeMap<TaskId, u64>,
     pub draining: bool,
@@ -94,19 +98,19 @@
     /// Starts sent directly and never answered, with the session they name: while it lasts they
     /// may still act. Their absence proves nothing, and an exited one isn't forgotten, since the
     /// worker would then start it again.
-    pub doubtful: BTreeMap<(TaskId, Attempt), Session>,
+    pub unacknowledged: BTreeMap<(TaskId, Attempt), WorkerEpoch>,
     /// Starts sent directly in its present session, and when: one that was answered may come again all the same, so what
     /// has ended without a result is not forgotten.
     sent: BTreeMap<(TaskId, Attempt), MonotonicTime>,
     /// Tasks in its last report, but for those that have ended and are only kept.
     listed: usize,
     /// Sessions of its worker that have ended while this leader heard it.
-    sessions_ended: u32,
+    epochs_ended: u32,
 }
 
 /// What a report changed.
 #[derive(Debug, Default)]
-pub struct Digest {
+pub struct HeartbeatOutcome {
     /// Tasks that are proved gone; their entries are out of the ledger.
     pub gone: Vec<(TaskId, Assignment, Outcome)>,
     /// Tasks that are done; their entries stay until that is recorded.
@@ -122,7 +126,7 @@
 }
 
 /// A worker whose session ends again and again gets its tasks back this often; then they go elsewhere.
-const SESSIONS_ENDED: u32 = 2;
+const EPOCHS_ENDED: u32 = 2;
 /// How late a start that was carried out may come again, and attempts that are kept listed for it on a machine: one with
 /// more takes nothing new and is returned once it is empty.
 const COMES_AGAIN: Duration = Duration::from_millis(600_000);
@@ -146,12 +150,12 @@
             zone,
             spot,
             total,
-            standing: Standing::Booting,
+            status: MachineStatus::Booting,
             rented_at: now,
-            last_report: None,
+            last_heartbeat: None,
             unanswered: 0,
             answered_at: MonotonicTime::default(),
-            session: Session(0),
+            worker_epoch: WorkerEpoch(0),
             serial: 0,
             fencing_token: FencingToken(0),
             taken_at: None,
@@ -160,19 +164,19 @@
             empty: true,
             tally: Vec::new(),
             assignment_bytes: 0,
-            strays: BTreeSet::new(),
+            unknown_tasks: BTreeSet::new(),
             images: Vec::new(),
             empty_since: Some(now),
             not_before: MonotonicTime::default(),
-            push_session: Session(0),
+            last_known_epoch: WorkerEpoch(0),
             planned: BTreeMap::new(),
             draining: false,
             failed: Vec::new(),
             held: None,
-            doubtful: BTreeMap::new(),
+            unacknowledged: BTreeMap::new(),
             sent: BTreeMap::new(),
             listed: 0,
-            sessions_ended: 0,
+            epochs_ended: 0,
         }
     }
 
@@ -182,7 +186,7 @@
             zone: self.zone.clone(),
             spot: self.spot,
             addr: self.addr.clone(),
-            session: self.session,
+            worker_epoch: self.worker_epoch,
             assignments: self
                 .assignments
                 .iter()
@@ -225,7 +229,7 @@
                 }
             }
         }
-        self.empty = self.tally.is_empty() && self.strays.is_empty();
+        self.empty = self.tally.is_empty() && self.unknown_tasks.is_empty();
         if !self.empty {
             self.empty_since = None;
         } else if self.empty_since.is_none() {
@@ -233,33 +237,34 @@
         }
     }
 
-    pub fn health(&self, now: MonotonicTime, report: Duration, degraded: f64, unreachable: f64) -> Health {
-        match self.last_report {
+    pub fn health(&self, now: MonotonicTime, heartbeat: Duration, degraded: f64, unreachable: f64) -> Health {
+        match self.last_heartbeat {
             None => Health::Unknown,
-            Some(at) if now.since(at) > report.times(unreachable) => Health::Unreachable,
-            Some(at) if now.since(at) > report.times(degraded) => Health::Degraded,
+            Some(at) if now.since(at) > heartbeat.times(unreachable) => Health::Unreachable,
+            Some(at) if now.since(at) > heartbeat.times(degraded) => Health::Degraded,
             Some(_) => Health::Healthy,
         }
     }
 
     /// Whether a start of this leader's may still arrive there, for all that is known.
-    pub fn in_doubt(&self) -> bool {
-        !self.doubtful.is_empty() || self.assignments.values().any(|e| e.state == AssignmentState::Direct)
+    pub fn has_unacknowledged_starts(&self) -> bool {
+        !self.unacknowledged.is_empty()
+            || self.assignments.values().any(|e| e.state == AssignmentState::Direct)
     }
 
     /// Whether this leader has heard the worker. The record of a machine that was returned may outlive
     /// it, where its removal was not written before a take-over.
-    pub fn heard(&self) -> bool {
+    pub fn has_been_heard(&self) -> bool {
         self.serial > 0
     }
 
     /// Whether new tasks may go there.
     pub fn open_for_tasks(&self, now: MonotonicTime) -> bool {
-        self.standing == Standing::Up
-            && self.heard()
+        self.status == MachineStatus::Up
+            && self.has_been_heard()
             && !self.draining
             && self.taken_at.is_none()
-            && self.strays.is_empty()
+            && self.unknown_tasks.is_empty()
             && now >= self.not_before
             && self.assignments.len() < crate::assignments::MAX_ASSIGNMENTS
     }
@@ -310,39 +315,39 @@
 
     /// Takes in a report. `mine` is this leader's fence; `again`: tasks that are to start again
     /// right here if they are not there any more.
-    pub fn digest(
+    pub fn process_heartbeat(
         &mut self,
-        report: &Report,
+        heartbeat: &Heartbeat,
         mine: FencingToken,
         again: &[TaskId],
         now: MonotonicTime,
-    ) -> Digest {
-        let mut digest = Digest::default();
-        if (report.session, report.serial) <= (self.session, self.serial) {
-            digest.stale = true;
-            return digest;
+    ) -> HeartbeatOutcome {
+        let mut outcome = HeartbeatOutcome::default();
+        if (heartbeat.worker_epoch, heartbeat.serial) <= (self.worker_epoch, self.serial) {
+            outcome.stale = true;
+            return outcome;
         }
-        if report.session > self.session {
-            self.doubtful.retain(|_, session| *session >= report.session);
+        if heartbeat.worker_epoch > self.worker_epoch {
+            self.unacknowledged.retain(|_, worker_epoch| *worker_epoch >= heartbeat.worker_epoch);
             self.sent.clear();
         }
         self.sent.retain(|_, at| now.since(*at) < COMES_AGAIN);
-        let was = std::mem::replace(&mut self.session, report.session);
-        self.serial = report.serial;
-        self.fencing_token = report.fencing_token;
-        self.addr = Some(report.addr.clone());
-        self.last_report = Some(now);
+        let was = std::mem::replace(&mut self.worker_epoch, heartbeat.worker_epoch);
+        self.serial = heartbeat.serial;
+        self.fencing_token = heartbeat.fencing_token;
+        self.addr = Some(heartbeat.addr.clone());
+        self.last_heartbeat = Some(now);
         self.unanswered = 0;
-        if self.standing == Standing::Booting {
-            self.standing = Standing::Up;
+        if self.status == MachineStatus::Booting {
+            self.status = MachineStatus::Up;
             self.empty_since = Some(now);
         }
-        self.taken_at = report.notice_s.map(|s| now + Duration::from_secs_f64(s));
+        self.taken_at = heartbeat.notice_s.map(|s| now + Duration::from_secs_f64(s));
 
         let mut listed: BTreeMap<TaskId, &ReportedTask> = BTreeMap::new();
-        self.strays.clear();
+        self.unknown_tasks.clear();
         let mut kept = 0;
-        for reported in &report.tasks {
+        for reported in &heartbeat.tasks {
             let Some(task) = reported.task() else { continue };
             match self.assignments.get(&task) {
                 Some(e) if e.attempt == reported.attempt => {
@@ -350,20 +355,20 @@
                 }
                 _ => match self.reconcile_unknown(&task, reported) {
                     Decision::Stop => {
-                        self.strays.insert(task);
+                        self.unknown_tasks.insert(task);
                     }
                     Decision::Unproved => kept += 1,
                     _ => {}
                 },
             }
         }
-        self.listed = report.tasks.len() - kept;
+        self.listed = heartbeat.tasks.len() - kept;
         self.draining |= kept > KEPT;
-        if report.session > was && was > Session(0) {
-            self.sessions_ended += 1;
+        if heartbeat.worker_epoch > was && was > WorkerEpoch(0) {
+            self.epochs_ended += 1;
         }
-        let open = !self.draining && self.taken_at.is_none() && self.standing == Standing::Up;
-        let open = open && self.strays.is_empty() && self.sessions_ended <= SESSIONS_ENDED;
+        let open = !self.draining && self.taken_at.is_none() && self.status == MachineStatus::Up;
+        let open = open && self.unknown_tasks.is_empty() && self.epochs_ended <= EPOCHS_ENDED;
         let tasks: Vec<TaskId> = self.assignments.keys().cloned().collect();
         for task in tasks {
             let Some(assignment) = self.assignments.get_mut(&task) else { continue };
@@ -372,40 +377,40 @@
                 recorded_state: assignment.state.recorded_state(),
                 stopping: assignment.stop.is_some(),
                 reported_state: reported.map_or(ReportedState::Absent, |r| r.reported_state()),
-                after_command: assignment.state.is_before(report.session, report.serial),
-                under_fencing_token: report.fencing_token == mine,
+                after_command: assignment.state.is_before(heartbeat.worker_epoch, heartbeat.serial),
+                under_fencing_token: heartbeat.fencing_token == mine,
                 wanted_here: open && again.contains(&task),
                 may_still_arrive: false,
             };
             match reconcile(&observation) {
-                Decision::There => there(assignment, observation.reported_state, now, &task, &mut digest),
+                Decision::There => there(assignment, observation.reported_state, now, &task, &mut outcome),
                 Decision::Done => {
-                    fetched(assignment, &task, &mut digest);
+                    fetched(assignment, &task, &mut outcome);
                     assignment.state = AssignmentState::Done;
-                    digest.done.push((task.clone(), assignment.attempt));
+                    outcome.done.push((task.clone(), assignment.attempt));
                 }
                 Decision::StartHere => {
                     if matches!(observation.recorded_state, RecordedState::Inherited | RecordedState::Listed)
                     {
                         assignment.planned_at = now;
                         assignment.running_since = None;
-                        digest.again.push(task.clone());
+                        outcome.again.push(task.clone());
                     }
                     assignment.state = AssignmentState::Ready;
                 }
-                Decision::Gone(outcome) => {
-                    if outcome == Outcome::Ended(TaskExit::GangBroke) {
-                        fetched(assignment, &task, &mut digest);
+                Decision::Gone(departure) => {
+                    if departure == Outcome::Ended(TaskExit::GangBroke) {
+                        fetched(assignment, &task, &mut outcome);
                     }
                     self.planned.remove(&task);
                     if let Some(assignment) = self.assignments.remove(&task) {
-                        digest.gone.push((task, assignment, outcome));
+                        outcome.gone.push((task, assignment, departure));
                     }
                 }
                 Decision::Unproved | Decision::Stop | Decision::Forget => {}
             }
         }
-        digest
+        outcome
     }
 
     /// What becomes of an attempt that is reported and not stored.
@@ -414,7 +419,7 @@
         let reported_state = reported.reported_state();
         // Started again, one that is done ends as soon as it has its image; one without an answer may be anything.
         let again = reported_state != ReportedState::Ended(TaskExit::Done) && self.sent.contains_key(&key);
-        reconcile(&Observation::unrecorded(reported_state, again || self.doubtful.contains_key(&key)))
+        reconcile(&Observation::unrecorded(reported_state, again || self.unacknowledged.contains_key(&key)))
     }
 
     /// Whether a report that says what the last one said has nothing to prove and needs no orders: each task in
@@ -431,7 +436,7 @@
             AssignmentState::Sent { .. } | AssignmentState::Direct | AssignmentState::Inherited => false,
         };
         let listed = self.assignments.values().filter(|e| !e.unsent()).count();
-        self.strays.is_empty() && listed == self.listed && self.assignments.values().all(settled)
+        self.unknown_tasks.is_empty() && listed == self.listed && self.assignments.values().all(settled)
     }
 
     /// Whether starts could leave now.
@@ -442,56 +447,56 @@
     }
 
     /// Takes in a report that says what the last one said, of a settled machine.
-    pub fn heard_again(&mut self, session: Session, serial: u64, at: MonotonicTime) {
-        if session == self.session && serial > self.serial {
+    pub fn heartbeat_unchanged(&mut self, worker_epoch: WorkerEpoch, serial: u64, at: MonotonicTime) {
+        if worker_epoch == self.worker_epoch && serial > self.serial {
             self.serial = serial;
-            self.last_report = self.last_report.max(Some(at));
+            self.last_heartbeat = self.last_heartbeat.max(Some(at));
             self.unanswered = 0;
         }
     }
 
-    /// The orders that answer `report`. Starts leave only with `may_start`; `may_stop` tells which stops may
+    /// The orders that answer `heartbeat`. Starts leave only with `may_start`; `may_stop` tells which stops may
     /// leave without it. What the ledger doesn't know is stopped or forgotten under a valid leadership
     /// (`leads`) only.
-    pub fn orders(
+    pub fn commands(
         &mut self,
-        report: &Report,
+        heartbeat: &Heartbeat,
         may_start: bool,
         may_stop: impl Fn(&TaskId) -> bool,
         leads: bool,
-    ) -> Vec<Order> {
-        let mut orders = Vec::new();
-        for reported in &report.tasks {
+    ) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
+        for reported in &heartbeat.tasks {
             let Some(task) = reported.task() else { continue };
             let attempt = reported.attempt;
             if !leads || self.assignments.get(&task).is_some_and(|e| e.attempt == attempt) {
                 continue;
             }
             match self.reconcile_unknown(&task, reported) {
-                Decision::Stop => orders.push(Order::Stop { task, attempt, grace_s: 0.0 }),
-                Decision::Forget => orders.push(Order::Forget { task, attempt }),
+                Decision::Stop => commands.push(WorkerCommand::Stop { task, attempt, grace_s: 0.0 }),
+                Decision::Forget => commands.push(WorkerCommand::Forget { task, attempt }),
                 _ => {}
             }
         }
         for (task, assignment) in &mut self.assignments {
-            if orders.len() >= ORDERS_AT_ONCE {
+            if commands.len() >= COMMANDS_AT_ONCE {
                 break;
             }
             match (assignment.state, assignment.stop) {
                 (AssignmentState::Ready, None) if assignment.after_fetches => {}
                 (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
-                    orders.push(Order::Start { task: task.clone(), attempt: assignment.attempt });
-                    let serial = match self.doubtful.contains_key(&(task.clone(), assignment.attempt)) {
+                    commands.push(WorkerCommand::Start { task: task.clone(), attempt: assignment.attempt });
+                    let serial = match self.unacknowledged.contains_key(&(task.clone(), assignment.attempt)) {
                         true => u64::MAX,
-                        false => report.serial,
+                        false => heartbeat.serial,
                     };
-                    assignment.state = AssignmentState::Sent { session: report.session, serial };
+                    assignment.state = AssignmentState::Sent { worker_epoch: heartbeat.worker_epoch, serial };
                 }
                 // A task that already saves got its stop; a second one would cut it short.
                 (AssignmentState::Saving, Some(stop)) if stop.grace_s > 0.0 => {}
                 (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
                 (_, Some(stop)) if may_start || may_stop(task) => {
-                    orders.push(Order::Stop {
+                    commands.push(WorkerCommand::Stop {
                         task: task.clone(),
                         attempt: assignment.attempt,
                         grace_s: stop.grace_s,
@@ -500,7 +505,7 @@
                 _ => {}
             }
         }
-        orders
+        commands
     }
 }
 
@@ -514,54 +519,54 @@
 impl Machine {
     /// Whether a direct command may reach the worker.
     pub fn reachable(&self, mine: FencingToken) -> bool {
-        self.addr.is_some() && self.standing == Standing::Up && self.fencing_token == mine
+        self.addr.is_some() && self.status == MachineStatus::Up && self.fencing_token == mine
     }
 
     /// Orders to send straight to the worker: starts that are durable now, and new stops.
-    pub fn direct_orders(
+    pub fn direct_commands(
         &mut self,
         may_start: bool,
         now: MonotonicTime,
-    ) -> (Vec<Order>, Vec<(TaskId, Attempt)>) {
-        let (mut orders, mut starts) = (Vec::new(), Vec::new());
+    ) -> (Vec<WorkerCommand>, Vec<(TaskId, Attempt)>) {
+        let (mut commands, mut starts) = (Vec::new(), Vec::new());
         for (task, assignment) in &mut self.assignments {
             let attempt = assignment.attempt;
             match (assignment.state, &mut assignment.stop) {
                 (AssignmentState::Ready, None) if may_start && !assignment.after_fetches => {
                     assignment.state = AssignmentState::Direct;
-                    orders.push(Order::Start { task: task.clone(), attempt });
+                    commands.push(WorkerCommand::Start { task: task.clone(), attempt });
                     starts.push((task.clone(), attempt));
                     self.sent.insert((task.clone(), attempt), now);
                 }
                 (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
                 (_, Some(stop)) if !stop.sent => {
                     stop.sent = true;
-                    orders.push(Order::Stop { task: task.clone(), attempt, grace_s: stop.grace_s });
+                    commands.push(WorkerCommand::Stop { task: task.clone(), attempt, grace_s: stop.grace_s });
                 }
                 _ => {}
             }
         }
-        (orders, starts)
+        (commands, starts)
     }
 
     /// Orders for a report that another node has answered. Starts among them go directly, the rest may wait for
     /// the answer to the next report. A start in doubt goes again: it may be that none has arrived.
-    pub fn orders_elsewhere(
+    pub fn commands_for_delegate(
         &mut self,
-        report: &Report,
+        heartbeat: &Heartbeat,
         may_start: bool,
         may_stop: impl Fn(&TaskId) -> bool,
         now: MonotonicTime,
-    ) -> (Vec<Order>, Vec<Order>) {
-        let errands = self.orders(report, false, |task| may_start || may_stop(task), may_start);
+    ) -> (Vec<WorkerCommand>, Vec<WorkerCommand>) {
+        let queued_commands = self.commands(heartbeat, false, |task| may_start || may_stop(task), may_start);
         let again = self.assignments.iter().filter(|(_, e)| {
-            let doubtful = matches!(e.state, AssignmentState::Sent { serial: u64::MAX, .. });
-            may_start && doubtful && e.stop.is_none()
+            let unacknowledged = matches!(e.state, AssignmentState::Sent { serial: u64::MAX, .. });
+            may_start && unacknowledged && e.stop.is_none()
         });
         let again: Vec<(TaskId, Attempt)> = again.map(|(t, e)| (t.clone(), e.attempt)).collect();
         self.sent.extend(again.iter().map(|key| (key.clone(), now)));
-        let again = again.into_iter().map(|(task, attempt)| Order::Start { task, attempt }).collect();
-        (errands, again)
+        let again = again.into_iter().map(|(task, attempt)| WorkerCommand::Start { task, attempt }).collect();
+        (queued_commands, again)
     }
 
     /// A direct command's starts were answered: `at` is the session and serial of the answer,
@@ -569,8 +574,8 @@
     pub fn direct_answered(
         &mut self,
         starts: Vec<(TaskId, Attempt)>,
-        session: Session,
-        at: Option<Option<(Session, u64)>>,
+        worker_epoch: WorkerEpoch,
+        at: Option<Option<(WorkerEpoch, u64)>>,
     ) {
         for (task, attempt) in starts {
             let Some(assignment) = self.assignments.get_mut(&task) else { continue };
@@ -579,11 +584,11 @@
                 continue;
             }
             assignment.state = match at {
-                Some(Some((session, serial))) => AssignmentState::Sent { session, serial },
+                Some(Some((worker_epoch, serial))) => AssignmentState::Sent { worker_epoch, serial },
                 Some(None) => AssignmentState::Ready,
                 None => {
-                    self.doubtful.insert((task, attempt), session);
-                    AssignmentState::Sent { session, serial: u64::MAX }
+                    self.unacknowledged.insert((task, attempt), worker_epoch);
+                    AssignmentState::Sent { worker_epoch, serial: u64::MAX }
                 }
             };
         }
@@ -596,10 +601,10 @@
     reported_state: ReportedState,
     now: MonotonicTime,
     task: &TaskId,
-    digest: &mut Digest,
+    outcome: &mut HeartbeatOutcome,
 ) {
     if matches!(reported_state, ReportedState::Waiting | ReportedState::Running) {
-        fetched(assignment, task, digest);
+        fetched(assignment, task, outcome);
     }
     assignment.state = match reported_state {
         ReportedState::Running => AssignmentState::Running,
@@ -608,14 +613,14 @@
     };
     if reported_state == ReportedState::Running && assignment.running_since.is_none() {
         assignment.running_since = Some(now);
-        digest.began.push(task.clone());
+        outcome.began.push(task.clone());
     }
 }
 
-fn fetched(assignment: &mut Assignment, task: &TaskId, digest: &mut Digest) {
+fn fetched(assignment: &mut Assignment, task: &TaskId, outcome: &mut HeartbeatOutcome) {
     if !assignment.has_image {
         assignment.has_image = true;
-        digest.fetched.push(task.clone());
+        outcome.fetched.push(task.clone());
     }
 }
 
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -87,16 +87,16 @@
     Worker(usize),
     ReportAnswer {
         machine: usize,
-        session: u64,
+        worker_epoch: u64,
         sent: u64,
         node: usize,
         status: u16,
         body: String,
-        report: u64,
+        heartbeat: u64,
     },
     ReportTimeout {
         machine: usize,
-        report: u64,
+        heartbeat: u64,
     },
     /// A user that looks closely, or oddly, sends its request.
     Look(looks::Look),
@@ -216,9 +216,9 @@
     },
     Worker {
         machine: usize,
-        session: u64,
+        worker_epoch: u64,
         sent: u64,
-        report: u64,
+        heartbeat: u64,
     },
     Look {
         look: looks::Look,
@@ -557,10 +557,10 @@
                 let path = "/v1/report".to_string();
                 self.request(node, Asker::Nobody, Host::Machine(machine), Method::Post, path, body);
             }
-            Event::ReportAnswer { machine, session, sent, node, status, body, report } => {
-                self.report_answer(machine, session, sent, node, status, &body, report);
+            Event::ReportAnswer { machine, worker_epoch, sent, node, status, body, heartbeat } => {
+                self.report_answer(machine, worker_epoch, sent, node, status, &body, heartbeat);
             }
-            Event::ReportTimeout { machine, report } => self.report_timeout(machine, report),
+            Event::ReportTimeout { machine, heartbeat } => self.report_timeout(machine, heartbeat),
             Event::User(u) => self.user_turn(u),
             Event::UserAnswer { user, ask, status, body } => self.user_answer(user, ask, status, &body),
             Event::UserTimeout { user, ask } => {
@@ -633,11 +633,19 @@
                     Some(Asker::User { user, ask }) => {
                         (Host::User, Event::UserAnswer { user, ask, status, body })
                     }
-                    Some(Asker::Worker { machine, session, sent, report }) => {
+                    Some(Asker::Worker { machine, worker_epoch, sent, heartbeat }) => {
                         self.check_orders(i, &body);
                         (
                             Host::Machine(machine),
-                            Event::ReportAnswer { machine, session, sent, node: i, status, body, report },
+                            Event::ReportAnswer {
+                                machine,
+                                worker_epoch,
+                                sent,
+                                node: i,
+                                status,
+                                body,
+                                heartbeat,
+                            },
                         )
                     }
                     Some(Asker::Look { look, before }) => {
--- a/crates/scheduler/src/world/workers.rs
+++ b/crates/scheduler/src/world/workers.rs
@@ -49,13 +49,13 @@
     /// It reaches no node until then; direct orders reach it.
     pub muted_until: u64,
     pub taken_at: Option<u64>,
-    session: u64,
-    session_began: u64,
+    worker_epoch: u64,
+    epoch_began: u64,
     serial: u64,
     pub fencing_token: u64,
     pub tasks: Vec<Task>,
     node: usize,
-    next_report: u64,
+    next_heartbeat: u64,
     in_flight: Option<u64>,
     reports: u64,
     answered_sent: u64,
@@ -89,7 +89,7 @@
         )
     }
 
-    fn report(&mut self, now: u64) -> Value {
+    fn heartbeat(&mut self, now: u64) -> Value {
         self.serial += 1;
         let shards: Vec<Value> = self
             .tasks
@@ -107,7 +107,7 @@
             .collect();
         let notice = self.taken_at.map(|t| t.saturating_sub(now) as f64 / 1000.0);
         json!({"host": self.id, "addr": self.addr, "flavor": self.type_name, "region": self.zone,
-            "preemptible": self.spot, "tenure": self.session, "serial": self.serial, "fence": self.fencing_token,
+            "preemptible": self.spot, "tenure": self.worker_epoch, "serial": self.serial, "fence": self.fencing_token,
             "warning_s": notice, "shards": shards})
     }
 }
@@ -128,13 +128,13 @@
             deaf_until: 0,
             muted_until: 0,
             taken_at: None,
-            session: 1,
-            session_began: boots_at,
+            worker_epoch: 1,
+            epoch_began: boots_at,
             serial: 0,
             fencing_token: 0,
             tasks: Vec::new(),
             node: self.rng.random_range(0..self.settings.len()),
-            next_report: boots_at,
+            next_heartbeat: boots_at,
             in_flight: None,
             reports: 0,
             answered_sent: 0,
@@ -197,23 +197,23 @@
         // Before a worker that resumes looks at its lease.
         self.check_present();
         let w = &mut self.workers[m];
-        let last = w.answered_sent.max(w.session_began);
+        let last = w.answered_sent.max(w.epoch_began);
         if now > last + lease {
-            w.session += 1;
-            w.session_began = now;
+            w.worker_epoch += 1;
+            w.epoch_began = now;
             w.tasks.clear();
             w.in_flight = None;
-            w.next_report = now;
+            w.next_heartbeat = now;
         }
         self.advance(m);
         self.check_present();
         let w = &mut self.workers[m];
-        if w.in_flight.is_none() && now >= w.next_report {
+        if w.in_flight.is_none() && now >= w.next_heartbeat {
             w.reports += 1;
-            let (report, session, node) = (w.reports, w.session, w.node);
-            w.in_flight = Some(report);
-            let body = w.report(now).to_string();
-            let asker = Asker::Worker { machine: m, session, sent: now, report };
+            let (heartbeat, worker_epoch, node) = (w.reports, w.worker_epoch, w.node);
+            w.in_flight = Some(heartbeat);
+            let body = w.heartbeat(now).to_string();
+            let asker = Asker::Worker { machine: m, worker_epoch, sent: now, heartbeat };
             if self.late_reports > 0.0 && self.rng.random_bool(self.late_reports) {
                 let ms = self.rng_ms(2_000, 2 * lease);
                 let (node, body) = (self.rng.random_range(0..self.settings.len()), body.clone());
@@ -229,7 +229,7 @@
                 *self.met.entry("mute").or_default() += 1;
                 self.next_node(m, 1000);
             } else if self.request(node, asker, Host::Machine(m), Method::Post, path, body) {
-                self.after(4000, Event::ReportTimeout { machine: m, report });
+                self.after(4000, Event::ReportTimeout { machine: m, heartbeat });
             } else {
                 self.next_node(m, 1000);
             }
@@ -271,11 +271,11 @@
         let w = &mut self.workers[m];
         w.in_flight = None;
         w.node = (w.node + 1) % nodes;
-        w.next_report = self.now + pause;
+        w.next_heartbeat = self.now + pause;
     }
 
-    pub fn report_timeout(&mut self, m: usize, report: u64) {
-        if self.workers[m].in_flight == Some(report) {
+    pub fn report_timeout(&mut self, m: usize, heartbeat: u64) {
+        if self.workers[m].in_flight == Some(heartbeat) {
             self.next_node(m, 1000);
         }
     }
@@ -284,14 +284,14 @@
     pub fn report_answer(
         &mut self,
         m: usize,
-        session: u64,
+        worker_epoch: u64,
         sent: u64,
         node: usize,
         status: u16,
         body: &str,
-        report: u64,
+        heartbeat: u64,
     ) {
-        if self.workers[m].in_flight != Some(report)
+        if self.workers[m].in_flight != Some(heartbeat)
             || !self.workers[m].up
             || self.workers[m].hung_until > self.now
             || self.workers[m].deaf_until > self.now
@@ -307,7 +307,7 @@
                     let w = &mut self.workers[m];
                     w.in_flight = None;
                     w.node = n;
-                    w.next_report = self.now + 100;
+                    w.next_heartbeat = self.now + 100;
                 }
                 None => self.next_node(m, 1000),
             }
@@ -316,9 +316,9 @@
         let jitter = self.rng_ms(2250, 3750);
         let w = &mut self.workers[m];
         w.in_flight = None;
-        w.next_report = self.now + jitter;
+        w.next_heartbeat = self.now + jitter;
         let fencing_token = value["fence"].as_u64().unwrap_or(0);
-        if w.session != session || (fencing_token < w.fencing_token && !w.gullible) {
+        if w.worker_epoch != worker_epoch || (fencing_token < w.fencing_token && !w.gullible) {
             return;
         }
         w.fencing_token = w.fencing_token.max(fencing_token);
@@ -339,18 +339,18 @@
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let w = &mut self.workers[m];
         let fencing_token = value["fence"].as_u64().unwrap_or(0);
-        let ok = fencing_token >= w.fencing_token && value["tenure"].as_u64() == Some(w.session);
+        let ok = fencing_token >= w.fencing_token && value["tenure"].as_u64() == Some(w.worker_epoch);
         if ok {
             if w.muted_until > self.now && body.contains("\"start\"") {
                 *self.met.entry("a direct start at a mute machine").or_default() += 1;
             }
             if fencing_token > w.fencing_token {
-                w.next_report = self.now;
+                w.next_heartbeat = self.now;
             }
             w.fencing_token = fencing_token;
             self.obey(m, &value["orders"]);
         }
-        let body = self.workers[m].report(self.now).to_string().into_bytes();
+        let body = self.workers[m].heartbeat(self.now).to_string().into_bytes();
         let input = Input::Worker { request_id, status: if ok { 200 } else { 409 }, body };
         self.send(Host::Machine(m), Host::Node(from), Event::Input(from, life, input));
     }
@@ -503,8 +503,8 @@
                 let w = &mut self.workers[m];
                 w.tasks[i].state = state;
                 w.tasks[i].at = now;
-                if ended || now + 500 < w.next_report {
-                    w.next_report = w.next_report.min(now + 300);
+                if ended || now + 500 < w.next_heartbeat {
+                    w.next_heartbeat = w.next_heartbeat.min(now + 300);
                 }
             }
         }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -100,7 +100,7 @@
 );
 number_type!(
     /// A worker's session.
-    Session
+    WorkerEpoch
 );
 number_type!(
     /// Correlates an effect with the input that answers it.
