--- a/crates/heartbeat/src/coordinator.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -318,7 +318,7 @@
     }
 
     /// Machines by the node that hears them.
-    pub fn counts(&self) -> BTreeMap<NodeName, usize> {
+    pub fn machines_by_node(&self) -> BTreeMap<NodeName, usize> {
         let mut counts = BTreeMap::new();
         self.known.values().for_each(|k| *counts.entry(k.node.clone()).or_default() += 1);
         counts
--- a/crates/heartbeat/src/messages.rs
+++ b/crates/heartbeat/src/messages.rs
@@ -66,7 +66,7 @@
     pub call: u64,
     pub addr: String,
     pub body: String,
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What became of one: the worker's status (0: no answer came; it may still run) and where in its life the
--- a/crates/nomad/benches/rolls.rs
+++ b/crates/nomad/benches/rolls.rs
@@ -4,7 +4,7 @@
 
 use pearford_nomad::door::Door;
 use pearford_nomad::operator::NomadSettings;
-use pearford_scheduler::feature::{Call, Feature, Verb};
+use pearford_scheduler::extension::{Call, Extension, Verb};
 use pearford_scheduler::world::World;
 use serde_json::json;
 
@@ -12,7 +12,7 @@
 const SERVICES: u64 = 3;
 const EVERY_MS: u64 = 60_000;
 
-fn door() -> Box<dyn Feature> {
+fn door() -> Box<dyn Extension> {
     Box::new(Door::new(NomadSettings::default()).expect("the defaults are valid"))
 }
 
--- a/crates/nomad/src/door/answers.rs
+++ b/crates/nomad/src/door/answers.rs
@@ -3,7 +3,7 @@
 use super::ids;
 use super::names::{Ended, Head, Part, VersionRecord};
 use super::versions::modify_index;
-use pearford_scheduler::feature::View;
+use pearford_scheduler::extension::View;
 use pearford_scheduler::jobs::Phase;
 use serde_json::{Value, json};
 
@@ -35,7 +35,7 @@
 pub fn counts_of(view: &View<'_>, part: &Part) -> Counts {
     let (done, running) = view.standing(&part.id).unwrap_or((0, 0));
     let tasks = part.tasks;
-    match view.jobs.verdict(&part.id) {
+    match view.jobs.terminal_status(&part.id) {
         Some(Phase::Done) => Counts { tasks, done: tasks, running: 0, stopped: 0 },
         Some(_) => Counts { tasks, done: 0, running: 0, stopped: tasks },
         None => {
@@ -54,7 +54,7 @@
 /// `pending`, `running` or `dead`.
 pub fn status(view: &View<'_>, head: &Head) -> &'static str {
     let c = counts(view, head, None);
-    let over = head.parts().all(|p| view.jobs.verdict(&p.id).is_some());
+    let over = head.parts().all(|p| view.jobs.terminal_status(&p.id).is_some());
     match () {
         () if head.stopped || over => "dead",
         () if c.running > 0 => "running",
--- a/crates/nomad/src/door/machines.rs
+++ b/crates/nomad/src/door/machines.rs
@@ -4,7 +4,7 @@
 use super::Reply;
 use super::requests::{Ask, Page};
 use pearford_scheduler::assignments::MachineRecord;
-use pearford_scheduler::feature::{MachinePage, Machines, Outcome};
+use pearford_scheduler::extension::{MachinePage, Machines, Outcome};
 use pearford_scheduler::types::MachineId;
 use serde_json::{Value, json};
 
--- a/crates/nomad/src/door/mod.rs
+++ b/crates/nomad/src/door/mod.rs
@@ -25,7 +25,7 @@
 use guards::{Guard, holds};
 use limits::Queries;
 use names::{Head, NameHash, PREFIX};
-use pearford_scheduler::feature::{Action, Call, Feature, Input, View};
+use pearford_scheduler::extension::{Action, Call, Extension, Input, View};
 use pearford_scheduler::types::{Duration, JobId, RequestId};
 use requests::{Ask, Page, Query, Request, Route};
 use retry::{Change, Write};
@@ -492,7 +492,7 @@
     Action::Answer { request, status: reply.status, retry_after_s, headers, body: reply.body }
 }
 
-impl Feature for Door {
+impl Extension for Door {
     fn prefix(&self) -> &'static str {
         PREFIX
     }
--- a/crates/nomad/src/door/names.rs
+++ b/crates/nomad/src/door/names.rs
@@ -9,7 +9,7 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
-use pearford_scheduler::jobs::Shape;
+use pearford_scheduler::jobs::JobType;
 use pearford_scheduler::settings::{Settings, Team};
 use pearford_scheduler::types::JobId;
 use serde::{Deserialize, Serialize};
@@ -226,7 +226,7 @@
     let (spec, tasks) = (&g.spec, g.spec.tasks);
     let whole = vec![tasks];
     let Some(team) = settings.teams.get(&spec.team) else { return whole };
-    if spec.shape != Shape::Service || spec.together || tasks < 2 || most < 2 {
+    if spec.job_type != JobType::Service || spec.together || tasks < 2 || most < 2 {
         return whole;
     }
     let beside = fitting(team, spec.resources.cpus, spec.resources.gpus).saturating_sub(tasks);
--- a/crates/nomad/src/door/requests.rs
+++ b/crates/nomad/src/door/requests.rs
@@ -5,7 +5,7 @@
 use crate::hcl::{self, Assignment, Budget};
 use crate::source;
 use crate::translate::Context;
-use pearford_scheduler::feature::Verb;
+use pearford_scheduler::extension::Verb;
 use pearford_scheduler::types::Duration;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
--- a/crates/nomad/src/door/retry.rs
+++ b/crates/nomad/src/door/retry.rs
@@ -5,7 +5,7 @@
 use super::versions::{self, Decision, Writes};
 use super::{Door, Reply, Waiting, answers, ids, send};
 use crate::translate::Job;
-use pearford_scheduler::feature::{Action, Outcome, Share, View};
+use pearford_scheduler::extension::{Action, Outcome, Share, View};
 use pearford_scheduler::types::RequestId;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
--- a/crates/nomad/src/door/tests/histories.rs
+++ b/crates/nomad/src/door/tests/histories.rs
@@ -5,7 +5,7 @@
 use super::{call, door, job};
 use crate::door::guards::{Guard, without};
 use crate::door::names::{Head, NAMES, NameHash};
-use pearford_scheduler::feature::Verb;
+use pearford_scheduler::extension::Verb;
 use pearford_scheduler::jobs::Record;
 use pearford_scheduler::world::days::{DAY_ENDS, troubles};
 use pearford_scheduler::world::{Answered, Event, Fault, NODES, World};
@@ -311,7 +311,7 @@
                     .count();
                 match record {
                     Some(Record::Open(_)) if user.service && !user.stopped && up as u32 == part.tasks => {}
-                    Some(Record::Withdrawn) if user.stopped => {}
+                    Some(Record::Cancelled) if user.stopped => {}
                     Some(Record::Done) if !user.service => {}
                     other => wrong(format!("{} of {} up, its record {other:?}", up, part.tasks)),
                 }
--- a/crates/nomad/src/door/tests/hostile.rs
+++ b/crates/nomad/src/door/tests/hostile.rs
@@ -2,7 +2,7 @@
 
 use super::{call, door, job};
 use arbtest::arbtest;
-use pearford_scheduler::feature::{Call, Verb};
+use pearford_scheduler::extension::{Call, Verb};
 use pearford_scheduler::world::World;
 use serde_json::{Value, json};
 
--- a/crates/nomad/src/door/tests/machines.rs
+++ b/crates/nomad/src/door/tests/machines.rs
@@ -4,7 +4,7 @@
 use crate::door::machines::{Asked, told};
 use crate::door::requests::{Ask, Page, Query};
 use pearford_scheduler::assignments::MachineRecord;
-use pearford_scheduler::feature::{MachinePage, Verb};
+use pearford_scheduler::extension::{MachinePage, Verb};
 use pearford_scheduler::world::World;
 use serde_json::{Value, json};
 
--- a/crates/nomad/src/door/tests/mod.rs
+++ b/crates/nomad/src/door/tests/mod.rs
@@ -8,10 +8,10 @@
 
 use crate::door::Door;
 use crate::operator::NomadSettings;
-use pearford_scheduler::feature::{Call, Feature, Verb};
+use pearford_scheduler::extension::{Call, Extension, Verb};
 use serde_json::{Value, json};
 
-pub(super) fn door() -> Box<dyn Feature> {
+pub(super) fn door() -> Box<dyn Extension> {
     Box::new(Door::new(NomadSettings::default()).expect("the defaults are valid"))
 }
 
--- a/crates/nomad/src/door/tests/placements.rs
+++ b/crates/nomad/src/door/tests/placements.rs
@@ -5,7 +5,7 @@
 use crate::door::names::{NameHash, part_id};
 use crate::source;
 use crate::translate::Context;
-use pearford_scheduler::feature::Verb;
+use pearford_scheduler::extension::Verb;
 use pearford_scheduler::node::Method;
 use pearford_scheduler::types::MachineId;
 use pearford_scheduler::wire::users;
--- a/crates/nomad/src/door/tests/rolls.rs
+++ b/crates/nomad/src/door/tests/rolls.rs
@@ -3,7 +3,7 @@
 use super::{call, door, job};
 use crate::door::guards::{Guard, without};
 use crate::door::names::{Ended, Head, NameHash};
-use pearford_scheduler::feature::Verb;
+use pearford_scheduler::extension::Verb;
 use pearford_scheduler::world::{Event, Fault, World};
 use serde_json::{Value, json};
 
--- a/crates/nomad/src/door/upkeep.rs
+++ b/crates/nomad/src/door/upkeep.rs
@@ -7,7 +7,7 @@
 use crate::decode;
 use crate::fault::Faults;
 use crate::translate::{Context, Job, translate};
-use pearford_scheduler::feature::{Action, Outcome, Share, View};
+use pearford_scheduler::extension::{Action, Outcome, Share, View};
 use pearford_scheduler::types::{Duration, FencingToken, MonotonicTime, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/nomad/src/door/versions.rs
+++ b/crates/nomad/src/door/versions.rs
@@ -4,7 +4,7 @@
 use super::guards::{Guard, holds};
 use super::names::{Ended, GroupRecord, Head, NameHash, Old, Part, Roll, VersionRecord, part_id, split};
 use crate::translate::Job;
-use pearford_scheduler::feature::View;
+use pearford_scheduler::extension::View;
 use pearford_scheduler::jobs::{self, Record};
 use pearford_scheduler::types::{JobId, Revision};
 use pearford_scheduler::wire::state::Change;
@@ -29,7 +29,7 @@
         if holds(Guard::Withdrawal)
             && let Some(known) = view.jobs.get(id).filter(|k| k.record.is_open())
         {
-            self.put(jobs::key(id), known.revision, Record::Withdrawn.to_value());
+            self.put(jobs::key(id), known.revision, Record::Cancelled.to_value());
         }
     }
 
@@ -101,7 +101,7 @@
     }
     for group in &job.groups {
         if let Err(refusal) = view.admission.check(&group.spec) {
-            return refuse(refusal.status, format!("group `{}`: {}", group.name, refusal.why));
+            return refuse(refusal.status, format!("group `{}`: {}", group.name, refusal.reason));
         }
     }
     let ops = view.settings.state.txn_ops;
@@ -122,7 +122,7 @@
         let mut parts = Vec::new();
         for (p, tasks) in sizes.into_iter().enumerate() {
             let id = part_id(&hash, version, &group.name, p, salt);
-            if let Some(never) = view.admission.needs_fault(&id, &group.spec) {
+            if let Some(never) = view.admission.dependency_error(&id, &group.spec) {
                 return refuse(422, format!("group `{}`: {never}", group.name));
             }
             let mut spec = group.spec.clone();
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -5,7 +5,7 @@
 use crate::fields::{META, META_FIELDS, MetaKind};
 use crate::operator::{NomadSettings, Stands};
 use crate::tree::Value;
-use pearford_scheduler::jobs::{JobSpec, Priority, Shape};
+use pearford_scheduler::jobs::{JobSpec, JobType, Priority};
 use pearford_scheduler::types::{Duration, JobId, Resources};
 use pearford_scheduler::wire::users;
 use serde::{Deserialize, Serialize};
@@ -246,10 +246,10 @@
         let spec = JobSpec {
             kind: class.as_str().into(),
             team: team.into(),
-            shape: match (service, gang) {
-                (true, _) => Shape::Service,
-                (false, true) => Shape::Gang,
-                (false, false) => Shape::Array,
+            job_type: match (service, gang) {
+                (true, _) => JobType::Service,
+                (false, true) => JobType::Gang,
+                (false, false) => JobType::Array,
             },
             priority: band(priority),
             tasks: count.clamp(1, MAX_TASKS) as u32,
--- a/crates/nomad/tests/round_trip.rs
+++ b/crates/nomad/tests/round_trip.rs
@@ -3,7 +3,7 @@
 use pearford_nomad::operator::NomadSettings;
 use pearford_nomad::source;
 use pearford_nomad::translate::Context;
-use pearford_scheduler::jobs::{JobSpec, Priority, Shape};
+use pearford_scheduler::jobs::{JobSpec, JobType, Priority};
 use pearford_scheduler::types::{Duration, Resources};
 use proptest::prelude::*;
 
@@ -22,9 +22,9 @@
         ("snapshot_s", spec.save.as_secs_f64().to_string()),
         ("together", spec.together.to_string()),
         ("spot", spec.spot.to_string()),
-        ("gang", (spec.shape == Shape::Gang).to_string()),
+        ("gang", (spec.job_type == JobType::Gang).to_string()),
     ];
-    if spec.shape != Shape::Service {
+    if spec.job_type != JobType::Service {
         meta.push(("expected_s", spec.estimate.as_secs_f64().to_string()));
     }
     if let Some(due) = spec.deadline {
@@ -52,7 +52,7 @@
 }
 
 fn kind(spec: &JobSpec) -> &'static str {
-    if spec.shape == Shape::Service { "service" } else { "batch" }
+    if spec.job_type == JobType::Service { "service" } else { "batch" }
 }
 
 fn as_hcl(spec: &JobSpec, split: u32) -> String {
@@ -117,7 +117,7 @@
 
 prop_compose! {
     fn a_spec()(
-        shape in prop_oneof![Just(Shape::Array), Just(Shape::Gang), Just(Shape::Service)],
+        job_type in prop_oneof![Just(JobType::Array), Just(JobType::Gang), Just(JobType::Service)],
         priority in prop_oneof![Just(Priority::Low), Just(Priority::Normal), Just(Priority::High), Just(Priority::Production)],
         names in ("[a-z][a-z0-9-]{0,20}", "[a-z][a-z0-9-]{0,20}", "[a-z][a-z0-9./:-]{0,40}"),
         tasks in 1u32..=100_000,
@@ -133,7 +133,7 @@
         JobSpec {
             kind: names.0.as_str().into(),
             team: names.1.as_str().into(),
-            shape,
+            job_type,
             priority,
             tasks,
             resources: Resources { cpus: cpus.into(), gpus: gpus.into(), memory_gb: f64::from(memory_mb) / 1024.0 },
@@ -144,7 +144,7 @@
             together: placing == 1,
             spread: placing == 2,
             spot,
-            estimate: Duration::from_secs_f64(if shape == Shape::Service { 0.0 } else { quarters(estimate) }),
+            estimate: Duration::from_secs_f64(if job_type == JobType::Service { 0.0 } else { quarters(estimate) }),
             checkpoint: Duration::from_secs_f64(quarters(checkpoint)),
             save: Duration::from_secs_f64(quarters(save)),
             deadline: deadline.map(|d| Duration::from_secs_f64(quarters(d))),
--- a/crates/pearford/src/files.rs
+++ b/crates/pearford/src/files.rs
@@ -34,8 +34,8 @@
                 faults.into_iter().map(|f| named(format!("nomad.{f}"))).collect::<Vec<_>>()
             })?),
         };
-    let core = if map.is_empty() { Ok(String::new()) } else { serde_yaml_ng::to_string(&map) };
-    Ok((core.map_err(|e| vec![named(e.to_string())])?, nomad))
+    let controller = if map.is_empty() { Ok(String::new()) } else { serde_yaml_ng::to_string(&map) };
+    Ok((controller.map_err(|e| vec![named(e.to_string())])?, nomad))
 }
 
 /// Nomad's section of the operators' file, with defaults where it says nothing.
@@ -45,15 +45,15 @@
 
 pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Loaded, Vec<String>> {
     let text = read(platform)?;
-    let (core, nomad) = match operator {
+    let (controller, nomad) = match operator {
         None => (None, None),
         Some(path) => {
-            let (core, nomad) = sections(path)?;
-            (Some((path.display().to_string(), core)), nomad)
+            let (controller, nomad) = sections(path)?;
+            (Some((path.display().to_string(), controller)), nomad)
         }
     };
-    let core = core.as_ref().map(|(name, text)| (name.clone(), text.as_str()));
-    let settings = settings::parse((&platform.display().to_string(), &text), core)
+    let controller = controller.as_ref().map(|(name, text)| (name.clone(), text.as_str()));
+    let settings = settings::parse((&platform.display().to_string(), &text), controller)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
     Ok(Loaded { settings, nomad })
 }
--- a/crates/pearford/src/main.rs
+++ b/crates/pearford/src/main.rs
@@ -117,7 +117,7 @@
     Ok(Some(shell::Door {
         listen,
         connections: settings.max_connections,
-        patience: Duration::from_secs_f64(settings.max_wait_s + ANSWER_SLACK_S),
+        timeout: Duration::from_secs_f64(settings.max_wait_s + ANSWER_SLACK_S),
         feature: Box::new(Door::new(settings)?),
     }))
 }
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -7,19 +7,19 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use pearford_scheduler::feature::{Call, Feature, Verb};
-use pearford_scheduler::node::{Core, Effect, Input, Method, Now};
+use pearford_scheduler::extension::{Call, Extension, Verb};
+use pearford_scheduler::node::{Controller, Effect, Input, Method, Now};
 use pearford_scheduler::settings::{Peer, Settings};
 use pearford_scheduler::types::{self, MonotonicTime, NodeName, RequestId, WallTime};
 use pearford_scheduler::wire::MAX_BODY;
-use pearford_scheduler::wire::state::StateReply;
+use pearford_scheduler::wire::state::StoreReply;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
-use tokio::time::timeout;
+
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use warp::Filter;
 
@@ -66,12 +66,12 @@
 
 /// A feature with a listener of its own.
 pub struct Door {
-    pub feature: Box<dyn Feature>,
+    pub feature: Box<dyn Extension>,
     pub listen: SocketAddr,
     /// Connections at a time; they come out of the node's.
     pub connections: usize,
     /// How long an answer may take: queries may wait for a change.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What is asked of the core over HTTP.
@@ -98,14 +98,14 @@
     let (requests, mut asked) = mpsc::channel::<Asked>(REQUESTS);
 
     let mut left = settings.limits.max_connections - settings.limits.outward();
-    let mut core = Core::new(settings.clone(), rand::random());
+    let mut controller = Controller::new(settings.clone(), rand::random());
     for (slot, door) in doors.into_iter().enumerate() {
         let listener = TcpListener::bind(door.listen).await?;
         // Users and workers keep half, however many a door asks for.
         let connections = door.connections.min(left / 2).max(1);
         left -= connections;
-        tokio::spawn(serve_door(listener, connections, slot, door.patience, requests.clone()));
-        core = core.with_feature(door.feature);
+        tokio::spawn(serve_door(listener, connections, slot, door.timeout, requests.clone()));
+        controller = controller.with_feature(door.feature);
     }
     tokio::spawn(serve_api(api, Arc::new(Semaphore::new(left)), requests));
     tokio::spawn(serve_peers(back, settings.peers.len() * 4 + 4, tx.clone()));
@@ -166,7 +166,7 @@
             }
         };
         let began = Instant::now();
-        let effects = core.step(clock(took), input);
+        let effects = controller.step(clock(took), input);
         took = began.elapsed();
         for effect in effects {
             match effect {
@@ -215,32 +215,33 @@
     async fn make(&self, effect: Effect) -> Option<Input> {
         let (client, settings) = (&self.services, &self.settings);
         Some(match effect {
-            Effect::State { request_id, request, patience } => {
+            Effect::Store { request_id, request, timeout } => {
                 let (method, path, body) = request.http();
-                let got = fetch(client, settings.state_addr, method, &path, body, patience).await;
+                let got = fetch(client, settings.state_addr, method, &path, body, timeout).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
-                    None => StateReply::Unknown,
+                    None => StoreReply::Unknown,
                 };
                 tracing::debug!(?request, ?reply, "state");
-                Input::State { request_id, reply }
+                Input::Store { request_id, reply }
             }
-            Effect::Cloud { request_id, request, patience } => {
+            Effect::Cloud { request_id, request, timeout } => {
                 let (method, path, body) = request.http();
-                let got = fetch(client, settings.cloud_addr, method, &path, body, patience).await;
+                let got = fetch(client, settings.cloud_addr, method, &path, body, timeout).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
                     None => pearford_scheduler::wire::cloud::CloudReply::Unknown,
                 };
                 Input::Cloud { request_id, reply }
             }
-            Effect::Worker { request_id, addr, body, patience } => {
+            Effect::Worker { request_id, addr, body, timeout } => {
                 let exchange = async {
                     let _socket = self.orders.acquire().await.ok()?;
                     let (addr, post) = (addr.parse().ok()?, http::Method::POST);
-                    fetch(&self.workers, addr, post, "/do", body.into_bytes(), patience).await
+                    fetch(&self.workers, addr, post, "/do", body.into_bytes(), timeout).await
                 };
-                let got = timeout(Duration::from_millis(patience.0), exchange).await.ok().flatten();
+                let got =
+                    tokio::time::timeout(Duration::from_millis(timeout.0), exchange).await.ok().flatten();
                 let (status, body) = got.map(|(s, b)| (s, b.to_vec())).unwrap_or_default();
                 Input::Worker { request_id, status, body }
             }
@@ -255,7 +256,7 @@
     method: http::Method,
     path: &str,
     body: Vec<u8>,
-    patience: types::Duration,
+    timeout: types::Duration,
 ) -> Option<(u16, Bytes)> {
     let mut request = http::Request::builder().method(method).uri(format!("http://{addr}{path}"));
     if !body.is_empty() {
@@ -268,7 +269,7 @@
         let body = Limited::new(response.into_body(), MAX_RESPONSE).collect().await.ok()?.to_bytes();
         Some((status, body))
     };
-    timeout(Duration::from_millis(patience.0), exchange).await.ok().flatten()
+    tokio::time::timeout(Duration::from_millis(timeout.0), exchange).await.ok().flatten()
 }
 
 // ---- users and workers ----
@@ -287,13 +288,7 @@
 }
 
 /// Serves a feature's listener.
-async fn serve_door(
-    listener: TcpListener,
-    connections: usize,
-    slot: usize,
-    patience: Duration,
-    tx: Requests,
-) {
+async fn serve_door(listener: TcpListener, connections: usize, slot: usize, timeout: Duration, tx: Requests) {
     let filter = warp::any()
         .and(warp::method())
         .and(warp::path::full())
@@ -314,7 +309,7 @@
                   tx| async move {
                 let bearer = bearer.and_then(|b| b.strip_prefix("Bearer ").map(str::to_string));
                 let head = (method, path.as_str().to_string(), query, token.or(bearer));
-                handle_call(slot, patience, head, length, body, tx).await
+                handle_call(slot, timeout, head, length, body, tx).await
             },
         );
     let connections = Arc::new(Semaphore::new(connections));
@@ -363,7 +358,7 @@
 
 async fn handle_call(
     slot: usize,
-    patience: Duration,
+    timeout: Duration,
     (method, path, query, token): (http::Method, String, String, Option<String>),
     length: Option<u64>,
     body: impl Stream<Item = Result<impl Buf, warp::Error>>,
@@ -381,16 +376,16 @@
         _ => Verb::Other,
     };
     let call = Call { verb, path, query, token, body };
-    ask(tx, Question::Call { slot, call }, patience).await
+    ask(tx, Question::Call { slot, call }, timeout).await
 }
 
 /// Puts a request to the core and waits for its answer.
-async fn ask(tx: Requests, question: Question, patience: Duration) -> http::Response<String> {
+async fn ask(tx: Requests, question: Question, timeout: Duration) -> http::Response<String> {
     let (reply, answer) = oneshot::channel();
     if tx.try_send(Asked { at: Instant::now(), question, reply }).is_err() {
         return respond(Reply::too_many(1), false);
     }
-    match timeout(patience, answer).await {
+    match tokio::time::timeout(timeout, answer).await {
         Ok(Ok(reply)) => respond(reply, false),
         _ => respond(Reply::error(503, Some(1), "no answer in time; come back"), false),
     }
@@ -440,7 +435,7 @@
         }
         Ok(all.to_vec())
     };
-    timeout(BODY_PATIENCE, read).await.unwrap_or(Err((408, "the body came too slowly")))
+    tokio::time::timeout(BODY_PATIENCE, read).await.unwrap_or(Err((408, "the body came too slowly")))
 }
 
 fn respond(reply: Reply, close: bool) -> http::Response<String> {
@@ -481,8 +476,9 @@
         tokio::spawn(async move {
             let mut frames = Framed::new(stream, codec());
             // Peers speak every second: a connection silent for long is dead.
-            while let Ok(Some(Ok(frame))) = timeout(Duration::from_secs(15), frames.next()).await {
-                match pearford_scheduler::blocks::decode(&frame) {
+            while let Ok(Some(Ok(frame))) = tokio::time::timeout(Duration::from_secs(15), frames.next()).await
+            {
+                match pearford_scheduler::partitions::decode(&frame) {
                     Some(envelope) => {
                         if tx.send(Input::Peer(envelope)).await.is_err() {
                             break;
@@ -501,12 +497,13 @@
     let (tx, mut rx) = mpsc::channel::<Vec<u8>>(PEER_QUEUE);
     tokio::spawn(async move {
         loop {
-            let connected = timeout(CONNECT_PATIENCE, TcpStream::connect(peer.addr)).await;
+            let connected = tokio::time::timeout(CONNECT_PATIENCE, TcpStream::connect(peer.addr)).await;
             if let Ok(Ok(stream)) = connected {
                 let _ = stream.set_nodelay(true);
                 let mut frames = Framed::new(stream, codec());
                 while let Some(bytes) = rx.recv().await {
-                    let sent = timeout(Duration::from_secs(2), frames.send(Bytes::from(bytes))).await;
+                    let sent =
+                        tokio::time::timeout(Duration::from_secs(2), frames.send(Bytes::from(bytes))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         break;
                     }
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// Whether the task may be on the machine.
-    pub fn counts(&self) -> bool {
+    pub fn occupies(&self) -> bool {
         self.state != AssignmentState::Done
     }
     pub fn is_running(&self) -> bool {
@@ -198,7 +198,7 @@
 /// What a team's tasks take now.
 pub fn used_by_team<'a>(assignments: impl Iterator<Item = &'a Assignment>) -> BTreeMap<TeamName, Resources> {
     let mut used: BTreeMap<TeamName, Resources> = BTreeMap::new();
-    for e in assignments.filter(|e| e.counts()) {
+    for e in assignments.filter(|e| e.occupies()) {
         match used.get_mut(&e.team) {
             Some(resources) => *resources = resources.plus(&e.resources),
             None => {
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/autoscaler/mod.rs
@@ -6,7 +6,7 @@
 
 /// A type in a zone, ordinary or spot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
+pub struct InstanceOffer {
     pub type_name: TypeName,
     pub zone: Zone,
     pub spot: bool,
@@ -14,15 +14,15 @@
 
 /// Machines that are there or on their way, alike in kind and in the room not yet promised.
 #[derive(Debug, Clone)]
-pub struct Coming {
-    pub offer: Offer,
+pub struct IncomingCapacity {
+    pub instance_offer: InstanceOffer,
     pub free: Resources,
     pub number: u32,
 }
 
 /// Tasks of one job that wait for machines.
 #[derive(Debug, Clone)]
-pub struct Need {
+pub struct CapacityRequest {
     pub tasks: u32,
     pub resources: Resources,
     pub types: Option<Vec<TypeName>>,
@@ -35,12 +35,12 @@
     pub patient: bool,
 }
 
-impl Need {
-    /// How many of its tasks may still go to machines of `offer`.
-    fn allowed(&self, offer: &Offer) -> u32 {
-        let kind =
-            (self.spot || !offer.spot) && self.types.as_ref().is_none_or(|t| t.contains(&offer.type_name));
-        let zone = self.zones.iter().find(|(z, _)| *z == offer.zone);
+impl CapacityRequest {
+    /// How many of its tasks may still go to machines of `instance_offer`.
+    fn allowed(&self, instance_offer: &InstanceOffer) -> u32 {
+        let kind = (self.spot || !instance_offer.spot)
+            && self.types.as_ref().is_none_or(|t| t.contains(&instance_offer.type_name));
+        let zone = self.zones.iter().find(|(z, _)| *z == instance_offer.zone);
         zone.filter(|_| kind).map_or(0, |(_, n)| *n)
     }
 
@@ -62,14 +62,14 @@
 const AT_ONCE: u32 = 4;
 
 #[derive(Debug, Default)]
-pub struct Market {
+pub struct InstanceOffers {
     pub types: Vec<MachineType>,
     /// Offers refused lately, and until when they are left alone.
-    refused: BTreeMap<Offer, MonotonicTime>,
+    refused: BTreeMap<InstanceOffer, MonotonicTime>,
     next_claim: u64,
 }
 
-impl Market {
+impl InstanceOffers {
     pub fn new(types: Vec<MachineType>) -> Self {
         Self { types, ..Self::default() }
     }
@@ -78,8 +78,8 @@
         self.types.iter().find(|t| t.name == *name)
     }
 
-    pub fn refuse(&mut self, offer: Offer, until: MonotonicTime) {
-        self.refused.insert(offer, until);
+    pub fn refuse(&mut self, instance_offer: InstanceOffer, until: MonotonicTime) {
+        self.refused.insert(instance_offer, until);
     }
 
     /// A request name that no other request has: fences are unique to one leadership.
@@ -88,99 +88,116 @@
         format!("pf-{fencing_token}-{}", self.next_claim)
     }
 
-    /// What to rent so that `needs` fit, given the machines that are `coming` already. `per_zone`
+    /// What to rent so that `capacity_requests` fit, given the machines that are `incoming` already. `per_zone`
     /// counts the machines in each zone: of equal offers, the emptiest zone is taken. Works on
     /// groups of equal machines, so that its effort doesn't grow with the number of tasks.
     pub fn plan(
         &mut self,
-        needs: Vec<Need>,
-        mut coming: Vec<Coming>,
+        capacity_requests: Vec<CapacityRequest>,
+        mut incoming: Vec<IncomingCapacity>,
         per_zone: &BTreeMap<Zone, u32>,
         now: MonotonicTime,
-    ) -> Vec<(Offer, u32)> {
+    ) -> Vec<(InstanceOffer, u32)> {
         self.refused.retain(|_, until| *until > now);
         let mut per_zone = per_zone.clone();
-        let mut out: BTreeMap<Offer, u32> = BTreeMap::new();
-        let mut left: u32 = needs.iter().map(|n| n.tasks).sum();
-        for mut need in needs {
-            left -= need.tasks;
-            if need.together {
+        let mut out: BTreeMap<InstanceOffer, u32> = BTreeMap::new();
+        let mut left: u32 = capacity_requests.iter().map(|n| n.tasks).sum();
+        for mut capacity_request in capacity_requests {
+            left -= capacity_request.tasks;
+            if capacity_request.together {
                 // The zone that holds all of it, or else most, with what is coming.
                 let mut slots: BTreeMap<&Zone, u32> = BTreeMap::new();
-                for c in coming.iter().filter(|c| need.allowed(&c.offer) > 0) {
-                    *slots.entry(&c.offer.zone).or_default() += c.free.count_of(&need.resources) * c.number;
+                for c in incoming.iter().filter(|c| capacity_request.allowed(&c.instance_offer) > 0) {
+                    *slots.entry(&c.instance_offer.zone).or_default() +=
+                        c.free.count_of(&capacity_request.resources) * c.number;
                 }
                 if let Some((zone, n)) = slots.into_iter().max_by_key(|(_, n)| *n)
-                    && n >= need.tasks
+                    && n >= capacity_request.tasks
                 {
                     let zone = zone.clone();
-                    need.zones.retain(|(z, _)| *z == zone);
+                    capacity_request.zones.retain(|(z, _)| *z == zone);
                 }
             }
             let mut i = 0;
-            while i < coming.len() && need.tasks > 0 {
-                let take = fill(&mut coming, i, &need);
+            while i < incoming.len() && capacity_request.tasks > 0 {
+                let take = fill(&mut incoming, i, &capacity_request);
                 if take > 0 {
-                    let zone = coming[i].offer.zone.clone();
-                    need.settle(&zone, take);
+                    let zone = incoming[i].instance_offer.zone.clone();
+                    capacity_request.settle(&zone, take);
                 }
                 i += 1;
             }
-            while need.tasks > 0 {
-                let wanted = need.tasks + left;
-                let Some((offer, resources)) = self.best(&need, wanted, &per_zone) else { break };
-                let slots = resources.count_of(&need.resources).max(1);
-                let tasks = need.tasks.min(need.allowed(&offer));
+            while capacity_request.tasks > 0 {
+                let wanted = capacity_request.tasks + left;
+                let Some((instance_offer, resources)) = self.best(&capacity_request, wanted, &per_zone)
+                else {
+                    break;
+                };
+                let slots = resources.count_of(&capacity_request.resources).max(1);
+                let tasks = capacity_request.tasks.min(capacity_request.allowed(&instance_offer));
                 let number = tasks.div_ceil(slots).min(AT_ONCE);
-                *per_zone.entry(offer.zone.clone()).or_default() += number;
-                *out.entry(offer.clone()).or_default() += number;
-                coming.push(Coming { offer: offer.clone(), free: resources, number });
-                let last = coming.len() - 1;
-                let take = fill(&mut coming, last, &need);
+                *per_zone.entry(instance_offer.zone.clone()).or_default() += number;
+                *out.entry(instance_offer.clone()).or_default() += number;
+                incoming.push(IncomingCapacity {
+                    instance_offer: instance_offer.clone(),
+                    free: resources,
+                    number,
+                });
+                let last = incoming.len() - 1;
+                let take = fill(&mut incoming, last, &capacity_request);
                 if take == 0 {
                     break;
                 }
-                need.settle(&offer.zone, take);
+                capacity_request.settle(&instance_offer.zone, take);
             }
         }
         out.into_iter().collect()
     }
 
     /// The cheapest offer per task that isn't refused now, and what one machine of it holds.
-    fn best(&self, need: &Need, wanted: u32, per_zone: &BTreeMap<Zone, u32>) -> Option<(Offer, Resources)> {
-        let mut best: Option<(f64, u32, Offer, Resources)> = None;
+    fn best(
+        &self,
+        capacity_request: &CapacityRequest,
+        wanted: u32,
+        per_zone: &BTreeMap<Zone, u32>,
+    ) -> Option<(InstanceOffer, Resources)> {
+        let mut best: Option<(f64, u32, InstanceOffer, Resources)> = None;
         let mut cheapest = f64::MAX;
-        for t in self.types.iter().filter(|t| need.resources.fits_in(&t.resources())) {
-            let slots = t.resources().count_of(&need.resources).min(wanted.max(1));
+        for t in self.types.iter().filter(|t| capacity_request.resources.fits_in(&t.resources())) {
+            let slots = t.resources().count_of(&capacity_request.resources).min(wanted.max(1));
             for zone in &t.zones {
                 for spot in [false, true] {
-                    let offer = Offer { type_name: t.name.clone(), zone: zone.clone(), spot };
-                    if need.allowed(&offer) == 0 {
+                    let instance_offer =
+                        InstanceOffer { type_name: t.name.clone(), zone: zone.clone(), spot };
+                    if capacity_request.allowed(&instance_offer) == 0 {
                         continue;
                     }
                     let cost = t.hourly(spot) / f64::from(slots.max(1));
                     cheapest = cheapest.min(cost);
-                    if self.refused.contains_key(&offer) {
+                    if self.refused.contains_key(&instance_offer) {
                         continue;
                     }
                     let there = per_zone.get(zone).copied().unwrap_or(0);
                     if best.as_ref().is_none_or(|(c, n, ..)| (cost, there) < (*c, *n)) {
-                        best = Some((cost, there, offer, t.resources()));
+                        best = Some((cost, there, instance_offer, t.resources()));
                     }
                 }
             }
         }
-        best.filter(|(cost, ..)| !need.patient || *cost <= cheapest * DEAR)
-            .map(|(_, _, offer, resources)| (offer, resources))
+        best.filter(|(cost, ..)| !capacity_request.patient || *cost <= cheapest * DEAR)
+            .map(|(_, _, instance_offer, resources)| (instance_offer, resources))
     }
 }
 
-/// Promises as much of group `i` to `need` as fits; gives the number of tasks. What a machine
+/// Promises as much of group `i` to `capacity_request` as fits; gives the number of tasks. What a machine
 /// keeps free goes on as a group of its own.
-fn fill(coming: &mut Vec<Coming>, i: usize, need: &Need) -> u32 {
-    let group = &coming[i];
-    let slots = group.free.count_of(&need.resources);
-    let take = need.tasks.min(need.allowed(&group.offer)).min(slots.saturating_mul(group.number));
+fn fill(incoming: &mut Vec<IncomingCapacity>, i: usize, capacity_request: &CapacityRequest) -> u32 {
+    let group = &incoming[i];
+    let slots = group.free.count_of(&capacity_request.resources);
+    let take = capacity_request
+        .tasks
+        .min(capacity_request.allowed(&group.instance_offer))
+        .min(slots.saturating_mul(group.number));
     if take == 0 {
         return 0;
     }
@@ -190,9 +207,9 @@
         parts.push((1, rest));
     }
     for (number, tasks) in parts.into_iter().filter(|(n, _)| *n > 0) {
-        let free = coming[i].free.minus(&need.resources.times(f64::from(tasks)));
-        coming[i].number -= number;
-        coming.push(Coming { offer: coming[i].offer.clone(), free, number });
+        let free = incoming[i].free.minus(&capacity_request.resources.times(f64::from(tasks)));
+        incoming[i].number -= number;
+        incoming.push(IncomingCapacity { instance_offer: incoming[i].instance_offer.clone(), free, number });
     }
     take
 }
--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -8,20 +8,20 @@
 
 use crate::election;
 use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, Revision};
-use crate::wire::state::{Change, Pair, StateReply, StateRequest};
+use crate::wire::state::{Change, Pair, StoreReply, StoreRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Versions before the first level write nothing here.
-pub type Level = u32;
+pub type FeatureLevel = u32;
 /// Jobs that need others.
-pub const DEPENDENCIES: Level = 1;
+pub const DEPENDENCIES: FeatureLevel = 1;
 /// Reports are answered by every node, in the leader's name.
-pub const HEARTBEAT_DELEGATION: Level = 2;
+pub const HEARTBEAT_DELEGATION: FeatureLevel = 2;
 /// Whoever leads tells where its starts are in doubt.
-pub const UNACKNOWLEDGED_STARTS: Level = 3;
+pub const UNACKNOWLEDGED_STARTS: FeatureLevel = 3;
 /// What this version understands.
-pub const OURS: Level = UNACKNOWLEDGED_STARTS;
+pub const OURS: FeatureLevel = UNACKNOWLEDGED_STARTS;
 
 const PREFIX: &str = "level/";
 const NODES: &str = "level/node/";
@@ -33,7 +33,7 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct NodeValue {
-    level: Level,
+    level: FeatureLevel,
     #[serde(default)]
     version: String,
 }
@@ -42,25 +42,25 @@
 enum Step {
     Announce,
     Look,
-    Mark(Level),
+    Mark(FeatureLevel),
 }
 
 /// One node's view of the levels.
 #[derive(Debug)]
-pub struct Levels {
+pub struct ClusterVersion {
     node: NodeName,
     nodes: Vec<NodeName>,
     announced: bool,
     /// What is stored was read once since this node started.
     looked: bool,
-    reached: Level,
+    reached: FeatureLevel,
     mark_revision: Revision,
     seen: BTreeMap<NodeName, NodeValue>,
     under_way: Option<Step>,
     next: MonotonicTime,
 }
 
-impl Levels {
+impl ClusterVersion {
     pub fn new(node: NodeName, peers: impl Iterator<Item = NodeName>) -> Self {
         let nodes = std::iter::once(node.clone()).chain(peers).collect();
         Self {
@@ -77,12 +77,12 @@
     }
 
     /// What every node is durably known to understand.
-    pub fn reached(&self) -> Level {
+    pub fn reached(&self) -> FeatureLevel {
         self.reached
     }
 
     /// Each configured node, its level and version as last seen.
-    pub fn nodes(&self) -> impl Iterator<Item = (&NodeName, Level, &str)> {
+    pub fn nodes(&self) -> impl Iterator<Item = (&NodeName, FeatureLevel, &str)> {
         self.nodes.iter().map(|n| match self.seen.get(n) {
             Some(v) => (n, v.level, v.version.as_str()),
             None => (n, 0, "unknown"),
@@ -90,7 +90,7 @@
     }
 
     /// The next request to the state service, if one is due. `fencing_token`: this node validly leads.
-    pub fn tick(&mut self, now: MonotonicTime, fencing_token: Option<FencingToken>) -> Option<StateRequest> {
+    pub fn tick(&mut self, now: MonotonicTime, fencing_token: Option<FencingToken>) -> Option<StoreRequest> {
         if self.under_way.is_some() || now < self.next {
             return None;
         }
@@ -104,7 +104,7 @@
                 let value = serde_json::to_string(&value).unwrap_or_default();
                 let key = format!("{NODES}{}", self.node);
                 let put = Change::Put { key, value, lease: None };
-                (Step::Announce, StateRequest::Commit { conditions: Vec::new(), changes: vec![put] })
+                (Step::Announce, StoreRequest::Commit { conditions: Vec::new(), changes: vec![put] })
             }
             Some(fencing_token) if all > self.reached => {
                 let conditions = vec![
@@ -112,23 +112,23 @@
                     (MARK.to_string(), self.mark_revision),
                 ];
                 let put = Change::Put { key: MARK.into(), value: all.to_string(), lease: None };
-                (Step::Mark(all), StateRequest::Commit { conditions, changes: vec![put] })
+                (Step::Mark(all), StoreRequest::Commit { conditions, changes: vec![put] })
             }
-            _ => (Step::Look, StateRequest::Range { prefix: PREFIX, after: None, most: 500 }),
+            _ => (Step::Look, StoreRequest::Range { prefix: PREFIX, after: None, most: 500 }),
         };
         self.under_way = Some(step);
         Some(request)
     }
 
-    pub fn reply(&mut self, now: MonotonicTime, reply: StateReply) {
+    pub fn reply(&mut self, now: MonotonicTime, reply: StoreReply) {
         let Some(step) = self.under_way.take() else { return };
         self.next = now + PAUSE;
         match (step, reply) {
-            (Step::Announce, StateReply::Committed { .. }) => {
+            (Step::Announce, StoreReply::Committed { .. }) => {
                 self.announced = true;
                 self.next = now;
             }
-            (Step::Look, StateReply::Pairs { pairs, .. }) => {
+            (Step::Look, StoreReply::Pairs { pairs, .. }) => {
                 pairs.iter().for_each(|p| self.learn(p));
                 self.looked = true;
                 self.announced |= self.has_said();
@@ -138,7 +138,7 @@
                     (true, false) => now + PAUSE,
                 };
             }
-            (Step::Mark(level), StateReply::Committed { store_revision }) => {
+            (Step::Mark(level), StoreReply::Committed { store_revision }) => {
                 tracing::info!(level, "every node understands this level now");
                 self.reached = level;
                 self.mark_revision = Revision(store_revision);
@@ -162,7 +162,7 @@
     fn learn(&mut self, pair: &Pair) {
         if pair.key == MARK {
             self.mark_revision = pair.revision;
-            match serde_json::from_str::<Level>(&pair.value) {
+            match serde_json::from_str::<FeatureLevel>(&pair.value) {
                 // What was reached once stays so.
                 Ok(level) => self.reached = self.reached.max(level),
                 Err(error) => tracing::error!(key = pair.key, %error, "the mark can't be read"),
--- a/crates/scheduler/src/compat/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::assignments::MachineRecord;
-use crate::blocks::{PeerMessage, decode, encode};
-use crate::jobs::{self, JobSpec, OpenJob, Priority, Record, Shape};
-use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
+use crate::jobs::{self, JobSpec, JobType, OpenJob, Priority, Record};
+use crate::partitions::{PeerMessage, decode, encode};
+use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
 use crate::types::{Attempt, Resources, TaskId, WallTime, WorkerEpoch};
 use crate::workers::Health;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
     Resources { cpus: 5.0, gpus: 1.0, memory_gb: 6.4 }
 }
 
-fn job(shape: Shape, priority: Priority) -> Arc<OpenJob> {
+fn job(job_type: JobType, priority: Priority) -> Arc<OpenJob> {
     let spec = JobSpec {
         kind: "train".into(),
         team: "red".into(),
-        shape,
+        job_type,
         priority,
         tasks: 16,
         resources: resources(),
@@ -43,24 +43,24 @@
     Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), home: "n1".into() })
 }
 
-fn learned() -> Vec<Learned> {
+fn placement_outcomes() -> Vec<PlacementOutcome> {
     vec![
-        Learned { machine: "m-000231".into(), kind: "train".into(), success: true },
-        Learned { machine: "m-000007".into(), kind: "serve".into(), success: false },
+        PlacementOutcome { machine: "m-000231".into(), kind: "train".into(), success: true },
+        PlacementOutcome { machine: "m-000007".into(), kind: "serve".into(), success: false },
     ]
 }
 
-fn counts() -> Counts {
-    let mut c = Counts::default();
-    learned().iter().for_each(|l| c.learn(l));
+fn success_counts() -> SuccessCounts {
+    let mut c = SuccessCounts::default();
+    placement_outcomes().iter().for_each(|l| c.learn(l));
     c
 }
 
 fn messages() -> Vec<PeerMessage> {
-    let ask = TaskAsk {
+    let request = PlacementRequest {
         job: "req-000412".into(),
         kind: "train".into(),
-        shape: Shape::Gang,
+        job_type: JobType::Gang,
         tasks: vec![0, 1, 300],
         resources: resources(),
         types: Some(vec!["g8".into()]),
@@ -84,27 +84,32 @@
         fetch_gb_per_s: 0.2,
         held_for: Some("req-000001".into()),
     };
-    let (fencing_token, beat) = (FencingToken(412), 10);
+    let (fencing_token, broadcast) = (FencingToken(412), 10);
     let jobs = vec![("req-000412".into(), 3, 13)];
     let proposal = Proposal { job: "req-000412".into(), task: 300, machine: "m-000231".into() };
     vec![
         PeerMessage::Ping {
-            state_ok: true,
+            store_reachable: true,
             fencing_token_seen: fencing_token,
-            beat_at: (fencing_token, 9),
+            broadcast_seen: (fencing_token, 9),
             hears_workers: false,
             zones_heard: vec![("z0".into(), Duration::from_millis(1200))],
         },
-        PeerMessage::StatusBroadcast { fencing_token, beat, jobs: jobs.clone(), learned: learned() },
-        PeerMessage::StatusSnapshot { fencing_token, beat, jobs, counts: counts() },
+        PeerMessage::StatusBroadcast {
+            fencing_token,
+            broadcast,
+            jobs: jobs.clone(),
+            placement_outcomes: placement_outcomes(),
+        },
+        PeerMessage::StatusSnapshot { fencing_token, broadcast, jobs, success_counts: success_counts() },
         PeerMessage::RoundRequest {
             fencing_token,
-            block: 7,
+            partition: 7,
             round: 8,
             machines: vec![view],
-            asks: vec![ask],
+            requests: vec![request],
         },
-        PeerMessage::RoundProposals { fencing_token, block: 7, round: 8, proposals: vec![proposal] },
+        PeerMessage::RoundProposals { fencing_token, partition: 7, round: 8, proposals: vec![proposal] },
     ]
 }
 
@@ -128,13 +133,13 @@
 #[test]
 fn records_of_the_version_before_are_read_and_written_as_it_did() {
     let open = [
-        (Shape::Array, Priority::Low),
-        (Shape::Gang, Priority::High),
-        (Shape::Service, Priority::Production),
-        (Shape::Array, Priority::Normal),
+        (JobType::Array, Priority::Low),
+        (JobType::Gang, Priority::High),
+        (JobType::Service, Priority::Production),
+        (JobType::Array, Priority::Normal),
     ];
     let mut records: Vec<Record> = open.map(|(s, p)| Record::Open(job(s, p))).into();
-    records.extend([Record::Done, Record::Withdrawn]);
+    records.extend([Record::Done, Record::Cancelled]);
     let recorded = golden("job");
     assert_eq!(recorded.len(), records.len());
     for (record, text) in records.iter().zip(recorded) {
@@ -146,7 +151,7 @@
     assert_eq!(machine.assignments, [(task, Attempt(432_013_319), "red".into(), resources())]);
     assert_eq!((machine.worker_epoch, &machine.images[..]), (WorkerEpoch(2), &[("img-07".into(), 6.2)][..]));
     assert_eq!(serde_json::to_string(&machine).expect("writable"), golden("machine")[0]);
-    let mut bits = jobs::Bits::default();
+    let mut bits = jobs::TaskSet::default();
     for (n, text) in golden("progress").into_iter().enumerate() {
         bits.add_chunk(n as u32, text).expect("read");
     }
@@ -154,19 +159,19 @@
         assert_eq!(bits.chunk_value(n as u32), text);
     }
     assert_eq!(bits.count(), 6);
-    let mut table = Counts::default();
+    let mut table = SuccessCounts::default();
     for text in golden("counts") {
         table.add_part(text.split_once(' ').expect("part and value").1).expect("read");
     }
-    let pair = |c: &Counts, l: &Learned| c.pair(&l.machine, &l.kind);
-    assert!(learned().iter().all(|l| pair(&table, l) == pair(&counts(), l)));
+    let pair = |c: &SuccessCounts, l: &PlacementOutcome| c.pair(&l.machine, &l.kind);
+    assert!(placement_outcomes().iter().all(|l| pair(&table, l) == pair(&success_counts(), l)));
 }
 
 /// The version before knows `open`, `done` and `withdrawn` and ignores fields it doesn't know: under
 /// `open` it would run a dependent job at once.
 #[test]
 fn a_dependent_job_can_not_be_taken_for_an_independent_one() {
-    let mut job = (*job(Shape::Array, Priority::Low)).clone();
+    let mut job = (*job(JobType::Array, Priority::Low)).clone();
     job.spec.needs = vec!["req-1".into()];
     let record = Record::Open(Arc::new(job));
     let value = record.to_value();
@@ -180,39 +185,39 @@
 
 #[test]
 fn a_level_is_reached_when_every_configured_node_has_said_so_and_never_earlier() {
-    let mut l = Levels::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
+    let mut l = ClusterVersion::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
     let mut now = MonotonicTime::from_millis(1);
     assert!(
-        matches!(l.tick(now, Some(FencingToken(9))), Some(StateRequest::Range { .. })),
+        matches!(l.tick(now, Some(FencingToken(9))), Some(StoreRequest::Range { .. })),
         "it looks what is stored"
     );
-    l.reply(now, StateReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
+    l.reply(now, StoreReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
     let first = l.tick(now, Some(FencingToken(9))).expect("it announces itself first");
-    assert!(matches!(&first, StateRequest::Commit { changes, .. } if changes[0].key() == "level/node/n0"));
-    l.reply(now, StateReply::Committed { store_revision: 2 });
+    assert!(matches!(&first, StoreRequest::Commit { changes, .. } if changes[0].key() == "level/node/n0"));
+    l.reply(now, StoreReply::Committed { store_revision: 2 });
     let mut seen = vec![pair("level/node/n0", "{\"level\":1}"), pair("level/node/n2", "{\"level\":1}")];
     for _ in 0..5000 {
         now = now + Duration::from_millis(1000);
         let request = l.tick(now, Some(FencingToken(9))).expect("it looks");
-        assert!(matches!(request, StateRequest::Range { .. }), "n1 hasn't shown up: {request:?}");
-        l.reply(now, StateReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
+        assert!(matches!(request, StoreRequest::Range { .. }), "n1 hasn't shown up: {request:?}");
+        l.reply(now, StoreReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
     }
     // Nodes that aren't configured don't stand in for one that is.
     seen.push(pair("level/node/n7", "{\"level\":1}"));
     seen.push(pair("level/node/n1", "{\"level\":1,\"version\":\"x\"}"));
     now = now + Duration::from_millis(1000);
     l.tick(now, None).expect("it looks");
-    l.reply(now, StateReply::Pairs { pairs: seen, more: false, store_revision: 4 });
+    l.reply(now, StoreReply::Pairs { pairs: seen, more: false, store_revision: 4 });
     now = now + Duration::from_millis(1000);
-    assert!(matches!(l.tick(now, None), Some(StateRequest::Range { .. })), "only the leader marks");
-    l.reply(now, StateReply::Unknown);
+    assert!(matches!(l.tick(now, None), Some(StoreRequest::Range { .. })), "only the leader marks");
+    l.reply(now, StoreReply::Unknown);
     now = now + Duration::from_millis(1000);
-    let Some(StateRequest::Commit { conditions, .. }) = l.tick(now, Some(FencingToken(9))) else {
+    let Some(StoreRequest::Commit { conditions, .. }) = l.tick(now, Some(FencingToken(9))) else {
         panic!("the leader marks it")
     };
     assert_eq!(conditions[0], ("leader".to_string(), Revision(9)));
     assert_eq!(l.reached(), 0, "not before that is durable");
-    l.reply(now, StateReply::Committed { store_revision: 5 });
+    l.reply(now, StoreReply::Committed { store_revision: 5 });
     assert_eq!(l.reached(), 1);
 }
 
@@ -220,14 +225,14 @@
 #[test]
 fn a_node_whose_level_is_stored_says_nothing_anew_and_one_that_went_back_does() {
     for (stored, says) in [(OURS, false), (OURS + 1, true)] {
-        let mut l = Levels::new("n0".into(), std::iter::empty());
+        let mut l = ClusterVersion::new("n0".into(), std::iter::empty());
         let now = MonotonicTime::from_millis(1);
         l.tick(now, None).expect("it looks");
         let value = format!("{{\"level\":{stored},\"version\":\"{VERSION}\"}}");
         let pairs = vec![pair("level/node/n0", &value), pair(MARK, &OURS.to_string())];
-        l.reply(now, StateReply::Pairs { pairs, more: false, store_revision: 3 });
+        l.reply(now, StoreReply::Pairs { pairs, more: false, store_revision: 3 });
         assert_eq!(l.reached(), OURS);
         let next = l.tick(now + PAUSE, None);
-        assert_eq!(matches!(next, Some(StateRequest::Commit { .. })), says, "{stored}: {next:?}");
+        assert_eq!(matches!(next, Some(StoreRequest::Commit { .. })), says, "{stored}: {next:?}");
     }
 }
--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -5,7 +5,7 @@
 //! a while ("holding") so that workers' leases survive an outage of the state service.
 
 use crate::types::{Duration, FencingToken, LeaseId, MonotonicTime, NodeName, RequestId, Revision};
-use crate::wire::state::{Change, Pair, StateReply, StateRequest};
+use crate::wire::state::{Change, Pair, StoreReply, StoreRequest};
 use serde::{Deserialize, Serialize};
 
 pub const LEADER_KEY: &str = "leader";
@@ -113,7 +113,7 @@
 
     /// The next request to the state service, if one is due. `quiet`: somebody else leads and
     /// was heard of lately.
-    pub fn tick(&mut self, now: MonotonicTime, quiet: bool, jitter: Duration) -> Option<StateRequest> {
+    pub fn tick(&mut self, now: MonotonicTime, quiet: bool, jitter: Duration) -> Option<StoreRequest> {
         if self.request_id.is_some() {
             return None;
         }
@@ -121,16 +121,16 @@
             CampaignState::Leading { lease, .. } if now >= self.next_try => {
                 self.state = CampaignState::Leading { lease, renewing: Some(now) };
                 self.next_try = now + self.renew_every;
-                Some(StateRequest::RenewLease { lease })
+                Some(StoreRequest::RenewLease { lease })
             }
             CampaignState::Idle if !quiet && now >= self.next_try => {
                 self.next_try = now + Duration::from_millis(500) + jitter;
                 self.state = CampaignState::ReadingKey;
-                Some(StateRequest::Get { key: LEADER_KEY.into() })
+                Some(StoreRequest::Get { key: LEADER_KEY.into() })
             }
             CampaignState::VerifyingKey { .. } if now >= self.next_try => {
                 self.next_try = now + Duration::from_millis(200) + jitter;
-                Some(StateRequest::Get { key: LEADER_KEY.into() })
+                Some(StoreRequest::Get { key: LEADER_KEY.into() })
             }
             _ => None,
         }
@@ -145,9 +145,9 @@
     }
 
     /// Takes a reply; may give the next request of the campaign.
-    pub fn reply(&mut self, now: MonotonicTime, reply: StateReply) -> (ElectionChange, Option<StateRequest>) {
+    pub fn reply(&mut self, now: MonotonicTime, reply: StoreReply) -> (ElectionChange, Option<StoreRequest>) {
         self.request_id = None;
-        if let (CampaignState::ReadingKey, StateReply::Found(pair)) = (self.state, &reply) {
+        if let (CampaignState::ReadingKey, StoreReply::Found(pair)) = (self.state, &reply) {
             let holder = serde_json::from_str::<LeaderRecord>(&pair.value).ok().map(|value| value.node);
             let holder = holder.filter(|node| *node != self.node);
             self.other_leader = holder.map(|node| (node, FencingToken(pair.revision.0), now));
@@ -157,17 +157,17 @@
                 self.state = CampaignState::Idle;
                 (ElectionChange::Unchanged, None)
             }
-            (CampaignState::ReadingKey, StateReply::Missing { .. }) => {
+            (CampaignState::ReadingKey, StoreReply::Missing { .. }) => {
                 self.state = CampaignState::GrantingLease { sent: now, replaces: Revision(0) };
-                (ElectionChange::Unchanged, Some(StateRequest::GrantLease { life_ms: self.lease_duration.0 }))
+                (ElectionChange::Unchanged, Some(StoreRequest::GrantLease { life_ms: self.lease_duration.0 }))
             }
             // The key of this node's run before: that run is over, and nobody need wait until its grant is. Were it
             // not over (two processes of one name), it would lose the key as to any other leader.
-            (CampaignState::ReadingKey, StateReply::Found(pair)) if self.is_from_earlier_run(&pair) => {
+            (CampaignState::ReadingKey, StoreReply::Found(pair)) if self.is_from_earlier_run(&pair) => {
                 self.state = CampaignState::GrantingLease { sent: now, replaces: pair.revision };
-                (ElectionChange::Unchanged, Some(StateRequest::GrantLease { life_ms: self.lease_duration.0 }))
+                (ElectionChange::Unchanged, Some(StoreRequest::GrantLease { life_ms: self.lease_duration.0 }))
             }
-            (CampaignState::GrantingLease { sent, replaces }, StateReply::LeaseGranted(lease)) => {
+            (CampaignState::GrantingLease { sent, replaces }, StoreReply::LeaseGranted(lease)) => {
                 self.state = CampaignState::WritingKey { lease, sent };
                 let value = LeaderRecord { node: self.node.clone(), lease };
                 let put = Change::Put {
@@ -176,21 +176,21 @@
                     lease: Some(lease),
                 };
                 let conditions = vec![(LEADER_KEY.to_string(), replaces)];
-                (ElectionChange::Unchanged, Some(StateRequest::Commit { conditions, changes: vec![put] }))
+                (ElectionChange::Unchanged, Some(StoreRequest::Commit { conditions, changes: vec![put] }))
             }
-            (CampaignState::WritingKey { lease, sent }, StateReply::Committed { store_revision }) => {
+            (CampaignState::WritingKey { lease, sent }, StoreReply::Committed { store_revision }) => {
                 self.win(now, lease, sent, FencingToken(store_revision))
             }
-            (CampaignState::WritingKey { lease, sent }, StateReply::Unknown) => {
+            (CampaignState::WritingKey { lease, sent }, StoreReply::Unknown) => {
                 self.state = CampaignState::VerifyingKey { lease, sent };
                 (ElectionChange::Unchanged, None)
             }
             (CampaignState::VerifyingKey { lease, sent }, reply) => match reply {
-                StateReply::Found(pair) if self.is_mine(&pair, lease) => {
+                StoreReply::Found(pair) if self.is_mine(&pair, lease) => {
                     self.win(now, lease, sent, FencingToken(pair.revision.0))
                 }
                 // Until the grant has surely ended, the lost request may still set the key.
-                StateReply::Refused | StateReply::Unknown if now < self.lease_end(sent) => {
+                StoreReply::Refused | StoreReply::Unknown if now < self.lease_end(sent) => {
                     (ElectionChange::Unchanged, None)
                 }
                 _ => {
@@ -199,12 +199,12 @@
                 }
             },
             (CampaignState::Leading { lease, renewing }, reply) => match reply {
-                StateReply::LeaseRenewed => {
+                StoreReply::LeaseRenewed => {
                     self.valid_until = self.valid_until.max(self.lease_end(renewing.unwrap_or_default()));
                     self.state = CampaignState::Leading { lease, renewing: None };
                     (ElectionChange::Unchanged, None)
                 }
-                StateReply::LeaseExpired => {
+                StoreReply::LeaseExpired => {
                     self.step_down(now);
                     (ElectionChange::Lost, None)
                 }
@@ -237,7 +237,7 @@
         lease: LeaseId,
         sent: MonotonicTime,
         fencing_token: FencingToken,
-    ) -> (ElectionChange, Option<StateRequest>) {
+    ) -> (ElectionChange, Option<StoreRequest>) {
         self.state = CampaignState::Leading { lease, renewing: None };
         self.fencing_token = fencing_token;
         self.valid_until = self.lease_end(sent);
--- a/crates/scheduler/src/feature/mod.rs
+++ b/crates/scheduler/src/extension/mod.rs
@@ -7,7 +7,7 @@
 pub use records::Records;
 
 use crate::assignments::MachineRecord;
-use crate::jobs::{Admission, Mirror};
+use crate::jobs::{Admission, JobCache};
 use crate::settings::Settings;
 use crate::types::{
     FencingToken, JobId, MachineId, MonotonicTime, NodeName, RequestId, Resources, TeamName, WallTime,
@@ -21,7 +21,7 @@
     pub node: &'a NodeName,
     pub settings: &'a Settings,
     /// The copy of the job records.
-    pub jobs: &'a Mirror,
+    pub jobs: &'a JobCache,
     /// The copy of the feature's own records.
     pub records: &'a Records,
     /// This node validly leads, by this fence.
@@ -159,7 +159,7 @@
     Machines { tag: u64, which: Machines },
 }
 
-pub trait Feature: Send {
+pub trait Extension: Send {
     /// Prefix of its keys; nobody else has keys under it.
     fn prefix(&self) -> &'static str;
 
--- a/crates/scheduler/src/gangs/mod.rs
+++ b/crates/scheduler/src/gangs/mod.rs
@@ -1,6 +1,6 @@
 //! Gangs: all tasks of an attempt run at the same time or none does.
 
-use crate::jobs::{JobSpec, Run};
+use crate::jobs::{JobSpec, JobState};
 use crate::types::{Attempt, FencingToken};
 
 /// Numbers for attempts, unique over all leaders: the fence is in the upper bits, so a number is
@@ -24,8 +24,11 @@
 
 /// Whether a gang's attempt can't go on: some of its tasks are placed, others are gone. The rest
 /// must leave before the next attempt.
-pub fn broken(run: &Run) -> bool {
-    run.is_gang() && !run.placed().is_empty() && !run.all_done() && run.waiting_count() > 0
+pub fn broken(job_state: &JobState) -> bool {
+    job_state.is_gang()
+        && !job_state.placed().is_empty()
+        && !job_state.all_done()
+        && job_state.waiting_count() > 0
 }
 
 /// The grace an orderly stop needs for a save: 0 where nothing is ever saved.
--- a/crates/scheduler/src/jobs/admission.rs
+++ b/crates/scheduler/src/jobs/admission.rs
@@ -1,6 +1,6 @@
 //! What a submission is checked by before it is stored, whichever door it comes through.
 
-use super::{JobSpec, Mirror, Never, OpenJob, Record, Refusal, Shape};
+use super::{AdmissionError, JobCache, JobSpec, JobType, OpenJob, Record, Refusal};
 use crate::settings::Settings;
 use crate::types::{JobId, WallTime};
 use crate::wire::cloud::MachineType;
@@ -13,7 +13,7 @@
     pub types: &'a [MachineType],
     /// Whether every node is known to understand jobs that need others.
     pub dependencies: bool,
-    pub jobs: &'a Mirror,
+    pub jobs: &'a JobCache,
     pub wall_time: WallTime,
 }
 
@@ -23,8 +23,8 @@
         if self.types.is_empty() {
             // Undecidable yet, unless the team alone decides it.
             return match spec.can_run(self.settings, &[]) {
-                Err(never @ Never::UnknownTeam(_)) => Err(never.into()),
-                _ => Err(Refusal { status: 503, why: "machine types are not known yet".into() }),
+                Err(never @ AdmissionError::UnknownTeam(_)) => Err(never.into()),
+                _ => Err(Refusal { status: 503, reason: "machine types are not known yet".into() }),
             };
         }
         spec.can_run(self.settings, self.types)?;
@@ -35,22 +35,22 @@
     /// job only if its record fits: a larger one would be refused at every try.
     fn storable(&self, spec: &JobSpec) -> Result<(), Refusal> {
         if !spec.needs.is_empty() && !self.dependencies {
-            let why = "jobs with `awaits` are taken once every controller has the new version; come back";
-            return Err(Refusal { status: 503, why: why.into() });
+            let reason = "jobs with `awaits` are taken once every controller has the new version; come back";
+            return Err(Refusal { status: 503, reason: reason.into() });
         }
         let bytes = Record::Open(self.open(spec)).to_value().len();
         let limit = self.settings.state.value_bytes;
-        if bytes > limit { Err(Never::TooLarge { bytes, limit }.into()) } else { Ok(()) }
+        if bytes > limit { Err(AdmissionError::TooLarge { bytes, limit }.into()) } else { Ok(()) }
     }
 
     /// Why the job can't wait for those that it names, as far as this node knows.
-    pub fn needs_fault(&self, id: &JobId, spec: &JobSpec) -> Option<Never> {
+    pub fn dependency_error(&self, id: &JobId, spec: &JobSpec) -> Option<AdmissionError> {
         spec.needs.iter().find_map(|need| match self.jobs.get(need) {
-            _ if need == id => Some(Never::NeedsItself),
-            None => Some(Never::NeedsUnknown(need.clone())),
+            _ if need == id => Some(AdmissionError::NeedsItself),
+            None => Some(AdmissionError::NeedsUnknown(need.clone())),
             Some(known) => {
-                let service = known.record.open().is_some_and(|j| j.spec.shape == Shape::Service);
-                service.then(|| Never::NeedsService(need.clone()))
+                let service = known.record.open().is_some_and(|j| j.spec.job_type == JobType::Service);
+                service.then(|| AdmissionError::NeedsService(need.clone()))
             }
         })
     }
--- a/crates/scheduler/src/jobs/graph.rs
+++ b/crates/scheduler/src/jobs/graph.rs
@@ -74,14 +74,14 @@
         &mut self,
         id: &JobId,
         spec: &JobSpec,
-        verdict: impl Fn(&JobId) -> Option<Phase>,
+        terminal_status: impl Fn(&JobId) -> Option<Phase>,
     ) -> Vec<JobId> {
         if spec.needs.is_empty() || self.waits.contains_key(id) {
             return Vec::new();
         }
         let (mut left, mut doomed) = (0, false);
         for need in &spec.needs {
-            match verdict(need) {
+            match terminal_status(need) {
                 Some(Phase::Done) => {}
                 Some(_) => doomed = true,
                 None => {
--- a/crates/scheduler/src/jobs/graph/tests.rs
+++ b/crates/scheduler/src/jobs/graph/tests.rs
@@ -1,4 +1,4 @@
-use super::super::{Mirror, OpenJob, Record};
+use super::super::{JobCache, OpenJob, Record};
 use super::*;
 use crate::types::{Revision, WallTime};
 use rand::rngs::StdRng;
@@ -27,49 +27,49 @@
         let needs: Vec<Vec<usize>> =
             (0..n).map(|i| (0..i).filter(|_| rng.random_bool(0.3)).collect()).collect();
         // Verdicts as they can come about: done only after all needs are.
-        let mut verdict: Vec<Option<Phase>> = vec![None; n];
+        let mut terminal_status: Vec<Option<Phase>> = vec![None; n];
         for i in 0..n {
-            let ready = needs[i].iter().all(|j| verdict[*j] == Some(Phase::Done));
-            verdict[i] = match rng.random_range(0..4) {
+            let ready = needs[i].iter().all(|j| terminal_status[*j] == Some(Phase::Done));
+            terminal_status[i] = match rng.random_range(0..4) {
                 0 | 1 if ready => Some(Phase::Done),
-                2 => Some(Phase::Withdrawn),
+                2 => Some(Phase::Cancelled),
                 _ => None,
             };
         }
         let mut records: Vec<(usize, u64, Record)> = Vec::new();
         for i in 0..n {
             // A listing may show the verdict alone.
-            if verdict[i].is_none() || rng.random_bool(0.6) {
+            if terminal_status[i].is_none() || rng.random_bool(0.6) {
                 records.push((i, 1, open(&needs[i], Priority::Low)));
             }
-            match verdict[i] {
+            match terminal_status[i] {
                 Some(Phase::Done) => records.push((i, 2, Record::Done)),
-                Some(_) => records.push((i, 2, Record::Withdrawn)),
+                Some(_) => records.push((i, 2, Record::Cancelled)),
                 None => {}
             }
         }
         records.shuffle(&mut rng);
-        let mut m = Mirror::default();
+        let mut m = JobCache::default();
         for (i, revision, record) in records {
             m.learn(id(i), Revision(revision), record);
         }
-        let mut expected = verdict.clone();
+        let mut expected = terminal_status.clone();
         for i in 0..n {
-            if expected[i].is_none() && needs[i].iter().any(|j| expected[*j] == Some(Phase::Withdrawn)) {
-                expected[i] = Some(Phase::Withdrawn);
+            if expected[i].is_none() && needs[i].iter().any(|j| expected[*j] == Some(Phase::Cancelled)) {
+                expected[i] = Some(Phase::Cancelled);
             }
         }
         for i in 0..n {
-            assert_eq!(m.verdict(&id(i)), expected[i], "job {i} of {needs:?}, {verdict:?}");
+            assert_eq!(m.terminal_status(&id(i)), expected[i], "job {i} of {needs:?}, {terminal_status:?}");
             let ready = expected[i].is_none() && needs[i].iter().all(|j| expected[*j] == Some(Phase::Done));
-            assert_eq!(m.ready(&id(i)), ready, "job {i} of {needs:?}, {verdict:?}");
+            assert_eq!(m.ready(&id(i)), ready, "job {i} of {needs:?}, {terminal_status:?}");
         }
     }
 }
 
 #[test]
 fn priority_is_lent_along_the_chain_and_taken_back() {
-    let mut m = Mirror::default();
+    let mut m = JobCache::default();
     m.learn(id(0), Revision(1), open(&[], Priority::Low));
     m.learn(id(1), Revision(2), open(&[0], Priority::Low));
     m.learn(id(9), Revision(3), open(&[0], Priority::Normal));
@@ -78,7 +78,7 @@
     m.learn(id(2), Revision(4), open(&[1], Priority::High));
     assert!(m.take_changed().contains(&id(0)), "the leader must look at it again");
     assert_eq!((m.priority(&id(0)), m.priority(&id(1))), (Priority::High, Priority::High));
-    m.learn(id(2), Revision(5), Record::Withdrawn);
+    m.learn(id(2), Revision(5), Record::Cancelled);
     assert!(m.take_changed().contains(&id(0)));
     assert_eq!((m.priority(&id(0)), m.priority(&id(1))), (Priority::Normal, Priority::Low));
 }
@@ -86,7 +86,7 @@
 /// Walks go by edges, not by paths: here there are 2^60 of them.
 #[test]
 fn long_chains_and_wide_fans_are_walked_in_linear_time() {
-    let mut m = Mirror::default();
+    let mut m = JobCache::default();
     m.learn(id(0), Revision(1), open(&[], Priority::Low));
     m.learn(id(1), Revision(1), open(&[], Priority::Low));
     for level in 1..60 {
@@ -98,7 +98,7 @@
         m.learn(id(i), Revision(1), open(&[118], Priority::High));
     }
     assert_eq!(m.priority(&id(0)), Priority::High);
-    m.learn(id(0), Revision(2), Record::Withdrawn);
-    assert_eq!(m.verdict(&id(19_999)), Some(Phase::Withdrawn));
-    assert_eq!(m.verdict(&id(1)), None);
+    m.learn(id(0), Revision(2), Record::Cancelled);
+    assert_eq!(m.terminal_status(&id(19_999)), Some(Phase::Cancelled));
+    assert_eq!(m.terminal_status(&id(1)), None);
 }
--- a/crates/scheduler/src/jobs/run.rs
+++ b/crates/scheduler/src/jobs/job_state.rs
@@ -1,6 +1,6 @@
 //! A job as its leader sees it: which tasks are done, which are placed, which wait.
 
-use super::{OpenJob, Priority, Shape};
+use super::{JobType, OpenJob, Priority};
 use crate::types::{Attempt, MachineId, MonotonicTime, NodeName};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 
 /// A set of task indices.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Bits {
+pub struct TaskSet {
     words: Vec<u64>,
     count: u32,
 }
 
-impl Bits {
+impl TaskSet {
     pub fn has(&self, i: u32) -> bool {
         self.words.get(i as usize / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
     }
@@ -53,11 +53,11 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct JobState {
     pub job: Arc<OpenJob>,
     /// Its own priority, or a higher one of a job that needs it.
     pub priority: Priority,
-    done: Bits,
+    done: TaskSet,
     /// Where the ledger has a task that isn't proved gone.
     placed: BTreeMap<u32, MachineId>,
     /// Tasks neither done nor placed, kept as a sum: it is asked for at every round.
@@ -79,7 +79,7 @@
     /// Replicas that wait for room being made where their image is.
     pub promised: u32,
     /// Why it waits, for operators.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// First time that all tasks were done, while that waits to be written.
     pub finishing: bool,
     /// A task of it has been seen to run under this leader.
@@ -88,14 +88,14 @@
     low: u32,
 }
 
-impl Run {
+impl JobState {
     pub fn new(job: Arc<OpenJob>, now: MonotonicTime) -> Self {
         Self {
             home: job.home.clone(),
             open: job.spec.tasks,
             priority: job.spec.priority,
             job,
-            done: Bits::default(),
+            done: TaskSet::default(),
             placed: BTreeMap::new(),
             offered: 0,
             tried: 0,
@@ -105,7 +105,7 @@
             errors: 0,
             preempting_until: None,
             promised: 0,
-            why: "new",
+            reason: "new",
             finishing: false,
             started: false,
             low: 0,
@@ -113,14 +113,14 @@
     }
 
     pub fn is_gang(&self) -> bool {
-        self.job.spec.shape == Shape::Gang
+        self.job.spec.job_type == JobType::Gang
     }
 
     pub fn all_done(&self) -> bool {
         self.done.count() >= self.job.spec.tasks
     }
 
-    pub fn done(&self) -> &Bits {
+    pub fn done(&self) -> &TaskSet {
         &self.done
     }
 
--- a/crates/scheduler/src/jobs/run/tests.rs
+++ b/crates/scheduler/src/jobs/job_state/tests.rs
@@ -2,12 +2,12 @@
 
 #[test]
 fn progress_of_the_largest_array_survives_its_chunks() {
-    let mut bits = Bits::default();
+    let mut bits = TaskSet::default();
     for i in (0..100_000).filter(|i| i % 7 != 3) {
         assert!(bits.add(i));
         assert!(!bits.add(i));
     }
-    let mut back = Bits::default();
+    let mut back = TaskSet::default();
     for n in 0..100_000u32.div_ceil(CHUNK) {
         let value = bits.chunk_value(n);
         assert!(value.len() < 2048, "fits any value limit, is {}", value.len());
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -1,14 +1,14 @@
 //! Jobs: what users asked for, the durable record of each, and every node's mirror of them.
 
 mod admission;
-mod desk;
 pub mod graph;
-mod run;
+mod job_state;
+mod pending_requests;
 mod served;
 
 pub use admission::Admission;
-pub use desk::{Ask, Desk, Refusal, Waiting};
-pub use run::{Bits, CHUNK, Run};
+pub use job_state::{CHUNK, JobState, TaskSet};
+pub use pending_requests::{PendingRequest, PendingRequests, Refusal, UserRequest};
 pub use served::{Served, Stage};
 
 use crate::settings::Settings;
@@ -28,7 +28,7 @@
 pub const PROGRESS_PREFIX: &str = "p/";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobType {
     Array,
     Gang,
     Service,
@@ -48,14 +48,15 @@
     Pending,
     Running,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     pub kind: Kind,
     pub team: TeamName,
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub job_type: JobType,
     pub priority: Priority,
     pub tasks: u32,
     #[serde(rename = "room")]
@@ -78,7 +79,7 @@
 
 /// Why a job can never run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Never {
+pub enum AdmissionError {
     #[error("owner: there is no team `{0}`; see facts.teams in the platform's settings")]
     UnknownTeam(TeamName),
     #[error("a task fits no allowed machine type; ask for less or allow other flavors or regions")]
@@ -115,24 +116,25 @@
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 
-    pub fn can_run(&self, settings: &Settings, types: &[MachineType]) -> Result<(), Never> {
-        let team = settings.teams.get(&self.team).ok_or_else(|| Never::UnknownTeam(self.team.clone()))?;
+    pub fn can_run(&self, settings: &Settings, types: &[MachineType]) -> Result<(), AdmissionError> {
+        let team =
+            settings.teams.get(&self.team).ok_or_else(|| AdmissionError::UnknownTeam(self.team.clone()))?;
         let fits = types.iter().any(|t| {
             self.type_allowed(&t.name)
                 && self.resources.fits_in(&t.resources())
                 && self.zone.as_ref().is_none_or(|z| t.zones.is_empty() || t.zones.contains(z))
         });
         if !fits {
-            return Err(Never::FitsNowhere);
+            return Err(AdmissionError::FitsNowhere);
         }
-        let together = if self.shape == Shape::Array { 1.0 } else { f64::from(self.tasks) };
+        let together = if self.job_type == JobType::Array { 1.0 } else { f64::from(self.tasks) };
         let over = |max: Option<f64>, each: f64| max.is_some_and(|m| each * together > m + 1e-6);
         if over(team.max_gpus, self.resources.gpus) || over(team.max_cpus, self.resources.cpus) {
-            return Err(Never::OverLimit(self.team.clone()));
+            return Err(AdmissionError::OverLimit(self.team.clone()));
         }
         let zones = if self.together || self.zone.is_some() { 1 } else { settings.zones.len() as u32 };
-        if self.shape != Shape::Array && zones.saturating_mul(self.zone_cap()) < self.tasks {
-            return Err(Never::SpreadNowhere);
+        if self.job_type != JobType::Array && zones.saturating_mul(self.zone_cap()) < self.tasks {
+            return Err(AdmissionError::SpreadNowhere);
         }
         Ok(())
     }
@@ -157,7 +159,8 @@
     #[serde(alias = "dependent")]
     Open(Arc<OpenJob>),
     Done,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 impl Record {
@@ -196,7 +199,7 @@
         match self {
             Record::Open(_) => None,
             Record::Done => Some(Phase::Done),
-            Record::Withdrawn => Some(Phase::Withdrawn),
+            Record::Cancelled => Some(Phase::Cancelled),
         }
     }
 }
@@ -206,7 +209,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct CachedJob {
     pub revision: Revision,
     pub record: Record,
 }
@@ -216,8 +219,8 @@
 /// A watch from `store_revision` that returns at once brings it up to date in one request, so an answer
 /// to any number of waiting users costs one read begun after their requests.
 #[derive(Debug, Default)]
-pub struct Mirror {
-    jobs: BTreeMap<JobId, Known>,
+pub struct JobCache {
+    jobs: BTreeMap<JobId, CachedJob>,
     /// All changes up to this revision are in `jobs`; `None` until the first full read is over.
     store_revision: Option<u64>,
     /// Who waits for whom, kept in line with `jobs`.
@@ -232,15 +235,15 @@
     pub(crate) skip_dependent: bool,
 }
 
-impl Mirror {
-    pub fn get(&self, id: &JobId) -> Option<&Known> {
+impl JobCache {
+    pub fn get(&self, id: &JobId) -> Option<&CachedJob> {
         self.jobs.get(id)
     }
     /// The job's final phase, if it has one: its record's, or withdrawn with one that it needs. That
     /// is as final as the record it follows from.
-    pub fn verdict(&self, id: &JobId) -> Option<Phase> {
+    pub fn terminal_status(&self, id: &JobId) -> Option<Phase> {
         let known = self.jobs.get(id)?;
-        known.record.terminal().or_else(|| self.graph.doomed(id).then_some(Phase::Withdrawn))
+        known.record.terminal().or_else(|| self.graph.doomed(id).then_some(Phase::Cancelled))
     }
     /// Whether tasks of the job may run: it is open, and all that it needs is durably done.
     pub fn ready(&self, id: &JobId) -> bool {
@@ -265,7 +268,7 @@
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
-    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Known)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &CachedJob)> {
         self.jobs.iter()
     }
     pub fn store_revision(&self) -> Option<u64> {
@@ -293,15 +296,15 @@
             Some(known) if known.revision >= revision || !known.record.is_open() => {}
             _ => {
                 let jobs = &self.jobs;
-                let verdict = |id: &JobId| jobs.get(id).and_then(|k| k.record.terminal());
+                let terminal_status = |id: &JobId| jobs.get(id).and_then(|k| k.record.terminal());
                 let affected = match (&record, record.terminal()) {
-                    (Record::Open(job), _) => self.graph.opened(&id, &job.spec, verdict),
+                    (Record::Open(job), _) => self.graph.opened(&id, &job.spec, terminal_status),
                     (_, Some(phase)) => self.graph.over(&id, phase),
                     _ => Vec::new(),
                 };
                 self.changed.push(id.clone());
                 self.changed.extend(affected);
-                self.jobs.insert(id, Known { revision, record });
+                self.jobs.insert(id, CachedJob { revision, record });
             }
         }
     }
@@ -321,16 +324,16 @@
 
     /// Not guessed at: the job is neither open nor over for this node, and not unknown either, until its key holds a
     /// record again that can be read.
-    fn cannot_read(&mut self, pair: &Pair, why: &str) {
+    fn cannot_read(&mut self, pair: &Pair, reason: &str) {
         let id: JobId = pair.key[PREFIX.len()..].into();
         if self.bad.insert(id, pair.revision) != Some(pair.revision) {
-            tracing::error!(key = pair.key, why, "job record can't be read; put a right one there");
+            tracing::error!(key = pair.key, reason, "job record can't be read; put a right one there");
         }
     }
 
     /// Whether the job's record can't be read.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
-        self.bad.contains_key(id) && self.verdict(id).is_none()
+        self.bad.contains_key(id) && self.terminal_status(id).is_none()
     }
 
     /// Records that can't be read.
--- a/crates/scheduler/src/jobs/desk.rs
+++ b/crates/scheduler/src/jobs/pending_requests.rs
@@ -1,37 +1,37 @@
 //! The desk: users' requests that wait for the state service.
 
-use super::{JobSpec, Never};
+use super::{AdmissionError, JobSpec};
 use crate::types::{Duration, JobId, MonotonicTime, RequestId};
 
 /// What a user asked for.
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum UserRequest {
     /// A submission; `Err` says why it can't be taken, should its id prove unknown.
     Submit {
         spec: Result<Box<JobSpec>, Refusal>,
     },
     Status,
-    Withdraw,
+    Cancel,
 }
 
 /// A refusal that stands only if the job isn't known already.
 #[derive(Debug, Clone)]
 pub struct Refusal {
     pub status: u16,
-    pub why: String,
+    pub reason: String,
 }
 
-impl From<Never> for Refusal {
-    fn from(never: Never) -> Self {
-        Self { status: 422, why: never.to_string() }
+impl From<AdmissionError> for Refusal {
+    fn from(never: AdmissionError) -> Self {
+        Self { status: 422, reason: never.to_string() }
     }
 }
 
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct PendingRequest {
     pub request: RequestId,
     pub id: JobId,
-    pub ask: Ask,
+    pub ask: UserRequest,
     pub since: MonotonicTime,
     pub tries: u32,
 }
@@ -40,19 +40,19 @@
 /// way will answer. A request never joins a read that began before it: what that read saw may be
 /// older than an answer another node has already given.
 #[derive(Debug, Default)]
-pub struct Desk {
-    next: Vec<Waiting>,
-    reading: Vec<Waiting>,
+pub struct PendingRequests {
+    next: Vec<PendingRequest>,
+    reading: Vec<PendingRequest>,
 }
 
-impl Desk {
+impl PendingRequests {
     pub fn len(&self) -> usize {
         self.next.len() + self.reading.len()
     }
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    pub fn wait(&mut self, w: Waiting) {
+    pub fn wait(&mut self, w: PendingRequest) {
         self.next.push(w);
     }
     pub fn wants_read(&self) -> bool {
@@ -61,13 +61,14 @@
     pub fn read_begins(&mut self) {
         self.reading = std::mem::take(&mut self.next);
     }
-    pub fn read_ends(&mut self) -> Vec<Waiting> {
+    pub fn read_ends(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.reading)
     }
     /// Takes out those that waited too long: they are told at once to come back.
-    pub fn overdue(&mut self, now: MonotonicTime, patience: Duration) -> Vec<Waiting> {
-        let mut out: Vec<Waiting> = self.next.extract_if(.., |w| now.since(w.since) >= patience).collect();
-        out.extend(self.reading.extract_if(.., |w| now.since(w.since) >= patience));
+    pub fn overdue(&mut self, now: MonotonicTime, timeout: Duration) -> Vec<PendingRequest> {
+        let mut out: Vec<PendingRequest> =
+            self.next.extract_if(.., |w| now.since(w.since) >= timeout).collect();
+        out.extend(self.reading.extract_if(.., |w| now.since(w.since) >= timeout));
         out
     }
 }
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -4,7 +4,7 @@
     JobSpec {
         kind: "k".into(),
         team: "red".into(),
-        shape: Shape::Array,
+        job_type: JobType::Array,
         priority: Priority::Normal,
         tasks: 3,
         resources: Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_verdict_is_final_in_the_mirror() {
-    let mut m = Mirror::default();
+    let mut m = JobCache::default();
     let id = JobId::from("req-1");
     let open = Record::Open(Arc::new(OpenJob { spec: spec(), submitted: WallTime(1), home: "n0".into() }));
     m.learn(id.clone(), Revision(5), open.clone());
@@ -45,12 +45,12 @@
     let mut j = spec();
     j.tasks = 13;
     assert_eq!(j.can_run(&s, &types), Ok(()));
-    j.shape = Shape::Gang;
-    assert_eq!(j.can_run(&s, &types), Err(Never::OverLimit("red".into())));
+    j.job_type = JobType::Gang;
+    assert_eq!(j.can_run(&s, &types), Err(AdmissionError::OverLimit("red".into())));
     j.tasks = 12;
     assert_eq!(j.can_run(&s, &types), Ok(()));
     j.zone = Some("z1".into());
-    assert_eq!(j.can_run(&s, &types), Err(Never::FitsNowhere));
+    assert_eq!(j.can_run(&s, &types), Err(AdmissionError::FitsNowhere));
     j.team = "none".into();
-    assert_eq!(j.can_run(&s, &types), Err(Never::UnknownTeam("none".into())));
+    assert_eq!(j.can_run(&s, &types), Err(AdmissionError::UnknownTeam("none".into())));
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,18 +4,18 @@
 pub use pearford_types as types;
 
 pub mod assignments;
-pub mod blocks;
-pub mod compat;
+pub mod autoscaler;
+pub mod cluster_version;
 pub mod election;
-pub mod feature;
-pub mod fleet;
+pub mod extension;
 pub mod gangs;
 pub mod jobs;
 pub mod node;
+pub mod partitions;
 pub mod placement;
 pub mod preemption;
+pub mod rate_limit;
 pub mod settings;
-pub mod store;
 pub mod wire;
 pub mod workers;
 #[cfg(any(test, feature = "world"))]
--- a/crates/scheduler/src/node/catalogue.rs
+++ b/crates/scheduler/src/node/catalogue.rs
@@ -28,7 +28,7 @@
 
     pub fn refresh(&mut self, out: &mut Outbox) {
         if self.request_id.is_none() {
-            self.request_id = Some(out.ask_cloud(CloudRequest::Types));
+            self.request_id = Some(out.request_cloud(CloudRequest::Types));
         }
     }
 
--- a/crates/scheduler/src/node/core/reports.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -2,8 +2,8 @@
 //! that are passed on for the leader.
 
 use super::*;
-use crate::compat;
-use crate::node::master::ISOLATION_PREFIX;
+use crate::cluster_version;
+use crate::node::leader::ISOLATION_PREFIX;
 use crate::types::MachineId;
 use crate::wire::workers::{Filtered, WorkerCommand};
 use crate::workers::stop_finished;
@@ -27,7 +27,7 @@
 /// A node that has just started may be the first that is back.
 const ALONE_AFTER: Duration = Duration::from_millis(10_000);
 /// A look at the leader key counts for so long.
-const LOOKED: Duration = Duration::from_millis(3000);
+const LEADER_READ_HOLDS: Duration = Duration::from_millis(3000);
 /// Reports taken out of waiting in a step: they come beside all else.
 const DEFERRED_AT_ONCE: usize = 100;
 
@@ -45,7 +45,7 @@
     passes_all: bool,
 }
 
-impl Core {
+impl Controller {
     pub(super) fn heartbeat(&mut self, request: RequestId, body: &[u8]) {
         let heartbeat: Heartbeat = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
@@ -57,7 +57,7 @@
         }
         self.saw_fencing_token(heartbeat.fencing_token);
         if !self.answer_heartbeat(request, &heartbeat) {
-            self.heard_worker = self.now;
+            self.worker_turned_away_at = self.now;
             // Where no peer is heard, it may be this node that is apart: others may reach a leader.
             let up_for = self.now.since(self.started_at.unwrap_or(self.now));
             let alone = self.peers.live(self.now).is_empty() && up_for > ALONE_AFTER;
@@ -71,8 +71,9 @@
 
     /// Answers a report as the leader or in its name; false: this node can do neither.
     fn answer_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
-        let taken =
-            self.leading().is_some_and(|(master, mut ctx)| master.heartbeat(&mut ctx, request, heartbeat));
+        let taken = self
+            .leading()
+            .is_some_and(|(leader, mut context)| leader.heartbeat(&mut context, request, heartbeat));
         if taken && self.election.leads() {
             // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
             let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
@@ -103,7 +104,7 @@
             return false;
         };
         let (machine, zone) = (&heartbeat.machine, &heartbeat.zone);
-        let tells = self.levels.reached() >= compat::UNACKNOWLEDGED_STARTS;
+        let tells = self.cluster_version.reached() >= cluster_version::UNACKNOWLEDGED_STARTS;
         let (top, may_renew) = (
             self.highest_fencing_token,
             self.lease_renewal.delegate_may_renew(machine, fencing_token, tells, self.now),
@@ -113,7 +114,7 @@
             Routing::NoDelegation => return false,
             Routing::Redirect(node) => self.out.answer(request, 421, workers::redirect(Some(&node))),
             Routing::TryAnotherNode => {
-                self.heard_worker = self.now;
+                self.worker_turned_away_at = self.now;
                 self.out.answer(request, 421, workers::redirect(None));
             }
             Routing::Answer(fencing_token) => {
@@ -128,9 +129,9 @@
                     Some((of, queued_commands)) if of == fencing_token => queued_commands,
                     _ => Vec::new(),
                 };
-                let mirror = &self.mirror;
+                let job_cache = &self.job_cache;
                 if self.lease_renewal.stops() {
-                    stop_finished(heartbeat, |job| mirror.verdict(job).is_some(), &mut commands);
+                    stop_finished(heartbeat, |job| job_cache.terminal_status(job).is_some(), &mut commands);
                 }
                 self.out.answer(request, 200, workers::answer(fencing_token, &commands));
             }
@@ -170,7 +171,8 @@
     }
 
     fn worker_answered(&mut self, request_id: RequestId, status: u16, at: Option<HeartbeatPosition>) {
-        let seen = self.leading().and_then(|(master, ctx)| master.worker(request_id, status, at, ctx.now));
+        let seen =
+            self.leading().and_then(|(leader, context)| leader.worker(request_id, status, at, context.now));
         if let Some(fencing_token) = seen {
             self.saw_fencing_token(fencing_token);
         }
@@ -205,8 +207,8 @@
                 self.relay_commands(from, fencing_token, calls)
             }
             PeerMessage::HeartbeatDigest(digest) => {
-                if let Some((master, mut ctx)) = self.leading() {
-                    master.digest(&mut ctx, from, digest);
+                if let Some((leader, mut context)) = self.leading() {
+                    leader.digest(&mut context, from, digest);
                 }
             }
             PeerMessage::RelayResults { fencing_token, calls }
@@ -226,10 +228,10 @@
     /// way to the worker: it names session and fence, and its sender has long counted it as in doubt.
     fn relay_commands(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCommand>) {
         let mut refused = Vec::new();
-        for RelayedCommand { call, addr, mut body, patience } in calls {
+        for RelayedCommand { call, addr, mut body, timeout } in calls {
             // The leader may not know yet what this node has told a user: that a job is withdrawn.
-            let mirror = &self.mirror;
-            let passed = workers::without_starts(&body, |job| mirror.verdict(job).is_some());
+            let job_cache = &self.job_cache;
+            let passed = workers::without_starts(&body, |job| job_cache.terminal_status(job).is_some());
             #[cfg(any(test, feature = "world"))]
             let passed = if self.relay.passes_all { Filtered::AsItIs } else { passed };
             let late = fencing_token < self.highest_fencing_token || passed == Filtered::Nothing;
@@ -240,7 +242,7 @@
                 refused.push(RelayResult { call, status: if late { NOT_SENT } else { NO_ANSWER }, at: None });
                 continue;
             }
-            let request_id = self.out.ask_worker(addr, body, patience);
+            let request_id = self.out.command_worker(addr, body, timeout);
             self.relay.calls.insert(request_id, (from.clone(), fencing_token, call));
         }
         if !refused.is_empty() {
@@ -253,8 +255,10 @@
     /// leases, and a leader on the smaller side never learns of the others.
     fn apart_tick(&mut self) {
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-        let on = heartbeats_delegated(&self.settings, self.levels.reached()) && self.known_leader().is_none();
-        let Some((leader, fencing_token)) = self.election.other_leader(LOOKED, self.now).filter(|_| on)
+        let on = heartbeats_delegated(&self.settings, self.cluster_version.reached())
+            && self.known_leader().is_none();
+        let Some((leader, fencing_token)) =
+            self.election.other_leader(LEADER_READ_HOLDS, self.now).filter(|_| on)
         else {
             return;
         };
@@ -262,7 +266,7 @@
         self.saw_fencing_token(fencing_token);
         self.delegate.delegation_inferred(&leader, fencing_token, &self.settings.zone, self.now);
         let up_for = self.now.since(self.started_at.unwrap_or(self.now));
-        if self.delegate.is_fresh(self.now) || up_for < LOOKED {
+        if self.delegate.is_fresh(self.now) || up_for < LEADER_READ_HOLDS {
             return;
         }
         if let Some(isolation_report) = self.isolation_reporter.isolation_report(
@@ -275,7 +279,7 @@
             let key = format!("{ISOLATION_PREFIX}{}", self.settings.node);
             let value = serde_json::to_string(&isolation_report).unwrap_or_default();
             let changes = vec![Change::Put { key, value, lease: None }];
-            self.out.ask_state(StateRequest::Commit { conditions: Vec::new(), changes }, Pending::Apart);
+            self.out.request_store(StoreRequest::Commit { conditions: Vec::new(), changes }, Pending::Apart);
         }
     }
 
@@ -299,14 +303,14 @@
 
 /// Guards taken out, for proving that the test world's checker notices.
 #[cfg(any(test, feature = "world"))]
-impl Core {
+impl Controller {
     pub fn sabotage_pass_all(&mut self) {
         self.relay.passes_all = true;
     }
 
     /// Requests are answered from memory, without the read that they wait for.
     pub fn sabotage_stale(&mut self) {
-        self.desk.read_begins();
+        self.pending_requests.read_begins();
         self.read_ends(true);
     }
 }
--- a/crates/scheduler/src/node/core/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -1,32 +1,32 @@
 //! What every node does: follows the job records, runs for the lead, tells its peers; and hands each
 //! input to the part whose duty it is.
 
-mod features;
-mod reports;
+mod extensions;
+mod heartbeats;
 mod users;
 
 use super::catalogue::Catalogue;
-use super::follower::{Follower, Turn as ReadTurn};
-use super::master::{Ctx, Leave, Master, heartbeats_delegated};
-use super::outbox::{LeaderRequest, Outbox, Pending, Whose};
+use super::leader::{Leader, LeadershipEnd, StepContext, heartbeats_delegated};
+use super::outbox::{LeaderRequest, Outbox, Pending, WatchedPrefix};
 use super::peers::Peers;
+use super::prefix_watcher::{PrefixWatcher, Turn as ReadTurn};
 use super::{Effect, Input, Method, Now};
-use crate::blocks::{Envelope, PeerMessage};
-use crate::compat::Levels;
+use crate::cluster_version::ClusterVersion;
 use crate::election::{self, Election, ElectionChange};
-use crate::jobs::{self, Desk, Mirror, Served};
-use crate::placement::{self, COUNTS_PREFIX, Counts, Factors};
+use crate::jobs::{self, JobCache, PendingRequests, Served};
+use crate::partitions::{Envelope, PeerMessage};
+use crate::placement::{self, COUNTS_PREFIX, Factors, SuccessCounts};
+use crate::rate_limit::TokenBucket;
 use crate::settings::Settings;
-use crate::store::Budget;
 use crate::types::{Duration, FencingToken, JobId, MonotonicTime, NodeName, RequestId, Revision, WallTime};
 use crate::wire::cloud::CloudReply;
-use crate::wire::state::{Change, StateReply, StateRequest};
+use crate::wire::state::{Change, StoreReply, StoreRequest};
 use crate::wire::workers::{self, Heartbeat};
-use features::Slot;
+use extensions::Slot;
+use heartbeats::Relay;
 use pearford_heartbeat::{Bounds, Delegate, HeartbeatPosition, IsolationReporter, LeaseRenewal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reports::Relay;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -40,34 +40,34 @@
 /// How long a leader that gave the lead back leaves it to others.
 const RESIGN_BACK_OFF: Duration = Duration::from_millis(20_000);
 
-pub struct Core {
+pub struct Controller {
     settings: Arc<Settings>,
     rng: StdRng,
     now: MonotonicTime,
     wall_time: WallTime,
     out: Outbox,
-    mirror: Mirror,
-    follower: Follower,
-    desk: Desk,
+    job_cache: JobCache,
+    job_watcher: PrefixWatcher,
+    pending_requests: PendingRequests,
     election: Election,
-    state_ok_at: MonotonicTime,
+    store_answered_at: MonotonicTime,
     peers: Peers,
     next_ping: MonotonicTime,
     /// Last report that this node, not leading, had to turn away.
-    heard_worker: MonotonicTime,
+    worker_turned_away_at: MonotonicTime,
     leader_hint: Option<(FencingToken, NodeName, MonotonicTime)>,
     highest_fencing_token: FencingToken,
     /// The state service's revision, as far as this node has ever known.
     latest_revision: u64,
     catalogue: Catalogue,
     /// How jobs stand, as the leader told last.
-    standings: BTreeMap<JobId, (u32, u32)>,
-    counts: Counts,
-    beat_at: (FencingToken, u64),
+    job_counts: BTreeMap<JobId, (u32, u32)>,
+    success_counts: SuccessCounts,
+    broadcast_seen: (FencingToken, u64),
     counts_loaded: bool,
-    user_writes: Budget,
-    levels: Levels,
-    master: Option<Master>,
+    user_writes: TokenBucket,
+    cluster_version: ClusterVersion,
+    leader: Option<Leader>,
     delegate: Delegate,
     lease_renewal: LeaseRenewal,
     relay: Relay,
@@ -75,13 +75,13 @@
     served: Served,
     /// Messages in the name of nodes that are none of its peers.
     dropped: u64,
-    features: Vec<Slot>,
+    extensions: Vec<Slot>,
     started_at: Option<MonotonicTime>,
     #[cfg(any(test, feature = "world"))]
     old: bool,
 }
 
-impl Core {
+impl Controller {
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let o = &settings.operator;
         let election = Election::new(
@@ -93,38 +93,41 @@
         // Each node has its part of the rate, but may use a second's worth of all parts at once: the
         // jobs of a pipeline come over one connection, and all nodes seldom have bursts together.
         let user_rate = (settings.state.write_rps * o.user_write_share).max(1.0);
-        let user_writes = Budget::bursting((user_rate / nodes).max(1.0), user_rate);
+        let user_writes = TokenBucket::bursting((user_rate / nodes).max(1.0), user_rate);
         Self {
             rng: StdRng::seed_from_u64(seed),
             now: MonotonicTime::default(),
             wall_time: WallTime(0),
             out: Outbox::new(settings.node.clone()),
-            mirror: Mirror::default(),
-            follower: Follower::new(Whose::Jobs, jobs::PREFIX, read_pause(&settings)),
-            desk: Desk::default(),
+            job_cache: JobCache::default(),
+            job_watcher: PrefixWatcher::new(WatchedPrefix::Jobs, jobs::PREFIX, read_pause(&settings)),
+            pending_requests: PendingRequests::default(),
             election,
-            state_ok_at: MonotonicTime::default(),
+            store_answered_at: MonotonicTime::default(),
             peers: Peers::new(&settings.peers),
             next_ping: MonotonicTime::default(),
-            heard_worker: MonotonicTime::default(),
+            worker_turned_away_at: MonotonicTime::default(),
             leader_hint: None,
             highest_fencing_token: FencingToken(0),
             latest_revision: 0,
             catalogue: Catalogue::default(),
-            standings: BTreeMap::new(),
-            counts: Counts::default(),
-            beat_at: (FencingToken(0), 0),
+            job_counts: BTreeMap::new(),
+            success_counts: SuccessCounts::default(),
+            broadcast_seen: (FencingToken(0), 0),
             counts_loaded: false,
             user_writes,
-            levels: Levels::new(settings.node.clone(), settings.peers.iter().map(|p| p.name.clone())),
-            master: None,
+            cluster_version: ClusterVersion::new(
+                settings.node.clone(),
+                settings.peers.iter().map(|p| p.name.clone()),
+            ),
+            leader: None,
             delegate: Delegate::new(settings.node.clone()),
             lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.hold())),
             relay: Relay::default(),
             isolation_reporter: IsolationReporter::default(),
             served: Served::default(),
             dropped: 0,
-            features: Vec::new(),
+            extensions: Vec::new(),
             started_at: None,
             #[cfg(any(test, feature = "world"))]
             old: false,
@@ -136,39 +139,39 @@
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
         self.now = now.steady;
         self.wall_time = now.wall_time;
-        if let Some(master) = &mut self.master {
-            master.took(now.took, self.now);
+        if let Some(leader) = &mut self.leader {
+            leader.took(now.took, self.now);
         }
         if self.started_at.is_none() {
             self.started_at = Some(self.now);
             tracing::info!(node = %self.settings.node, "started");
         }
         // What only brings a feature's records up to date leaves the rest of the node as it was.
-        let aside = matches!(&input, Input::State { request_id, .. } if self.out.is_aside(*request_id));
+        let aside = matches!(&input, Input::Store { request_id, .. } if self.out.is_aside(*request_id));
         match input {
             Input::Tick => self.tick(),
             Input::Http { request, method, path, body } => self.http(request, method, &path, body),
-            Input::State { request_id, reply } => self.state(request_id, reply),
+            Input::Store { request_id, reply } => self.state(request_id, reply),
             Input::Cloud { request_id, reply } => self.cloud(request_id, reply),
             Input::Worker { request_id, status, body } => self.worker(request_id, status, &body),
             Input::Peer(envelope) => self.peer(envelope),
             Input::Call { slot, request, call } => self.call(slot, request, call),
         }
-        self.latest_revision = self.latest_revision.max(self.mirror.store_revision().unwrap_or(0));
-        let changed = self.mirror.take_changed();
+        self.latest_revision = self.latest_revision.max(self.job_cache.store_revision().unwrap_or(0));
+        let changed = self.job_cache.take_changed();
         if !changed.is_empty() {
             for id in &changed {
-                if self.mirror.verdict(id).is_some() {
-                    self.standings.remove(id);
+                if self.job_cache.terminal_status(id).is_some() {
+                    self.job_counts.remove(id);
                 }
             }
-            self.features_learn_jobs(&changed);
-            if let Some((master, ctx)) = self.leading() {
-                master.jobs_changed(&ctx, changed);
+            self.extensions_learn_jobs(&changed);
+            if let Some((leader, context)) = self.leading() {
+                leader.jobs_changed(&context, changed);
             }
         }
         if aside {
-            self.features_pump();
+            self.extensions_pump();
         } else {
             self.pump();
         }
@@ -177,41 +180,41 @@
     }
 
     /// The leader's part and what it may use, if this node has it.
-    fn leading(&mut self) -> Option<(&mut Master, Ctx<'_>)> {
-        let master = self.master.as_mut()?;
-        let ctx = Ctx {
+    fn leading(&mut self) -> Option<(&mut Leader, StepContext<'_>)> {
+        let leader = self.leader.as_mut()?;
+        let context = StepContext {
             now: self.now,
             valid: self.election.valid(self.now),
             holds: self.election.leads(),
-            fresh_at: self.follower.fresh_at(),
+            fresh_at: self.job_watcher.fresh_at(),
             lease_renewal: &self.lease_renewal,
-            heartbeats_delegated: heartbeats_delegated(&self.settings, self.levels.reached()),
-            mirror: &mut self.mirror,
-            counts: &mut self.counts,
+            heartbeats_delegated: heartbeats_delegated(&self.settings, self.cluster_version.reached()),
+            job_cache: &mut self.job_cache,
+            success_counts: &mut self.success_counts,
             peers: &mut self.peers,
             catalogue: &mut self.catalogue,
             rng: &mut self.rng,
             out: &mut self.out,
         };
-        Some((master, ctx))
+        Some((leader, context))
     }
 
     // ---- time ----
 
     fn tick(&mut self) {
         let now = self.now;
-        let patience = Duration::from_millis(self.settings.operator.request_patience_ms);
-        for w in self.desk.overdue(now, patience) {
+        let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
+        for w in self.pending_requests.overdue(now, timeout) {
             self.out.refuse(w.request, 503, "the state service does not answer; come back");
         }
         if now >= self.next_ping {
             self.next_ping = now + PING_EVERY;
             let zones = self.peers.zones_heard().iter();
             let ping = PeerMessage::Ping {
-                state_ok: self.state_ok(),
+                store_reachable: self.store_reachable(),
                 fencing_token_seen: self.highest_fencing_token,
-                beat_at: self.beat_at,
-                hears_workers: now.since(self.heard_worker) < Duration::from_millis(3000),
+                broadcast_seen: self.broadcast_seen,
+                hears_workers: now.since(self.worker_turned_away_at) < Duration::from_millis(3000),
                 zones_heard: zones.map(|(z, at)| (z.clone(), now.since(*at))).collect(),
             };
             for peer in self.peers.names() {
@@ -225,20 +228,20 @@
         });
         let jitter = Duration::from_millis(self.rng.random_range(0..300));
         if let Some(request) =
-            self.election.tick(now, quiet || self.mirror.store_revision().is_none(), jitter)
+            self.election.tick(now, quiet || self.job_cache.store_revision().is_none(), jitter)
         {
             self.send_election_request(request);
         }
         self.catalogue.tick(now, &mut self.out);
-        if !self.counts_loaded && !self.out.waits_for(|p| matches!(p, Pending::Counts)) {
-            let request = StateRequest::Range { prefix: COUNTS_PREFIX, after: None, most: COUNTS_PAGE };
-            self.out.ask_state(request, Pending::Counts);
+        if !self.counts_loaded && !self.out.waits_for(|p| matches!(p, Pending::SuccessCounts)) {
+            let request = StoreRequest::Range { prefix: COUNTS_PREFIX, after: None, most: COUNTS_PAGE };
+            self.out.request_store(request, Pending::SuccessCounts);
         }
         self.levels_tick();
-        self.features_tick();
+        self.extensions_tick();
         self.heartbeats_tick();
-        let leave = self.leading().and_then(|(master, mut ctx)| master.tick(&mut ctx));
-        self.leave(leave);
+        let end_leadership = self.leading().and_then(|(leader, mut context)| leader.tick(&mut context));
+        self.end_leadership(end_leadership);
     }
 
     fn levels_tick(&mut self) {
@@ -247,34 +250,34 @@
             return;
         }
         let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
-        if let Some(request) = self.levels.tick(self.now, fencing_token) {
-            self.out.ask_state(request, Pending::Levels);
+        if let Some(request) = self.cluster_version.tick(self.now, fencing_token) {
+            self.out.request_store(request, Pending::ClusterVersion);
         }
     }
 
-    fn send_election_request(&mut self, request: StateRequest) {
-        let patience = if self.election.leads() { LEADER_REQUEST_TIMEOUT } else { CAMPAIGN_REQUEST_TIMEOUT };
-        let request_id = self.out.ask_state_for(request, patience);
+    fn send_election_request(&mut self, request: StoreRequest) {
+        let timeout = if self.election.leads() { LEADER_REQUEST_TIMEOUT } else { CAMPAIGN_REQUEST_TIMEOUT };
+        let request_id = self.out.request_store_with_timeout(request, timeout);
         self.election.sent(request_id);
     }
 
     /// Work that any input may have made possible.
     fn pump(&mut self) {
-        let fresh_at = self.follower.fresh_at();
-        let stocking = self.master.as_ref().is_some_and(|m| m.wants_jobs(fresh_at));
-        let wanted = self.desk.wants_read() || stocking || self.features_want_read();
-        if self.follower.pump(self.now, self.mirror.store_revision(), wanted, &mut self.out) {
-            self.desk.read_begins();
+        let fresh_at = self.job_watcher.fresh_at();
+        let loading = self.leader.as_ref().is_some_and(|m| m.wants_jobs(fresh_at));
+        let wanted = self.pending_requests.wants_read() || loading || self.extensions_want_read();
+        if self.job_watcher.pump(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
+            self.pending_requests.read_begins();
         }
-        self.features_pump();
-        if let Some((master, mut ctx)) = self.leading() {
-            master.pump(&mut ctx);
+        self.extensions_pump();
+        if let Some((leader, mut context)) = self.leading() {
+            leader.pump(&mut context);
         }
     }
 
-    fn state_ok(&self) -> bool {
-        self.mirror.store_revision().is_some()
-            && self.now.since(self.state_ok_at) < Duration::from_millis(2500)
+    fn store_reachable(&self) -> bool {
+        self.job_cache.store_revision().is_some()
+            && self.now.since(self.store_answered_at) < Duration::from_millis(2500)
     }
 
     // ---- HTTP ----
@@ -306,8 +309,8 @@
     /// This node can take requests if it reaches the state service, or if no node does: then
     /// being passed over would help nobody, and every answer says when to come back.
     fn up(&mut self, request: RequestId) {
-        let loaded = self.mirror.store_revision().is_some();
-        if loaded && (self.state_ok() || !self.peers.reach_state(self.now)) {
+        let loaded = self.job_cache.store_revision().is_some();
+        if loaded && (self.store_reachable() || !self.peers.any_reaches_store(self.now)) {
             self.out.answer(request, 200, "{}".into());
         } else {
             self.out.refuse(request, 503, "this node does not reach the state service");
@@ -316,10 +319,10 @@
 
     // ---- the state service's and the cloud's answers ----
 
-    fn state(&mut self, request_id: RequestId, reply: StateReply) {
-        let answered = !matches!(reply, StateReply::Refused | StateReply::Unknown);
+    fn state(&mut self, request_id: RequestId, reply: StoreReply) {
+        let answered = !matches!(reply, StoreReply::Refused | StoreReply::Unknown);
         if answered && !self.out.is_aside(request_id) {
-            self.state_ok_at = self.now;
+            self.store_answered_at = self.now;
         }
         if self.election.owns(request_id) {
             let (turn, next) = self.election.reply(self.now, reply);
@@ -335,65 +338,67 @@
         }
         match self.out.answered(request_id) {
             None => {}
-            Some(Pending::Follow(Whose::Feature(slot), read)) => self.feature_read(slot, read, reply),
-            Some(Pending::Feature { slot, tag, changes }) => {
-                self.feature_committed(slot, tag, changes, reply)
+            Some(Pending::Follow(WatchedPrefix::Extension(slot), read)) => {
+                self.extension_read(slot, read, reply)
             }
-            Some(Pending::Machines { slot, tag }) => self.feature_machines(slot, tag, reply),
-            Some(Pending::Follow(Whose::Jobs, read)) => {
-                let turn = self.follower.reply(
+            Some(Pending::Extension { slot, tag, changes }) => {
+                self.extension_committed(slot, tag, changes, reply)
+            }
+            Some(Pending::Machines { slot, tag }) => self.extension_machines(slot, tag, reply),
+            Some(Pending::Follow(WatchedPrefix::Jobs, read)) => {
+                let turn = self.job_watcher.reply(
                     self.now,
                     read,
                     reply,
-                    &mut self.mirror,
+                    &mut self.job_cache,
                     &mut self.rng,
                     &mut self.out,
                 );
                 if let ReadTurn::ReadEnds(fresh) = turn {
                     if fresh {
-                        self.lease_renewal.records_read(self.follower.fresh_at(), self.now);
+                        self.lease_renewal.records_read(self.job_watcher.fresh_at(), self.now);
                     }
                     self.read_ends(fresh);
                 }
             }
             Some(Pending::Create { waiting, job }) => self.created(waiting, job, reply),
-            Some(Pending::Withdraw { waiting }) => self.withdrawn(waiting, reply),
-            Some(Pending::Levels) => self.levels.reply(self.now, reply),
+            Some(Pending::Cancel { waiting }) => self.cancelled(waiting, reply),
+            Some(Pending::ClusterVersion) => self.cluster_version.reply(self.now, reply),
             Some(Pending::Apart) => {} // said again soon
-            Some(Pending::Counts) => {
-                if let StateReply::Pairs { pairs, .. } = reply {
+            Some(Pending::SuccessCounts) => {
+                if let StoreReply::Pairs { pairs, .. } = reply {
                     self.counts_loaded = true;
                     for pair in pairs {
-                        if let Err(error) = self.counts.add_part(&pair.value) {
+                        if let Err(error) = self.success_counts.add_part(&pair.value) {
                             tracing::error!(key = pair.key, %error, "counts can't be read; skipped");
                         }
                     }
                 }
             }
             Some(Pending::Leader(fencing_token, request_id)) => {
-                let leave = self.leading().and_then(|(master, mut ctx)| {
-                    if master.fencing_token() == fencing_token {
-                        master.state(&mut ctx, request_id, reply)
+                let end_leadership = self.leading().and_then(|(leader, mut context)| {
+                    if leader.fencing_token() == fencing_token {
+                        leader.state(&mut context, request_id, reply)
                     } else {
                         None
                     }
                 });
-                self.leave(leave);
+                self.end_leadership(end_leadership);
             }
         }
     }
 
     fn cloud(&mut self, request_id: RequestId, reply: CloudReply) {
         if !self.catalogue.owns(request_id) {
-            if let Some((master, mut ctx)) = self.leading() {
-                master.cloud(&mut ctx, request_id, reply);
+            if let Some((leader, mut context)) = self.leading() {
+                leader.cloud(&mut context, request_id, reply);
             }
             return;
         }
         if self.catalogue.reply(reply)
-            && let Some((master, ctx)) = self.leading()
+            && let Some((leader, context)) = self.leading()
         {
-            master.set_types(ctx.catalogue.types().to_vec(), ctx.now);
+            leader.set_types(context.catalogue.types().to_vec(), context.now);
         }
     }
 
@@ -404,37 +409,38 @@
         self.latest_revision = self.latest_revision.max(fencing_token.0);
         self.saw_fencing_token(fencing_token);
         let types = self.catalogue.types().to_vec();
-        let early = self.delegate.became_leader(self.now);
-        self.master = Some(Master::new(self.settings.clone(), fencing_token, self.now, types, early));
-        if let Some((master, mut ctx)) = self.leading() {
-            master.load(&mut ctx);
+        let early_heartbeats = self.delegate.became_leader(self.now);
+        self.leader =
+            Some(Leader::new(self.settings.clone(), fencing_token, self.now, types, early_heartbeats));
+        if let Some((leader, mut context)) = self.leading() {
+            leader.load(&mut context);
         }
     }
 
-    fn step_down(&mut self, why: &str) {
-        if let Some(master) = self.master.take() {
-            self.served.add(master.into_served());
+    fn step_down(&mut self, reason: &str) {
+        if let Some(leader) = self.leader.take() {
+            self.served.add(leader.into_served());
             self.out.forget_relays();
-            tracing::warn!(why, "leads no longer");
+            tracing::warn!(reason, "leads no longer");
         }
     }
 
-    fn leave(&mut self, leave: Option<Leave>) {
-        match leave {
+    fn end_leadership(&mut self, end_leadership: Option<LeadershipEnd>) {
+        match end_leadership {
             None => {}
-            Some(Leave::Lost(why)) => {
+            Some(LeadershipEnd::Lost(reason)) => {
                 self.election.step_down(self.now);
-                self.step_down(why);
+                self.step_down(reason);
             }
-            Some(Leave::Resign(why)) => {
+            Some(LeadershipEnd::Resign(reason)) => {
                 let fencing_token = self.election.fencing_token();
-                let request = StateRequest::Commit {
+                let request = StoreRequest::Commit {
                     conditions: vec![(election::LEADER_KEY.into(), Revision(fencing_token.0))],
                     changes: vec![Change::Delete { key: election::LEADER_KEY.into() }],
                 };
-                self.out.ask_state(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
+                self.out.request_store(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
                 self.election.back_off(self.now, RESIGN_BACK_OFF);
-                self.step_down(why);
+                self.step_down(reason);
             }
         }
     }
@@ -448,58 +454,65 @@
             return;
         }
         match message {
-            PeerMessage::Ping { state_ok, fencing_token_seen, beat_at, hears_workers, zones_heard } => {
+            PeerMessage::Ping {
+                store_reachable,
+                fencing_token_seen,
+                broadcast_seen,
+                hears_workers,
+                zones_heard,
+            } => {
                 self.saw_fencing_token(fencing_token_seen);
                 for (zone, age) in zones_heard {
                     self.peers.heard_zone(&zone, self.now.before(age));
                 }
-                self.peers.pinged(from, state_ok, beat_at, hears_workers, self.now);
+                self.peers.pinged(from, store_reachable, broadcast_seen, hears_workers, self.now);
             }
-            PeerMessage::StatusBroadcast { fencing_token, beat, jobs, learned } => {
+            PeerMessage::StatusBroadcast { fencing_token, broadcast, jobs, placement_outcomes } => {
                 if !self.heed(fencing_token, &from) {
                     return;
                 }
                 // Only an unbroken run of beats is taken in; a gap is mended by a table.
-                if self.beat_at == (fencing_token, beat.wrapping_sub(1)) {
-                    self.beat_at.1 = beat;
-                    learned.iter().for_each(|l| self.counts.learn(l));
-                    self.take_standings(jobs);
-                } else if self.beat_at != (fencing_token, beat) {
-                    self.beat_at = (FencingToken(0), 0);
+                if self.broadcast_seen == (fencing_token, broadcast.wrapping_sub(1)) {
+                    self.broadcast_seen.1 = broadcast;
+                    placement_outcomes.iter().for_each(|l| self.success_counts.learn(l));
+                    self.take_job_counts(jobs);
+                } else if self.broadcast_seen != (fencing_token, broadcast) {
+                    self.broadcast_seen = (FencingToken(0), 0);
                 }
             }
-            PeerMessage::StatusSnapshot { fencing_token, beat, jobs, counts } => {
+            PeerMessage::StatusSnapshot { fencing_token, broadcast, jobs, success_counts } => {
                 if self.heed(fencing_token, &from) {
-                    self.counts = counts;
-                    self.beat_at = (fencing_token, beat);
-                    self.standings.clear();
-                    self.take_standings(jobs);
+                    self.success_counts = success_counts;
+                    self.broadcast_seen = (fencing_token, broadcast);
+                    self.job_counts.clear();
+                    self.take_job_counts(jobs);
                 }
             }
-            PeerMessage::RoundRequest { fencing_token, block, round, mut machines, asks } => {
+            PeerMessage::RoundRequest { fencing_token, partition, round, mut machines, requests } => {
                 if !self.heed(fencing_token, &from) {
                     return;
                 }
                 let proposals = placement::round(
                     &mut machines,
-                    &asks,
-                    &self.counts,
+                    &requests,
+                    &self.success_counts,
                     &Factors::of(&self.settings.operator),
                     &mut self.rng,
                 );
-                self.out.tell(&from, PeerMessage::RoundProposals { fencing_token, block, round, proposals });
+                self.out
+                    .tell(&from, PeerMessage::RoundProposals { fencing_token, partition, round, proposals });
             }
-            PeerMessage::RoundProposals { fencing_token, block, round, proposals } => {
-                if let Some((master, mut ctx)) = self.leading() {
-                    master.proposals(&mut ctx, &from, fencing_token, block, round, proposals);
+            PeerMessage::RoundProposals { fencing_token, partition, round, proposals } => {
+                if let Some((leader, mut context)) = self.leading() {
+                    leader.proposals(&mut context, &from, fencing_token, partition, round, proposals);
                 }
             }
             message => self.heartbeat_message(&from, message),
         }
     }
 
-    fn take_standings(&mut self, jobs: Vec<(JobId, u32, u32)>) {
-        self.standings.extend(jobs.into_iter().map(|(id, done, running)| (id, (done, running))));
+    fn take_job_counts(&mut self, jobs: Vec<(JobId, u32, u32)>) {
+        self.job_counts.extend(jobs.into_iter().map(|(id, done, running)| (id, (done, running))));
     }
 
     /// Whether to listen to a leader with `fencing_token`; remembers it for redirects.
@@ -519,7 +532,7 @@
         if self.latest_revision == 0 {
             return true;
         }
-        let since = self.now.since(self.follower.fresh_at()).as_secs_f64() + 2.0;
+        let since = self.now.since(self.job_watcher.fresh_at()).as_secs_f64() + 2.0;
         let more = 2.0 * self.settings.state.write_rps * since;
         fencing_token.0 <= self.highest_fencing_token.0.max(self.latest_revision).saturating_add(more as u64)
     }
@@ -544,23 +557,23 @@
         let mut lines = vec![
             format!("pearford_leads {}", u8::from(self.election.leads())),
             format!("pearford_fence {}", self.highest_fencing_token),
-            format!("pearford_jobs_known {}", self.mirror.len()),
+            format!("pearford_jobs_known {}", self.job_cache.len()),
             format!("pearford_state_requests_open {}", self.out.open()),
             format!("pearford_peer_messages_dropped {}", self.dropped),
-            format!("pearford_records_unreadable {}", self.mirror.unreadable()),
+            format!("pearford_records_unreadable {}", self.job_cache.unreadable()),
         ];
-        for (node, level, version) in self.levels.nodes() {
+        for (node, level, version) in self.cluster_version.nodes() {
             lines.push(format!("pearford_node_level{{node=\"{node}\",version=\"{version}\"}} {level}"));
         }
-        lines.push(format!("pearford_level_reached {}", self.levels.reached()));
-        lines.push(format!("pearford_jobs_awaiting {}", self.mirror.graph().waiting()));
+        lines.push(format!("pearford_level_reached {}", self.cluster_version.reached()));
+        lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting()));
         let mut served = self.served.clone();
-        if let Some(master) = &self.master {
-            master.metrics(&mut lines);
-            served.add(master.served().clone());
+        if let Some(leader) = &self.leader {
+            leader.metrics(&mut lines);
+            served.add(leader.served().clone());
         }
         served.metrics(&mut lines);
-        self.features_metrics(&mut lines);
+        self.extensions_metrics(&mut lines);
         lines.join("\n") + "\n"
     }
 
@@ -570,22 +583,23 @@
         struct Line<'a> {
             id: &'a str,
             waiting: u32,
-            why: &'a str,
+            #[serde(rename = "why")]
+            reason: &'a str,
             #[serde(skip_serializing_if = "Vec::is_empty")]
             awaits: Vec<&'a JobId>,
         }
         const MOST: usize = 250;
-        let waiting = self.master.iter().flat_map(Master::waiting);
+        let waiting = self.leader.iter().flat_map(Leader::waiting);
         let mut lines: Vec<Line> = waiting
             .take(MOST)
-            .map(|(id, waiting, why)| Line { id: id.as_str(), waiting, why, awaits: Vec::new() })
+            .map(|(id, waiting, reason)| Line { id: id.as_str(), waiting, reason, awaits: Vec::new() })
             .collect();
         // Which jobs wait for others follows from the records: every node knows.
-        let graph = self.mirror.graph();
+        let graph = self.job_cache.graph();
         lines.extend(graph.waiting_ids().take(MOST).map(|id| Line {
             id: id.as_str(),
-            waiting: self.mirror.get(id).and_then(|k| k.record.open()).map_or(0, |j| j.spec.tasks),
-            why: "jobs that it needs are not done",
+            waiting: self.job_cache.get(id).and_then(|k| k.record.open()).map_or(0, |j| j.spec.tasks),
+            reason: "jobs that it needs are not done",
             awaits: graph.missing(id).into_iter().take(8).collect(),
         }));
         serde_json::to_string(&lines).unwrap_or_default()
@@ -601,11 +615,11 @@
 
 /// The version before dependencies, for days on which both serve.
 #[cfg(any(test, feature = "world"))]
-impl Core {
+impl Controller {
     /// It announces nothing, ignores `awaits`, and can't read records of dependent jobs.
     pub fn act_like_the_version_before(&mut self) {
         self.old = true;
-        self.mirror.skip_dependent = true;
+        self.job_cache.skip_dependent = true;
     }
 
     pub fn sabotage_renewal(&mut self, without: pearford_heartbeat::DisabledCheck) {
@@ -613,74 +627,74 @@
     }
 
     pub fn sabotage_level(&mut self) {
-        self.levels.sabotage_reached();
+        self.cluster_version.sabotage_reached();
     }
 }
 
 /// Ways to take a guard out, for proving that the test world's checker notices.
 #[cfg(any(test, feature = "world"))]
-impl Core {
+impl Controller {
     pub fn sabotage_forget_silent(&mut self, ms: u64) {
         let now = self.now;
-        if let Some(master) = &mut self.master {
-            master.sabotage_forget_silent(ms, now);
+        if let Some(leader) = &mut self.leader {
+            leader.sabotage_forget_silent(ms, now);
         }
     }
 
     pub fn sabotage_forget_sent(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_forget_sent);
+        self.leader.iter_mut().for_each(Leader::sabotage_forget_sent);
     }
 
     pub fn sabotage_apart(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_apart);
+        self.leader.iter_mut().for_each(Leader::sabotage_apart);
     }
 
     pub fn sabotage_unheard(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_unheard);
+        self.leader.iter_mut().for_each(Leader::sabotage_unheard);
     }
 
     pub fn sabotage_done_early(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_done_early);
+        self.leader.iter_mut().for_each(Leader::sabotage_done_early);
     }
 
     pub fn sabotage_free_cancelled(&mut self) {
         let now = self.now;
-        self.master.iter_mut().for_each(|m| m.sabotage_free_cancelled(now));
+        self.leader.iter_mut().for_each(|m| m.sabotage_free_cancelled(now));
     }
 
     pub fn sabotage_start_early(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_start_early);
+        self.leader.iter_mut().for_each(Leader::sabotage_start_early);
     }
 
     pub fn sabotage_keep_silent(&mut self) {
         let now = self.now;
-        self.master.iter_mut().for_each(|m| m.sabotage_keep_silent(now));
+        self.leader.iter_mut().for_each(|m| m.sabotage_keep_silent(now));
     }
 
     pub fn sabotage_no_stops(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_no_stops);
+        self.leader.iter_mut().for_each(Leader::sabotage_no_stops);
     }
 
     pub fn sabotage_any_serial(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_any_serial);
+        self.leader.iter_mut().for_each(Leader::sabotage_any_serial);
     }
 
     pub fn sabotage_any_zone(&mut self) {
-        self.master.iter_mut().for_each(Master::sabotage_any_zone);
+        self.leader.iter_mut().for_each(Leader::sabotage_any_zone);
     }
 
     pub fn sabotage_graph(&mut self, guard: jobs::graph::Guard) {
-        self.mirror.take_out(guard);
+        self.job_cache.take_out(guard);
     }
 
     /// Whether this node knows that a job is done or withdrawn.
     pub fn knows_over(&self, job: &JobId) -> bool {
-        self.mirror.verdict(job).is_some()
+        self.job_cache.terminal_status(job).is_some()
     }
 
     /// The kept sums against a recount from the ground up.
     pub fn sums_hold(&self) -> Result<(), String> {
-        self.master.as_ref().map_or(Ok(()), Master::sums_hold)
+        self.leader.as_ref().map_or(Ok(()), Leader::sums_hold)
     }
 
     pub fn validly_leads(&self, at: crate::types::MonotonicTime) -> bool {
--- a/crates/scheduler/src/node/core/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -4,24 +4,24 @@
 //! may have answered something newer.
 
 use super::super::outbox::Pending;
-use super::Core;
-use crate::compat;
-use crate::jobs::{self, Admission, Ask, OpenJob, Phase, Record, Waiting};
+use super::Controller;
+use crate::cluster_version;
+use crate::jobs::{self, Admission, OpenJob, PendingRequest, Phase, Record, UserRequest};
 use crate::types::{JobId, RequestId, Revision};
-use crate::wire::state::{Change, StateReply, StateRequest};
+use crate::wire::state::{Change, StoreReply, StoreRequest};
 use crate::wire::users;
 use std::sync::Arc;
 
-impl Core {
+impl Controller {
     pub(super) fn status(&mut self, request: RequestId, id: &str) {
-        self.ask_about(request, id, Ask::Status);
+        self.ask_about(request, id, UserRequest::Status);
     }
 
     pub(super) fn ask_to_withdraw(&mut self, request: RequestId, id: &str) {
-        self.ask_about(request, id, Ask::Withdraw);
+        self.ask_about(request, id, UserRequest::Cancel);
     }
 
-    fn ask_about(&mut self, request: RequestId, id: &str, ask: Ask) {
+    fn ask_about(&mut self, request: RequestId, id: &str, ask: UserRequest) {
         match users::job_id(id) {
             Some(id) => self.look_up(request, id, ask),
             None => self.out.refuse(request, 404, "no such job; ids look like req-000412"),
@@ -30,8 +30,8 @@
 
     pub(super) fn submit(&mut self, request: RequestId, body: &[u8]) {
         let Some(id) = users::submission_id(body) else {
-            let why = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
-            return self.out.refuse(request, 400, &why);
+            let reason = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
+            return self.out.refuse(request, 400, &reason);
         };
         let read = users::submission(body);
         #[cfg(any(test, feature = "world"))]
@@ -42,96 +42,96 @@
             (id, spec)
         });
         let spec = match read {
-            Err(why) => Err(jobs::Refusal { status: 400, why }),
+            Err(reason) => Err(jobs::Refusal { status: 400, reason }),
             Ok((_, spec)) => self.admission().check(&spec).map(|()| Box::new(spec)),
         };
-        self.look_up(request, id, Ask::Submit { spec });
+        self.look_up(request, id, UserRequest::Submit { spec });
     }
 
     pub(super) fn admission(&self) -> Admission<'_> {
         Admission {
             settings: &self.settings,
             types: self.catalogue.types(),
-            dependencies: self.levels.reached() >= compat::DEPENDENCIES,
-            jobs: &self.mirror,
+            dependencies: self.cluster_version.reached() >= cluster_version::DEPENDENCIES,
+            jobs: &self.job_cache,
             wall_time: self.wall_time,
         }
     }
 
     /// Starts on a request about job `id`.
-    fn look_up(&mut self, request: RequestId, id: JobId, ask: Ask) {
-        if let Some(phase) = self.mirror.verdict(&id) {
+    fn look_up(&mut self, request: RequestId, id: JobId, ask: UserRequest) {
+        if let Some(phase) = self.job_cache.terminal_status(&id) {
             return self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
         }
-        if self.mirror.store_revision().is_none() {
+        if self.job_cache.store_revision().is_none() {
             return self.out.refuse(request, 503, "job records are not read yet; come back");
         }
-        if self.desk.len() >= self.settings.operator.max_waiting_requests {
+        if self.pending_requests.len() >= self.settings.operator.max_waiting_requests {
             return self.out.refuse(request, 429, "too many requests wait here; come back");
         }
-        let known = self.mirror.get(&id).is_some() && !self.mirror.is_unreadable(&id);
-        let waiting = Waiting { request, id, ask, since: self.now, tries: 0 };
+        let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
+        let waiting = PendingRequest { request, id, ask, since: self.now, tries: 0 };
         match &waiting.ask {
             // Setting the key if absent decides by itself; no read is needed before. A name that this
             // node doesn't know may have been accepted by another one a moment ago.
-            Ask::Submit { spec: Ok(spec) }
-                if !known && self.admission().needs_fault(&waiting.id, spec).is_none() =>
+            UserRequest::Submit { spec: Ok(spec) }
+                if !known && self.admission().dependency_error(&waiting.id, spec).is_none() =>
             {
                 self.create(waiting);
             }
-            Ask::Withdraw if known => self.withdraw(waiting),
-            _ => self.desk.wait(waiting),
+            UserRequest::Cancel if known => self.cancel(waiting),
+            _ => self.pending_requests.wait(waiting),
         }
     }
 
-    fn create(&mut self, waiting: Waiting) {
-        let Ask::Submit { spec: Ok(spec) } = &waiting.ask else { return };
+    fn create(&mut self, waiting: PendingRequest) {
+        let UserRequest::Submit { spec: Ok(spec) } = &waiting.ask else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(waiting.request, 429, "too many submissions at once; come back");
         }
         let job = self.admission().open(spec);
         let key = jobs::key(&waiting.id);
         let value = Record::Open(job.clone()).to_value();
-        let request = StateRequest::Commit {
+        let request = StoreRequest::Commit {
             conditions: vec![(key.clone(), Revision(0))],
             changes: vec![Change::Put { key, value, lease: None }],
         };
-        self.out.ask_state(request, Pending::Create { waiting, job });
+        self.out.request_store(request, Pending::Create { waiting, job });
     }
 
-    fn withdraw(&mut self, waiting: Waiting) {
-        let Some(revision) = self.mirror.get(&waiting.id).map(|k| k.revision) else { return };
+    fn cancel(&mut self, waiting: PendingRequest) {
+        let Some(revision) = self.job_cache.get(&waiting.id).map(|k| k.revision) else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(waiting.request, 429, "too many withdrawals at once; come back");
         }
         let key = jobs::key(&waiting.id);
-        let request = StateRequest::Commit {
+        let request = StoreRequest::Commit {
             conditions: vec![(key.clone(), revision)],
-            changes: vec![Change::Put { key, value: Record::Withdrawn.to_value(), lease: None }],
+            changes: vec![Change::Put { key, value: Record::Cancelled.to_value(), lease: None }],
         };
-        self.out.ask_state(request, Pending::Withdraw { waiting });
+        self.out.request_store(request, Pending::Cancel { waiting });
     }
 
     /// Goes on with a request after a read begun since it came.
-    fn after_read(&mut self, waiting: Waiting) {
-        let Waiting { request, id, .. } = &waiting;
+    fn after_read(&mut self, waiting: PendingRequest) {
+        let PendingRequest { request, id, .. } = &waiting;
         let (request, id) = (*request, id.clone());
-        let known = self.mirror.get(&id).map(|_| self.mirror.verdict(&id));
+        let known = self.job_cache.get(&id).map(|_| self.job_cache.terminal_status(&id));
         match (known, &waiting.ask) {
             (Some(Some(phase)), _) => {
                 self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
             }
             // Neither unknown nor anything else.
-            _ if self.mirror.is_unreadable(&id) => {
-                let why =
+            _ if self.job_cache.is_unreadable(&id) => {
+                let reason =
                     format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
-                self.out.refuse(request, 503, &why);
+                self.out.refuse(request, 503, &reason);
             }
-            (Some(None), Ask::Withdraw) => {
+            (Some(None), UserRequest::Cancel) => {
                 if waiting.tries >= 5 {
                     return self.out.refuse(request, 503, "the job is changing; come back");
                 }
-                self.withdraw(Waiting { tries: waiting.tries + 1, ..waiting });
+                self.cancel(PendingRequest { tries: waiting.tries + 1, ..waiting });
             }
             (Some(None), _) => {
                 let counts = self.counts_of(&id);
@@ -139,45 +139,47 @@
                 let phase = if running { Phase::Running } else { Phase::Pending };
                 self.out.answer(request, 200, users::status(&id, phase, Some(counts.unwrap_or((0, 0)))));
             }
-            (None, Ask::Submit { spec: Ok(spec) }) => match self.admission().needs_fault(&id, spec) {
-                Some(never) => self.out.refuse(request, 422, &never.to_string()),
-                None => self.create(waiting),
-            },
-            (None, Ask::Submit { spec: Err(refusal) }) => {
-                let (status, why) = (refusal.status, refusal.why.clone());
-                self.out.refuse(request, status, &why);
+            (None, UserRequest::Submit { spec: Ok(spec) }) => {
+                match self.admission().dependency_error(&id, spec) {
+                    Some(never) => self.out.refuse(request, 422, &never.to_string()),
+                    None => self.create(waiting),
+                }
+            }
+            (None, UserRequest::Submit { spec: Err(refusal) }) => {
+                let (status, reason) = (refusal.status, refusal.reason.clone());
+                self.out.refuse(request, status, &reason);
             }
             (None, _) => self.out.refuse(request, 404, "no such job"),
         }
     }
 
     pub(super) fn read_ends(&mut self, fresh: bool) {
-        for waiting in self.desk.read_ends() {
+        for waiting in self.pending_requests.read_ends() {
             if fresh {
                 self.after_read(waiting);
             } else {
-                let why = "the state service can't be read now; come back";
-                self.out.refuse(waiting.request, 503, why);
+                let reason = "the state service can't be read now; come back";
+                self.out.refuse(waiting.request, 503, reason);
             }
         }
     }
 
-    pub(super) fn created(&mut self, waiting: Waiting, job: Arc<OpenJob>, reply: StateReply) {
+    pub(super) fn created(&mut self, waiting: PendingRequest, job: Arc<OpenJob>, reply: StoreReply) {
         match reply {
-            StateReply::Committed { store_revision } => {
+            StoreReply::Committed { store_revision } => {
                 let id = waiting.id.clone();
-                self.mirror.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
+                self.job_cache.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
                 tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "accepted");
                 self.served.count(jobs::Stage::Accepted, &job.spec);
                 // Withdrawn at once, if one that it names is.
-                let phase = self.mirror.verdict(&id).unwrap_or(Phase::Pending);
+                let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
                 self.out.answer(waiting.request, 201, users::status(&id, phase, None));
             }
-            StateReply::Conflict { .. } if waiting.tries < 3 => {
-                self.desk.wait(Waiting { tries: waiting.tries + 1, ..waiting });
+            StoreReply::Conflict { .. } if waiting.tries < 3 => {
+                self.pending_requests.wait(PendingRequest { tries: waiting.tries + 1, ..waiting });
             }
             // Refused for good, as it would be at every further try.
-            StateReply::Malformed => {
+            StoreReply::Malformed => {
                 tracing::error!(job = %waiting.id, "the state service refuses the job's record");
                 self.out.refuse(waiting.request, 422, "the state service does not take the job's record");
             }
@@ -185,23 +187,23 @@
         }
     }
 
-    pub(super) fn withdrawn(&mut self, waiting: Waiting, reply: StateReply) {
+    pub(super) fn cancelled(&mut self, waiting: PendingRequest, reply: StoreReply) {
         match reply {
-            StateReply::Committed { store_revision } => {
+            StoreReply::Committed { store_revision } => {
                 let id = waiting.id.clone();
-                self.mirror.learn(id.clone(), Revision(store_revision), Record::Withdrawn);
+                self.job_cache.learn(id.clone(), Revision(store_revision), Record::Cancelled);
                 tracing::info!(job = %id, "withdrawn");
-                self.out.answer(waiting.request, 200, users::status(&id, Phase::Withdrawn, None));
+                self.out.answer(waiting.request, 200, users::status(&id, Phase::Cancelled, None));
             }
-            StateReply::Conflict { .. } => self.desk.wait(waiting),
+            StoreReply::Conflict { .. } => self.pending_requests.wait(waiting),
             _ => self.out.refuse(waiting.request, 503, "the state service can't be written now; come back"),
         }
     }
 
     fn counts_of(&self, id: &JobId) -> Option<(u32, u32)> {
-        match &self.master {
-            Some(master) => master.standing_of(id),
-            None => self.standings.get(id).copied(),
+        match &self.leader {
+            Some(leader) => leader.counts_of_job(id),
+            None => self.job_counts.get(id).copied(),
         }
     }
 }
--- a/crates/scheduler/src/node/master/field.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -32,24 +32,24 @@
     }
 }
 
-impl Master {
-    /// Machines that could take some task of `asks`: of a busy fleet that is a small part.
-    pub(super) fn open_field(&mut self, asks: &[TaskAsk], now: MonotonicTime) -> Field {
+impl Leader {
+    /// Machines that could take some task of `requests`: of a busy fleet that is a small part.
+    pub(super) fn open_field(&mut self, requests: &[PlacementRequest], now: MonotonicTime) -> Field {
         let least =
-            |of: fn(&Resources) -> f64| asks.iter().map(|a| of(&a.resources)).fold(f64::MAX, f64::min);
+            |of: fn(&Resources) -> f64| requests.iter().map(|a| of(&a.resources)).fold(f64::MAX, f64::min);
         let least =
             Resources { cpus: least(|r| r.cpus), gpus: least(|r| r.gpus), memory_gb: least(|r| r.memory_gb) };
         // One whose record can't hold the largest entry is left out: offered, it would be chosen in vain.
         let last_task =
-            |a: &TaskAsk| TaskId { job: a.job.clone(), index: a.tasks.last().copied().unwrap_or(0) };
-        let bytes = asks
-            .iter()
-            .filter_map(|a| self.runs.get(&a.job).map(|r| self.assignment_bytes(&last_task(a), &r.job.spec)));
+            |a: &PlacementRequest| TaskId { job: a.job.clone(), index: a.tasks.last().copied().unwrap_or(0) };
+        let bytes = requests.iter().filter_map(|a| {
+            self.job_states.get(&a.job).map(|r| self.assignment_bytes(&last_task(a), &r.job.spec))
+        });
         let (bytes, limit) = (bytes.max().unwrap_or(0), self.settings.state.value_bytes);
-        let asked: BTreeSet<&Image> = asks.iter().map(|a| &a.image).collect();
+        let asked: BTreeSet<&Image> = requests.iter().map(|a| &a.image).collect();
         let mut open = Vec::new();
         // Orders to a zone that is cut off arrive when the cut is over, or never.
-        let reached = |m: &&Machine| m.status == MachineStatus::Up && !self.cut.contains(&m.zone);
+        let reached = |m: &&Machine| m.status == MachineStatus::Up && !self.cut_zones.contains(&m.zone);
         for m in self.machines.values().filter(reached) {
             if !least.fits_in(&m.free()) || !m.open_for_tasks(now) || !m.record_holds(bytes, limit) {
                 continue;
@@ -66,8 +66,8 @@
         let views: Vec<MachineView> =
             open.into_iter().map(|(m, health)| self.view(m, health, &asked, now)).collect();
         let owners = views.iter().map(|v| {
-            self.blocks.add(&v.id);
-            self.blocks.owner(&v.id).cloned()
+            self.partitions.add(&v.id);
+            self.partitions.owner(&v.id).cloned()
         });
         Field { owners: owners.collect(), views, whole }
     }
--- a/crates/scheduler/src/node/master/cloud.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -9,39 +9,44 @@
 
 #[derive(Debug)]
 pub(super) enum CloudCall {
-    Rent { offer: Offer, number: u32 },
+    Rent { offer: InstanceOffer, number: u32 },
     Release { machines: Vec<MachineId> },
     List,
 }
 
-impl Master {
-    fn call(&mut self, ctx: &mut Ctx, request: CloudRequest, request_id: CloudCall) {
-        self.cloud_calls_open.insert(ctx.out.ask_cloud(request), request_id);
+impl Leader {
+    fn call(&mut self, context: &mut StepContext, request: CloudRequest, request_id: CloudCall) {
+        self.cloud_calls_open.insert(context.out.request_cloud(request), request_id);
     }
 
     /// Lists, returns and rents what is due.
-    pub(super) fn call_cloud(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now;
+    pub(super) fn call_cloud(&mut self, context: &mut StepContext) {
+        let now = context.now;
         let list = now >= self.next_listing && self.list_after.is_none();
         if list {
             self.next_listing = now + Duration::from_secs_f64(self.settings.operator.list_every_s);
         }
         if now >= self.next_types {
             self.next_types = now + TYPES_EVERY;
-            ctx.catalogue.refresh(ctx.out);
+            context.catalogue.refresh(context.out);
         }
         let returns = self.returns(now);
         let rentals = if self.plans.due(now) { self.rentals(now) } else { Vec::new() };
         if list {
-            self.call(ctx, CloudRequest::List { after: None, most: LIST_PAGE }, CloudCall::List);
+            self.call(context, CloudRequest::List { after: None, most: LIST_PAGE }, CloudCall::List);
         }
         for (request, request_id) in returns.into_iter().chain(rentals) {
-            self.call(ctx, request, request_id);
+            self.call(context, request, request_id);
         }
     }
 
-    pub(in crate::node) fn cloud(&mut self, ctx: &mut Ctx, request_id: RequestId, reply: CloudReply) {
-        let now = ctx.now;
+    pub(in crate::node) fn cloud(
+        &mut self,
+        context: &mut StepContext,
+        request_id: RequestId,
+        reply: CloudReply,
+    ) {
+        let now = context.now;
         let pause = Duration::from_secs_f64(self.settings.operator.refusal_pause_s);
         let Some(what) = self.cloud_calls_open.remove(&request_id) else { return };
         match (what, reply) {
@@ -49,14 +54,14 @@
                 tracing::info!(machine_type = %offer.type_name, zone = %offer.zone, spot = offer.spot,
                     wanted = number, got = ids.len(), "rented");
                 if (ids.len() as u32) < number {
-                    self.market.refuse(offer.clone(), now + pause);
+                    self.instance_offers.refuse(offer.clone(), now + pause);
                 }
                 for id in ids {
                     self.rented(id, &offer, now);
                 }
             }
             (CloudCall::Rent { offer, .. }, CloudReply::NoCapacity) => {
-                self.market.refuse(offer, now + pause);
+                self.instance_offers.refuse(offer, now + pause);
             }
             // Away or no answer: what was rented after all shows in the list or by its reports.
             (CloudCall::Rent { .. }, _) => self.rent_not_before = now + AWAY_PAUSE,
@@ -78,7 +83,7 @@
                 self.list_after = last.filter(|_| more);
                 if let Some(last) = self.list_after.clone() {
                     let request = CloudRequest::List { after: Some(last), most: LIST_PAGE };
-                    self.call(ctx, request, CloudCall::List);
+                    self.call(context, request, CloudCall::List);
                 }
             }
             (CloudCall::List, _) => self.list_after = None,
--- a/crates/scheduler/src/node/master/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -10,19 +10,21 @@
 /// After the first reports, until they have come by way of other nodes as well.
 const SETTLES: Duration = Duration::from_millis(1000);
 
-impl Master {
+impl Leader {
     /// While some node isn't heard, what it says is looked up.
-    pub(super) fn read_isolation_reports(&mut self, ctx: &mut Ctx) {
-        if ctx.now < self.next_isolation_read || ctx.peers.live(ctx.now).len() >= ctx.peers.names().len() {
+    pub(super) fn read_isolation_reports(&mut self, context: &mut StepContext) {
+        if context.now < self.next_isolation_read
+            || context.peers.live(context.now).len() >= context.peers.names().len()
+        {
             return;
         }
-        self.next_isolation_read = ctx.now + ASK_EVERY;
-        let request = StateRequest::Range { prefix: PREFIX, after: None, most: MOST };
-        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, LeaderRequest::Apart));
+        self.next_isolation_read = context.now + ASK_EVERY;
+        let request = StoreRequest::Range { prefix: PREFIX, after: None, most: MOST };
+        context.out.request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::Apart));
     }
 
-    pub(super) fn isolation_reports_read(&mut self, ctx: &mut Ctx, reply: StateReply) {
-        let StateReply::Pairs { pairs, .. } = reply else { return };
+    pub(super) fn isolation_reports_read(&mut self, context: &mut StepContext, reply: StoreReply) {
+        let StoreReply::Pairs { pairs, .. } = reply else { return };
         for pair in pairs {
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
             // Said before this leader's time, perhaps long before: read as new, a word of a minute ago kept a zone that
@@ -32,7 +34,7 @@
             }
             match serde_json::from_str::<IsolationReport>(&pair.value) {
                 Ok(isolation_report) => {
-                    self.isolation_reports.learn(node.into(), pair.revision, isolation_report, ctx.now)
+                    self.isolation_reports.learn(node.into(), pair.revision, isolation_report, context.now)
                 }
                 Err(error) => tracing::error!(key = pair.key, %error, "a node's word can't be read"),
             }
--- a/crates/scheduler/src/node/master/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -1,22 +1,22 @@
 //! What the leader does on top: loads all records, takes reports, runs rounds, commits, rents.
 //!
-//! It knows its node only by the `Ctx` that it is given for a step, and says by what it returns when
+//! It knows its node only by the `StepContext` that it is given for a step, and says by what it returns when
 //! the lead is to be left.
 
-mod beat;
-mod calls;
-mod changes;
-mod cloud;
+mod broadcast;
+mod candidates;
+mod cloud_calls;
 mod commits;
 mod delegation;
-mod field;
 mod isolation;
-mod load;
-mod offers;
 mod preemption;
+mod reconciliation;
 mod rounds;
-mod stock;
+mod scheduling_rounds;
+mod state_loading;
 mod upkeep;
+mod worker_commands;
+mod write_budget;
 
 pub(super) use delegation::on as heartbeats_delegated;
 pub(super) use isolation::PREFIX as ISOLATION_PREFIX;
@@ -25,23 +25,25 @@
 use super::outbox::{LeaderRequest, Outbox, Pending};
 use super::peers::Peers;
 use crate::assignments::{self, Assignment, AssignmentState, CommitPipeline, CommitPriority, MachineRecord};
-use crate::blocks::{Blocks, PeerMessage};
+use crate::autoscaler::{self, CapacityRequest, IncomingCapacity, InstanceOffer, InstanceOffers};
 use crate::election;
-use crate::fleet::{self, Coming, Market, Need, Offer};
 use crate::gangs::{self, Attempts};
-use crate::jobs::{self, JobSpec, Mirror, Priority, Record, Run, Served, Shape};
-use crate::placement::{self, Counts, Factors, Learned, MachineView, Proposal, TaskAsk};
+use crate::jobs::{self, JobCache, JobSpec, JobState, JobType, Priority, Record, Served};
+use crate::partitions::{Partitions, PeerMessage};
+use crate::placement::{
+    self, Factors, MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts,
+};
+use crate::rate_limit::TokenBucket;
 use crate::settings::Settings;
-use crate::store::Budget;
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, NodeName, RequestId, Resources,
     Revision, TaskId, TeamName, WorkerEpoch, Zone,
 };
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
-use crate::wire::state::{Change, Pair, StateReply, StateRequest};
+use crate::wire::state::{Change, Pair, StoreReply, StoreRequest};
 use crate::wire::workers::{self, Heartbeat};
 use crate::workers::{Health, HeartbeatOutcome, Machine, MachineStatus, Outcome};
-use cloud::CloudCall;
+use cloud_calls::CloudCall;
 use pearford_heartbeat::{Coordinator, FullHeartbeat, IsolationReports, LeaseRenewal};
 use pearford_recovery::{FailoverPhase, HeartbeatCollection, LeaderAction, Pacer};
 use rand::RngExt;
@@ -52,7 +54,7 @@
 
 const HOUSEKEEPING_EVERY: Duration = Duration::from_millis(500);
 /// Parts of time that looks at what waits, and plans of what to rent, leave to all else for each that they take.
-const LOOKS_REST: f64 = 3.0;
+const PASS_REST: f64 = 3.0;
 const PLANS_REST: f64 = 9.0;
 const RETRY_EVERY: Duration = Duration::from_millis(2000);
 /// A returned machine's late reports and listings are ignored for this long.
@@ -61,7 +63,7 @@
 const JOB_AT_FAULT: u32 = 4;
 
 /// What the leader's part may use of its node in a step.
-pub(super) struct Ctx<'a> {
+pub(super) struct StepContext<'a> {
     pub now: MonotonicTime,
     /// The tenure is valid: orders, commits and rentals may leave.
     pub valid: bool,
@@ -70,8 +72,8 @@
     /// Start of the newest read of the job records.
     pub fresh_at: MonotonicTime,
     pub lease_renewal: &'a LeaseRenewal,
-    pub mirror: &'a mut Mirror,
-    pub counts: &'a mut Counts,
+    pub job_cache: &'a mut JobCache,
+    pub success_counts: &'a mut SuccessCounts,
     /// Every node understands delegations, and answers reports in the leader's name.
     pub heartbeats_delegated: bool,
     pub peers: &'a mut Peers,
@@ -82,7 +84,7 @@
 
 /// How a leader leaves the lead.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Leave {
+pub(super) enum LeadershipEnd {
     /// It has lost it already.
     Lost(&'static str),
     /// It gives it back: another node may do better.
@@ -96,15 +98,15 @@
 
 /// A round under way at a controller.
 #[derive(Debug)]
-struct Outstanding {
+struct PendingRound {
     round: u64,
     sent: MonotonicTime,
-    asks: Vec<TaskAsk>,
+    requests: Vec<PlacementRequest>,
 }
 
 /// What a durable key will settle.
 #[derive(Debug)]
-struct Recorded {
+struct PendingOutcome {
     version: u64,
     machine: MachineId,
     task: TaskId,
@@ -118,7 +120,7 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Master {
+pub(super) struct Leader {
     settings: Arc<Settings>,
     fencing_token: FencingToken,
     since: MonotonicTime,
@@ -137,35 +139,35 @@
     /// Jobs within their team's guarantee, until the jobs change.
     guaranteed: Option<Arc<BTreeSet<JobId>>>,
     tombstones: BTreeMap<MachineId, MonotonicTime>,
-    runs: BTreeMap<JobId, Run>,
+    job_states: BTreeMap<JobId, JobState>,
     commit_pipeline: CommitPipeline,
-    dirty: BTreeSet<MachineId>,
-    recorded: BTreeMap<String, Vec<Recorded>>,
-    correcting: usize,
+    pending_records: BTreeSet<MachineId>,
+    pending_outcomes: BTreeMap<String, Vec<PendingOutcome>>,
+    rewrites_pending: usize,
     commit_not_before: MonotonicTime,
-    writes: Budget,
-    market: Market,
-    blocks: Blocks,
+    writes: TokenBucket,
+    instance_offers: InstanceOffers,
+    partitions: Partitions,
     attempts: Attempts,
-    offers: BTreeMap<NodeName, Outstanding>,
+    pending_rounds: BTreeMap<NodeName, PendingRound>,
     slow_until: BTreeMap<NodeName, MonotonicTime>,
     next_round: u64,
     /// Moves on with everything that may let a waiting task fit.
     capacity_version: u64,
-    learned: Vec<Learned>,
+    placement_outcomes: Vec<PlacementOutcome>,
     /// Beats sent so far, and jobs that have moved since the last one.
-    beats: u64,
-    touched: BTreeSet<JobId>,
-    looks: Pacer,
+    broadcasts_sent: u64,
+    changed_jobs: BTreeSet<JobId>,
+    scheduling_passes: Pacer,
     /// While changes are short: the last look was at arrays.
-    arrays_looked: bool,
+    arrays_scheduled: bool,
     plans: Pacer,
     cloud_calls_open: BTreeMap<RequestId, CloudCall>,
-    cloud_calls: Budget,
+    cloud_calls: TokenBucket,
     list_after: Option<MachineId>,
     next_listing: MonotonicTime,
     next_types: MonotonicTime,
-    next_beat: MonotonicTime,
+    next_broadcast: MonotonicTime,
     next_counts: MonotonicTime,
     next_housekeeping: MonotonicTime,
     next_retry: MonotonicTime,
@@ -185,11 +187,11 @@
     /// What nodes say that are apart from this one, and the zones that are cut off as far as this node can tell.
     isolation_reports: IsolationReports,
     next_isolation_read: MonotonicTime,
-    cut: BTreeSet<Zone>,
+    cut_zones: BTreeSet<Zone>,
     /// Until when a zone was cut off and answered by a node in there.
-    parted: BTreeMap<Zone, MonotonicTime>,
+    partitioned_until: BTreeMap<Zone, MonotonicTime>,
     /// What this node heard before it led, for when all records are read.
-    early: Vec<FullHeartbeat>,
+    early_heartbeats: Vec<FullHeartbeat>,
     /// Orders that go out with answers to the next reports at other nodes.
     queued_commands: BTreeMap<NodeName, Vec<(MachineId, Vec<workers::WorkerCommand>)>>,
     phases: delegation::Phases,
@@ -199,18 +201,18 @@
     recheck: Vec<(MonotonicTime, String)>,
 }
 
-impl Master {
+impl Leader {
     /// (done, running) of a job.
-    pub(in crate::node) fn standing_of(&self, id: &JobId) -> Option<(u32, u32)> {
-        let run = self.runs.get(id)?;
-        let running = run.placed().iter().filter(|(index, machine)| {
+    pub(in crate::node) fn counts_of_job(&self, id: &JobId) -> Option<(u32, u32)> {
+        let job_state = self.job_states.get(id)?;
+        let running = job_state.placed().iter().filter(|(index, machine)| {
             let task = TaskId { job: id.clone(), index: **index };
             self.machines
                 .get(*machine)
                 .and_then(|m| m.assignments.get(&task))
                 .is_some_and(Assignment::is_running)
         });
-        Some((run.done().count(), running.count() as u32))
+        Some((job_state.done().count(), running.count() as u32))
     }
 
     /// Whether a copy of the job records as of `fresh_at` is too old to build the runs from.
@@ -235,22 +237,22 @@
         }
     }
 
-    fn touch(&mut self, job: &JobId) {
-        if !self.touched.contains(job) {
-            self.touched.insert(job.clone());
+    fn mark_changed(&mut self, job: &JobId) {
+        if !self.changed_jobs.contains(job) {
+            self.changed_jobs.insert(job.clone());
         }
     }
 
     /// How many tasks of `job` count in each zone.
-    fn zones_of(&self, job: &JobId, run: &Run) -> BTreeMap<Zone, u32> {
+    fn zones_of(&self, job: &JobId, job_state: &JobState) -> BTreeMap<Zone, u32> {
         let mut zones = BTreeMap::new();
-        if !run.job.spec.spread && !run.job.spec.together {
+        if !job_state.job.spec.spread && !job_state.job.spec.together {
             return zones; // nothing depends on them
         }
-        for (index, machine) in run.placed() {
+        for (index, machine) in job_state.placed() {
             let task = TaskId { job: job.clone(), index: *index };
             if let Some(m) = self.machines.get(machine)
-                && m.assignments.get(&task).is_some_and(Assignment::counts)
+                && m.assignments.get(&task).is_some_and(Assignment::occupies)
             {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
@@ -259,9 +261,9 @@
     }
 
     /// Zones that `job` may use, and how many more of its tasks each may take.
-    fn zone_capacity(&self, job: &JobId, run: &Run) -> Vec<(Zone, u32)> {
-        let spec = &run.job.spec;
-        let here = self.zones_of(job, run);
+    fn zone_capacity(&self, job: &JobId, job_state: &JobState) -> Vec<(Zone, u32)> {
+        let spec = &job_state.job.spec;
+        let here = self.zones_of(job, job_state);
         let cap = spec.zone_cap();
         self.settings
             .zones
@@ -285,7 +287,7 @@
             health,
             fetching: self.fetching(m),
             images: m.images.iter().map(|(i, _)| i).filter(|i| asked.contains(i)).cloned().collect(),
-            fetch_gb_per_s: self.market.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s),
+            fetch_gb_per_s: self.instance_offers.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s),
             held_for: m.held_for(now).cloned(),
         }
     }
@@ -293,9 +295,9 @@
     /// Images that tasks on the machine wait for.
     fn fetching(&self, m: &Machine) -> Vec<Image> {
         let mut images: Vec<Image> = Vec::new();
-        for (task, _) in m.assignments.iter().filter(|(_, e)| e.counts() && e.running_since.is_none()) {
-            let Some(run) = self.runs.get(&task.job) else { continue };
-            let image = &run.job.spec.image;
+        for (task, _) in m.assignments.iter().filter(|(_, e)| e.occupies() && e.running_since.is_none()) {
+            let Some(job_state) = self.job_states.get(&task.job) else { continue };
+            let image = &job_state.job.spec.image;
             if !m.has_image(image) && !images.contains(image) {
                 images.push(image.clone());
             }
@@ -307,22 +309,22 @@
     fn stop_task(&mut self, machine: &MachineId, task: &TaskId, grace_s: f64, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         self.to_direct.insert(machine.clone());
-        if !self.touched.contains(&task.job) {
-            self.touched.insert(task.job.clone());
+        if !self.changed_jobs.contains(&task.job) {
+            self.changed_jobs.insert(task.job.clone());
         }
         if m.stop(task, grace_s, now).is_some() {
-            self.dirty.insert(machine.clone());
+            self.pending_records.insert(machine.clone());
             self.capacity_version += 1;
-            if let Some(run) = self.runs.get_mut(&task.job) {
-                run.unplace(task.index, machine);
+            if let Some(job_state) = self.job_states.get_mut(&task.job) {
+                job_state.unplace(task.index, machine);
             }
             self.recount(machine, now);
         }
     }
 
     fn stop_job(&mut self, id: &JobId, grace_s: f64, now: MonotonicTime) {
-        let placed: Vec<(u32, MachineId)> = match self.runs.get(id) {
-            Some(run) => run.placed().iter().map(|(i, m)| (*i, m.clone())).collect(),
+        let placed: Vec<(u32, MachineId)> = match self.job_states.get(id) {
+            Some(job_state) => job_state.placed().iter().map(|(i, m)| (*i, m.clone())).collect(),
             None => return,
         };
         for (index, machine) in placed {
@@ -331,19 +333,19 @@
     }
 }
 
-impl Master {
+impl Leader {
     pub(in crate::node) fn new(
         settings: Arc<Settings>,
         fencing_token: FencingToken,
         now: MonotonicTime,
         types: Vec<MachineType>,
-        early: Vec<FullHeartbeat>,
+        early_heartbeats: Vec<FullHeartbeat>,
     ) -> Self {
         let o = &settings.operator;
         // Users seldom use theirs, so the two overlap a little; what is over the limit is refused by
         // the service and comes again.
         let own_share = 1.0 - o.user_write_share / 2.0;
-        let market = Market::new(types);
+        let instance_offers = InstanceOffers::new(types);
         Self {
             fencing_token,
             since: now,
@@ -357,32 +359,32 @@
             machines_with_unknown_tasks: BTreeSet::new(),
             guaranteed: None,
             tombstones: BTreeMap::new(),
-            runs: BTreeMap::new(),
+            job_states: BTreeMap::new(),
             commit_pipeline: CommitPipeline::new(election::LEADER_KEY, fencing_token, settings.state.txn_ops),
-            dirty: BTreeSet::new(),
-            recorded: BTreeMap::new(),
-            correcting: 0,
+            pending_records: BTreeSet::new(),
+            pending_outcomes: BTreeMap::new(),
+            rewrites_pending: 0,
             commit_not_before: now,
-            writes: Budget::new(settings.state.write_rps * own_share),
-            market,
-            blocks: Blocks::default(),
+            writes: TokenBucket::new(settings.state.write_rps * own_share),
+            instance_offers,
+            partitions: Partitions::default(),
             attempts: Attempts::new(fencing_token),
-            offers: BTreeMap::new(),
+            pending_rounds: BTreeMap::new(),
             slow_until: BTreeMap::new(),
             next_round: 0,
             capacity_version: 1,
-            learned: Vec::new(),
-            beats: 0,
-            touched: BTreeSet::new(),
-            looks: Pacer::new(offers::LOOK_EVERY, LOOKS_REST, now),
-            arrays_looked: false,
+            placement_outcomes: Vec::new(),
+            broadcasts_sent: 0,
+            changed_jobs: BTreeSet::new(),
+            scheduling_passes: Pacer::new(scheduling_rounds::PASS_INTERVAL, PASS_REST, now),
+            arrays_scheduled: false,
             plans: Pacer::new(HOUSEKEEPING_EVERY, PLANS_REST, now),
             cloud_calls_open: BTreeMap::new(),
-            cloud_calls: Budget::new(settings.cloud.rps * 0.7),
+            cloud_calls: TokenBucket::new(settings.cloud.rps * 0.7),
             list_after: None,
             next_listing: now,
             next_types: now,
-            next_beat: now,
+            next_broadcast: now,
             next_counts: now + Duration::from_secs_f64(o.counts_save_s),
             next_housekeeping: now,
             next_retry: now,
@@ -397,9 +399,9 @@
             coordinator: Coordinator::new(settings.node.clone(), fencing_token, now),
             isolation_reports: IsolationReports::default(),
             next_isolation_read: now,
-            cut: BTreeSet::new(),
-            parted: BTreeMap::new(),
-            early,
+            cut_zones: BTreeSet::new(),
+            partitioned_until: BTreeMap::new(),
+            early_heartbeats,
             queued_commands: BTreeMap::new(),
             phases: delegation::Phases::default(),
             served: Served::default(),
@@ -420,19 +422,19 @@
                 m.recount(&mut self.used, now);
             }
         }
-        self.market.types = types;
+        self.instance_offers.types = types;
         self.capacity_version += 1;
     }
 }
 
-impl Master {
+impl Leader {
     pub(super) fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
     /// The step that is over took `cost`.
     pub(in crate::node) fn took(&mut self, cost: Duration, now: MonotonicTime) {
-        self.looks.cost(cost, now);
+        self.scheduling_passes.cost(cost, now);
         self.plans.cost(cost, now);
     }
 
@@ -446,53 +448,55 @@
     }
 
     /// Whether starts may leave: validly leading, all records read, withdrawals known.
-    fn may_start(&self, ctx: &Ctx) -> bool {
-        ctx.valid
+    fn may_start(&self, context: &StepContext) -> bool {
+        context.valid
             && self.heartbeat_collection.allows(LeaderAction::Start)
             && self.unreadable_machines.is_empty()
-            && ctx.lease_renewal.is_fresh(ctx.now)
+            && context.lease_renewal.is_fresh(context.now)
     }
 
     /// Whether a machine's reports may be answered with 200, which renews the worker's lease.
-    fn may_renew(&self, ctx: &Ctx, machine: &MachineId) -> bool {
+    fn may_renew(&self, context: &StepContext, machine: &MachineId) -> bool {
         let unacknowledged = self.machines.get(machine).filter(|m| m.has_unacknowledged_starts());
         let returned = unacknowledged.is_some_and(|m| m.status == MachineStatus::Releasing);
-        ctx.holds && !returned && ctx.lease_renewal.leader_may_renew(unacknowledged.is_some(), ctx.now)
+        context.holds
+            && !returned
+            && context.lease_renewal.leader_may_renew(unacknowledged.is_some(), context.now)
     }
 
     /// An answer of the state service to one of this leader's requests.
     pub(super) fn state(
         &mut self,
-        ctx: &mut Ctx,
+        context: &mut StepContext,
         request_id: LeaderRequest,
-        reply: StateReply,
-    ) -> Option<Leave> {
+        reply: StoreReply,
+    ) -> Option<LeadershipEnd> {
         match request_id {
             LeaderRequest::LoadMachines | LeaderRequest::LoadProgress => {
-                self.loaded_page(ctx, request_id, reply)
+                self.loaded_page(context, request_id, reply)
             }
-            LeaderRequest::Commit => return self.committed(ctx, reply),
-            LeaderRequest::Correct { key } => self.corrected(ctx, &key, reply),
-            LeaderRequest::Apart => self.isolation_reports_read(ctx, reply),
+            LeaderRequest::Commit => return self.committed(context, reply),
+            LeaderRequest::Correct { key } => self.corrected(context, &key, reply),
+            LeaderRequest::Apart => self.isolation_reports_read(context, reply),
             LeaderRequest::SaveCounts | LeaderRequest::Resign => {}
         }
         None
     }
 
-    pub(super) fn tick(&mut self, ctx: &mut Ctx) -> Option<Leave> {
-        self.reload_due(ctx);
-        self.correct_due(ctx);
-        self.beat(ctx);
-        self.delegate(ctx);
-        self.late_rounds(ctx.now);
-        if self.loaded() && ctx.now >= self.next_housekeeping && ctx.valid {
-            return self.housekeeping(ctx);
+    pub(super) fn tick(&mut self, context: &mut StepContext) -> Option<LeadershipEnd> {
+        self.reload_due(context);
+        self.correct_due(context);
+        self.broadcast(context);
+        self.delegate(context);
+        self.late_rounds(context.now);
+        if self.loaded() && context.now >= self.next_housekeeping && context.valid {
+            return self.housekeeping(context);
         }
         None
     }
 
-    fn housekeeping(&mut self, ctx: &mut Ctx) -> Option<Leave> {
-        let now = ctx.now;
+    fn housekeeping(&mut self, context: &mut StepContext) -> Option<LeadershipEnd> {
+        let now = context.now;
         self.next_housekeeping = now + HOUSEKEEPING_EVERY;
         if now >= self.next_retry {
             // Machines' health and pauses change with time alone.
@@ -500,43 +504,43 @@
             self.capacity_version += 1;
         }
         self.tombstones.retain(|_, at| now.since(*at) < TOMBSTONE_LIFE);
-        if self.self_cut_off(ctx.peers.hear_workers(now), now) {
-            return Some(Leave::Resign("most workers are silent: the fault may be here"));
+        if self.self_cut_off(context.peers.hear_workers(now), now) {
+            return Some(LeadershipEnd::Resign("most workers are silent: the fault may be here"));
         }
-        self.read_isolation_reports(ctx);
+        self.read_isolation_reports(context);
         if self.is_outnumbered(now) {
-            return Some(Leave::Resign("nodes that are apart from this one hear more workers"));
+            return Some(LeadershipEnd::Resign("nodes that are apart from this one hear more workers"));
         }
         self.gather(now);
         self.drain_warned(now);
         self.mend_gangs(now);
-        self.find_lost(ctx.peers.zones_heard(), now);
-        self.find_unstoppable(ctx.lease_renewal, now);
-        self.probe(ctx);
-        self.call_cloud(ctx);
+        self.find_lost(context.peers.zones_heard(), now);
+        self.find_unstoppable(context.lease_renewal, now);
+        self.probe(context);
+        self.call_cloud(context);
         None
     }
 
     /// After any input: writes what is new, then offers what waits.
-    pub(super) fn pump(&mut self, ctx: &mut Ctx) {
-        if !ctx.valid {
+    pub(super) fn pump(&mut self, context: &mut StepContext) {
+        if !context.valid {
             return;
         }
-        self.stock_taken(ctx);
-        self.push_fencing_token(ctx);
+        self.records_loaded(context);
+        self.push_fencing_token(context);
         if !self.loaded() {
             return;
         }
-        self.offer_rounds(ctx);
-        self.send_directs(ctx);
-        self.send_queued_commands(ctx);
+        self.offer_rounds(context);
+        self.send_directs(context);
+        self.send_queued_commands(context);
         self.write_records();
-        self.commit(ctx);
+        self.commit(context);
     }
 
     /// How many tasks of a job have no machine yet.
     pub(super) fn waiting_of(&self, id: &JobId) -> Option<u32> {
-        self.runs.get(id).map(Run::waiting_count)
+        self.job_states.get(id).map(JobState::waiting_count)
     }
 
     /// What `team` may still take.
@@ -561,29 +565,29 @@
     pub(super) fn metrics(&self, lines: &mut Vec<String>) {
         let assignments: usize = self.machines.values().map(|m| m.assignments.len()).sum();
         let up = self.machines.values().filter(|m| m.status == MachineStatus::Up).count();
-        let waiting: u32 = self.runs.values().map(Run::waiting_count).sum();
+        let waiting: u32 = self.job_states.values().map(JobState::waiting_count).sum();
         lines.push(format!("pearford_machines {}", self.machines.len()));
         lines.push(format!("pearford_machines_up {up}"));
         lines.push(format!("pearford_ledger_entries {assignments}"));
-        lines.push(format!("pearford_jobs_open {}", self.runs.len()));
+        lines.push(format!("pearford_jobs_open {}", self.job_states.len()));
         lines.push(format!("pearford_tasks_waiting {waiting}"));
         lines.push(format!("pearford_journal_backlog {}", self.commit_pipeline.backlog()));
         lines.push(format!("pearford_recovery_phase {}", self.heartbeat_collection.phase() as u8));
-        for (node, machines) in self.coordinator.counts() {
+        for (node, machines) in self.coordinator.machines_by_node() {
             lines.push(format!("pearford_reports_home{{node=\"{node}\"}} {machines}"));
         }
     }
 
     /// Jobs with tasks that wait, how many, and why.
     pub(super) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, &'static str)> {
-        let waiting = self.runs.iter().filter(|(_, run)| run.waiting_count() > 0);
-        waiting.map(|(id, run)| (id, run.waiting_count(), run.why))
+        let waiting = self.job_states.iter().filter(|(_, job_state)| job_state.waiting_count() > 0);
+        waiting.map(|(id, job_state)| (id, job_state.waiting_count(), job_state.reason))
     }
 }
 
 /// Ways to take a guard out, for proving that the test world's checker notices.
 #[cfg(any(test, feature = "world"))]
-impl Master {
+impl Leader {
     pub(super) fn sabotage_forget_silent(&mut self, ms: u64, now: MonotonicTime) {
         let mut gone = Vec::new();
         for m in self.machines.values_mut() {
@@ -593,8 +597,8 @@
             }
         }
         for (task, machine) in gone {
-            if let Some(run) = self.runs.get_mut(&task.job) {
-                run.unplace(task.index, &machine);
+            if let Some(job_state) = self.job_states.get_mut(&task.job) {
+                job_state.unplace(task.index, &machine);
             }
             self.capacity_version += 1;
         }
@@ -637,8 +641,8 @@
             m.recount(&mut self.used, now);
         }
         for (task, machine) in gone {
-            if let Some(run) = self.runs.get_mut(&task.job) {
-                run.unplace(task.index, &machine);
+            if let Some(job_state) = self.job_states.get_mut(&task.job) {
+                job_state.unplace(task.index, &machine);
             }
             self.capacity_version += 1;
         }
@@ -674,17 +678,17 @@
 
     /// Jobs bound to a zone go anywhere.
     pub(super) fn sabotage_any_zone(&mut self) {
-        for run in self.runs.values_mut().filter(|run| run.job.spec.zone.is_some()) {
-            let mut job = (*run.job).clone();
+        for job_state in self.job_states.values_mut().filter(|job_state| job_state.job.spec.zone.is_some()) {
+            let mut job = (*job_state.job).clone();
             job.spec.zone = None;
-            run.job = Arc::new(job);
+            job_state.job = Arc::new(job);
         }
     }
 
     pub(super) fn sabotage_done_early(&mut self) {
-        for run in self.runs.values_mut().filter(|r| r.done().count() * 2 >= r.job.spec.tasks) {
-            if run.done().count() > 0 {
-                (0..run.job.spec.tasks).for_each(|i| run.mark_done(i));
+        for job_state in self.job_states.values_mut().filter(|r| r.done().count() * 2 >= r.job.spec.tasks) {
+            if job_state.done().count() > 0 {
+                (0..job_state.job.spec.tasks).for_each(|i| job_state.mark_done(i));
             }
         }
     }
@@ -701,14 +705,14 @@
             }
         }
         for m in self.machines.values() {
-            let booked = m.assignments.values().filter(|e| e.counts());
+            let booked = m.assignments.values().filter(|e| e.occupies());
             let free = booked.fold(m.total, |free, e| free.minus(&e.resources));
-            let empty = !m.assignments.values().any(Assignment::counts) && m.unknown_tasks.is_empty();
+            let empty = !m.assignments.values().any(Assignment::occupies) && m.unknown_tasks.is_empty();
             if !free.fits_in(&m.free()) || !m.free().fits_in(&free) || empty != m.is_empty() {
                 return Err(format!("{}: kept {:?}, recounted {free:?}", m.id, m.free()));
             }
         }
-        match self.runs.iter().find(|(_, r)| r.recount() != r.waiting_count()) {
+        match self.job_states.iter().find(|(_, r)| r.recount() != r.waiting_count()) {
             Some((id, r)) => Err(format!("{id}: {} wait, kept {}", r.recount(), r.waiting_count())),
             None => Ok(()),
         }
