--- a/crates/scheduler/src/node/master/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -32,67 +32,72 @@
     Beyond(&'a BTreeSet<JobId>),
 }
 
-impl Master {
+impl Leader {
     /// Makes room for a job that fits nowhere, if its rank allows that: all its tasks' if it is a
     /// gang. Tells whether the fleet was searched for it.
-    pub(super) fn preempt(&mut self, ask: &TaskAsk, now: MonotonicTime) -> bool {
+    pub(super) fn preempt(&mut self, request: &PlacementRequest, now: MonotonicTime) -> bool {
         let guaranteed = self.guaranteed();
-        let Some(run) = self.runs.get_mut(&ask.job) else { return false };
-        let (spec, priority) = (run.job.spec.clone(), run.priority);
-        if run.preempting_until.is_some_and(|until| now < until) {
+        let Some(job_state) = self.job_states.get_mut(&request.job) else { return false };
+        let (spec, priority) = (job_state.job.spec.clone(), job_state.priority);
+        if job_state.preempting_until.is_some_and(|until| now < until) {
             return false;
         }
-        let mine = guaranteed.contains(&ask.job);
+        let mine = guaranteed.contains(&request.job);
         // Room that comes free by itself loses nothing. Replicas don't wait for it.
-        let patience = self.settings.wait_objective(&spec.kind, mine).map_or(0.0, |s| s * PREEMPT_AFTER);
-        if spec.shape != Shape::Service && now.since(run.seen) < Duration::from_secs_f64(patience) {
+        let timeout = self.settings.wait_objective(&spec.kind, mine).map_or(0.0, |s| s * PREEMPT_AFTER);
+        if spec.job_type != JobType::Service && now.since(job_state.seen) < Duration::from_secs_f64(timeout) {
             return false;
         }
-        run.preempting_until = Some(now + PREEMPT_AGAIN);
+        job_state.preempting_until = Some(now + PREEMPT_AGAIN);
         // Less urgent work makes way for all tasks at once. Work beyond its team's guarantee makes
         // way for one at a time, and not whole gangs: with many teams near their guarantees they
         // would otherwise stop one another in turn.
-        let one = ask.tasks.len() == 1 || ask.shape != Shape::Gang;
+        let one = request.tasks.len() == 1 || request.job_type != JobType::Gang;
         // A gang of several would put off more work than it is: while less urgent work waits for room
         // itself, that only passes the wait on.
-        let several = ask.shape == Shape::Gang && ask.tasks.len() > 1;
+        let several = request.job_type == JobType::Gang && request.tasks.len() > 1;
         if several && self.crowded(priority) {
             return true;
         }
-        if self.clear_for(ask, &spec, Clear::Lower, now) == 0 && mine && one {
-            self.clear_for(ask, &spec, Clear::Beyond(&guaranteed), now);
+        if self.clear_for(request, &spec, Clear::Lower, now) == 0 && mine && one {
+            self.clear_for(request, &spec, Clear::Beyond(&guaranteed), now);
         }
         true
     }
 
     /// Keeps free machines for a gang that fits as soon as others on their way are up: small tasks
     /// took those rented for it one by one as they came.
-    pub(super) fn hold_for_gang(&mut self, ask: &TaskAsk, views: &mut [MachineView], now: MonotonicTime) {
+    pub(super) fn hold_for_gang(
+        &mut self,
+        request: &PlacementRequest,
+        views: &mut [MachineView],
+        now: MonotonicTime,
+    ) {
         // Worth idle machines only where the next one could not be up in time.
-        let within_s = self.settings.wait_objective(&ask.kind, false).unwrap_or(f64::MAX);
-        if self.market.types.iter().all(|t| t.boot_s <= within_s) {
+        let within_s = self.settings.wait_objective(&request.kind, false).unwrap_or(f64::MAX);
+        if self.instance_offers.types.iter().all(|t| t.boot_s <= within_s) {
             return;
         }
-        let need = ask.tasks.len() as u32;
+        let need = request.tasks.len() as u32;
         let mut zones: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
-        for v in views.iter().filter(|v| ask.allows(v)) {
-            zones.entry(v.zone.clone()).or_default().0 += v.free.count_of(&ask.resources);
+        for v in views.iter().filter(|v| request.allows(v)) {
+            zones.entry(v.zone.clone()).or_default().0 += v.free.count_of(&request.resources);
         }
         for m in self.machines.values().filter(|m| m.status == MachineStatus::Booting) {
-            let boot = self.market.type_of(&m.type_name).map(MachineType::boot).unwrap_or_default();
+            let boot = self.instance_offers.type_of(&m.type_name).map(MachineType::boot).unwrap_or_default();
             // One that is long overdue may never come.
             let due = m.rented_at + boot;
             let fits = now + HOLD_AHEAD >= due
                 && now < due + HOLD_AHEAD
-                && ask.types.as_ref().is_none_or(|t| t.contains(&m.type_name))
-                && (ask.spot || !m.spot)
-                && ask.zones.iter().any(|(z, n)| *z == m.zone && *n > 0);
+                && request.types.as_ref().is_none_or(|t| t.contains(&m.type_name))
+                && (request.spot || !m.spot)
+                && request.zones.iter().any(|(z, n)| *z == m.zone && *n > 0);
             if fits {
-                zones.entry(m.zone.clone()).or_default().1 += m.total.count_of(&ask.resources);
+                zones.entry(m.zone.clone()).or_default().1 += m.total.count_of(&request.resources);
             }
         }
         let enough = |(free, soon): &(u32, u32)| *free > 0 && free + soon >= need;
-        let chosen: Vec<Zone> = if ask.together {
+        let chosen: Vec<Zone> = if request.together {
             let best = zones.iter().filter(|(_, n)| enough(n)).max_by_key(|(_, n)| n.0);
             best.map(|(z, _)| z.clone()).into_iter().collect()
         } else {
@@ -104,11 +109,11 @@
             if left == 0 {
                 break;
             }
-            if ask.allows(v) {
-                left = left.saturating_sub(v.free.count_of(&ask.resources));
-                v.held_for = Some(ask.job.clone());
+            if request.allows(v) {
+                left = left.saturating_sub(v.free.count_of(&request.resources));
+                v.held_for = Some(request.job.clone());
                 if let Some(m) = self.machines.get_mut(&v.id) {
-                    m.held = Some((ask.job.clone(), now + HOLD_FOR));
+                    m.held = Some((request.job.clone(), now + HOLD_FOR));
                 }
             }
         }
@@ -118,71 +123,78 @@
     /// a fetch takes longer than less urgent work needs to leave. Gives how many wait now.
     pub(super) fn keep_for_image(
         &mut self,
-        ask: &TaskAsk,
+        request: &PlacementRequest,
         views: &[MachineView],
         scans: &mut usize,
         now: MonotonicTime,
     ) -> u32 {
-        let tasks = ask.tasks.len() as u32;
+        let tasks = request.tasks.len() as u32;
         let ready: u32 = views
             .iter()
-            .filter(|v| ask.allows(v) && v.images.contains(&ask.image))
-            .map(|v| v.free.count_of(&ask.resources))
+            .filter(|v| request.allows(v) && v.images.contains(&request.image))
+            .map(|v| v.free.count_of(&request.resources))
             .sum();
-        let Some(run) = self.runs.get_mut(&ask.job) else { return 0 };
-        if run.preempting_until.is_none_or(|until| now >= until) {
-            run.promised = 0;
+        let Some(job_state) = self.job_states.get_mut(&request.job) else { return 0 };
+        if job_state.preempting_until.is_none_or(|until| now >= until) {
+            job_state.promised = 0;
         }
-        let fetch_rate = self.market.types.iter().map(|t| t.fetch_gb_per_s).fold(0.0, f64::max);
-        let worth_it = fetch_rate > 0.0 && ask.image_gb / fetch_rate > IMAGE_WORTH_S;
+        let fetch_rate = self.instance_offers.types.iter().map(|t| t.fetch_gb_per_s).fold(0.0, f64::max);
+        let worth_it = fetch_rate > 0.0 && request.image_gb / fetch_rate > IMAGE_WORTH_S;
         let may = *scans > 0 && self.heartbeat_collection.allows(LeaderAction::Preempt);
-        if run.promised == 0 && ready < tasks && worth_it && may && run.preempting_until.is_none() {
+        if job_state.promised == 0 && ready < tasks && worth_it && may && job_state.preempting_until.is_none()
+        {
             *scans -= 1;
-            let spec = run.job.spec.clone();
-            let mut missing = ask.clone();
+            let spec = job_state.job.spec.clone();
+            let mut missing = request.clone();
             missing.tasks.truncate((tasks - ready) as usize);
             let made = self.clear_for(&missing, &spec, Clear::WithImage, now);
-            if let Some(run) = self.runs.get_mut(&ask.job) {
-                run.promised = made;
+            if let Some(job_state) = self.job_states.get_mut(&request.job) {
+                job_state.promised = made;
                 if made == 0 {
-                    run.preempting_until = Some(now + PREEMPT_AGAIN);
+                    job_state.preempting_until = Some(now + PREEMPT_AGAIN);
                 }
             }
         }
-        let promised = self.runs.get(&ask.job).map_or(0, |r| r.promised);
+        let promised = self.job_states.get(&request.job).map_or(0, |r| r.promised);
         promised.saturating_sub(ready).min(tasks)
     }
 
     /// Whether so much work below `priority` waits that what was stopped would wait long.
     fn crowded(&self, priority: Priority) -> bool {
-        let lower = self.runs.values().filter(|r| r.priority < priority);
+        let lower = self.job_states.values().filter(|r| r.priority < priority);
         let (waiting, placed) =
             lower.fold((0, 0), |(w, p), r| (w + r.waiting_count() as usize, p + r.placed().len()));
         waiting as f64 > placed as f64 * CROWDED
     }
 
-    /// Stops what loses least so that `ask` fits; gives the number of machines where that makes room.
-    fn clear_for(&mut self, ask: &TaskAsk, spec: &JobSpec, how: Clear, now: MonotonicTime) -> u32 {
+    /// Stops what loses least so that `request` fits; gives the number of machines where that makes room.
+    fn clear_for(
+        &mut self,
+        request: &PlacementRequest,
+        spec: &JobSpec,
+        how: Clear,
+        now: MonotonicTime,
+    ) -> u32 {
         let mut candidates = Vec::new();
-        let Some(priority) = self.runs.get(&ask.job).map(|r| r.priority) else { return 0 };
+        let Some(priority) = self.job_states.get(&request.job).map(|r| r.priority) else { return 0 };
         for m in self.machines.values() {
             let may = m.open_for_tasks(now)
-                && m.held_for(now).is_none_or(|j| *j == ask.job)
+                && m.held_for(now).is_none_or(|j| *j == request.job)
                 && self.health(m, now) == Health::Healthy
-                && ask.types.as_ref().is_none_or(|t| t.contains(&m.type_name))
-                && (ask.spot || !m.spot)
-                && ask.resources.fits_in(&m.total)
-                && ask.zones.iter().any(|(z, n)| *z == m.zone && *n > 0);
-            if !may || (matches!(how, Clear::WithImage) && !m.has_image(&ask.image)) {
+                && request.types.as_ref().is_none_or(|t| t.contains(&m.type_name))
+                && (request.spot || !m.spot)
+                && request.resources.fits_in(&m.total)
+                && request.zones.iter().any(|(z, n)| *z == m.zone && *n > 0);
+            if !may || (matches!(how, Clear::WithImage) && !m.has_image(&request.image)) {
                 continue;
             }
             let (mut free, mut victims) = (m.free(), Vec::new());
-            for (task, assignment) in m.assignments.iter().filter(|(_, e)| e.counts()) {
+            for (task, assignment) in m.assignments.iter().filter(|(_, e)| e.occupies()) {
                 if assignment.stop.is_some() {
                     free = free.plus(&assignment.resources); // leaves already
                     continue;
                 }
-                let Some(other) = self.runs.get(&task.job) else { continue };
+                let Some(other) = self.job_states.get(&task.job) else { continue };
                 let o = &other.job.spec;
                 let may_stop = match how {
                     Clear::Lower => other.priority < priority,
@@ -192,7 +204,7 @@
                         o.team != spec.team && !kept.contains(&task.job) && !(other.is_gang() && o.tasks > 1)
                     }
                 };
-                if o.shape == Shape::Service || !may_stop {
+                if o.job_type == JobType::Service || !may_stop {
                     continue;
                 }
                 let ran = assignment.running_since.map_or(0.0, |at| now.since(at).as_secs_f64());
@@ -203,30 +215,30 @@
                 let loss_s = if other.is_gang() { loss_s * f64::from(o.tasks) } else { loss_s };
                 victims.push(Victim { task: task.clone(), resources: assignment.resources, loss_s });
             }
-            let fetch_rate = self.market.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s);
-            let fetch_s = match m.has_image(&ask.image) || fetch_rate <= 0.0 {
+            let fetch_rate = self.instance_offers.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s);
+            let fetch_s = match m.has_image(&request.image) || fetch_rate <= 0.0 {
                 true => 0.0,
-                false => ask.image_gb / fetch_rate,
+                false => request.image_gb / fetch_rate,
             };
             let (machine, zone) = (m.id.clone(), m.zone.clone());
             candidates.push(Candidate { machine, zone, free, victims, fetch_s });
         }
         let wanted = Wanted {
-            resources: &ask.resources,
-            tasks: if matches!(how, Clear::Beyond(_)) { 1 } else { ask.tasks.len() as u32 },
-            gang: ask.shape == Shape::Gang,
-            together: ask.together,
-            zones: &ask.zones,
+            resources: &request.resources,
+            tasks: if matches!(how, Clear::Beyond(_)) { 1 } else { request.tasks.len() as u32 },
+            gang: request.job_type == JobType::Gang,
+            together: request.together,
+            zones: &request.zones,
         };
         let clearings = choose(candidates, &wanted);
         if clearings.iter().all(|(_, tasks)| tasks.is_empty()) {
             return 0;
         }
         let stopped: usize = clearings.iter().map(|(_, tasks)| tasks.len()).sum();
-        tracing::info!(job = %ask.job, machines = clearings.len(), stopped, "preempts");
+        tracing::info!(job = %request.job, machines = clearings.len(), stopped, "preempts");
         let mut longest = 0.0f64;
         for (machine, task) in clearings.iter().flat_map(|(m, tasks)| tasks.iter().map(move |t| (m, t))) {
-            let Some(other) = self.runs.get(&task.job) else { continue };
+            let Some(other) = self.job_states.get(&task.job) else { continue };
             let grace = match how {
                 Clear::WithImage => 0.0,
                 _ => gangs::save_grace_s(&other.job.spec),
@@ -246,12 +258,12 @@
             if (image || wanted.gang && wanted.tasks > 1 || tasks.len() > 1)
                 && let Some(m) = self.machines.get_mut(machine)
             {
-                m.held = Some((ask.job.clone(), until));
+                m.held = Some((request.job.clone(), until));
             }
         }
-        if let Some(run) = self.runs.get_mut(&ask.job) {
-            run.preempting_until = Some(until);
-            run.why = "others are making room for it";
+        if let Some(job_state) = self.job_states.get_mut(&request.job) {
+            job_state.preempting_until = Some(until);
+            job_state.reason = "others are making room for it";
         }
         clearings.len() as u32
     }
--- a/crates/scheduler/src/node/master/stock.rs
+++ b/crates/scheduler/src/node/leader/reconciliation.rs
@@ -7,12 +7,13 @@
 /// How long nothing is placed on a machine whose record the state service refuses.
 const UNWRITABLE_PAUSE: Duration = Duration::from_millis(30_000);
 
-impl Master {
+impl Leader {
     // ---- take-over ----
 
     /// Takes a machine over from an earlier leader's record.
     pub(super) fn inherit(&mut self, id: MachineId, record: MachineRecord, now: MonotonicTime) {
-        let total = self.market.type_of(&record.type_name).map(MachineType::resources).unwrap_or_default();
+        let total =
+            self.instance_offers.type_of(&record.type_name).map(MachineType::resources).unwrap_or_default();
         let m = self.machines.entry(id.clone()).or_insert_with(|| {
             Machine::new(id.clone(), record.type_name.clone(), record.zone.clone(), record.spot, total, now)
         });
@@ -38,22 +39,22 @@
     }
 
     /// All records are read: builds the runs, and stops what must not go on.
-    pub(super) fn take_stock(&mut self, mirror: &jobs::Mirror, now: MonotonicTime) {
-        for (id, _) in mirror.iter().filter(|(_, known)| known.record.is_open()) {
-            self.job_changed(mirror, id, now);
+    pub(super) fn build_job_states(&mut self, job_cache: &jobs::JobCache, now: MonotonicTime) {
+        for (id, _) in job_cache.iter().filter(|(_, known)| known.record.is_open()) {
+            self.job_changed(job_cache, id, now);
         }
         for pair in std::mem::take(&mut self.progress) {
             let Some((id, chunk)) = pair.key.strip_prefix(PROGRESS_PREFIX).and_then(|k| k.rsplit_once('/'))
             else {
                 continue;
             };
-            match (self.runs.get_mut(&JobId::from(id)), chunk.parse()) {
-                (Some(run), Ok(chunk)) => {
-                    if let Err(error) = run.add_chunk(chunk, &pair.value) {
+            match (self.job_states.get_mut(&JobId::from(id)), chunk.parse()) {
+                (Some(job_state), Ok(chunk)) => {
+                    if let Err(error) = job_state.add_chunk(chunk, &pair.value) {
                         tracing::error!(key = pair.key, %error, "progress can't be read");
                     }
                 }
-                _ if mirror.is_unreadable(&id.into()) => {
+                _ if job_cache.is_unreadable(&id.into()) => {
                     self.unreadable_jobs.entry(id.into()).or_default().push(pair)
                 }
                 _ => {
@@ -62,14 +63,14 @@
             }
         }
         let tasks = self.machines.values().flat_map(|m| m.assignments.keys());
-        let unreadable_jobs = tasks.map(|task| &task.job).filter(|job| mirror.is_unreadable(job));
+        let unreadable_jobs = tasks.map(|task| &task.job).filter(|job| job_cache.is_unreadable(job));
         for job in unreadable_jobs.cloned().collect::<BTreeSet<_>>() {
             self.unreadable_jobs.entry(job).or_default();
         }
         self.adopt_assignments(None, now);
         // All tasks may be recorded as done without the job being so.
         let over: Vec<JobId> =
-            self.runs.iter().filter(|(_, r)| r.all_done()).map(|(id, _)| id.clone()).collect();
+            self.job_states.iter().filter(|(_, r)| r.all_done()).map(|(id, _)| id.clone()).collect();
         for id in over {
             self.finish(&id);
         }
@@ -80,9 +81,9 @@
         let Some(chunks) = self.unreadable_jobs.remove(id) else { return };
         for pair in chunks {
             let chunk = pair.key.rsplit_once('/').and_then(|(_, chunk)| chunk.parse().ok());
-            match (self.runs.get_mut(id), chunk) {
-                (Some(run), Some(chunk)) => {
-                    if let Err(error) = run.add_chunk(chunk, &pair.value) {
+            match (self.job_states.get_mut(id), chunk) {
+                (Some(job_state), Some(chunk)) => {
+                    if let Err(error) = job_state.add_chunk(chunk, &pair.value) {
                         tracing::error!(key = pair.key, %error, "progress can't be read");
                     }
                 }
@@ -92,7 +93,7 @@
             }
         }
         self.adopt_assignments(Some(id), now);
-        if self.runs.get(id).is_some_and(Run::all_done) {
+        if self.job_states.get(id).is_some_and(JobState::all_done) {
             self.finish(id);
         }
     }
@@ -120,16 +121,16 @@
             .collect();
         for (machine, task, state, attempt) in assignments {
             let superseded = newest.get(&task).is_some_and(|newest| attempt < *newest);
-            let run = self.runs.get_mut(&task.job);
-            let task_done = run.as_ref().is_some_and(|run| run.done().has(task.index));
-            match (adopt(run.is_some(), task_done, superseded), run) {
+            let job_state = self.job_states.get_mut(&task.job);
+            let task_done = job_state.as_ref().is_some_and(|job_state| job_state.done().has(task.index));
+            match (adopt(job_state.is_some(), task_done, superseded), job_state) {
                 (Adoption::Superseded, _) => self.take_off(&machine, &task, now),
-                (Adoption::Keep, Some(run)) => {
-                    run.place(task.index, machine.clone());
-                    run.attempt = Some(attempt);
+                (Adoption::Keep, Some(job_state)) => {
+                    job_state.place(task.index, machine.clone());
+                    job_state.attempt = Some(attempt);
                     // It was started there, so its image is there or on its way. The record was written before the
                     // fetch: what ran in a session that is over would be fetched anew elsewhere.
-                    let job = run.job.clone();
+                    let job = job_state.job.clone();
                     if self.machines.get(&machine).is_some_and(|m| !m.has_image(&job.spec.image)) {
                         self.has_fetched(&machine, &job.spec);
                     }
@@ -144,12 +145,13 @@
 
     /// What the job records say of `id` has changed. A job gets a run, without which none of its tasks
     /// can be placed, once all that it needs is durably done.
-    pub(super) fn job_changed(&mut self, mirror: &jobs::Mirror, id: &JobId, now: MonotonicTime) {
-        let Some(known) = mirror.get(id) else { return };
-        if let Some(verdict) = mirror.verdict(id) {
+    pub(super) fn job_changed(&mut self, job_cache: &jobs::JobCache, id: &JobId, now: MonotonicTime) {
+        let Some(known) = job_cache.get(id) else { return };
+        if let Some(terminal_status) = job_cache.terminal_status(id) {
             // The record may be seen by the watch before its commit is answered: counted there, every second was missed.
-            if let Some(run) = self.runs.get(id).filter(|_| verdict == jobs::Phase::Done) {
-                let spec = &run.job.spec;
+            if let Some(job_state) = self.job_states.get(id).filter(|_| terminal_status == jobs::Phase::Done)
+            {
+                let spec = &job_state.job.spec;
                 tracing::info!(job = %id, class = %spec.kind, team = %spec.team, "done");
                 self.served.count(Stage::Done, spec);
             }
@@ -160,18 +162,18 @@
                 // nothing urgent waits.
                 let key = jobs::key(id);
                 self.commit_pipeline.loaded(&key, known.revision);
-                self.commit_pipeline.put(&key, Some(Record::Withdrawn.to_value()), CommitPriority::Normal);
+                self.commit_pipeline.put(&key, Some(Record::Cancelled.to_value()), CommitPriority::Normal);
             }
-        } else if let Some(job) = known.record.open().filter(|_| mirror.ready(id)) {
+        } else if let Some(job) = known.record.open().filter(|_| job_cache.ready(id)) {
             self.commit_pipeline.loaded(&jobs::key(id), known.revision);
-            let run = self.runs.entry(id.clone()).or_insert_with(|| {
+            let job_state = self.job_states.entry(id.clone()).or_insert_with(|| {
                 self.guaranteed = None;
-                Run::new(job.clone(), now)
+                JobState::new(job.clone(), now)
             });
-            let priority = mirror.priority(id);
-            if run.priority != priority {
-                run.priority = priority;
-                run.tried = 0; // room may be made for it now
+            let priority = job_cache.priority(id);
+            if job_state.priority != priority {
+                job_state.priority = priority;
+                job_state.tried = 0; // room may be made for it now
             }
             self.take_in_unread(id, now);
         }
@@ -188,7 +190,7 @@
         for task in planned {
             self.stop_task(&id, &task, 0.0, now);
         }
-        self.dirty.remove(&id);
+        self.pending_records.remove(&id);
     }
 
     /// A task of a job that is over, or done already: off the ledger if that is proved, else stopped.
@@ -205,14 +207,14 @@
     fn take_off(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.assignments.remove(task);
-        self.dirty.insert(machine.clone());
+        self.pending_records.insert(machine.clone());
         self.recount(machine, now);
     }
 
     /// A task of a job got its image on the machine.
     fn has_fetched(&mut self, machine: &MachineId, spec: &JobSpec) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        let cache_gb = self.market.type_of(&m.type_name).map_or(0.0, |t| t.cache_gb);
+        let cache_gb = self.instance_offers.type_of(&m.type_name).map_or(0.0, |t| t.cache_gb);
         m.remember_image(&spec.image, spec.image_gb, cache_gb);
     }
 
@@ -222,19 +224,19 @@
         // as its condition it would overwrite the verdict the user was told (seed 247).
         self.commit_pipeline.give_up(&jobs::key(id));
         self.stop_job(id, 0.0, now);
-        let Some(run) = self.runs.remove(id) else { return };
+        let Some(job_state) = self.job_states.remove(id) else { return };
         self.guaranteed = None;
-        for (index, machine) in run.placed() {
+        for (index, machine) in job_state.placed() {
             self.drop_or_stop(machine, &TaskId { job: id.clone(), index: *index }, now);
         }
-        for chunk in 0..run.job.spec.tasks.div_ceil(jobs::CHUNK) {
+        for chunk in 0..job_state.job.spec.tasks.div_ceil(jobs::CHUNK) {
             let key = format!("{PROGRESS_PREFIX}{id}/{chunk}");
-            self.recorded.remove(&key);
+            self.pending_outcomes.remove(&key);
             if self.commit_pipeline.revision(&key) > Revision(0) {
                 self.commit_pipeline.put(&key, None, CommitPriority::Normal);
             }
         }
-        self.recorded.remove(&jobs::key(id));
+        self.pending_outcomes.remove(&jobs::key(id));
         self.capacity_version += 1;
     }
 
@@ -243,8 +245,11 @@
     pub(super) fn process_heartbeat(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         if !self.machines.contains_key(&heartbeat.machine) {
             // Unexpected: a rental answered late or never. It is used like any other.
-            let total =
-                self.market.type_of(&heartbeat.type_name).map(MachineType::resources).unwrap_or_default();
+            let total = self
+                .instance_offers
+                .type_of(&heartbeat.type_name)
+                .map(MachineType::resources)
+                .unwrap_or_default();
             let m = Machine::new(
                 heartbeat.machine.clone(),
                 heartbeat.type_name.clone(),
@@ -254,7 +259,7 @@
                 now,
             );
             self.machines.insert(heartbeat.machine.clone(), m);
-            self.dirty.insert(heartbeat.machine.clone());
+            self.pending_records.insert(heartbeat.machine.clone());
         }
         let fencing_token = self.fencing_token;
         let again = self.start_again(heartbeat);
@@ -265,7 +270,7 @@
             return;
         }
         if (m.status, m.worker_epoch, m.addr.is_some()) != was {
-            self.dirty.insert(heartbeat.machine.clone());
+            self.pending_records.insert(heartbeat.machine.clone());
             self.capacity_version += 1;
         }
         let id = heartbeat.machine.clone();
@@ -289,19 +294,23 @@
             return Vec::new();
         }
         let wanted = |(task, e): &(&TaskId, &Assignment)| {
-            let Some(run) = self.runs.get(&task.job) else { return false };
-            let spec = &run.job.spec;
+            let Some(job_state) = self.job_states.get(&task.job) else { return false };
+            let spec = &job_state.job.spec;
             // A gang's tasks find one another by their attempt: it begins anew as a whole.
-            if run.is_gang() || run.finishing || run.done().has(task.index) || !may_be_gone(e) {
+            if job_state.is_gang()
+                || job_state.finishing
+                || job_state.done().has(task.index)
+                || !may_be_gone(e)
+            {
                 return false;
             }
             let used = self.used.get(&spec.team).copied().unwrap_or_default();
             let unknown = self.machines_with_unknown_tasks.iter().filter_map(|id| self.machines.get(id));
             let unknown = unknown.into_iter().any(|m| m.unknown_tasks.contains(*task));
             let within = |team| assignments::within_limit(team, &used, &Resources::default());
-            let zones = self.zones_of(&task.job, run);
+            let zones = self.zones_of(&task.job, job_state);
             let apart = spec.spread && zones.get(&m.zone).is_some_and(|n| *n > spec.zone_cap());
-            run.placed().get(&task.index) == Some(&m.id)
+            job_state.placed().get(&task.index) == Some(&m.id)
                 && self.settings.teams.get(&spec.team).is_some_and(within)
                 && !apart
                 && !unknown
@@ -318,17 +327,18 @@
     ) {
         for task in outcome.began {
             tracing::debug!(%task, %machine, "runs");
-            self.touch(&task.job);
-            if let Some(run) = self.runs.get_mut(&task.job).filter(|run| !run.started) {
-                run.started = true;
-                let spec = &run.job.spec;
+            self.mark_changed(&task.job);
+            if let Some(job_state) = self.job_states.get_mut(&task.job).filter(|job_state| !job_state.started)
+            {
+                job_state.started = true;
+                let spec = &job_state.job.spec;
                 tracing::info!(job = %task.job, class = %spec.kind, team = %spec.team, "started");
                 self.served.count(Stage::Started, spec);
             }
         }
         for task in outcome.fetched {
-            let Some(run) = self.runs.get(&task.job) else { continue };
-            let (job, gang) = (run.job.clone(), run.is_gang());
+            let Some(job_state) = self.job_states.get(&task.job) else { continue };
+            let (job, gang) = (job_state.job.clone(), job_state.is_gang());
             self.has_fetched(machine, &job.spec);
             if gang {
                 self.start_after_fetches(&task.job);
@@ -336,27 +346,27 @@
         }
         if !outcome.again.is_empty() {
             tracing::debug!(%machine, tasks = outcome.again.len(), "not there any more; they start again here");
-            outcome.again.iter().for_each(|task| self.touch(&task.job));
+            outcome.again.iter().for_each(|task| self.mark_changed(&task.job));
             self.to_direct.insert(machine.clone());
         }
         for (task, _) in outcome.done {
-            self.touch(&task.job);
+            self.mark_changed(&task.job);
             self.task_done(machine, &task, now);
         }
         for (task, assignment, outcome) in outcome.gone {
-            self.touch(&task.job);
+            self.mark_changed(&task.job);
             self.task_gone(machine, &task, &assignment, outcome, now);
         }
     }
 
     /// Once all tasks of a gang that had to fetch have their image, the others start too.
     fn start_after_fetches(&mut self, job: &JobId) {
-        let Some(run) = self.runs.get(job) else { return };
+        let Some(job_state) = self.job_states.get(job) else { return };
         let assignment = |machines: &BTreeMap<MachineId, Machine>, index: u32, id: &MachineId| {
             let task = TaskId { job: job.clone(), index };
             machines.get(id).and_then(|m| m.assignments.get(&task)).map(|e| (e.has_image, e.after_fetches))
         };
-        let tasks: Vec<(u32, MachineId)> = run.placed().iter().map(|(i, m)| (*i, m.clone())).collect();
+        let tasks: Vec<(u32, MachineId)> = job_state.placed().iter().map(|(i, m)| (*i, m.clone())).collect();
         let state: Vec<Option<(bool, bool)>> =
             tasks.iter().map(|(i, m)| assignment(&self.machines, *i, m)).collect();
         if state.iter().flatten().any(|(has_image, after)| !has_image && !after) {
@@ -375,33 +385,33 @@
 
     /// A worker reports a task as done: records it, then lets go.
     pub(super) fn task_done(&mut self, machine: &MachineId, task: &TaskId, now: MonotonicTime) {
-        let Some(run) = self.runs.get_mut(&task.job) else {
+        let Some(job_state) = self.job_states.get_mut(&task.job) else {
             // The verdict on the job stands; nothing is left to record.
             if let Some(m) = self.machines.get_mut(machine) {
                 m.assignments.remove(task);
-                self.dirty.insert(machine.clone());
+                self.pending_records.insert(machine.clone());
             }
             return self.recount(machine, now);
         };
-        if run.job.spec.shape == Shape::Service {
+        if job_state.job.spec.job_type == JobType::Service {
             // Services run until they are withdrawn: one that ends by itself is replaced.
-            run.unplace(task.index, machine);
+            job_state.unplace(task.index, machine);
             if let Some(m) = self.machines.get_mut(machine) {
                 m.assignments.remove(task);
-                self.dirty.insert(machine.clone());
+                self.pending_records.insert(machine.clone());
             }
             return self.recount(machine, now);
         }
-        run.errors = 0;
-        let kind = run.job.spec.kind.clone();
-        if run.is_gang() {
+        job_state.errors = 0;
+        let kind = job_state.job.spec.kind.clone();
+        if job_state.is_gang() {
             // They complete together: if one is done, all are.
-            (0..run.job.spec.tasks).for_each(|i| run.mark_done(i));
+            (0..job_state.job.spec.tasks).for_each(|i| job_state.mark_done(i));
         } else {
-            run.mark_done(task.index);
+            job_state.mark_done(task.index);
         }
-        let over = run.all_done();
-        self.learned.push(Learned { machine: machine.clone(), kind, success: true });
+        let over = job_state.all_done();
+        self.placement_outcomes.push(PlacementOutcome { machine: machine.clone(), kind, success: true });
         if let Some(m) = self.machines.get_mut(machine) {
             m.failed.clear();
         }
@@ -410,21 +420,21 @@
         } else {
             let chunk = task.index / jobs::CHUNK;
             let key = format!("{PROGRESS_PREFIX}{}/{chunk}", task.job);
-            let value = self.runs.get(&task.job).map(|r| r.done().chunk_value(chunk));
+            let value = self.job_states.get(&task.job).map(|r| r.done().chunk_value(chunk));
             // Not urgent: until it is written the worker goes on reporting the task as done.
             let version = self.commit_pipeline.put(&key, value, CommitPriority::Normal);
             (key, version)
         };
-        let recorded = Recorded { version, machine: machine.clone(), task: task.clone() };
-        self.recorded.entry(key).or_default().push(recorded);
+        let pending_outcomes = PendingOutcome { version, machine: machine.clone(), task: task.clone() };
+        self.pending_outcomes.entry(key).or_default().push(pending_outcomes);
         self.capacity_version += 1;
     }
 
     /// Writes that a job is done.
     pub(super) fn finish(&mut self, id: &JobId) -> (String, u64) {
         let key = jobs::key(id);
-        if let Some(run) = self.runs.get_mut(id) {
-            run.finishing = true;
+        if let Some(job_state) = self.job_states.get_mut(id) {
+            job_state.finishing = true;
         }
         let version = self.commit_pipeline.put(&key, Some(Record::Done.to_value()), CommitPriority::Urgent);
         (key, version)
@@ -447,11 +457,11 @@
             }
             return None;
         }
-        if let Some(list) = self.recorded.get_mut(key) {
+        if let Some(list) = self.pending_outcomes.get_mut(key) {
             let (settled, later): (Vec<_>, Vec<_>) =
                 std::mem::take(list).into_iter().partition(|r| r.version <= version);
             if later.is_empty() {
-                self.recorded.remove(key);
+                self.pending_outcomes.remove(key);
             } else {
                 *list = later;
             }
@@ -460,16 +470,16 @@
                     && m.assignments.get(&r.task).is_some_and(|e| e.state == AssignmentState::Done)
                 {
                     m.assignments.remove(&r.task);
-                    self.dirty.insert(r.machine.clone());
+                    self.pending_records.insert(r.machine.clone());
                 }
-                if let Some(run) = self.runs.get_mut(&r.task.job) {
-                    run.unplace(r.task.index, &r.machine);
+                if let Some(job_state) = self.job_states.get_mut(&r.task.job) {
+                    job_state.unplace(r.task.index, &r.machine);
                 }
                 self.recount(&r.machine, now);
             }
         }
         let id: JobId = key.strip_prefix(jobs::PREFIX)?.into();
-        let done = self.runs.get(&id).is_some_and(|r| r.finishing);
+        let done = self.job_states.get(&id).is_some_and(|r| r.finishing);
         done.then_some(id)
     }
 
@@ -482,36 +492,40 @@
         outcome: Outcome,
         now: MonotonicTime,
     ) {
-        self.dirty.insert(machine.clone());
+        self.pending_records.insert(machine.clone());
         self.capacity_version += 1;
         if outcome == Outcome::Ended(TaskExit::NoRoom)
             && let Some(m) = self.machines.get_mut(machine)
         {
             m.not_before = now + Duration::from_millis(2000);
         }
-        let Some(run) = self.runs.get_mut(&task.job) else { return };
-        run.unplace(task.index, machine);
+        let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
+        job_state.unplace(task.index, machine);
         tracing::debug!(%task, %machine, ?outcome, "task left");
         let mut blamed = None;
         match outcome {
             Outcome::Ended(TaskExit::Failed) => {
-                run.errors += 1;
+                job_state.errors += 1;
                 // One failure speaks of the machine; several in a row may speak of the job.
-                let pause = if run.errors < 3 { 0 } else { 250u64 << (run.errors - 2).min(7) };
-                run.not_before = now + Duration::from_millis(pause);
-                let (kind, errors) = (run.job.spec.kind.clone(), run.errors);
+                let pause = if job_state.errors < 3 { 0 } else { 250u64 << (job_state.errors - 2).min(7) };
+                job_state.not_before = now + Duration::from_millis(pause);
+                let (kind, errors) = (job_state.job.spec.kind.clone(), job_state.errors);
                 if errors < JOB_AT_FAULT {
-                    self.learned.push(Learned { machine: machine.clone(), kind, success: false });
+                    self.placement_outcomes.push(PlacementOutcome {
+                        machine: machine.clone(),
+                        kind,
+                        success: false,
+                    });
                 }
                 blamed = Some(errors);
             }
             Outcome::Ended(TaskExit::Refused | TaskExit::NoRoom) => {
-                run.not_before = now + Duration::from_millis(1000)
+                job_state.not_before = now + Duration::from_millis(1000)
             }
             _ => {}
         }
         let _ = assignment;
-        if gangs::broken(run) {
+        if gangs::broken(job_state) {
             self.stop_job(&task.job, 0.0, now);
         }
         if let Some(errors) = blamed {
--- a/crates/scheduler/src/node/master/stock/tests.rs
+++ b/crates/scheduler/src/node/leader/reconciliation/tests.rs
@@ -26,9 +26,9 @@
     .expect("valid")
 }
 
-pub fn master() -> Master {
+pub fn leader() -> Leader {
     let settings = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
-    Master::new(Arc::new(settings), FencingToken(9), MonotonicTime::from_millis(1), Vec::new(), Vec::new())
+    Leader::new(Arc::new(settings), FencingToken(9), MonotonicTime::from_millis(1), Vec::new(), Vec::new())
 }
 
 /// The removal of an old entry had not been written when the leader crashed, the task's new
@@ -36,32 +36,32 @@
 #[test]
 fn an_entry_left_over_from_an_earlier_attempt_does_not_hide_the_live_one() {
     for (first, second, live) in [(5, 7, "m-2"), (7, 5, "m-1")] {
-        let (mut m, now) = (master(), MonotonicTime::from_millis(1));
+        let (mut m, now) = (leader(), MonotonicTime::from_millis(1));
         m.inherit("m-1".into(), record(first), now);
         m.inherit("m-2".into(), record(second), now);
-        let mut mirror = jobs::Mirror::default();
+        let mut job_cache = jobs::JobCache::default();
         let job = jobs::OpenJob {
             spec: jobs::tests::spec(),
             submitted: crate::types::WallTime(1),
             home: "n0".into(),
         };
-        mirror.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
-        m.take_stock(&mirror, now);
+        job_cache.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
+        m.build_job_states(&job_cache, now);
         let dead = if live == "m-1" { "m-2" } else { "m-1" };
         m.process_heartbeat(&heartbeat(dead, "z0", 8), MonotonicTime::from_millis(2));
-        let run = &m.runs[&JobId::from("req-1")];
-        assert_eq!(run.placed().get(&0), Some(&MachineId::from(live)), "it is still on {live}");
+        let job_state = &m.job_states[&JobId::from("req-1")];
+        assert_eq!(job_state.placed().get(&0), Some(&MachineId::from(live)), "it is still on {live}");
     }
 }
 
 /// One slow fetch made the other tasks of a gang give up, again and again (andina apart).
 #[test]
 fn a_gangs_tasks_with_their_image_start_after_the_others_fetches() {
-    let (mut m, now) = (master(), MonotonicTime::from_millis(1));
+    let (mut m, now) = (leader(), MonotonicTime::from_millis(1));
     let mut spec = jobs::tests::spec();
-    (spec.shape, spec.tasks) = (Shape::Gang, 2);
+    (spec.job_type, spec.tasks) = (JobType::Gang, 2);
     let job = Arc::new(jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: "n0".into() });
-    m.runs.insert("req-1".into(), Run::new(job, now));
+    m.job_states.insert("req-1".into(), JobState::new(job, now));
     for (i, after_fetches) in [(0, true), (1, false)] {
         let id = format!("m-{i}");
         m.process_heartbeat(&heartbeat(&id, "z0", 1), now);
@@ -77,9 +77,9 @@
         );
         assignment.after_fetches = after_fetches;
         m.machines.get_mut(&id).expect("there").assignments.insert(task, assignment);
-        m.runs.get_mut(&JobId::from("req-1")).expect("there").place(i, id);
+        m.job_states.get_mut(&JobId::from("req-1")).expect("there").place(i, id);
     }
-    let starts = |m: &mut Master, id: &str| {
+    let starts = |m: &mut Leader, id: &str| {
         m.machines
             .get_mut(&MachineId::from(id))
             .expect("there")
--- a/crates/scheduler/src/node/master/rounds/tests.rs
+++ b/crates/scheduler/src/node/leader/rounds/tests.rs
@@ -1,9 +1,9 @@
-use super::super::stock::tests::{heartbeat, master};
+use super::super::reconciliation::tests::{heartbeat, leader};
 use super::*;
 
 /// A master with machines that hold one GPU task each, and nodes n0 (itself), n1 and n2.
-fn fleet(machines: usize) -> (Master, BTreeSet<NodeName>, NodeName, MonotonicTime) {
-    let (mut m, now) = (master(), MonotonicTime::from_millis(1_000));
+fn fleet(machines: usize) -> (Leader, BTreeSet<NodeName>, NodeName, MonotonicTime) {
+    let (mut m, now) = (leader(), MonotonicTime::from_millis(1_000));
     for i in 0..machines {
         let id = format!("m-{i}");
         m.process_heartbeat(&heartbeat(&id, "z0", 1), now);
@@ -22,20 +22,20 @@
     (m, nodes.iter().cloned().collect(), nodes[0].clone(), now)
 }
 
-fn job(m: &mut Master, id: &str, home: &str, priority: Priority, tasks: u32, now: MonotonicTime) {
+fn job(m: &mut Leader, id: &str, home: &str, priority: Priority, tasks: u32, now: MonotonicTime) {
     let mut spec = jobs::tests::spec();
     (spec.priority, spec.tasks, spec.types, spec.zone) = (priority, tasks, None, None);
     spec.resources = Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
     let team = m.settings.teams.keys().next().expect("a team").clone();
     spec.team = team;
     let job = jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: home.into() };
-    m.runs.insert(id.into(), Run::new(Arc::new(job), now));
+    m.job_states.insert(id.into(), JobState::new(Arc::new(job), now));
 }
 
 /// Which job's round has each machine.
-fn offered(rounds: &[(NodeName, u64, Vec<MachineView>, Vec<TaskAsk>)]) -> Vec<(String, usize)> {
-    let of = |(_, _, machines, asks): &(NodeName, u64, Vec<MachineView>, Vec<TaskAsk>)| {
-        (asks[0].job.to_string(), machines.len())
+fn offered(rounds: &[(NodeName, u64, Vec<MachineView>, Vec<PlacementRequest>)]) -> Vec<(String, usize)> {
+    let of = |(_, _, machines, requests): &(NodeName, u64, Vec<MachineView>, Vec<PlacementRequest>)| {
+        (requests[0].job.to_string(), machines.len())
     };
     rounds.iter().map(of).collect()
 }
@@ -62,9 +62,9 @@
     job(&mut m, "req-0", "n1", Priority::Production, 2, now);
     job(&mut m, "req-1", "n2", Priority::Low, 9, now);
     m.build_rounds(&live, &me, now); // cuts the blocks
-    m.runs.values_mut().for_each(|r| r.offered = 0);
+    m.job_states.values_mut().for_each(|r| r.offered = 0);
     let all: Vec<MachineId> = m.machines.keys().cloned().collect();
-    m.blocks.give(&"n1".into(), all);
+    m.partitions.give(&"n1".into(), all);
     let mut offered = offered(&m.build_rounds(&live, &me, now));
     offered.sort();
     assert_eq!(offered, [("req-0".to_string(), 2), ("req-1".to_string(), 4)]);
--- a/crates/scheduler/src/node/master/load.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -6,29 +6,34 @@
 /// times the andina fleet).
 const PAGE: u32 = 500;
 
-impl Master {
+impl Leader {
     /// Begins to read what the leaders before left.
-    pub(in crate::node) fn load(&mut self, ctx: &mut Ctx) {
-        self.load_page(ctx, assignments::PREFIX, None, LeaderRequest::LoadMachines);
-        self.load_page(ctx, jobs::PROGRESS_PREFIX, None, LeaderRequest::LoadProgress);
+    pub(in crate::node) fn load(&mut self, context: &mut StepContext) {
+        self.load_page(context, assignments::PREFIX, None, LeaderRequest::LoadMachines);
+        self.load_page(context, jobs::PROGRESS_PREFIX, None, LeaderRequest::LoadProgress);
     }
 
     fn load_page(
         &self,
-        ctx: &mut Ctx,
+        context: &mut StepContext,
         prefix: &'static str,
         after: Option<String>,
         request_id: LeaderRequest,
     ) {
-        let request = StateRequest::Range { prefix, after, most: PAGE };
-        ctx.out.ask_state(request, Pending::Leader(self.fencing_token, request_id));
+        let request = StoreRequest::Range { prefix, after, most: PAGE };
+        context.out.request_store(request, Pending::Leader(self.fencing_token, request_id));
     }
 
-    pub(super) fn loaded_page(&mut self, ctx: &mut Ctx, request_id: LeaderRequest, reply: StateReply) {
+    pub(super) fn loaded_page(
+        &mut self,
+        context: &mut StepContext,
+        request_id: LeaderRequest,
+        reply: StoreReply,
+    ) {
         let machines = matches!(request_id, LeaderRequest::LoadMachines);
         let prefix = if machines { assignments::PREFIX } else { jobs::PROGRESS_PREFIX };
-        let StateReply::Pairs { pairs, more, .. } = reply else {
-            self.reload.push((ctx.now + Duration::from_millis(200), request_id));
+        let StoreReply::Pairs { pairs, more, .. } = reply else {
+            self.reload.push((context.now + Duration::from_millis(200), request_id));
             return;
         };
         for pair in &pairs {
@@ -39,15 +44,18 @@
             }
             let Some(id) = pair.key.strip_prefix(assignments::PREFIX) else { continue };
             match serde_json::from_str::<MachineRecord>(&pair.value) {
-                Ok(record) if record.is_possible() => self.inherit(id.into(), record, ctx.now),
-                Ok(_) => {
-                    self.return_unreadable(&pair.key, id.into(), "says what nobody can have stored", ctx.now)
-                }
-                Err(error) => self.return_unreadable(&pair.key, id.into(), &error.to_string(), ctx.now),
+                Ok(record) if record.is_possible() => self.inherit(id.into(), record, context.now),
+                Ok(_) => self.return_unreadable(
+                    &pair.key,
+                    id.into(),
+                    "says what nobody can have stored",
+                    context.now,
+                ),
+                Err(error) => self.return_unreadable(&pair.key, id.into(), &error.to_string(), context.now),
             }
         }
         match pairs.last() {
-            Some(last) if more => self.load_page(ctx, prefix, Some(last.key.clone()), request_id),
+            Some(last) if more => self.load_page(context, prefix, Some(last.key.clone()), request_id),
             _ if machines => self.machines_loaded = true,
             _ => self.progress_loaded = true,
         }
@@ -55,10 +63,10 @@
 
     /// What is on a machine whose record can't be read is not known, and might be started elsewhere too: it is
     /// returned, and nothing starts anywhere until the cloud has confirmed that.
-    fn return_unreadable(&mut self, key: &str, id: MachineId, why: &str, now: MonotonicTime) {
+    fn return_unreadable(&mut self, key: &str, id: MachineId, reason: &str, now: MonotonicTime) {
         tracing::error!(
             key,
-            why,
+            reason,
             "machine record can't be read; returning the machine before anything starts"
         );
         let mut m = Machine::new(id.clone(), "".into(), "".into(), false, Resources::default(), now);
@@ -68,26 +76,30 @@
     }
 
     /// Reads again what could not be read.
-    pub(super) fn reload_due(&mut self, ctx: &mut Ctx) {
-        for request_id in due(&mut self.reload, ctx.now) {
+    pub(super) fn reload_due(&mut self, context: &mut StepContext) {
+        for request_id in due(&mut self.reload, context.now) {
             // From the top: taking in a page twice changes nothing.
             let machines = matches!(request_id, LeaderRequest::LoadMachines);
             let prefix = if machines { assignments::PREFIX } else { jobs::PROGRESS_PREFIX };
-            self.load_page(ctx, prefix, None, request_id);
+            self.load_page(context, prefix, None, request_id);
         }
     }
 
     /// Builds the runs once all records are read: machines, progress, and job records by a read
     /// that began under this leadership. With an older copy of the jobs, tasks of one accepted
     /// meanwhile would be taken for strays, and placed a second time when it shows up.
-    pub(super) fn stock_taken(&mut self, ctx: &mut Ctx) {
-        if self.loaded() || !self.machines_loaded || !self.progress_loaded || self.wants_jobs(ctx.fresh_at) {
+    pub(super) fn records_loaded(&mut self, context: &mut StepContext) {
+        if self.loaded()
+            || !self.machines_loaded
+            || !self.progress_loaded
+            || self.wants_jobs(context.fresh_at)
+        {
             return;
         }
-        self.heartbeat_collection.records_read(ctx.now);
-        self.take_stock(ctx.mirror, ctx.now);
-        tracing::info!(machines = self.machines.len(), jobs = self.runs.len(), "records read");
-        self.take_early(ctx);
+        self.heartbeat_collection.records_read(context.now);
+        self.build_job_states(context.job_cache, context.now);
+        tracing::info!(machines = self.machines.len(), jobs = self.job_states.len(), "records read");
+        self.take_early(context);
     }
 
     /// How far the reports are in.
@@ -106,12 +118,12 @@
     }
 
     /// Job records changed, here or at another node.
-    pub(in crate::node) fn jobs_changed(&mut self, ctx: &Ctx, ids: Vec<JobId>) {
+    pub(in crate::node) fn jobs_changed(&mut self, context: &StepContext, ids: Vec<JobId>) {
         if !self.loaded() {
-            return; // `take_stock` reads the mirror
+            return; // `build_job_states` reads the mirror
         }
         for id in ids {
-            self.job_changed(ctx.mirror, &id, ctx.now);
+            self.job_changed(context.job_cache, &id, context.now);
         }
     }
 }
--- a/crates/scheduler/src/node/master/upkeep.rs
+++ b/crates/scheduler/src/node/leader/upkeep.rs
@@ -65,19 +65,19 @@
 }
 
 /// A machine is given up: to be returned.
-fn lose(m: &mut Machine, blocks: &mut Blocks) {
+fn lose(m: &mut Machine, partitions: &mut Partitions) {
     tracing::warn!(machine = %m.id, status = ?m.status, tasks = m.assignments.len(), "machine lost; returning it");
     m.status = MachineStatus::Releasing;
-    blocks.remove(&m.id);
+    partitions.remove(&m.id);
 }
 
 /// Since when a machine is to stop a task of a job that is over, if it is and has not said that it did.
-fn over_since(m: &Machine, runs: &BTreeMap<JobId, Run>) -> Option<MonotonicTime> {
+fn over_since(m: &Machine, job_states: &BTreeMap<JobId, JobState>) -> Option<MonotonicTime> {
     let stopping = m.assignments.iter().filter_map(|(task, e)| Some((task, e.stop?.since)));
-    stopping.filter(|(task, _)| !runs.contains_key(&task.job)).map(|(_, since)| since).min()
+    stopping.filter(|(task, _)| !job_states.contains_key(&task.job)).map(|(_, since)| since).min()
 }
 
-impl Master {
+impl Leader {
     // ---- watching the fleet ----
 
     /// Most machines fell silent at once: rather this node is cut off than all of them. But only
@@ -105,14 +105,15 @@
         for m in self.machines.values() {
             let Some(taken_at) = m.taken_at else { continue };
             let left = taken_at.since(now);
-            for (task, assignment) in m.assignments.iter().filter(|(_, e)| e.stop.is_none() && e.counts()) {
-                let Some(run) = self.runs.get(&task.job) else { continue };
-                let spec = &run.job.spec;
+            for (task, assignment) in m.assignments.iter().filter(|(_, e)| e.stop.is_none() && e.occupies()) {
+                let Some(job_state) = self.job_states.get(&task.job) else { continue };
+                let spec = &job_state.job.spec;
                 let save = gangs::save_grace_s(spec);
                 let ran = assignment.running_since.map(|s| now.since(s)).unwrap_or_default();
                 // It may end by itself in time: then stopping it only loses its work.
-                let ends_in_time =
-                    spec.shape != Shape::Service && spec.estimate.0 < ran.0 + left.0 && spec.estimate.0 > 0;
+                let ends_in_time = spec.job_type != JobType::Service
+                    && spec.estimate.0 < ran.0 + left.0
+                    && spec.estimate.0 > 0;
                 if ends_in_time && left.as_secs_f64() > save {
                     continue;
                 }
@@ -121,8 +122,8 @@
             }
         }
         for (machine, task, grace) in stops {
-            let (gang, job) = match self.runs.get(&task.job) {
-                Some(run) => (run.is_gang(), task.job.clone()),
+            let (gang, job) = match self.job_states.get(&task.job) {
+                Some(job_state) => (job_state.is_gang(), task.job.clone()),
                 None => continue,
             };
             if gang {
@@ -136,7 +137,7 @@
     /// Gangs that lost a task for good: the rest makes way for a new attempt.
     pub(super) fn mend_gangs(&mut self, now: MonotonicTime) {
         let broken: Vec<JobId> =
-            self.runs.iter().filter(|(_, r)| gangs::broken(r)).map(|(id, _)| id.clone()).collect();
+            self.job_states.iter().filter(|(_, r)| gangs::broken(r)).map(|(id, _)| id.clone()).collect();
         for id in broken {
             self.stop_job(&id, 0.0, now);
         }
@@ -165,12 +166,12 @@
         let is_cut = |zone: &Zone, z: &ZoneSilence| {
             everywhere || z.is_cut(heartbeat, now) || (alive.contains(zone) && !z.is_heard(now))
         };
-        let cut = zones.into_iter().filter(|(zone, z)| is_cut(zone, z));
-        let cut: BTreeSet<Zone> = cut.map(|(zone, _)| zone.clone()).collect();
-        cut.intersection(&alive).for_each(|zone| {
-            self.parted.insert(zone.clone(), now);
+        let cut_zones = zones.into_iter().filter(|(zone, z)| is_cut(zone, z));
+        let cut_zones: BTreeSet<Zone> = cut_zones.map(|(zone, _)| zone.clone()).collect();
+        cut_zones.intersection(&alive).for_each(|zone| {
+            self.partitioned_until.insert(zone.clone(), now);
         });
-        self.cut.clone_from(&cut);
+        self.cut_zones.clone_from(&cut_zones);
         let lost_after = heartbeat.times(o.lost_reports);
         let lease_ends = Duration::from_secs_f64(self.settings.workers.lease_s - LEASE_MARGIN_S);
         let may_give_up = self.heartbeat_collection.may_give_up(now);
@@ -178,7 +179,7 @@
         let gives_up = self.heartbeat_collection.allows(LeaderAction::GiveUp);
         let unstopped_limit = self.unstopped_limit();
         for m in self.machines.values_mut() {
-            let over = over_since(m, &self.runs);
+            let over = over_since(m, &self.job_states);
             let lost = match (m.status, m.last_heartbeat) {
                 // Nobody may have it: what is withdrawn must be gone in time, also from a machine that hangs, and each
                 // leader counts its silence anew (seven of 500 seeds with a leader every ten seconds). In a cut zone
@@ -187,20 +188,23 @@
                     if m.unanswered >= PROBES_LOST
                         && over.is_some_and(|at| {
                             let waited = now.since(at);
-                            waited >= heartbeat && !cut.contains(&m.zone) || waited > unstopped_limit
+                            waited >= heartbeat && !cut_zones.contains(&m.zone) || waited > unstopped_limit
                         }) =>
                 {
                     gives_up
                 }
                 // A node in there answers its workers: their leases live on, and nothing follows from this silence.
-                (MachineStatus::Up, Some(_)) if cut.contains(&m.zone) && alive.contains(&m.zone) => {
+                (MachineStatus::Up, Some(_)) if cut_zones.contains(&m.zone) && alive.contains(&m.zone) => {
                     m.unanswered = 0;
                     false
                 }
-                (MachineStatus::Up, Some(at)) if cut.contains(&m.zone) => {
+                (MachineStatus::Up, Some(at)) if cut_zones.contains(&m.zone) => {
                     let heard = zones_heard.get(&m.zone).map_or(at, |heard| at.min(*heard));
                     // A node in there that crashes may be back before the leases end that it has renewed.
-                    let heard = self.parted.get(&m.zone).map_or(heard, |parted| heard.max(*parted));
+                    let heard = self
+                        .partitioned_until
+                        .get(&m.zone)
+                        .map_or(heard, |partitioned_until| heard.max(*partitioned_until));
                     !suspect && words_came && now.since(heard) > lost_after.max(lease_ends)
                 }
                 // Just after a take-over it may be this leader that is not found yet.
@@ -211,7 +215,10 @@
                     // One that answers questions is there, though its reports reach nobody just now: it was returned
                     // with work on it where nodes crashed in turn (seed 5017). Its tasks live until their lease ends.
                     // Silence in a parted zone counts from when it is no longer parted.
-                    let at = self.parted.get(&m.zone).map_or(at, |parted| at.max(*parted));
+                    let at = self
+                        .partitioned_until
+                        .get(&m.zone)
+                        .map_or(at, |partitioned_until| at.max(*partitioned_until));
                     let alive = at.max(m.answered_at);
                     let silent = now.since(alive) > lost_after || now.since(at) > lease_ends.max(lost_after);
                     // Before it is late, only where it is surely not the zone.
@@ -219,15 +226,15 @@
                     !suspect && (silent || asked && m.unanswered >= PROBES_LOST)
                 }
                 (MachineStatus::Booting, _) => self
-                    .market
+                    .instance_offers
                     .types
                     .iter()
                     .find(|t| t.name == m.type_name)
-                    .is_some_and(|t| now.since(m.rented_at) > fleet::boot_limit(t, o.boot_patience)),
+                    .is_some_and(|t| now.since(m.rented_at) > autoscaler::boot_limit(t, o.boot_patience)),
                 _ => false,
             };
             if lost {
-                lose(m, &mut self.blocks);
+                lose(m, &mut self.partitions);
             }
         }
     }
@@ -255,7 +262,7 @@
                 })
             });
             if overdue || blind && m.has_unacknowledged_starts() {
-                lose(m, &mut self.blocks);
+                lose(m, &mut self.partitions);
             }
         }
     }
@@ -279,7 +286,7 @@
         let late = Duration::from_secs_f64(self.settings.workers.report_s).times(PROBE_AFTER_REPORTS);
         let asked: BTreeSet<&MachineId> = self.probes.values().collect();
         // Those first that are to stop what is over, and at once if this leader has not heard them.
-        let over = |m: &Machine| over_since(m, &self.runs).is_some();
+        let over = |m: &Machine| over_since(m, &self.job_states).is_some();
         let silent = self.machines.values().filter(|m| {
             m.status == MachineStatus::Up
                 && m.last_heartbeat.is_some_and(|at| {
@@ -314,8 +321,12 @@
             return false;
         }
         m.assignments.iter().any(|(task, e)| {
-            let spec = e.counts().then(|| self.runs.get(&task.job)).flatten().map(|run| &run.job.spec);
-            spec.filter(|spec| spec.shape == Shape::Service)
+            let spec = e
+                .occupies()
+                .then(|| self.job_states.get(&task.job))
+                .flatten()
+                .map(|job_state| &job_state.job.spec);
+            spec.filter(|spec| spec.job_type == JobType::Service)
                 .and_then(|spec| self.settings.wait_objective(&spec.kind, false))
                 .is_some_and(|within| within < late.as_secs_f64() && silence >= within)
         })
@@ -331,7 +342,7 @@
             if m.status == MachineStatus::Up && may_return && empty && (idle_for >= idle || m.draining) {
                 tracing::info!(machine = %m.id, faulty = m.draining, "idle; returning it");
                 m.status = MachineStatus::Releasing;
-                self.blocks.remove(&m.id);
+                self.partitions.remove(&m.id);
             }
         }
         let due: Vec<MachineId> = self
@@ -354,32 +365,34 @@
         self.unreadable_machines.remove(id);
         self.coordinator.forget(id);
         self.tombstones.insert(id.clone(), now);
-        self.blocks.remove(id);
+        self.partitions.remove(id);
         let Some(mut m) = self.machines.remove(id) else { return };
         let assignments = std::mem::take(&mut m.assignments);
         m.recount(&mut self.used, now);
         self.machines_with_unknown_tasks.remove(id);
-        self.dirty.remove(id);
+        self.pending_records.remove(id);
         for (task, assignment) in assignments {
             if assignment.state == AssignmentState::Done {
                 continue; // being recorded; the outcome is known
             }
             self.task_gone(id, &task, &assignment, Outcome::Vanished, now);
         }
-        self.dirty.remove(id);
+        self.pending_records.remove(id);
         if self.commit_pipeline.holds(&assignments::key(id)) {
             self.commit_pipeline.put(&assignments::key(id), None, CommitPriority::Normal);
         }
     }
 
-    pub(super) fn rented(&mut self, id: MachineId, offer: &Offer, now: MonotonicTime) {
+    pub(super) fn rented(&mut self, id: MachineId, offer: &InstanceOffer, now: MonotonicTime) {
         if self.tombstones.contains_key(&id) || self.machines.contains_key(&id) {
             return;
         }
-        let Some(total) = self.market.type_of(&offer.type_name).map(MachineType::resources) else { return };
+        let Some(total) = self.instance_offers.type_of(&offer.type_name).map(MachineType::resources) else {
+            return;
+        };
         let m = Machine::new(id.clone(), offer.type_name.clone(), offer.zone.clone(), offer.spot, total, now);
         self.machines.insert(id.clone(), m);
-        self.dirty.insert(id);
+        self.pending_records.insert(id);
     }
 
     pub(super) fn listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
@@ -387,7 +400,7 @@
             return;
         }
         if !self.machines.contains_key(&listed.id) {
-            let offer = Offer { type_name: listed.type_name, zone: listed.zone, spot: listed.spot };
+            let offer = InstanceOffer { type_name: listed.type_name, zone: listed.zone, spot: listed.spot };
             self.rented(listed.id.clone(), &offer, now);
         }
         let Some(m) = self.machines.get_mut(&listed.id) else { return };
@@ -397,14 +410,14 @@
         if listed.phase == MachinePhase::Failed && m.status != MachineStatus::Releasing {
             tracing::warn!(machine = %m.id, "machine failed; returning it");
             m.status = MachineStatus::Releasing;
-            self.blocks.remove(&m.id);
+            self.partitions.remove(&m.id);
         }
     }
 
     // ---- records and rentals ----
 
     pub(super) fn write_records(&mut self) {
-        for id in std::mem::take(&mut self.dirty) {
+        for id in std::mem::take(&mut self.pending_records) {
             let Some(m) = self.machines.get_mut(&id).filter(|_| !self.unreadable_machines.contains(&id))
             else {
                 continue;
@@ -425,7 +438,9 @@
                 .collect();
             // Starts wait for it; what has only left is proved gone again by whoever reads it.
             let replica = |task: &TaskId| {
-                self.runs.get(&task.job).is_some_and(|run| run.job.spec.shape == Shape::Service)
+                self.job_states
+                    .get(&task.job)
+                    .is_some_and(|job_state| job_state.job.spec.job_type == JobType::Service)
             };
             let commit_priority = match planned.is_empty() {
                 true => CommitPriority::Background,
@@ -440,60 +455,61 @@
     }
 
     /// All that waits, most urgent first, as far as teams' limits allow.
-    fn needs(&mut self, now: MonotonicTime) -> Vec<Need> {
+    fn capacity_requests(&mut self, now: MonotonicTime) -> Vec<CapacityRequest> {
         let guaranteed = self.guaranteed();
-        let mut ids: Vec<(&JobId, &Run)> = self
-            .runs
+        let mut ids: Vec<(&JobId, &JobState)> = self
+            .job_states
             .iter()
             .filter(|(_, r)| r.waiting_count() > 0 && !r.finishing && r.not_before <= now)
             .collect();
         ids.sort_by_cached_key(|(id, r)| self.priority_key(id, r, &guaranteed));
         let mut used = self.used.clone();
         let mut left = NEEDS_AT_MOST;
-        let mut needs = Vec::new();
-        for (id, run) in ids {
-            let spec = &run.job.spec;
+        let mut capacity_requests = Vec::new();
+        for (id, job_state) in ids {
+            let spec = &job_state.job.spec;
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = assignments::fitting(team, sum, &spec.resources).min(run.waiting_count()).min(left);
-            if fitting == 0 || (run.is_gang() && fitting < spec.tasks) {
+            let fitting =
+                assignments::fitting(team, sum, &spec.resources).min(job_state.waiting_count()).min(left);
+            if fitting == 0 || (job_state.is_gang() && fitting < spec.tasks) {
                 continue;
             }
             *sum = sum.plus(&spec.resources.times(f64::from(fitting)));
             left -= fitting;
-            needs.push(Need {
+            capacity_requests.push(CapacityRequest {
                 tasks: fitting,
                 resources: spec.resources,
                 types: spec.types.clone(),
                 spot: spec.spot,
-                zones: self.zone_capacity(id, run),
+                zones: self.zone_capacity(id, job_state),
                 together: spec.together,
-                patient: spec.shape == Shape::Array && spec.estimate.0 > 0,
+                patient: spec.job_type == JobType::Array && spec.estimate.0 > 0,
             });
         }
-        self.judge_patience(&mut needs);
-        needs
+        self.judge_patience(&mut capacity_requests);
+        capacity_requests
     }
 
     /// Tasks of arrays follow one another on the same places. While those that wait will get one
     /// sooner than a new machine would be up and done with its first, they needn't have dear ones.
-    fn judge_patience(&self, needs: &mut [Need]) {
-        let arrays = || self.runs.values().filter(|r| r.job.spec.shape == Shape::Array);
+    fn judge_patience(&self, capacity_requests: &mut [CapacityRequest]) {
+        let arrays = || self.job_states.values().filter(|r| r.job.spec.job_type == JobType::Array);
         let (mut waiting, mut work_s) = (0.0, 0.0);
-        for run in arrays() {
-            let tasks = f64::from(run.waiting_count());
+        for job_state in arrays() {
+            let tasks = f64::from(job_state.waiting_count());
             waiting += tasks;
-            work_s += tasks * run.job.spec.estimate.as_secs_f64();
+            work_s += tasks * job_state.job.spec.estimate.as_secs_f64();
         }
-        let Some(need) = needs.iter().find(|n| n.patient).map(|n| n.resources) else { return };
+        let Some(need) = capacity_requests.iter().find(|n| n.patient).map(|n| n.resources) else { return };
         let placed: usize = arrays().map(|r| r.placed().len()).sum();
-        let coming = self.machines.values().filter(|m| m.status == MachineStatus::Booting);
-        let coming: u32 = coming.map(|m| m.free().count_of(&need)).sum();
-        let places = (placed as f64 + f64::from(coming)).max(1.0);
-        let boot_s = self.market.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
+        let incoming = self.machines.values().filter(|m| m.status == MachineStatus::Booting);
+        let incoming: u32 = incoming.map(|m| m.free().count_of(&need)).sum();
+        let places = (placed as f64 + f64::from(incoming)).max(1.0);
+        let boot_s = self.instance_offers.types.iter().map(|t| t.boot_s).fold(0.0, f64::max);
         let mean_s = if waiting > 0.0 { work_s / waiting } else { 0.0 };
         let soon = work_s / places <= boot_s + mean_s;
-        for need in needs {
+        for need in capacity_requests {
             need.patient &= soon;
         }
     }
@@ -502,26 +518,26 @@
         if !self.heartbeat_collection.allows(LeaderAction::Rent)
             || now < self.rent_not_before
             || now.since(self.since) < Duration::from_millis(2000)
-            || self.market.types.is_empty()
+            || self.instance_offers.types.is_empty()
         {
             return Vec::new();
         }
         self.plans.begins(now);
-        let mut needs = self.needs(now);
+        let mut capacity_requests = self.capacity_requests(now);
         // What is rented in a zone that is cut off can't be used.
-        for need in &mut needs {
-            if need.zones.iter().any(|(zone, n)| *n > 0 && !self.cut.contains(zone)) {
-                need.zones.retain(|(zone, _)| !self.cut.contains(zone));
+        for need in &mut capacity_requests {
+            if need.zones.iter().any(|(zone, n)| *n > 0 && !self.cut_zones.contains(zone)) {
+                need.zones.retain(|(zone, _)| !self.cut_zones.contains(zone));
             }
         }
-        if needs.is_empty() {
+        if capacity_requests.is_empty() {
             return Vec::new();
         }
-        let least = needs.iter().map(|n| n.resources.gpus).fold(f64::MAX, f64::min);
-        let mut groups: BTreeMap<(Offer, [u64; 3]), Coming> = BTreeMap::new();
-        let mut add = |offer: Offer, free: Resources, number: u32| {
+        let least = capacity_requests.iter().map(|n| n.resources.gpus).fold(f64::MAX, f64::min);
+        let mut groups: BTreeMap<(InstanceOffer, [u64; 3]), IncomingCapacity> = BTreeMap::new();
+        let mut add = |offer: InstanceOffer, free: Resources, number: u32| {
             let key = [free.cpus, free.gpus, free.memory_gb].map(|x| (x.max(0.0) * 1000.0) as u64);
-            let new = Coming { offer: offer.clone(), free, number: 0 };
+            let new = IncomingCapacity { instance_offer: offer.clone(), free, number: 0 };
             groups.entry((offer, key)).or_insert(new).number += number;
         };
         let mut per_zone: BTreeMap<Zone, u32> = BTreeMap::new();
@@ -532,29 +548,30 @@
             let soon =
                 m.status == MachineStatus::Booting || (m.status == MachineStatus::Up && !m.has_been_heard());
             if m.free().gpus + 1e-6 >= least && (soon || m.open_for_tasks(now)) {
-                let offer = Offer { type_name: m.type_name.clone(), zone: m.zone.clone(), spot: m.spot };
+                let offer =
+                    InstanceOffer { type_name: m.type_name.clone(), zone: m.zone.clone(), spot: m.spot };
                 add(offer, m.free(), 1);
             }
         }
         for request_id in self.cloud_calls_open.values() {
             if let CloudCall::Rent { offer, number } = request_id
-                && let Some(t) = self.market.type_of(&offer.type_name)
+                && let Some(t) = self.instance_offers.type_of(&offer.type_name)
             {
                 add(offer.clone(), t.resources(), *number);
             }
         }
-        let mut coming: Vec<Coming> = groups.into_values().collect();
+        let mut incoming: Vec<IncomingCapacity> = groups.into_values().collect();
         // Small gaps first: whole machines stay for those that need them whole.
-        coming.sort_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
+        incoming.sort_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
         let most = self.settings.operator.rent_at_most;
         let mut out = Vec::new();
-        for (offer, number) in self.market.plan(needs, coming, &per_zone, now) {
+        for (offer, number) in self.instance_offers.plan(capacity_requests, incoming, &per_zone, now) {
             if !self.cloud_calls.take(1.0, now) {
                 break;
             }
             let number = number.min(most);
             let request = CloudRequest::Rent {
-                claim: self.market.claim(self.fencing_token),
+                claim: self.instance_offers.claim(self.fencing_token),
                 type_name: offer.type_name.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
--- a/crates/scheduler/src/node/master/upkeep/tests.rs
+++ b/crates/scheduler/src/node/leader/upkeep/tests.rs
@@ -1,8 +1,8 @@
-use super::super::stock::tests::{heartbeat, master};
+use super::super::reconciliation::tests::{heartbeat, leader};
 use super::*;
 
-fn fleet(zones: &[&str]) -> Master {
-    let mut m = master();
+fn fleet(zones: &[&str]) -> Leader {
+    let mut m = leader();
     for (i, zone) in zones.iter().enumerate() {
         m.process_heartbeat(&heartbeat(&format!("m-{i}"), zone, 1), MonotonicTime::from_millis(1_000));
     }
@@ -11,7 +11,7 @@
     m
 }
 
-fn lost(m: &Master) -> Vec<&str> {
+fn lost(m: &Leader) -> Vec<&str> {
     let lost = m.machines.values().filter(|m| m.status == MachineStatus::Releasing);
     lost.map(|m| m.id.as_str()).collect()
 }
@@ -41,7 +41,7 @@
     let mut m = fleet(&["z0", "z0", "z0", "z0", "z1", "z1", "z1", "z1", "z1"]);
     let lease = (m.settings.workers.lease_s * 1000.0) as u64;
     let hear_others =
-        |m: &mut Master, heard: &BTreeMap<Zone, MonotonicTime>, at: MonotonicTime, serial: u64| {
+        |m: &mut Leader, heard: &BTreeMap<Zone, MonotonicTime>, at: MonotonicTime, serial: u64| {
             (4..9).for_each(|i| m.process_heartbeat(&heartbeat(&format!("m-{i}"), "z1", serial), at));
             m.machines.values_mut().filter(|m| m.zone == "z0".into()).for_each(|m| m.unanswered = 9);
             m.find_lost(heard, at);
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -1,19 +1,19 @@
 //! A node: the core that joins the slices. The program has the shell that does what it says.
 
 mod catalogue;
-mod core;
-mod follower;
-mod master;
+mod controller;
+mod leader;
 mod outbox;
 mod peers;
+mod prefix_watcher;
 
-pub use self::core::Core;
+pub use self::controller::Controller;
 
-use crate::blocks::Envelope;
-use crate::feature::Call;
+use crate::extension::Call;
+use crate::partitions::Envelope;
 use crate::types::{Duration, MonotonicTime, NodeName, RequestId, WallTime};
 use crate::wire::cloud::{CloudReply, CloudRequest};
-use crate::wire::state::{StateReply, StateRequest};
+use crate::wire::state::{StoreReply, StoreRequest};
 
 /// The clocks at a step.
 #[derive(Debug, Clone, Copy)]
@@ -41,9 +41,9 @@
         path: String,
         body: Vec<u8>,
     },
-    State {
+    Store {
         request_id: RequestId,
-        reply: StateReply,
+        reply: StoreReply,
     },
     Cloud {
         request_id: RequestId,
@@ -75,21 +75,21 @@
         headers: Vec<(&'static str, String)>,
         body: String,
     },
-    State {
+    Store {
         request_id: RequestId,
-        request: StateRequest,
-        patience: Duration,
+        request: StoreRequest,
+        timeout: Duration,
     },
     Cloud {
         request_id: RequestId,
         request: CloudRequest,
-        patience: Duration,
+        timeout: Duration,
     },
     Worker {
         request_id: RequestId,
         addr: String,
         body: String,
-        patience: Duration,
+        timeout: Duration,
     },
     Peer {
         to: NodeName,
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -1,22 +1,22 @@
 //! What a step asks for: its effects in their order, and what each request still out is for.
 
 use super::Effect;
-use crate::blocks::{self, PeerMessage};
-use crate::jobs::{OpenJob, Waiting};
+use crate::jobs::{OpenJob, PendingRequest};
+use crate::partitions::{self, PeerMessage};
 use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, RequestId};
 use crate::wire::cloud::CloudRequest;
-use crate::wire::state::{Change, StateRequest};
+use crate::wire::state::{Change, StoreRequest};
 use crate::wire::users;
 use pearford_heartbeat::RelayedCommand;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// How long the shell waits for the state service before it reports no answer.
-const STATE_PATIENCE: Duration = Duration::from_millis(1500);
+const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The same for a page of records, which may hold half a megabyte: asked for anew before it had come in, a loaded node
 /// never had its copy of the jobs, and nobody led (four times the andina fleet, a slow state service).
-const PAGE_PATIENCE: Duration = Duration::from_millis(6000);
-const CLOUD_PATIENCE: Duration = Duration::from_millis(5000);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(6000);
+const CLOUD_TIMEOUT: Duration = Duration::from_millis(5000);
 /// What the way by another node takes, at most, beside the order itself.
 const RELAY_SLACK: Duration = Duration::from_millis(500);
 /// Requests of users are numbered by the shell, from 1.
@@ -26,20 +26,20 @@
 #[derive(Debug)]
 pub(super) enum Pending {
     /// Keeping a copy of records up to date.
-    Follow(Whose, Read),
+    Follow(WatchedPrefix, Read),
     Create {
-        waiting: Waiting,
+        waiting: PendingRequest,
         job: Arc<OpenJob>,
     },
-    Withdraw {
-        waiting: Waiting,
+    Cancel {
+        waiting: PendingRequest,
     },
-    Counts,
-    Levels,
+    SuccessCounts,
+    ClusterVersion,
     /// What this node says of whom it hears, apart from the leader.
     Apart,
     /// A feature's commit.
-    Feature {
+    Extension {
         slot: usize,
         tag: u64,
         changes: Vec<Change>,
@@ -55,9 +55,9 @@
 
 /// Whose records a copy is of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Whose {
+pub(super) enum WatchedPrefix {
     Jobs,
-    Feature(usize),
+    Extension(usize),
 }
 
 /// A read that follows a prefix.
@@ -122,20 +122,20 @@
         RequestId(self.next_request_id)
     }
 
-    pub fn ask_state(&mut self, request: StateRequest, pending: Pending) {
-        let patience = match &request {
-            StateRequest::Watch { block_ms, .. } => Duration::from_millis(block_ms + 2500),
-            StateRequest::Range { .. } => PAGE_PATIENCE,
-            _ => STATE_PATIENCE,
+    pub fn request_store(&mut self, request: StoreRequest, pending: Pending) {
+        let timeout = match &request {
+            StoreRequest::Watch { block_ms, .. } => Duration::from_millis(block_ms + 2500),
+            StoreRequest::Range { .. } => PAGE_TIMEOUT,
+            _ => STATE_TIMEOUT,
         };
-        let request_id = self.ask_state_for(request, patience);
+        let request_id = self.request_store_with_timeout(request, timeout);
         self.pending.insert(request_id, pending);
     }
 
     /// A request whose answer the caller knows by its id.
-    pub fn ask_state_for(&mut self, request: StateRequest, patience: Duration) -> RequestId {
+    pub fn request_store_with_timeout(&mut self, request: StoreRequest, timeout: Duration) -> RequestId {
         let request_id = self.request_id();
-        self.effects.push(Effect::State { request_id, request, patience });
+        self.effects.push(Effect::Store { request_id, request, timeout });
         request_id
     }
 
@@ -146,7 +146,7 @@
 
     /// Whether it only follows a feature's records.
     pub fn is_aside(&self, request_id: RequestId) -> bool {
-        matches!(self.pending.get(&request_id), Some(Pending::Follow(Whose::Feature(_), _)))
+        matches!(self.pending.get(&request_id), Some(Pending::Follow(WatchedPrefix::Extension(_), _)))
     }
 
     pub fn waits_for(&self, what: impl Fn(&Pending) -> bool) -> bool {
@@ -158,32 +158,32 @@
         self.pending.len()
     }
 
-    pub fn ask_cloud(&mut self, request: CloudRequest) -> RequestId {
+    pub fn request_cloud(&mut self, request: CloudRequest) -> RequestId {
         let request_id = self.request_id();
-        self.effects.push(Effect::Cloud { request_id, request, patience: CLOUD_PATIENCE });
+        self.effects.push(Effect::Cloud { request_id, request, timeout: CLOUD_TIMEOUT });
         request_id
     }
 
-    pub fn ask_worker(&mut self, addr: String, body: String, patience: Duration) -> RequestId {
+    pub fn command_worker(&mut self, addr: String, body: String, timeout: Duration) -> RequestId {
         let request_id = self.request_id();
-        self.effects.push(Effect::Worker { request_id, addr, body, patience });
+        self.effects.push(Effect::Worker { request_id, addr, body, timeout });
         request_id
     }
 
-    /// As `ask_worker`, by way of another node. Whoever passes it on may be gone: without an answer it may
+    /// As `command_worker`, by way of another node. Whoever passes it on may be gone: without an answer it may
     /// still run, as without one of the worker's.
     pub fn relay(
         &mut self,
         via: &NodeName,
         addr: String,
         body: String,
-        patience: Duration,
+        timeout: Duration,
         now: MonotonicTime,
     ) -> RequestId {
         let request_id = self.request_id();
-        let call = RelayedCommand { call: request_id.0, addr, body, patience };
+        let call = RelayedCommand { call: request_id.0, addr, body, timeout };
         self.relays.entry(via.clone()).or_default().push(call);
-        self.relayed.insert(request_id, now + patience + RELAY_SLACK);
+        self.relayed.insert(request_id, now + timeout + RELAY_SLACK);
         request_id
     }
 
@@ -209,7 +209,7 @@
     }
 
     pub fn tell(&mut self, to: &NodeName, message: PeerMessage) {
-        let bytes = blocks::encode(&self.me, message);
+        let bytes = partitions::encode(&self.me, message);
         self.effects.push(Effect::Peer { to: to.clone(), bytes });
     }
 
@@ -222,7 +222,7 @@
         self.effects.push(effect);
     }
 
-    pub fn refuse(&mut self, request: RequestId, status: u16, why: &str) {
-        self.answer(request, status, users::error(why));
+    pub fn refuse(&mut self, request: RequestId, status: u16, reason: &str) {
+        self.answer(request, status, users::error(reason));
     }
 }
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -7,13 +7,13 @@
 /// Silence after which a peer counts as away.
 const SILENCE: Duration = Duration::from_millis(2500);
 /// Beats that may be under way to a peer that is in step.
-const BEATS_UNDER_WAY: u64 = 4;
+const BROADCASTS_IN_FLIGHT: u64 = 4;
 
 #[derive(Debug)]
 struct State {
     heard: MonotonicTime,
-    state_ok: bool,
-    beat_at: (FencingToken, u64),
+    store_reachable: bool,
+    broadcast_seen: (FencingToken, u64),
     hears_workers: bool,
 }
 
@@ -40,12 +40,12 @@
     pub fn pinged(
         &mut self,
         from: NodeName,
-        state_ok: bool,
-        beat_at: (FencingToken, u64),
+        store_reachable: bool,
+        broadcast_seen: (FencingToken, u64),
         hears_workers: bool,
         now: MonotonicTime,
     ) {
-        self.states.insert(from, State { heard: now, state_ok, beat_at, hears_workers });
+        self.states.insert(from, State { heard: now, store_reachable, broadcast_seen, hears_workers });
     }
 
     fn there(&self, now: MonotonicTime) -> impl Iterator<Item = (&NodeName, &State)> {
@@ -57,8 +57,8 @@
     }
 
     /// Whether one reaches the state service.
-    pub fn reach_state(&self, now: MonotonicTime) -> bool {
-        self.there(now).any(|(_, p)| p.state_ok)
+    pub fn any_reaches_store(&self, now: MonotonicTime) -> bool {
+        self.there(now).any(|(_, p)| p.store_reachable)
     }
 
     /// Whether workers that find no leader have turned to one lately.
@@ -66,11 +66,11 @@
         self.there(now).any(|(_, p)| p.hears_workers)
     }
 
-    /// Whether `name` has taken in the beats of `fencing_token` up to about `beat`.
-    pub fn in_step(&self, name: &NodeName, fencing_token: FencingToken, beat: u64) -> bool {
-        self.states
-            .get(name)
-            .is_some_and(|p| p.beat_at.0 == fencing_token && p.beat_at.1 + BEATS_UNDER_WAY >= beat)
+    /// Whether `name` has taken in the beats of `fencing_token` up to about `broadcast`.
+    pub fn in_step(&self, name: &NodeName, fencing_token: FencingToken, broadcast: u64) -> bool {
+        self.states.get(name).is_some_and(|p| {
+            p.broadcast_seen.0 == fencing_token && p.broadcast_seen.1 + BROADCASTS_IN_FLIGHT >= broadcast
+        })
     }
 
     pub fn zones_heard(&self) -> &BTreeMap<Zone, MonotonicTime> {
--- a/crates/scheduler/src/node/follower.rs
+++ b/crates/scheduler/src/node/prefix_watcher.rs
@@ -1,11 +1,11 @@
 //! Keeps a copy of all keys under one prefix up to date: reads them once, then watches; a watch
 //! that returns at once brings the copy up to date for everything asked before it.
 
-use super::outbox::{Outbox, Pending, Read, Whose};
-use crate::feature::Records;
-use crate::jobs::Mirror;
+use super::outbox::{Outbox, Pending, Read, WatchedPrefix};
+use crate::extension::Records;
+use crate::jobs::JobCache;
 use crate::types::{Duration, MonotonicTime};
-use crate::wire::state::{Event, Pair, StateReply, StateRequest};
+use crate::wire::state::{Event, Pair, StoreReply, StoreRequest};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
@@ -33,9 +33,9 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Follower {
+pub(super) struct PrefixWatcher {
     prefix: &'static str,
-    whose: Whose,
+    watched: WatchedPrefix,
     /// Least time between reads that return at once. All requests that wait share one; reads of all
     /// nodes together stay within half of the service's rate, or a rush of users would starve the
     /// leader's grant.
@@ -54,11 +54,11 @@
     failed: u64,
 }
 
-impl Follower {
-    pub fn new(whose: Whose, prefix: &'static str, pause: Duration) -> Self {
+impl PrefixWatcher {
+    pub fn new(watched: WatchedPrefix, prefix: &'static str, pause: Duration) -> Self {
         Self {
             prefix,
-            whose,
+            watched,
             pause,
             begun: 0,
             up_to: 0,
@@ -112,7 +112,7 @@
         }
         // A node without requests must still learn whether it reaches the state service, or it
         // would call itself unfit, get no requests, and never find out.
-        let stale = self.whose == Whose::Jobs && now.since(self.fresh_at) >= FRESHEN_EVERY;
+        let stale = self.watched == WatchedPrefix::Jobs && now.since(self.fresh_at) >= FRESHEN_EVERY;
         let begins = !self.syncing && now >= self.next_sync && (wanted || stale);
         if begins {
             self.syncing = true;
@@ -123,28 +123,28 @@
         begins
     }
 
-    fn watch(&self, from: u64, block: Duration, read: Read, out: &mut Outbox) {
-        let request = StateRequest::Watch { prefix: self.prefix, from, block_ms: block.0 };
-        out.ask_state(request, Pending::Follow(self.whose, read));
+    fn watch(&self, from: u64, partition: Duration, read: Read, out: &mut Outbox) {
+        let request = StoreRequest::Watch { prefix: self.prefix, from, block_ms: partition.0 };
+        out.request_store(request, Pending::Follow(self.watched, read));
     }
 
     fn page(&mut self, after: Option<String>, first_store_revision: Option<u64>, out: &mut Outbox) {
         self.listing = true;
-        let request = StateRequest::Range { prefix: self.prefix, after, most: PAGE };
-        out.ask_state(request, Pending::Follow(self.whose, Read::Page { first_store_revision }));
+        let request = StoreRequest::Range { prefix: self.prefix, after, most: PAGE };
+        out.request_store(request, Pending::Follow(self.watched, Read::Page { first_store_revision }));
     }
 
     pub fn reply(
         &mut self,
         now: MonotonicTime,
         read: Read,
-        reply: StateReply,
+        reply: StoreReply,
         replica: &mut impl Replica,
         rng: &mut StdRng,
         out: &mut Outbox,
     ) -> Turn {
         match (read, reply) {
-            (Read::Page { first_store_revision }, StateReply::Pairs { pairs, more, store_revision }) => {
+            (Read::Page { first_store_revision }, StoreReply::Pairs { pairs, more, store_revision }) => {
                 self.listing = false;
                 pairs.iter().for_each(|p| replica.learn_pair(p));
                 // What changed while the pages were read is learned again by watching from the first.
@@ -161,14 +161,14 @@
             (Read::Watch, reply) => {
                 self.watching = false;
                 match reply {
-                    StateReply::Events { store_revision, events } => {
+                    StoreReply::Events { store_revision, events } => {
                         replica.learn_events(store_revision, &events)
                     }
-                    StateReply::TooOld => replica.forget_store_revision(),
+                    StoreReply::TooOld => replica.forget_store_revision(),
                     _ => self.next_list = now + Duration::from_millis(rng.random_range(200..500)),
                 }
             }
-            (Read::Sync { began }, StateReply::Events { store_revision, events }) => {
+            (Read::Sync { began }, StoreReply::Events { store_revision, events }) => {
                 self.syncing = false;
                 replica.learn_events(store_revision, &events);
                 self.fresh_at = self.fresh_at.max(began);
@@ -178,7 +178,7 @@
             (Read::Sync { .. }, reply) => {
                 self.syncing = false;
                 self.failed = self.begun;
-                if reply == StateReply::TooOld {
+                if reply == StoreReply::TooOld {
                     replica.forget_store_revision();
                 }
                 self.next_sync = now + Duration::from_millis(rng.random_range(50..150));
@@ -189,18 +189,18 @@
     }
 }
 
-impl Replica for Mirror {
+impl Replica for JobCache {
     fn reach(&mut self, store_revision: u64) {
-        Mirror::reach(self, store_revision);
+        JobCache::reach(self, store_revision);
     }
     fn forget_store_revision(&mut self) {
-        Mirror::forget_store_revision(self);
+        JobCache::forget_store_revision(self);
     }
     fn learn_pair(&mut self, pair: &Pair) {
-        Mirror::learn_pair(self, pair);
+        JobCache::learn_pair(self, pair);
     }
     fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
-        Mirror::learn_events(self, store_revision, events);
+        JobCache::learn_events(self, store_revision, events);
     }
 }
 
--- a/crates/scheduler/src/blocks/mod.rs
+++ b/crates/scheduler/src/partitions/mod.rs
@@ -1,7 +1,7 @@
 //! Machine blocks: the leader leases disjoint sets of machines to the live controllers; each
 //! proposes inside its own. Also what controllers say to each other.
 
-use crate::placement::{Counts, Learned, MachineView, Proposal, TaskAsk};
+use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
 use crate::types::{Duration, FencingToken, JobId, MachineId, MonotonicTime, NodeName, Zone};
 use crate::wire::workers::WorkerCommand;
 use pearford_heartbeat::{Delegation, HeartbeatDigest, RelayResult, RelayedCommand, UnacknowledgedStarts};
@@ -23,9 +23,9 @@
     /// "I am there", what I can reach, and how long ago a worker of each zone was heard by a
     /// leader, as far as I know.
     Ping {
-        state_ok: bool,
+        store_reachable: bool,
         fencing_token_seen: FencingToken,
-        beat_at: (FencingToken, u64),
+        broadcast_seen: (FencingToken, u64),
         hears_workers: bool,
         zones_heard: Vec<(Zone, Duration)>,
     },
@@ -33,22 +33,27 @@
     /// learned of machines.
     StatusBroadcast {
         fencing_token: FencingToken,
-        beat: u64,
+        broadcast: u64,
         jobs: Vec<(JobId, u32, u32)>,
-        learned: Vec<Learned>,
+        placement_outcomes: Vec<PlacementOutcome>,
     },
     /// From the leader: all of that as of a beat, for a controller that missed some.
-    StatusSnapshot { fencing_token: FencingToken, beat: u64, jobs: Vec<(JobId, u32, u32)>, counts: Counts },
+    StatusSnapshot {
+        fencing_token: FencingToken,
+        broadcast: u64,
+        jobs: Vec<(JobId, u32, u32)>,
+        success_counts: SuccessCounts,
+    },
     /// From the leader: a round's work inside the receiver's block.
     RoundRequest {
         fencing_token: FencingToken,
-        block: u64,
+        partition: u64,
         round: u64,
         machines: Vec<MachineView>,
-        asks: Vec<TaskAsk>,
+        requests: Vec<PlacementRequest>,
     },
     /// The controller's answer.
-    RoundProposals { fencing_token: FencingToken, block: u64, round: u64, proposals: Vec<Proposal> },
+    RoundProposals { fencing_token: FencingToken, partition: u64, round: u64, proposals: Vec<Proposal> },
     // What follows is understood from level `HEARTBEAT_DELEGATION` on, and is sent from then on only.
     /// From the leader: the receiver may answer workers' reports.
     Delegation(Delegation),
@@ -77,7 +82,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Block {
+pub struct Partition {
     pub id: u64,
     pub machines: BTreeSet<MachineId>,
     pub until: MonotonicTime,
@@ -85,16 +90,16 @@
 
 /// The leader's division of the fleet.
 #[derive(Debug, Default)]
-pub struct Blocks {
-    blocks: BTreeMap<NodeName, Block>,
+pub struct Partitions {
+    partitions: BTreeMap<NodeName, Partition>,
     /// Whose block each machine is in; rounds ask for it machine by machine.
     owners: BTreeMap<MachineId, NodeName>,
     next_id: u64,
 }
 
-impl Blocks {
-    pub fn get(&self, node: &NodeName) -> Option<&Block> {
-        self.blocks.get(node)
+impl Partitions {
+    pub fn get(&self, node: &NodeName) -> Option<&Partition> {
+        self.partitions.get(node)
     }
 
     pub fn owner(&self, machine: &MachineId) -> Option<&NodeName> {
@@ -104,8 +109,8 @@
     /// Whether the division no longer suits: a lease is over, a controller came or went, or
     /// there are machines in no block.
     pub fn due(&self, live: &BTreeSet<NodeName>, now: MonotonicTime) -> bool {
-        self.blocks.len() != live.len()
-            || self.blocks.iter().any(|(n, b)| !live.contains(n) || now >= b.until)
+        self.partitions.len() != live.len()
+            || self.partitions.iter().any(|(n, b)| !live.contains(n) || now >= b.until)
     }
 
     /// Divides `machines` anew, by the work waiting with each live controller. Machines stay
@@ -119,51 +124,51 @@
     ) {
         let total: u32 = work.values().map(|w| w + 1).sum();
         let mut free = machines.clone();
-        let mut new: BTreeMap<NodeName, Block> = BTreeMap::new();
+        let mut new: BTreeMap<NodeName, Partition> = BTreeMap::new();
         for (node, waiting) in work {
             let share =
                 (machines.len() as f64 * f64::from(waiting + 1) / f64::from(total.max(1))).ceil() as usize;
             let kept: BTreeSet<MachineId> = self
-                .blocks
+                .partitions
                 .get(node)
                 .map(|b| b.machines.intersection(&free).take(share).cloned().collect())
                 .unwrap_or_default();
             free = free.difference(&kept).cloned().collect();
             self.next_id += 1;
-            new.insert(node.clone(), Block { id: self.next_id, machines: kept, until: now + lease });
+            new.insert(node.clone(), Partition { id: self.next_id, machines: kept, until: now + lease });
         }
         for machine in free {
-            let wants = |n: &NodeName, b: &Block| {
+            let wants = |n: &NodeName, b: &Partition| {
                 let waiting = work.get(n).copied().unwrap_or(0) + 1;
                 (b.machines.len() as u64 * 1000) / u64::from(waiting)
             };
             let Some(node) = new.iter().min_by_key(|(n, b)| wants(n, b)).map(|(n, _)| n.clone()) else {
                 break;
             };
-            if let Some(block) = new.get_mut(&node) {
-                block.machines.insert(machine);
+            if let Some(partition) = new.get_mut(&node) {
+                partition.machines.insert(machine);
             }
         }
         self.owners =
             new.iter().flat_map(|(node, b)| b.machines.iter().map(|m| (m.clone(), node.clone()))).collect();
-        self.blocks = new;
+        self.partitions = new;
     }
 
     /// Adds a machine that came up to the smallest block.
     pub fn add(&mut self, machine: &MachineId) {
         if self.owner(machine).is_none()
-            && let Some((node, block)) = self.blocks.iter_mut().min_by_key(|(_, b)| b.machines.len())
+            && let Some((node, partition)) = self.partitions.iter_mut().min_by_key(|(_, b)| b.machines.len())
         {
-            block.machines.insert(machine.clone());
+            partition.machines.insert(machine.clone());
             self.owners.insert(machine.clone(), node.clone());
         }
     }
 
     pub fn remove(&mut self, machine: &MachineId) {
         if let Some(owner) = self.owners.remove(machine)
-            && let Some(block) = self.blocks.get_mut(&owner)
+            && let Some(partition) = self.partitions.get_mut(&owner)
         {
-            block.machines.remove(machine);
+            partition.machines.remove(machine);
         }
     }
 
@@ -172,8 +177,8 @@
     pub fn give(&mut self, node: &NodeName, machines: impl IntoIterator<Item = MachineId>) {
         for machine in machines {
             self.remove(&machine);
-            if let Some(block) = self.blocks.get_mut(node) {
-                block.machines.insert(machine.clone());
+            if let Some(partition) = self.partitions.get_mut(node) {
+                partition.machines.insert(machine.clone());
                 self.owners.insert(machine, node.clone());
             }
         }
--- a/crates/scheduler/src/blocks/tests.rs
+++ b/crates/scheduler/src/partitions/tests.rs
@@ -4,21 +4,21 @@
 fn blocks_are_disjoint_cover_all_and_follow_the_work() {
     let machines: BTreeSet<MachineId> = (0..20).map(|i| format!("m-{i}").as_str().into()).collect();
     let nodes = ["a", "b", "c"].map(NodeName::from);
-    let mut blocks = Blocks::default();
+    let mut partitions = Partitions::default();
     let work: BTreeMap<NodeName, u32> = nodes.iter().cloned().zip([18, 0, 0]).collect();
-    blocks.cut(&machines, &work, Duration::from_secs_f64(30.0), MonotonicTime::from_millis(0));
-    let sizes: Vec<usize> = nodes.iter().map(|n| blocks.get(n).map_or(0, |b| b.machines.len())).collect();
+    partitions.cut(&machines, &work, Duration::from_secs_f64(30.0), MonotonicTime::from_millis(0));
+    let sizes: Vec<usize> = nodes.iter().map(|n| partitions.get(n).map_or(0, |b| b.machines.len())).collect();
     assert_eq!(sizes.iter().sum::<usize>(), 20);
     assert!(sizes[0] >= 16, "{sizes:?}");
     let live: BTreeSet<NodeName> = nodes.iter().cloned().collect();
     assert!(
-        !blocks.due(&live, MonotonicTime::from_millis(29_999))
-            && blocks.due(&live, MonotonicTime::from_millis(30_000))
+        !partitions.due(&live, MonotonicTime::from_millis(29_999))
+            && partitions.due(&live, MonotonicTime::from_millis(30_000))
     );
     let live: BTreeSet<NodeName> = nodes[..2].iter().cloned().collect();
-    assert!(blocks.due(&live, MonotonicTime::from_millis(1)), "cut anew as soon as a controller is away");
-    blocks.give(&nodes[1], machines.iter().take(7).cloned());
-    let all: usize = nodes.iter().map(|n| blocks.get(n).map_or(0, |b| b.machines.len())).sum();
+    assert!(partitions.due(&live, MonotonicTime::from_millis(1)), "cut anew as soon as a controller is away");
+    partitions.give(&nodes[1], machines.iter().take(7).cloned());
+    let all: usize = nodes.iter().map(|n| partitions.get(n).map_or(0, |b| b.machines.len())).sum();
     assert_eq!(all, 20, "giving keeps blocks disjoint");
 }
 
@@ -27,9 +27,9 @@
     let bytes = encode(
         &"n0".into(),
         PeerMessage::Ping {
-            state_ok: true,
+            store_reachable: true,
             fencing_token_seen: FencingToken(4),
-            beat_at: (FencingToken(4), 9),
+            broadcast_seen: (FencingToken(4), 9),
             hears_workers: false,
             zones_heard: vec![("z".into(), Duration::from_millis(1200))],
         },
--- a/crates/scheduler/src/placement/mod.rs
+++ b/crates/scheduler/src/placement/mod.rs
@@ -4,7 +4,7 @@
 //! a health factor and, for an empty machine while a partly booked one fits too, by a packing
 //! factor; the highest wins. See `docs/design.md` for the source.
 
-use crate::jobs::Shape;
+use crate::jobs::JobType;
 use crate::settings::Operator;
 use crate::types::{Image, JobId, Kind, MachineId, Resources, TypeName, Zone};
 use crate::workers::Health;
@@ -34,10 +34,10 @@
 
 /// Tasks of one job that wait for machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TaskAsk {
+pub struct PlacementRequest {
     pub job: JobId,
     pub kind: Kind,
-    pub shape: Shape,
+    pub job_type: JobType,
     pub tasks: Vec<u32>,
     pub resources: Resources,
     pub types: Option<Vec<TypeName>>,
@@ -50,7 +50,7 @@
     pub image_gb: f64,
 }
 
-impl TaskAsk {
+impl PlacementRequest {
     pub fn allows(&self, m: &MachineView) -> bool {
         m.health != Health::Unreachable
             && m.held_for.as_ref().is_none_or(|j| *j == self.job)
@@ -87,7 +87,7 @@
 
 /// What became of a task on a machine, as far as that speaks of the machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct PlacementOutcome {
     pub machine: MachineId,
     pub kind: Kind,
     pub success: bool,
@@ -99,7 +99,7 @@
 
 /// Beta counts per machine and kind, with a kind-free fallback pair.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct SuccessCounts {
     machines: BTreeMap<MachineId, MachineCounts>,
     /// Parts of the saved table that have changed since they were saved.
     #[serde(skip)]
@@ -121,8 +121,8 @@
     machine.as_str().bytes().fold(0u32, |h, b| h.wrapping_mul(31).wrapping_add(u32::from(b))) % PARTS
 }
 
-impl Counts {
-    pub fn learn(&mut self, l: &Learned) {
+impl SuccessCounts {
+    pub fn learn(&mut self, l: &PlacementOutcome) {
         self.changed.insert(part_of(&l.machine));
         let m = self.machines.entry(l.machine.clone()).or_default();
         m.0.add(l.success);
@@ -208,24 +208,24 @@
 
 /// Exception to the design: where an image takes most of a start, a machine that has it, or fetches
 /// fast, starts the task long before one that must fetch it.
-fn fetch_factor(m: &MachineView, ask: &TaskAsk, factors: &Factors) -> f64 {
-    if m.images.contains(&ask.image) || m.fetch_gb_per_s <= 0.0 {
+fn fetch_factor(m: &MachineView, request: &PlacementRequest, factors: &Factors) -> f64 {
+    if m.images.contains(&request.image) || m.fetch_gb_per_s <= 0.0 {
         return 1.0;
     }
     // Fetches share the rate; one under way for another task is about half done.
-    let parts = match m.fetching.contains(&ask.image) {
+    let parts = match m.fetching.contains(&request.image) {
         true => 0.5 * m.fetching.len() as f64,
         false => 1.0 + m.fetching.len() as f64,
     };
-    let fetch_s = parts * ask.image_gb / m.fetch_gb_per_s;
+    let fetch_s = parts * request.image_gb / m.fetch_gb_per_s;
     factors.fetch_half_s / (factors.fetch_half_s + fetch_s)
 }
 
 /// The packing factor, graded: an empty machine gets `empty`, a full one 1, and one in between
 /// accordingly. Only while some partly booked machine fits too, as in the design.
-fn packing_factor(m: &MachineView, ask: &TaskAsk, factors: &Factors) -> f64 {
+fn packing_factor(m: &MachineView, request: &PlacementRequest, factors: &Factors) -> f64 {
     let part = |free: f64, total: f64| if total > 0.0 { (free / total).clamp(0.0, 1.0) } else { 0.0 };
-    let free = if ask.resources.gpus > 0.0 {
+    let free = if request.resources.gpus > 0.0 {
         part(m.free.gpus, m.total.gpus)
     } else {
         part(m.free.cpus, m.total.cpus)
@@ -235,13 +235,13 @@
 
 /// Whether the machine is an ordinary one, and the task of an array that may run on a cheap one. Once it runs there the
 /// dear machine stays, and cheap ones that stand idle for it are returned.
-fn is_dear(m: &MachineView, ask: &TaskAsk) -> bool {
-    ask.shape == Shape::Array && ask.spot && !m.spot
+fn is_dear(m: &MachineView, request: &PlacementRequest) -> bool {
+    request.job_type == JobType::Array && request.spot && !m.spot
 }
 
 fn draw(pair: Pair, rng: &mut impl Rng) -> f64 {
-    let gamma = |shape: f32, rng: &mut _| {
-        Gamma::new(f64::from(shape.max(1e-3)), 1.0).map(|g| g.sample(rng)).unwrap_or(0.0)
+    let gamma = |job_type: f32, rng: &mut _| {
+        Gamma::new(f64::from(job_type.max(1e-3)), 1.0).map(|g| g.sample(rng)).unwrap_or(0.0)
     };
     let (a, b) = (gamma(pair.0, rng), gamma(pair.1, rng));
     if a + b > 0.0 { a / (a + b) } else { 0.5 }
@@ -250,21 +250,21 @@
 /// One controller's round. Works on `machines` as its own scratch.
 pub fn round(
     machines: &mut [MachineView],
-    asks: &[TaskAsk],
-    counts: &Counts,
+    requests: &[PlacementRequest],
+    counts: &SuccessCounts,
     factors: &Factors,
     rng: &mut impl Rng,
 ) -> Vec<Proposal> {
     let mut out = Vec::new();
-    for ask in asks {
-        if ask.shape == Shape::Gang {
-            out.extend(place_gang(machines, ask, counts, factors, rng));
+    for request in requests {
+        if request.job_type == JobType::Gang {
+            out.extend(place_gang(machines, request, counts, factors, rng));
         } else {
-            let mut ask = ask.clone();
-            for task in std::mem::take(&mut ask.tasks) {
-                let Some(i) = pick(machines, &ask, counts, factors, rng) else { break };
-                book(machines, i, &mut ask);
-                out.push(Proposal { job: ask.job.clone(), task, machine: machines[i].id.clone() });
+            let mut request = request.clone();
+            for task in std::mem::take(&mut request.tasks) {
+                let Some(i) = pick(machines, &request, counts, factors, rng) else { break };
+                book(machines, i, &mut request);
+                out.push(Proposal { job: request.job.clone(), task, machine: machines[i].id.clone() });
             }
         }
     }
@@ -274,75 +274,75 @@
 /// All tasks of a gang in one pass: every one gets a machine, or none does.
 fn place_gang(
     machines: &mut [MachineView],
-    ask: &TaskAsk,
-    counts: &Counts,
+    request: &PlacementRequest,
+    counts: &SuccessCounts,
     factors: &Factors,
     rng: &mut impl Rng,
 ) -> Vec<Proposal> {
     let mut shut: Vec<Zone> = Vec::new();
     loop {
         let mut scratch = machines.to_vec();
-        let mut left = ask.clone();
+        let mut left = request.clone();
         left.zones.retain(|(z, _)| !shut.contains(z));
         let mut chosen = Vec::new();
-        for task in &ask.tasks {
+        for task in &request.tasks {
             let Some(i) = pick(&scratch, &left, counts, factors, rng) else { break };
             book(&mut scratch, i, &mut left);
-            chosen.push(Proposal { job: ask.job.clone(), task: *task, machine: scratch[i].id.clone() });
+            chosen.push(Proposal { job: request.job.clone(), task: *task, machine: scratch[i].id.clone() });
         }
-        if chosen.len() == ask.tasks.len() {
+        if chosen.len() == request.tasks.len() {
             machines.clone_from_slice(&scratch);
             return chosen;
         }
         // The first draw led into a zone that can't hold the gang: the others are tried before
         // it has to wait.
         match left.zones.first() {
-            Some((zone, _)) if ask.together && !chosen.is_empty() => shut.push(zone.clone()),
+            Some((zone, _)) if request.together && !chosen.is_empty() => shut.push(zone.clone()),
             _ => return Vec::new(),
         }
     }
 }
 
-fn book(machines: &mut [MachineView], i: usize, ask: &mut TaskAsk) {
+fn book(machines: &mut [MachineView], i: usize, request: &mut PlacementRequest) {
     let m = &mut machines[i];
-    m.free = m.free.minus(&ask.resources);
+    m.free = m.free.minus(&request.resources);
     m.empty = false;
-    if !m.images.contains(&ask.image) && !m.fetching.contains(&ask.image) {
-        m.fetching.push(ask.image.clone());
+    if !m.images.contains(&request.image) && !m.fetching.contains(&request.image) {
+        m.fetching.push(request.image.clone());
     }
     let zone = m.zone.clone();
-    if ask.together {
-        ask.zones.retain(|(z, _)| *z == zone);
+    if request.together {
+        request.zones.retain(|(z, _)| *z == zone);
     }
-    for (_, left) in ask.zones.iter_mut().filter(|(z, _)| *z == zone) {
+    for (_, left) in request.zones.iter_mut().filter(|(z, _)| *z == zone) {
         *left = left.saturating_sub(1);
     }
 }
 
 fn pick(
     machines: &[MachineView],
-    ask: &TaskAsk,
-    counts: &Counts,
+    request: &PlacementRequest,
+    counts: &SuccessCounts,
     factors: &Factors,
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let candidates: Vec<usize> = (0..machines.len()).filter(|i| ask.allows(&machines[*i])).collect();
+    let candidates: Vec<usize> = (0..machines.len()).filter(|i| request.allows(&machines[*i])).collect();
     // A lone candidate wins unsampled.
     if candidates.len() <= 1 {
         return candidates.first().copied();
     }
     let booked_fits = candidates.iter().any(|i| !machines[*i].empty);
-    let cheap_fits = candidates.iter().any(|i| !is_dear(&machines[*i], ask));
+    let cheap_fits = candidates.iter().any(|i| !is_dear(&machines[*i], request));
     let mut best: Option<(f64, usize)> = None;
     for i in candidates {
         let m = &machines[i];
-        let mut value = draw(counts.pair(&m.id, &ask.kind), rng)
+        let mut value = draw(counts.pair(&m.id, &request.kind), rng)
             * factors.health(m.health)
-            * fetch_factor(m, ask, factors);
+            * fetch_factor(m, request, factors);
         if booked_fits {
-            value *= packing_factor(m, ask, factors);
+            value *= packing_factor(m, request, factors);
         }
-        if cheap_fits && is_dear(m, ask) {
+        if cheap_fits && is_dear(m, request) {
             value *= factors.dear;
         }
         if best.is_none_or(|(b, _)| value > b) {
--- a/crates/scheduler/src/placement/tests.rs
+++ b/crates/scheduler/src/placement/tests.rs
@@ -21,11 +21,11 @@
     }
 }
 
-fn ask(shape: Shape, tasks: u32, together: bool) -> TaskAsk {
-    TaskAsk {
+fn request(job_type: JobType, tasks: u32, together: bool) -> PlacementRequest {
+    PlacementRequest {
         job: "req-1".into(),
         kind: "k".into(),
-        shape,
+        job_type,
         tasks: (0..tasks).collect(),
         resources: Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
         types: None,
@@ -43,12 +43,18 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut machines =
             [view("m1", "a", 2.0, true), view("m2", "b", 2.0, true), view("m3", "b", 1.0, true)];
-        let got = round(&mut machines, &[ask(Shape::Gang, 3, true)], &Counts::default(), &FACTORS, &mut rng);
+        let got = round(
+            &mut machines,
+            &[request(JobType::Gang, 3, true)],
+            &SuccessCounts::default(),
+            &FACTORS,
+            &mut rng,
+        );
         assert_eq!(got.len(), 3, "zone b holds it, whatever the first draw (seed {seed})");
         assert!(got.iter().all(|p| p.machine != "m1".into()));
         let mut machines = [view("m1", "a", 2.0, true), view("m2", "b", 2.0, true)];
-        let asks = [ask(Shape::Gang, 5, false)];
-        assert!(round(&mut machines, &asks, &Counts::default(), &FACTORS, &mut rng).is_empty());
+        let requests = [request(JobType::Gang, 5, false)];
+        assert!(round(&mut machines, &requests, &SuccessCounts::default(), &FACTORS, &mut rng).is_empty());
         assert_eq!(machines[0].free.gpus, 2.0, "nothing stays booked");
     }
 }
@@ -56,19 +62,19 @@
 #[test]
 fn failures_and_emptiness_turn_the_draw_away() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut counts = Counts::default();
+    let mut counts = SuccessCounts::default();
     for _ in 0..20 {
-        counts.learn(&Learned { machine: "bad".into(), kind: "k".into(), success: false });
-        counts.learn(&Learned { machine: "good".into(), kind: "other".into(), success: true });
+        counts.learn(&PlacementOutcome { machine: "bad".into(), kind: "k".into(), success: false });
+        counts.learn(&PlacementOutcome { machine: "good".into(), kind: "other".into(), success: true });
     }
     let mut bad = 0;
     let mut empty = 0;
     for _ in 0..200 {
         let mut machines = [view("bad", "a", 1.0, false), view("good", "a", 1.0, false)];
-        let p = round(&mut machines, &[ask(Shape::Array, 1, false)], &counts, &FACTORS, &mut rng);
+        let p = round(&mut machines, &[request(JobType::Array, 1, false)], &counts, &FACTORS, &mut rng);
         bad += u32::from(p[0].machine == "bad".into());
         let mut machines = [view("x", "a", 1.0, true), view("y", "a", 1.0, false)];
-        let p = round(&mut machines, &[ask(Shape::Array, 1, false)], &counts, &FACTORS, &mut rng);
+        let p = round(&mut machines, &[request(JobType::Array, 1, false)], &counts, &FACTORS, &mut rng);
         empty += u32::from(p[0].machine == "x".into());
     }
     assert!(bad < 10, "the fallback pair of a kind never seen counts too: {bad}");
@@ -78,16 +84,16 @@
 #[test]
 fn a_machine_with_the_image_is_preferred() {
     let mut rng = StdRng::seed_from_u64(3);
-    let mut counts = Counts::default();
+    let mut counts = SuccessCounts::default();
     for m in ["has", "lacks"] {
         for _ in 0..20 {
-            counts.learn(&Learned { machine: m.into(), kind: "k".into(), success: true });
+            counts.learn(&PlacementOutcome { machine: m.into(), kind: "k".into(), success: true });
         }
     }
     let won = (0..100).filter(|_| {
         let mut machines = [view("has", "a", 1.0, false), view("lacks", "a", 1.0, false)];
         machines[0].images.push("i".into());
-        let p = round(&mut machines, &[ask(Shape::Array, 1, false)], &counts, &FACTORS, &mut rng);
+        let p = round(&mut machines, &[request(JobType::Array, 1, false)], &counts, &FACTORS, &mut rng);
         p[0].machine == "has".into()
     });
     assert!(won.count() > 90);
@@ -97,10 +103,10 @@
 #[test]
 fn a_machine_that_fetches_another_image_is_avoided() {
     let mut rng = StdRng::seed_from_u64(5);
-    let mut counts = Counts::default();
+    let mut counts = SuccessCounts::default();
     for m in ["busy", "quiet", "same"] {
         for _ in 0..20 {
-            counts.learn(&Learned { machine: m.into(), kind: "k".into(), success: true });
+            counts.learn(&PlacementOutcome { machine: m.into(), kind: "k".into(), success: true });
         }
     }
     let mut won = |a: &str, b: &str| {
@@ -109,7 +115,7 @@
             for m in machines.iter_mut().filter(|m| m.id != "quiet".into()) {
                 m.fetching.push(if m.id == "busy".into() { "j".into() } else { "i".into() });
             }
-            let p = round(&mut machines, &[ask(Shape::Array, 1, false)], &counts, &FACTORS, &mut rng);
+            let p = round(&mut machines, &[request(JobType::Array, 1, false)], &counts, &FACTORS, &mut rng);
             p[0].machine == a.into()
         });
         rounds.count()
@@ -125,27 +131,31 @@
     let mut rng = StdRng::seed_from_u64(4);
     let mut machines = [view("m1", "a", 9.0, false)];
     machines[0].held_for = Some("req-2".into());
-    let mut a = ask(Shape::Array, 1, false);
-    let asks = [a.clone()];
-    assert!(round(&mut machines, &asks, &Counts::default(), &FACTORS, &mut rng).is_empty());
+    let mut a = request(JobType::Array, 1, false);
+    let requests = [a.clone()];
+    assert!(round(&mut machines, &requests, &SuccessCounts::default(), &FACTORS, &mut rng).is_empty());
     a.job = "req-2".into();
-    assert_eq!(round(&mut machines, &[a], &Counts::default(), &FACTORS, &mut rng).len(), 1);
+    assert_eq!(round(&mut machines, &[a], &SuccessCounts::default(), &FACTORS, &mut rng).len(), 1);
 }
 
 #[test]
 fn spread_caps_hold_within_a_round_and_the_table_stays_bounded() {
     let mut rng = StdRng::seed_from_u64(2);
     let mut machines = [view("m1", "a", 9.0, true), view("m2", "b", 9.0, true)];
-    let mut a = ask(Shape::Service, 5, false);
+    let mut a = request(JobType::Service, 5, false);
     a.zones = vec![("a".into(), 3), ("b".into(), 1)];
-    let got = round(&mut machines, &[a], &Counts::default(), &FACTORS, &mut rng);
+    let got = round(&mut machines, &[a], &SuccessCounts::default(), &FACTORS, &mut rng);
     assert_eq!(got.iter().filter(|p| p.machine == "m1".into()).count(), 3);
     assert_eq!(got.len(), 4);
-    let mut counts = Counts::default();
+    let mut counts = SuccessCounts::default();
     for i in 0..500 {
-        counts.learn(&Learned { machine: format!("m-{i}").as_str().into(), kind: "k".into(), success: true });
+        counts.learn(&PlacementOutcome {
+            machine: format!("m-{i}").as_str().into(),
+            kind: "k".into(),
+            success: true,
+        });
     }
-    let mut back = Counts::default();
+    let mut back = SuccessCounts::default();
     for _ in 0..PARTS {
         let parts = counts.take_changed(PARTS_AT_ONCE, 1024);
         assert!(parts.len() <= PARTS_AT_ONCE && parts.iter().all(|(_, value)| value.len() <= 1024));
@@ -153,8 +163,8 @@
     }
     assert_eq!(back.machines, counts.machines, "every part has its turn");
     assert!(counts.take_changed(99, 1024).is_empty(), "only what has changed is written");
-    counts.learn(&Learned { machine: "m-3".into(), kind: "k".into(), success: true });
-    let mut back = Counts::default();
+    counts.learn(&PlacementOutcome { machine: "m-3".into(), kind: "k".into(), success: true });
+    let mut back = SuccessCounts::default();
     for (_, value) in counts.take_changed(99, 99_999) {
         back.add_part(&value).expect("readable");
     }
--- a/crates/scheduler/src/store/mod.rs
+++ b/crates/scheduler/src/rate_limit/mod.rs
@@ -4,7 +4,7 @@
 
 /// What the state service takes, now and after its next limits come into force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Limits {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Changes (puts and deletes) a second.
@@ -17,14 +17,14 @@
 
 /// A token bucket: `rate` a second, bursts of one second's worth unless said otherwise.
 #[derive(Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
     at: MonotonicTime,
 }
 
-impl Budget {
+impl TokenBucket {
     pub fn new(rate: f64) -> Self {
         let burst = rate.max(1.0);
         Self { rate, burst, tokens: burst, at: MonotonicTime::default() }
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -3,7 +3,7 @@
 //! Unknown fields of the platform's file are ignored (new ones may come); unknown operator keys
 //! are errors, since a misspelt key would otherwise silently leave its default in force.
 
-use crate::store::Limits;
+use crate::rate_limit::StoreLimits;
 use crate::types::{Duration, Kind, NodeName, TeamName, Zone};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -134,11 +134,11 @@
 impl StateFacts {
     /// The stricter of the present and the next limits holds from the start. The change comes without
     /// notice, and what was written by the larger one could not be rewritten after it.
-    fn limits(&self) -> Limits {
+    fn limits(&self) -> StoreLimits {
         let next = self.next.as_ref();
         let least = |now: f64, next: Option<f64>| next.map_or(now, |next| now.min(next));
         let value_kb = least(self.value_kb, next.and_then(|n| n.value_kb));
-        Limits {
+        StoreLimits {
             rps: least(self.rps, next.and_then(|n| n.rps)),
             write_rps: least(self.write_rps, next.and_then(|n| n.write_rps)),
             // Whether a KiB counts as 1000 or 1024 need not be known.
@@ -290,7 +290,7 @@
     pub objectives: Vec<Objective>,
     pub workers: WorkerFacts,
     /// What the state service takes, now and after its next limits come into force.
-    pub state: Limits,
+    pub state: StoreLimits,
     pub cloud: CloudFacts,
     pub limits: MachineLimits,
     pub operator: Operator,
--- a/crates/scheduler/src/wire/state.rs
+++ b/crates/scheduler/src/wire/state.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateRequest {
+pub enum StoreRequest {
     Get { key: String },
     Range { prefix: &'static str, after: Option<String>, most: u32 },
     Commit { conditions: Vec<(String, Revision)>, changes: Vec<Change> },
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateReply {
+pub enum StoreReply {
     Found(Pair),
     Missing {
         store_revision: u64,
@@ -114,17 +114,17 @@
     apply: Vec<Apply<'a>>,
 }
 
-impl StateRequest {
+impl StoreRequest {
     /// Method, path and body.
     pub fn http(&self) -> (http::Method, String, Vec<u8>) {
         use http::Method;
         match self {
-            StateRequest::Get { key } => (Method::GET, format!("/kv/{key}"), Vec::new()),
-            StateRequest::Range { prefix, after, most } => {
+            StoreRequest::Get { key } => (Method::GET, format!("/kv/{key}"), Vec::new()),
+            StoreRequest::Range { prefix, after, most } => {
                 let after = after.as_ref().map(|a| format!("&from={a}")).unwrap_or_default();
                 (Method::GET, format!("/kv?under={prefix}{after}&most={most}"), Vec::new())
             }
-            StateRequest::Commit { conditions, changes } => {
+            StoreRequest::Commit { conditions, changes } => {
                 let mut raw = Vec::with_capacity(changes.len());
                 for change in changes {
                     raw.push(match change {
@@ -146,20 +146,20 @@
                 let body = serde_json::to_vec(&Multi { conditions, apply }).unwrap_or_default();
                 (Method::POST, "/multi".into(), body)
             }
-            StateRequest::GrantLease { life_ms } => {
+            StoreRequest::GrantLease { life_ms } => {
                 (Method::POST, "/grants".into(), format!("{{\"life_ms\":{life_ms}}}").into_bytes())
             }
-            StateRequest::RenewLease { lease } => {
+            StoreRequest::RenewLease { lease } => {
                 (Method::POST, format!("/grants/{lease}/renew"), b"{}".to_vec())
             }
-            StateRequest::Watch { prefix, from, block_ms } => {
+            StoreRequest::Watch { prefix, from, block_ms } => {
                 (Method::GET, format!("/watch?under={prefix}&from={from}&block_ms={block_ms}"), Vec::new())
             }
         }
     }
 
     /// Reads the answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> StateReply {
+    pub fn reply(&self, status: u16, body: &[u8]) -> StoreReply {
         #[derive(Deserialize)]
         struct WirePair<'a> {
             k: String,
@@ -214,34 +214,34 @@
             Pair { key: p.k, value: p.v.get().to_string(), revision: p.revision }
         }
         // A body that can't be read leaves open what happened.
-        let read = || -> Option<StateReply> {
+        let read = || -> Option<StoreReply> {
             Some(match (self, status) {
-                (StateRequest::Get { .. }, 200) => {
-                    StateReply::Found(pair(serde_json::from_slice(body).ok()?))
+                (StoreRequest::Get { .. }, 200) => {
+                    StoreReply::Found(pair(serde_json::from_slice(body).ok()?))
                 }
-                (StateRequest::Get { .. }, 404) => StateReply::Missing {
+                (StoreRequest::Get { .. }, 404) => StoreReply::Missing {
                     store_revision: serde_json::from_slice::<StoreRevision>(body).ok()?.store_revision,
                 },
-                (StateRequest::Range { .. }, 200) => {
+                (StoreRequest::Range { .. }, 200) => {
                     let p: Pairs = serde_json::from_slice(body).ok()?;
                     let pairs = p.pairs.into_iter().map(pair).collect();
-                    StateReply::Pairs { pairs, more: p.more, store_revision: p.store_revision }
+                    StoreReply::Pairs { pairs, more: p.more, store_revision: p.store_revision }
                 }
-                (StateRequest::Commit { .. }, 200) => StateReply::Committed {
+                (StoreRequest::Commit { .. }, 200) => StoreReply::Committed {
                     store_revision: serde_json::from_slice::<StoreRevision>(body).ok()?.store_revision,
                 },
-                (StateRequest::Commit { .. }, 409) => {
-                    StateReply::Conflict { failed: serde_json::from_slice::<Failed>(body).ok()?.failed }
+                (StoreRequest::Commit { .. }, 409) => {
+                    StoreReply::Conflict { failed: serde_json::from_slice::<Failed>(body).ok()?.failed }
                 }
-                (StateRequest::Commit { .. }, 400) if memmem(body, b"no such lease") => {
-                    StateReply::LeaseExpired
+                (StoreRequest::Commit { .. }, 400) if memmem(body, b"no such lease") => {
+                    StoreReply::LeaseExpired
                 }
-                (StateRequest::GrantLease { .. }, 200) => {
-                    StateReply::LeaseGranted(serde_json::from_slice::<LeaseGranted>(body).ok()?.lease)
+                (StoreRequest::GrantLease { .. }, 200) => {
+                    StoreReply::LeaseGranted(serde_json::from_slice::<LeaseGranted>(body).ok()?.lease)
                 }
-                (StateRequest::RenewLease { .. }, 200) => StateReply::LeaseRenewed,
-                (StateRequest::RenewLease { .. }, 404) => StateReply::LeaseExpired,
-                (StateRequest::Watch { .. }, 200) => {
+                (StoreRequest::RenewLease { .. }, 200) => StoreReply::LeaseRenewed,
+                (StoreRequest::RenewLease { .. }, 404) => StoreReply::LeaseExpired,
+                (StoreRequest::Watch { .. }, 200) => {
                     let e: Events = serde_json::from_slice(body).ok()?;
                     let events = e
                         .news
@@ -256,15 +256,15 @@
                             _ => None,
                         })
                         .collect();
-                    StateReply::Events { store_revision: e.store_revision, events }
+                    StoreReply::Events { store_revision: e.store_revision, events }
                 }
-                (_, 410) => StateReply::TooOld,
-                (_, 429 | 503) => StateReply::Refused,
-                (_, 400) => StateReply::Malformed,
+                (_, 410) => StoreReply::TooOld,
+                (_, 429 | 503) => StoreReply::Refused,
+                (_, 400) => StoreReply::Malformed,
                 _ => return None,
             })
         };
-        read().unwrap_or(StateReply::Unknown)
+        read().unwrap_or(StoreReply::Unknown)
     }
 }
 
--- a/crates/scheduler/src/wire/state/tests.rs
+++ b/crates/scheduler/src/wire/state/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn commits_are_written_as_the_protocol_says() {
-    let r = StateRequest::Commit {
+    let r = StoreRequest::Commit {
         conditions: vec![("a/b".into(), Revision(0))],
         changes: vec![
             Change::Put { key: "a/b".into(), value: "{\"x\":1}".into(), lease: Some(LeaseId(7)) },
@@ -17,22 +17,22 @@
     );
     assert_eq!(
         r.reply(409, br#"{"failed":["a/b"],"epoch":431}"#),
-        StateReply::Conflict { failed: vec!["a/b".into()] }
+        StoreReply::Conflict { failed: vec!["a/b".into()] }
     );
-    assert_eq!(r.reply(400, br#"{"error":"no such lease"}"#), StateReply::LeaseExpired);
-    assert_eq!(r.reply(200, b"garbage"), StateReply::Unknown);
-    assert_eq!(r.reply(503, b""), StateReply::Refused);
+    assert_eq!(r.reply(400, br#"{"error":"no such lease"}"#), StoreReply::LeaseExpired);
+    assert_eq!(r.reply(200, b"garbage"), StoreReply::Unknown);
+    assert_eq!(r.reply(503, b""), StoreReply::Refused);
 }
 
 #[test]
 fn watches_are_read_with_drops() {
-    let r = StateRequest::Watch { prefix: "c/", from: 431, block_ms: 10 };
+    let r = StoreRequest::Watch { prefix: "c/", from: 431, block_ms: 10 };
     let reply = r.reply(
         200,
         br#"{"epoch":433,"news":[{"set":"c/9","v":{"y":2},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
     );
-    let StateReply::Events { store_revision, events } = reply else { panic!("must be events") };
+    let StoreReply::Events { store_revision, events } = reply else { panic!("must be events") };
     assert_eq!((store_revision, events.len()), (433, 2));
     assert_eq!(events[1], Event::Delete { key: "c/d".into(), revision: Revision(432) });
-    assert_eq!(r.reply(410, b""), StateReply::TooOld);
+    assert_eq!(r.reply(410, b""), StoreReply::TooOld);
 }
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -1,6 +1,6 @@
 //! Users -> controller nodes.
 
-use crate::jobs::{JobSpec, Phase, Priority, Shape};
+use crate::jobs::{JobSpec, JobType, Phase, Priority};
 use crate::types::{Duration, JobId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -129,10 +129,10 @@
     let spec = JobSpec {
         kind: s.job_class.as_str().into(),
         team: s.owner.as_str().into(),
-        shape: match s.shape {
-            WireShape::Array => Shape::Array,
-            WireShape::Ensemble => Shape::Gang,
-            WireShape::Daemon => Shape::Service,
+        job_type: match s.shape {
+            WireShape::Array => JobType::Array,
+            WireShape::Ensemble => JobType::Gang,
+            WireShape::Daemon => JobType::Service,
         },
         priority: match s.urgency {
             WireUrgency::Production => Priority::Production,
@@ -168,10 +168,10 @@
         id: id.to_string(),
         job_class: spec.kind.to_string(),
         owner: spec.team.to_string(),
-        shape: match spec.shape {
-            Shape::Array => WireShape::Array,
-            Shape::Gang => WireShape::Ensemble,
-            Shape::Service => WireShape::Daemon,
+        shape: match spec.job_type {
+            JobType::Array => WireShape::Array,
+            JobType::Gang => WireShape::Ensemble,
+            JobType::Service => WireShape::Daemon,
         },
         urgency: match spec.priority {
             Priority::Production => WireUrgency::Production,
@@ -217,7 +217,7 @@
         Phase::Pending => "pending",
         Phase::Running => "running",
         Phase::Done => "done",
-        Phase::Withdrawn => "withdrawn",
+        Phase::Cancelled => "withdrawn",
     };
     let status = Status { id: id.as_str(), phase, done: counts.map(|c| c.0), running: counts.map(|c| c.1) };
     serde_json::to_string(&status).unwrap_or_default()
--- a/crates/scheduler/src/wire/users/tests.rs
+++ b/crates/scheduler/src/wire/users/tests.rs
@@ -8,7 +8,7 @@
 fn a_good_submission_is_read_and_optional_fields_may_be_missing() {
     let (id, spec) = submission(GOOD.as_bytes()).expect("valid");
     assert_eq!(id.as_str(), "req-000412");
-    assert_eq!((spec.tasks, spec.shape, spec.priority), (16, Shape::Gang, Priority::High));
+    assert_eq!((spec.tasks, spec.job_type, spec.priority), (16, JobType::Gang, Priority::High));
     let bare = GOOD
         .replace("\"region\":null,", "")
         .replace(",\"due_s\":900.0", "")
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -214,7 +214,7 @@
         }
         self.free = self.total;
         self.assignment_bytes = self.assignments.values().map(|e| e.bytes).sum();
-        for e in self.assignments.values().filter(|e| e.counts()) {
+        for e in self.assignments.values().filter(|e| e.occupies()) {
             self.free = self.free.minus(&e.resources);
             match self.tally.iter_mut().find(|(team, _)| *team == e.team) {
                 Some((_, sum)) => *sum = sum.plus(&e.resources),
--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/world/bad_records.rs
@@ -4,8 +4,8 @@
 
 use super::tests::{day, run};
 use super::{Event, Fault, NODES, World, job};
-use crate::blocks::{self, PeerMessage};
 use crate::node::{Input, Method};
+use crate::partitions::{self, PeerMessage};
 use crate::types::FencingToken;
 use serde_json::{Value, json};
 
@@ -121,21 +121,21 @@
     for (n, from) in ["n9", "", "stranger"].into_iter().enumerate() {
         let message = PeerMessage::StatusSnapshot {
             fencing_token: FencingToken(u64::MAX - n as u64),
-            beat: 1,
+            broadcast: 1,
             jobs: Vec::new(),
-            counts: Default::default(),
+            success_counts: Default::default(),
         };
-        let bytes = blocks::encode(&from.into(), message);
-        let envelope = blocks::decode(&bytes).expect("well formed");
+        let bytes = partitions::encode(&from.into(), message);
+        let envelope = partitions::decode(&bytes).expect("well formed");
         for i in 0..NODES {
             let life = w.nodes[i].life;
             w.at(w.now, Event::Input(i, life, Input::Peer(envelope.clone())));
         }
     }
-    assert!(blocks::decode(b"no envelope").is_none() && blocks::decode(&[]).is_none());
+    assert!(partitions::decode(b"no envelope").is_none() && partitions::decode(&[]).is_none());
     w.run_until(11_000);
     assert_eq!(w.leader(), Some(leader));
-    let metrics = w.nodes[leader].core.as_ref().map(|c| c.metrics()).unwrap_or_default();
+    let metrics = w.nodes[leader].controller.as_ref().map(|c| c.metrics()).unwrap_or_default();
     assert!(metrics.contains("pearford_peer_messages_dropped 3"), "{metrics}");
     run(9_250, w);
 }
--- a/crates/scheduler/src/world/directed.rs
+++ b/crates/scheduler/src/world/directed.rs
@@ -10,7 +10,7 @@
 use super::tests::{cut_zone, day, judged};
 use super::waiting::Waiting;
 use super::{Event, Fault, Host, Leader, NODES, World, job};
-use crate::node::Core;
+use crate::node::Controller;
 use rand::RngExt;
 
 /// A meeting: its day, what must have taken place, and a guard that its day needs.
@@ -328,7 +328,7 @@
     w
 }
 
-fn sabotage(w: &mut World, out: fn(&mut Core, u64)) {
+fn sabotage(w: &mut World, out: fn(&mut Controller, u64)) {
     w.sabotage = Some(out);
 }
 
@@ -337,7 +337,7 @@
         name: "held words",
         day: held_announcements,
         met: &[("a link held", 10), ("called off now", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_forget_silent(4_000)),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_forget_silent(4_000)),
     },
     Row {
         name: "close looks",
@@ -347,7 +347,7 @@
             ("a look after the acceptance", 1),
             ("a repeat after the acceptance", 1),
         ],
-        without: |w| sabotage(w, |core, _| core.sabotage_stale()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_stale()),
     },
     Row {
         name: "only the answer of a transaction is lost",
@@ -359,34 +359,34 @@
         name: "every team at its limit",
         day: full_teams,
         met: &[("called off and hung", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_free_cancelled()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_free_cancelled()),
     },
     Row {
         name: "work changes hands",
         day: hand_overs,
         met: &[("a verdict within two seconds of a new leader", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_pass_all()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_pass_all()),
     },
     Row {
         name: "new machines at once",
         day: fast_boots,
         met: &[("a start within three seconds of the boot", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_start_early()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_start_early()),
     },
     Row {
         name: "old reports for a new leader",
         day: old_reports,
         met: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_any_serial()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_any_serial()),
     },
     Row {
         name: "four jobs a second",
         day: small_jobs,
         met: &[("accepted", 800)],
         without: |w| {
-            sabotage(w, |core, _| {
-                core.sabotage_renewal(pearford_heartbeat::DisabledCheck::Stops);
-                core.sabotage_no_stops();
+            sabotage(w, |controller, _| {
+                controller.sabotage_renewal(pearford_heartbeat::DisabledCheck::Stops);
+                controller.sabotage_no_stops();
             });
         },
     },
@@ -394,19 +394,19 @@
         name: "called off at the end and now",
         day: called_off,
         met: &[("called off at the end", 1), ("called off now", 1), ("called off and hung", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_keep_silent()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_keep_silent()),
     },
     Row {
         name: "mute machines",
         day: mute,
         met: &[("mute", 1), ("a direct start at a mute machine", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_forget_silent(4_000)),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_forget_silent(4_000)),
     },
     Row {
         name: "ten leaders",
         day: ten_leaders,
         met: &[("a new leader", 40)],
-        without: |w| sabotage(w, |core, _| core.sabotage_done_early()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_done_early()),
     },
     Row {
         name: "more work than room, odd requests",
@@ -416,25 +416,25 @@
             ("a cancellation of what is done", 1),
             ("a repeat after the acceptance", 1),
         ],
-        without: |w| sabotage(w, |core, _| core.sabotage_free_cancelled()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_free_cancelled()),
     },
     Row {
         name: "bound to a zone",
         day: bound_to_a_zone,
         met: &[("a machine lost with tasks bound to its zone", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_any_zone()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_any_zone()),
     },
     Row {
         name: "a zone cut off",
         day: cut_off_zone,
         met: &[("a zone cut off", 1), ("called off now", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_forget_silent(4_000)),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_forget_silent(4_000)),
     },
     Row {
         name: "all nodes away",
         day: all_away,
         met: &[("copy for the next leader", 1)],
-        without: |w| sabotage(w, |core, _| core.sabotage_any_serial()),
+        without: |w| sabotage(w, |controller, _| controller.sabotage_any_serial()),
     },
 ];
 
--- a/crates/scheduler/src/world/fields.rs
+++ b/crates/scheduler/src/world/fields.rs
@@ -119,10 +119,10 @@
         out.push((text.to_string(), 400));
     }
     // More than its team may have at once, as a whole; in one zone and in two.
-    for (shape, shards, spread) in
+    for (job_type, shards, spread) in
         [("ensemble", 13, false), ("daemon", 13, false), ("daemon", 2, true), ("ensemble", 3, true)]
     {
-        let mut body = job(1, shape, shards);
+        let mut body = job(1, job_type, shards);
         (body["spread"], body["together"]) = (spread.into(), spread.into());
         out.push((body.to_string(), 422));
     }
--- a/crates/scheduler/src/world/gap.rs
+++ b/crates/scheduler/src/world/gap.rs
@@ -5,7 +5,7 @@
 
 use super::recovery::seeds;
 use super::{Event, Fault, Host, Leader, NODES, World, job};
-use crate::node::Core;
+use crate::node::Controller;
 use crate::types::Duration;
 use pearford_heartbeat::DisabledCheck;
 use rand::RngExt;
@@ -29,9 +29,9 @@
 fn gap_day(seed: u64) -> (World, u64) {
     let mut w = world(seed, 60);
     for n in 0..36 {
-        let shape = ["daemon", "array", "ensemble", "daemon"][n % 4];
+        let job_type = ["daemon", "array", "ensemble", "daemon"][n % 4];
         let tasks = w.rng.random_range(1..3);
-        let mut body = job(n, shape, tasks);
+        let mut body = job(n, job_type, tasks);
         body["expected_s"] = 400.0.into();
         body["vcpus"] = 1.0.into();
         let at = w.rng_ms(500, 14_000);
@@ -128,7 +128,11 @@
 }
 
 /// Plays a day, until two minutes after its last trouble.
-fn broken(day: fn(u64) -> (World, u64), seed: u64, sabotage: Option<fn(&mut Core, u64)>) -> Option<String> {
+fn broken(
+    day: fn(u64) -> (World, u64),
+    seed: u64,
+    sabotage: Option<fn(&mut Controller, u64)>,
+) -> Option<String> {
     let (mut w, over) = day(seed);
     w.sabotage = sabotage;
     w.run_until(over + 120_000);
@@ -185,14 +189,14 @@
 /// Guards taken out after every step of a core.
 #[test]
 fn the_checker_notices_each_guard_of_the_gap_taken_out() {
-    fn stops(core: &mut Core, _: u64) {
-        core.sabotage_renewal(DisabledCheck::Stops);
+    fn stops(controller: &mut Controller, _: u64) {
+        controller.sabotage_renewal(DisabledCheck::Stops);
     }
-    fn longer(core: &mut Core, _: u64) {
-        core.sabotage_renewal(DisabledCheck::Margin(Duration::from_millis(15_000)));
+    fn longer(controller: &mut Controller, _: u64) {
+        controller.sabotage_renewal(DisabledCheck::Margin(Duration::from_millis(15_000)));
     }
-    fn doubt(core: &mut Core, _: u64) {
-        core.sabotage_renewal(DisabledCheck::UnacknowledgedStarts);
+    fn doubt(controller: &mut Controller, _: u64) {
+        controller.sabotage_renewal(DisabledCheck::UnacknowledgedStarts);
     }
     assert!(
         !of_seeds(3_238..3_250, |seed| broken(gap_day, seed, Some(stops))).is_empty(),
--- a/crates/scheduler/src/world/looks.rs
+++ b/crates/scheduler/src/world/looks.rs
@@ -18,9 +18,9 @@
     Status,
     /// The submission again, as it was or with a fault in it.
     Repeat(String),
-    Withdraw,
+    Cancel,
     /// Something that can never run or lacks a field, or a question about a job that nobody submitted.
-    Never(Option<String>),
+    AdmissionError(Option<String>),
 }
 
 impl World {
@@ -49,13 +49,13 @@
     pub fn look(&mut self, look: Look) {
         let before = self.rules.known(&look.id);
         let (method, path, body) = match &look.ask {
-            LookAsk::Status | LookAsk::Never(None) => {
+            LookAsk::Status | LookAsk::AdmissionError(None) => {
                 (Method::Get, format!("/submissions/{}", look.id), String::new())
             }
-            LookAsk::Repeat(body) | LookAsk::Never(Some(body)) => {
+            LookAsk::Repeat(body) | LookAsk::AdmissionError(Some(body)) => {
                 (Method::Post, "/submissions".to_string(), body.clone())
             }
-            LookAsk::Withdraw => {
+            LookAsk::Cancel => {
                 self.rules.asked_to_withdraw(&look.id);
                 (Method::Post, format!("/submissions/{}/withdraw", look.id), String::new())
             }
@@ -73,7 +73,7 @@
     ) {
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let phase = value["phase"].as_str().unwrap_or_default();
-        if let LookAsk::Never(asked) = &look.ask {
+        if let LookAsk::AdmissionError(asked) = &look.ask {
             if !matches!(status, 400 | 404 | 422 | 429 | 503) {
                 let what = asked.as_ref().map_or("asked about", |_| "submitted");
                 self.rules.fail(self.now, format!("accepted: {} was {what} and got {status}", look.id));
@@ -103,7 +103,7 @@
                 let ask = match self.rng.random_range(0..10) {
                     0..3 => LookAsk::Repeat(body.to_string()),
                     3 => LookAsk::Repeat(self.spoil(&body)),
-                    4 if self.rng.random_bool(0.2) => LookAsk::Withdraw,
+                    4 if self.rng.random_bool(0.2) => LookAsk::Cancel,
                     _ => LookAsk::Status,
                 };
                 let ms = self.rng_ms(0, 30);
@@ -193,7 +193,7 @@
             (1, Some(u)) if self.rules.verdict(&self.users[u].id) == Some("done") => {
                 let id = self.users[u].id.clone();
                 self.count("a cancellation of what is done");
-                self.look(Look { node, id, ask: LookAsk::Withdraw });
+                self.look(Look { node, id, ask: LookAsk::Cancel });
             }
             _ => {
                 self.odd_ids += 1;
@@ -216,13 +216,13 @@
                         Some(body.to_string())
                     }
                     _ => {
-                        let shape = json!("ensemble");
-                        (body["shape"], body["shards"]) = (shape, json!(5_000));
+                        let job_type = json!("ensemble");
+                        (body["shape"], body["shards"]) = (job_type, json!(5_000));
                         Some(body.to_string())
                     }
                 };
                 self.count("an impossible request");
-                self.look(Look { node, id, ask: LookAsk::Never(asked) });
+                self.look(Look { node, id, ask: LookAsk::AdmissionError(asked) });
             }
         }
     }
@@ -238,7 +238,7 @@
         for order in starts {
             let task = order["shard"].as_str().unwrap_or_default();
             let job = JobId::from(task.split('/').next().unwrap_or_default());
-            if self.nodes[node].core.as_ref().is_some_and(|c| c.knows_over(&job)) {
+            if self.nodes[node].controller.as_ref().is_some_and(|c| c.knows_over(&job)) {
                 wrong.push(task.to_string());
             }
         }
--- a/crates/scheduler/src/world/meetings.rs
+++ b/crates/scheduler/src/world/meetings.rs
@@ -7,7 +7,7 @@
 use super::recovery::seeds;
 use super::tests::{day, run};
 use super::{Event, Fault, Host, Leader, NODES, World, job};
-use crate::node::{Core, Method};
+use crate::node::{Controller, Method};
 use rand::RngExt;
 use serde_json::json;
 
@@ -173,8 +173,8 @@
         w.drift_ppm = vec![500, -500, 0];
         // Jobs of two or three tasks, some of which end far apart.
         for n in 20..30 {
-            let shape = ["array", "ensemble", "array"][n % 3];
-            let mut body = job(n, shape, 2 + n as u32 % 2);
+            let job_type = ["array", "ensemble", "array"][n % 3];
+            let mut body = job(n, job_type, 2 + n as u32 % 2);
             body["expected_s"] = w.rng.random_range(1.0..6.0).into();
             let at = w.rng_ms(500, 60_000);
             let gone = w.rng.random_bool(0.3).then(|| at + w.rng_ms(500, 15_000));
@@ -232,11 +232,11 @@
 /// Guards taken out of the core, and a world that breaks its word, in the same days.
 #[test]
 fn the_checker_notices_in_these_days_too() {
-    fn forget_silent(core: &mut Core, _: u64) {
-        core.sabotage_forget_silent(4_000);
+    fn forget_silent(controller: &mut Controller, _: u64) {
+        controller.sabotage_forget_silent(4_000);
     }
-    fn done_early(core: &mut Core, _: u64) {
-        core.sabotage_done_early();
+    fn done_early(controller: &mut Controller, _: u64) {
+        controller.sabotage_done_early();
     }
     let broken = |spoil: &(dyn Fn(&mut World) + Sync)| {
         of_seeds(4_000..4_032, |seed| {
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -17,11 +17,11 @@
 mod waiting;
 mod workers;
 
-use crate::feature::{Call, Feature};
-use crate::node::{Core, Effect, Input, Method, Now};
+use crate::extension::{Call, Extension};
+use crate::node::{Controller, Effect, Input, Method, Now};
 use crate::settings::{Settings, parse};
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
-use crate::wire::state::StateRequest;
+use crate::wire::state::StoreRequest;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rules::Rules;
@@ -57,12 +57,12 @@
         from: usize,
         life: u64,
         request_id: RequestId,
-        request: crate::wire::state::StateRequest,
+        request: crate::wire::state::StoreRequest,
     },
     /// The state service's answer to a node is ready at last.
     Slow(usize, Box<Event>),
     /// A transaction that got no answer is carried out.
-    LateWrite(crate::wire::state::StateRequest),
+    LateWrite(crate::wire::state::StoreRequest),
     WatchEnds(u64),
     Cloud {
         from: usize,
@@ -244,7 +244,7 @@
 }
 
 pub struct Node {
-    pub core: Option<Core>,
+    pub controller: Option<Controller>,
     pub life: u64,
     askers: BTreeMap<RequestId, Asker>,
     next_request: u64,
@@ -332,7 +332,7 @@
     /// Over all that the cores did, and when: the same for days that went the same way.
     pub digest: DefaultHasher,
     /// What each node is given as it starts.
-    feature: Option<fn() -> Box<dyn Feature>>,
+    feature: Option<fn() -> Box<dyn Extension>>,
     feature_prefix: Option<&'static str>,
     /// Up to which revision jobs' descriptions are uploaded.
     described: u64,
@@ -343,7 +343,7 @@
     /// Part of all that nodes send which comes again, up to `AGAIN_MS` later.
     pub again: f64,
     /// Takes a guard out of a core after each of its steps.
-    pub sabotage: Option<fn(&mut Core, u64)>,
+    pub sabotage: Option<fn(&mut Controller, u64)>,
 }
 
 impl World {
@@ -399,7 +399,7 @@
         };
         for i in 0..nodes {
             let empty = Node {
-                core: None,
+                controller: None,
                 life: 0,
                 askers: BTreeMap::new(),
                 next_request: 0,
@@ -455,7 +455,7 @@
     }
 
     /// Gives every node a feature, from its next start on.
-    pub fn with_feature(mut self, feature: fn() -> Box<dyn Feature>) -> Self {
+    pub fn with_feature(mut self, feature: fn() -> Box<dyn Extension>) -> Self {
         self.feature_prefix = Some(feature().prefix());
         self.feature = Some(feature);
         self
@@ -480,7 +480,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(i, life) => {
-                if self.nodes[i].core.is_some() && self.nodes[i].life == life {
+                if self.nodes[i].controller.is_some() && self.nodes[i].life == life {
                     let drift = self.rng_ms(0, 4);
                     self.after(TICK + drift, Event::Tick(i, life));
                     self.note_leader();
@@ -489,11 +489,11 @@
                 }
             }
             Event::Input(i, life, input) => {
-                if self.nodes[i].core.is_none() || self.nodes[i].life != life {
+                if self.nodes[i].controller.is_none() || self.nodes[i].life != life {
                     return;
                 }
                 let request_id = match &input {
-                    Input::State { request_id, .. }
+                    Input::Store { request_id, .. }
                     | Input::Cloud { request_id, .. }
                     | Input::Worker { request_id, .. } => Some(*request_id),
                     _ => None,
@@ -508,7 +508,7 @@
                 if n.life == life && n.open_requests.remove(&request_id) {
                     let input = match kind {
                         Kind::State => {
-                            Input::State { request_id, reply: crate::wire::state::StateReply::Unknown }
+                            Input::Store { request_id, reply: crate::wire::state::StoreReply::Unknown }
                         }
                         Kind::Cloud => {
                             Input::Cloud { request_id, reply: crate::wire::cloud::CloudReply::Unknown }
@@ -534,14 +534,15 @@
                 let seed = self.rng.random();
                 let node = &mut self.nodes[i];
                 node.life += 1;
-                let mut core = Core::new(self.old.get(&i).unwrap_or(&self.settings[i]).clone(), seed);
+                let mut controller =
+                    Controller::new(self.old.get(&i).unwrap_or(&self.settings[i]).clone(), seed);
                 if self.old.contains_key(&i) {
-                    core.act_like_the_version_before();
+                    controller.act_like_the_version_before();
                 }
                 if let Some(feature) = self.feature {
-                    core = core.with_feature(feature());
+                    controller = controller.with_feature(feature());
                 }
-                node.core = Some(core);
+                node.controller = Some(controller);
                 node.askers.clear();
                 node.open_requests.clear();
                 let life = node.life;
@@ -592,8 +593,8 @@
     /// The node that validly leads now, if one does.
     pub fn leader(&self) -> Option<usize> {
         let leads = |i: &usize| {
-            let core = self.nodes[*i].core.as_ref();
-            core.is_some_and(|c| c.validly_leads(self.steady(*i)))
+            let controller = self.nodes[*i].controller.as_ref();
+            controller.is_some_and(|c| c.validly_leads(self.steady(*i)))
         };
         (0..self.nodes.len()).find(leads)
     }
@@ -605,15 +606,15 @@
             took: Duration::from_millis(0),
         };
         let life = self.nodes[i].life;
-        let Some(core) = &mut self.nodes[i].core else { return };
-        let effects = core.step(now, input);
+        let Some(controller) = &mut self.nodes[i].controller else { return };
+        let effects = controller.step(now, input);
         if self.old.contains_key(&i) {
-            core.act_like_the_version_before();
+            controller.act_like_the_version_before();
         }
         if let Some(sabotage) = self.sabotage {
-            sabotage(core, self.now);
+            sabotage(controller, self.now);
         }
-        if let Err(what) = core.sums_hold() {
+        if let Err(what) = controller.sums_hold() {
             self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
         }
         for effect in effects {
@@ -661,33 +662,33 @@
             }
             Effect::Peer { to, bytes } => {
                 let Some(j) = self.settings.iter().position(|s| s.node == to) else { return };
-                let Some(envelope) = crate::blocks::decode(&bytes) else { return };
+                let Some(envelope) = crate::partitions::decode(&bytes) else { return };
                 let life = self.nodes[j].life;
                 let event = |envelope| Event::Input(j, life, Input::Peer(envelope));
                 self.again(|| event(envelope.clone()));
                 self.send(host, Host::Node(j), event(envelope));
             }
-            Effect::State { request_id, request, patience } => {
+            Effect::Store { request_id, request, timeout } => {
                 opens(&mut self.nodes[i], request_id);
-                self.after(patience.0, Event::Timeout { node: i, life, request_id, kind: Kind::State });
+                self.after(timeout.0, Event::Timeout { node: i, life, request_id, kind: Kind::State });
                 let aside = self.is_aside(&request);
                 let event = |request| Event::State { from: i, life, request_id, request };
-                if !matches!(request, StateRequest::Watch { .. }) {
+                if !matches!(request, StoreRequest::Watch { .. }) {
                     self.again(|| event(request.clone()));
                 }
                 self.send_aside(host, Host::State, event(request), aside);
             }
-            Effect::Cloud { request_id, request, patience } => {
+            Effect::Cloud { request_id, request, timeout } => {
                 opens(&mut self.nodes[i], request_id);
-                self.after(patience.0, Event::Timeout { node: i, life, request_id, kind: Kind::Cloud });
+                self.after(timeout.0, Event::Timeout { node: i, life, request_id, kind: Kind::Cloud });
                 let event = |request| Event::Cloud { from: i, life, request_id, request };
                 self.again(|| event(request.clone()));
                 self.send(host, Host::Cloud, event(request));
             }
-            Effect::Worker { request_id, addr, body, patience } => {
+            Effect::Worker { request_id, addr, body, timeout } => {
                 self.check_orders(i, &body);
                 opens(&mut self.nodes[i], request_id);
-                self.after(patience.0, Event::Timeout { node: i, life, request_id, kind: Kind::Worker });
+                self.after(timeout.0, Event::Timeout { node: i, life, request_id, kind: Kind::Worker });
                 if let Some(m) = self.workers.iter().position(|w| w.addr == addr) {
                     let event = |addr, body| Event::Direct { from: i, life, request_id, addr, body };
                     self.again(|| event(addr.clone(), body.clone()));
@@ -720,7 +721,7 @@
     }
 
     fn hand(&mut self, i: usize, asker: Asker, from: Host, input: impl FnOnce(RequestId) -> Input) -> bool {
-        if self.nodes[i].core.is_none() || self.is_cut(from, Host::Node(i)) == Some(false) {
+        if self.nodes[i].controller.is_none() || self.is_cut(from, Host::Node(i)) == Some(false) {
             return false;
         }
         let node = &mut self.nodes[i];
@@ -796,9 +797,9 @@
         }
         let any = self.rng.random_range(0..self.settings.len());
         let i = self.users[u].node.unwrap_or(any);
-        let patience = if self.users[u].stage == Stage::Polling { 2000 } else { 5000 };
+        let timeout = if self.users[u].stage == Stage::Polling { 2000 } else { 5000 };
         if self.request(i, Asker::User { user: u, ask }, Host::User, method, path, body) {
-            self.after(patience, Event::UserTimeout { user: u, ask });
+            self.after(timeout, Event::UserTimeout { user: u, ask });
         } else {
             let ms = self.rng_ms(1000, 2000);
             self.after(ms, Event::User(u));
@@ -850,7 +851,7 @@
     fn fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash(i) => {
-                if self.nodes[i].core.take().is_some() {
+                if self.nodes[i].controller.take().is_some() {
                     let ms = self.rng.random_range(self.away_ms.clone());
                     self.after(ms, Event::Restart(i));
                 }
@@ -996,10 +997,10 @@
 }
 
 /// A submission; the caller changes what it needs.
-pub fn job(n: usize, shape: &str, tasks: u32) -> Value {
-    json!({"id": format!("req-{n:06}"), "job_class": format!("c-{shape}"), "owner": if n.is_multiple_of(2) { "red" } else { "blue" },
-        "shape": shape, "urgency": if shape == "daemon" { "production" } else { "normal" }, "shards": tasks,
+pub fn job(n: usize, job_type: &str, tasks: u32) -> Value {
+    json!({"id": format!("req-{n:06}"), "job_class": format!("c-{job_type}"), "owner": if n.is_multiple_of(2) { "red" } else { "blue" },
+        "shape": job_type, "urgency": if job_type == "daemon" { "production" } else { "normal" }, "shards": tasks,
         "vcpus": 2.0, "accelerators": 1.0, "memory_gb": 4.0, "bundle": format!("img-{}", n % 3), "image_gb": 1.0,
         "flavors": null, "region": null, "together": false, "spread": false, "preemptible": true, "expected_s": 6.0,
-        "snapshot_every_s": if shape == "daemon" { 0.0 } else { 2.0 }, "snapshot_s": 1.0, "due_s": null})
+        "snapshot_every_s": if job_type == "daemon" { 0.0 } else { 2.0 }, "snapshot_s": 1.0, "due_s": null})
 }
--- a/crates/scheduler/src/world/recovery.rs
+++ b/crates/scheduler/src/world/recovery.rs
@@ -4,7 +4,7 @@
 #![cfg(test)]
 
 use super::{Event, Fault, Host, World, job};
-use crate::node::Core;
+use crate::node::Controller;
 use rand::RngExt;
 
 const NODES: usize = 5;
@@ -33,16 +33,16 @@
     let mut w = World::of(seed, NODES, 400);
     w.cloud.generous = 50;
     for n in 0..jobs {
-        let shape = ["array", "ensemble", "daemon", "array", "daemon"][n % 5];
-        let most = match shape {
+        let job_type = ["array", "ensemble", "daemon", "array", "daemon"][n % 5];
+        let most = match job_type {
             "array" => 26,
             "ensemble" => 6,
             _ => 9,
         };
         let tasks = w.rng.random_range(2..most);
-        let mut body = job(n, shape, tasks);
-        body["together"] = (shape == "ensemble" && n % 2 == 0).into();
-        body["spread"] = (shape == "daemon").into();
+        let mut body = job(n, job_type, tasks);
+        body["together"] = (job_type == "ensemble" && n % 2 == 0).into();
+        body["spread"] = (job_type == "daemon").into();
         body["expected_s"] = w.rng.random_range(6.0..25.0).into();
         let at = w.rng_ms(500, 20_000);
         let gone = w.rng.random_bool(0.15).then(|| at + w.rng_ms(15_000, 60_000));
@@ -244,7 +244,7 @@
 }
 
 /// Whether some seed of a few breaks a rule, or does something needless, with a guard out.
-fn noticed(from: u64, down: Down, sabotage: fn(&mut Core, u64)) -> bool {
+fn noticed(from: u64, down: Down, sabotage: fn(&mut Controller, u64)) -> bool {
     (from..from + 12).any(|seed| {
         let mut w = day(seed, down, 30);
         w.sabotage = Some(sabotage);
@@ -257,7 +257,7 @@
 /// still on its way when the next leader reads.
 #[test]
 fn the_checkers_notice_machines_given_up_unheard() {
-    assert!(noticed(2_500, Down::InARow, |core, _| core.sabotage_unheard()));
+    assert!(noticed(2_500, Down::InARow, |controller, _| controller.sabotage_unheard()));
 }
 
 /// A start that had been carried out came again after the worker had forgotten how it ended: it ran once more, while the
@@ -267,7 +267,7 @@
     let broken = (5_000..5_040).any(|seed| {
         let mut w = day_of_quick_returns(seed, 30);
         w.again = 0.3;
-        w.sabotage = Some(|core, _| core.sabotage_forget_sent());
+        w.sabotage = Some(|controller, _| controller.sabotage_forget_sent());
         w.run_until(120_000);
         w.rules.broken.iter().any(|b| b.contains("ran_twice"))
     });
--- a/crates/scheduler/src/world/state.rs
+++ b/crates/scheduler/src/world/state.rs
@@ -2,9 +2,9 @@
 
 use super::{Event, Host, Input, World};
 use crate::jobs::{self, Record};
-use crate::store::Limits;
+use crate::rate_limit::StoreLimits;
 use crate::types::{LeaseId, RequestId, Revision};
-use crate::wire::state::{Change, Event as News, Pair, StateReply, StateRequest};
+use crate::wire::state::{Change, Event as News, Pair, StoreReply, StoreRequest};
 use crate::wire::users;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
     next: u64,
     away: bool,
     pub refused: BTreeSet<usize>,
-    pub limits: Limits,
+    pub limits: StoreLimits,
     /// Values and transactions that were refused for being over the limits.
     pub too_large: Vec<String>,
     /// Sabotage: takes every transaction, whatever its conditions.
@@ -49,7 +49,7 @@
 }
 
 impl Service {
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: StoreLimits) -> Self {
         Self {
             store_revision: 0,
             keys: BTreeMap::new(),
@@ -123,7 +123,7 @@
         self.history[start..].iter().filter(|n| news_key(n).0.starts_with(prefix)).cloned().collect()
     }
 
-    fn commit(&mut self, conditions: &[(String, Revision)], changes: Vec<Change>) -> StateReply {
+    fn commit(&mut self, conditions: &[(String, Revision)], changes: Vec<Change>) -> StoreReply {
         let over = changes.iter().find_map(|c| match c {
             Change::Put { key, value, .. } if value.len() > self.limits.value_bytes => Some(key.clone()),
             _ => None,
@@ -131,7 +131,7 @@
         let many = changes.len() > self.limits.txn_ops || conditions.len() > 4 * self.limits.txn_ops;
         if let Some(what) = over.or(many.then(|| format!("a transaction of {}", changes.len()))) {
             self.too_large.push(what);
-            return StateReply::Malformed;
+            return StoreReply::Malformed;
         }
         let revision = |k: &String| self.keys.get(k).map(|v| v.1).unwrap_or_default();
         let failed: Vec<String> =
@@ -140,10 +140,10 @@
             .iter()
             .any(|c| matches!(c, Change::Put { lease: Some(p), .. } if !self.grants.contains_key(p)));
         if no_grant {
-            return StateReply::LeaseExpired;
+            return StoreReply::LeaseExpired;
         }
         if !failed.is_empty() && !self.careless {
-            return StateReply::Conflict { failed };
+            return StoreReply::Conflict { failed };
         }
         self.store_revision += 1;
         let revision = Revision(self.store_revision);
@@ -159,18 +159,18 @@
                 }
             }
         }
-        StateReply::Committed { store_revision: self.store_revision }
+        StoreReply::Committed { store_revision: self.store_revision }
     }
 
-    fn answer(&mut self, request: StateRequest, now: u64) -> StateReply {
+    fn answer(&mut self, request: StoreRequest, now: u64) -> StoreReply {
         match request {
-            StateRequest::Get { key } => match self.keys.get(&key) {
+            StoreRequest::Get { key } => match self.keys.get(&key) {
                 Some((value, revision, _)) => {
-                    StateReply::Found(Pair { key, value: value.clone(), revision: *revision })
+                    StoreReply::Found(Pair { key, value: value.clone(), revision: *revision })
                 }
-                None => StateReply::Missing { store_revision: self.store_revision },
+                None => StoreReply::Missing { store_revision: self.store_revision },
             },
-            StateRequest::Range { prefix, after, most } => {
+            StoreRequest::Range { prefix, after, most } => {
                 let after = after.unwrap_or_default();
                 let mut pairs: Vec<Pair> = self
                     .keys
@@ -181,32 +181,32 @@
                     .collect();
                 let more = pairs.len() > most as usize;
                 pairs.truncate(most as usize);
-                StateReply::Pairs { pairs, more, store_revision: self.store_revision }
+                StoreReply::Pairs { pairs, more, store_revision: self.store_revision }
             }
-            StateRequest::Commit { conditions, changes } => self.commit(&conditions, changes),
-            StateRequest::GrantLease { life_ms } => {
+            StoreRequest::Commit { conditions, changes } => self.commit(&conditions, changes),
+            StoreRequest::GrantLease { life_ms } => {
                 self.next += 1;
                 let lease = LeaseId(self.next);
                 self.grants.insert(lease, GrantLease { ends: now + life_ms, life: life_ms });
-                StateReply::LeaseGranted(lease)
+                StoreReply::LeaseGranted(lease)
             }
-            StateRequest::RenewLease { lease } => match self.grants.get_mut(&lease) {
+            StoreRequest::RenewLease { lease } => match self.grants.get_mut(&lease) {
                 Some(g) => {
                     g.ends = now + g.life;
-                    StateReply::LeaseRenewed
+                    StoreReply::LeaseRenewed
                 }
-                None => StateReply::LeaseExpired,
+                None => StoreReply::LeaseExpired,
             },
-            StateRequest::Watch { prefix, from, .. } => {
-                StateReply::Events { store_revision: self.store_revision, events: self.since(prefix, from) }
+            StoreRequest::Watch { prefix, from, .. } => {
+                StoreReply::Events { store_revision: self.store_revision, events: self.since(prefix, from) }
             }
         }
     }
 }
 
 impl World {
-    fn reply(&mut self, node: usize, life: u64, request_id: RequestId, reply: StateReply, aside: bool) {
-        let input = Event::Input(node, life, Input::State { request_id, reply });
+    fn reply(&mut self, node: usize, life: u64, request_id: RequestId, reply: StoreReply, aside: bool) {
+        let input = Event::Input(node, life, Input::Store { request_id, reply });
         if self.state_slow > 0 {
             let ms = self.rng_ms(0, self.state_slow);
             return self.after(ms, Event::Slow(node, Box::new(input)));
@@ -216,22 +216,22 @@
 
     /// Whether a request only follows a feature's records. Such have delays of their own, so that all else
     /// goes the same way whether a job came through a feature or not.
-    pub(super) fn is_aside(&self, request: &StateRequest) -> bool {
+    pub(super) fn is_aside(&self, request: &StoreRequest) -> bool {
         let prefix = match request {
-            StateRequest::Range { prefix, .. } | StateRequest::Watch { prefix, .. } => prefix,
+            StoreRequest::Range { prefix, .. } | StoreRequest::Watch { prefix, .. } => prefix,
             _ => return false,
         };
         self.feature_prefix.as_ref().is_some_and(|own| own == prefix)
     }
 
-    pub fn state_request(&mut self, from: usize, life: u64, request_id: RequestId, request: StateRequest) {
+    pub fn state_request(&mut self, from: usize, life: u64, request_id: RequestId, request: StoreRequest) {
         let now = self.now;
         let aside = self.is_aside(&request);
         self.state.expire(now);
         if self.state.away || self.state.refused.contains(&from) {
-            return self.reply(from, life, request_id, StateReply::Refused, aside);
+            return self.reply(from, life, request_id, StoreReply::Refused, aside);
         }
-        if let StateRequest::Watch { prefix, from: since, block_ms } = &request
+        if let StoreRequest::Watch { prefix, from: since, block_ms } = &request
             && *block_ms > 0
             && self.state.since(prefix, *since).is_empty()
         {
@@ -241,14 +241,14 @@
             return self.after(*block_ms, Event::WatchEnds(id));
         }
         if self.late_writes > 0.0
-            && matches!(request, StateRequest::Commit { .. })
+            && matches!(request, StoreRequest::Commit { .. })
             && self.rng.random_bool(self.late_writes)
         {
             let ms = self.rng_ms(2_000, 12_000);
             return self.after(ms, Event::LateWrite(request));
         }
         let lost = self.lost_answers > 0.0
-            && matches!(request, StateRequest::Commit { .. })
+            && matches!(request, StoreRequest::Commit { .. })
             && self.rng.random_bool(self.lost_answers);
         let answer = self.state.answer(request, now);
         if lost {
@@ -260,7 +260,7 @@
     }
 
     /// Carries out what its sender has given up. An outage in between lets it wait on.
-    pub fn late_write(&mut self, request: StateRequest) {
+    pub fn late_write(&mut self, request: StoreRequest) {
         if self.state.away {
             return self.after(500, Event::LateWrite(request));
         }
@@ -310,7 +310,7 @@
             let events = self.state.since(w.prefix, w.since);
             let store_revision = self.state.store_revision;
             let aside = self.feature_prefix.as_ref().is_some_and(|own| *own == w.prefix);
-            self.reply(w.from, w.life, w.request_id, StateReply::Events { store_revision, events }, aside);
+            self.reply(w.from, w.life, w.request_id, StoreReply::Events { store_revision, events }, aside);
         }
     }
 }
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/world/tests.rs
@@ -6,18 +6,18 @@
 use super::recovery::seeds;
 use super::{Event, Fault, Host, NODES, Stage, Submits, World, job};
 use crate::jobs::graph::Guard;
-use crate::node::{Core, Effect, Input, Method, Now};
+use crate::node::{Controller, Effect, Input, Method, Now};
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
-use crate::wire::state::{StateReply, StateRequest};
+use crate::wire::state::{StoreReply, StoreRequest};
 use rand::RngExt;
 
 /// A day with jobs of all shapes; `faults` adds its troubles.
 pub(super) fn day(seed: u64, faults: impl FnOnce(&mut World)) -> World {
     let mut w = World::new(seed);
     for n in 0..14 {
-        let shape = ["array", "ensemble", "daemon"][n % 3];
+        let job_type = ["array", "ensemble", "daemon"][n % 3];
         let tasks = w.rng.random_range(1..5);
-        let mut body = job(n, shape, tasks);
+        let mut body = job(n, job_type, tasks);
         body["together"] = (n % 4 == 1).into();
         body["spread"] = (n % 5 == 2 && n % 4 != 1).into();
         body["preemptible"] = (n % 2 == 0).into();
@@ -35,7 +35,7 @@
     assert!(w.rules.broken.is_empty(), "seed {seed}: {:?}", w.rules.broken);
     assert!(w.rules.started > 0, "seed {seed}: nothing ran");
     // Printed when the assertion below fails.
-    for node in w.nodes.iter().filter_map(|n| n.core.as_ref()) {
+    for node in w.nodes.iter().filter_map(|n| n.controller.as_ref()) {
         println!("seed {seed}: waiting: {}\n{}", node.waiting_report(), node.metrics());
     }
     let wrong = judged(&w);
@@ -68,7 +68,8 @@
     for seed in 0..6 {
         let w = run(seed, day(seed, |_| {}));
         // A job whose record the watch saw before its commit was answered was not counted: every second one.
-        let metrics: String = w.nodes.iter().filter_map(|n| n.core.as_ref()).map(Core::metrics).collect();
+        let metrics: String =
+            w.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::metrics).collect();
         let counts = metrics.lines().filter(|l| l.starts_with("pearford_jobs_done{"));
         let counted: usize = counts.filter_map(|l| l.rsplit(' ').next()?.parse::<usize>().ok()).sum();
         let done = w.users.iter().filter(|u| w.rules.verdict(&u.id) == Some("done")).count();
@@ -170,8 +171,9 @@
                 path: "/up".into(),
                 body: Vec::new(),
             };
-            let Some(core) = &mut w.nodes[i].core else { continue };
-            let fit = core.step(now, ask).iter().any(|e| matches!(e, Effect::Answer { status: 200, .. }));
+            let Some(controller) = &mut w.nodes[i].controller else { continue };
+            let fit =
+                controller.step(now, ask).iter().any(|e| matches!(e, Effect::Answer { status: 200, .. }));
             assert!(fit, "node {i} calls itself unfit at {second} s");
         }
     }
@@ -186,7 +188,7 @@
         w.run_until(20_000);
         let leads = |w: &World, i: usize| {
             let at = MonotonicTime::from_millis(1_000_000 + w.now);
-            w.nodes[i].core.as_ref().is_some_and(|c| c.validly_leads(at))
+            w.nodes[i].controller.as_ref().is_some_and(|c| c.validly_leads(at))
         };
         let old = (0..NODES).find(|i| leads(&w, *i)).expect("somebody leads");
         w.at(20_001, Event::Fault(Fault::Refuse(old, true)));
@@ -242,7 +244,7 @@
 /// A day with services in all zones, one of which can't reach the others for longer than a lease; the node there, or
 /// the leader on the other side, crashes in the midst, and machines hang. Gives the living machines at work in the zone
 /// that were returned meanwhile.
-fn parted_day(seed: u64, sabotage: Option<fn(&mut Core, u64)>) -> (World, usize) {
+fn parted_day(seed: u64, sabotage: Option<fn(&mut Controller, u64)>) -> (World, usize) {
     let mut w = World::of(seed, NODES, 40);
     w.sabotage = sabotage;
     for n in 0..16 {
@@ -299,7 +301,8 @@
 
 #[test]
 fn the_checkers_notice_machines_returned_in_a_parted_zone() {
-    let returned = (920..926).map(|seed| parted_day(seed, Some(|core, _| core.sabotage_apart())).1);
+    let returned =
+        (920..926).map(|seed| parted_day(seed, Some(|controller, _| controller.sabotage_apart())).1);
     assert!(returned.sum::<usize>() > 0);
 }
 
@@ -321,7 +324,7 @@
 fn a_rush_of_questions_shares_few_reads() {
     let mut w = day(8, |_| {});
     w.run_until(15_000);
-    let core = w.nodes[0].core.as_mut().expect("node 0 runs");
+    let controller = w.nodes[0].controller.as_mut().expect("node 0 runs");
     let mut reads = 0;
     for ms in 0..1000 {
         let now = Now {
@@ -334,16 +337,16 @@
             Input::Http { request: RequestId(1_000_000 + ms), method: Method::Get, path, body: Vec::new() };
         let mut inputs = vec![ask];
         while let Some(input) = inputs.pop() {
-            for effect in core.step(now, input) {
-                if let Effect::State {
+            for effect in controller.step(now, input) {
+                if let Effect::Store {
                     request_id,
-                    request: StateRequest::Watch { from, block_ms: 0, .. },
+                    request: StoreRequest::Watch { from, block_ms: 0, .. },
                     ..
                 } = effect
                 {
                     reads += 1;
-                    let reply = StateReply::Events { store_revision: from, events: Vec::new() };
-                    inputs.push(Input::State { request_id, reply });
+                    let reply = StoreReply::Events { store_revision: from, events: Vec::new() };
+                    inputs.push(Input::Store { request_id, reply });
                 }
             }
         }
@@ -359,11 +362,11 @@
     let mut w = World::of(600, 5, 300);
     w.cloud.generous = 50;
     for n in 0..60 {
-        let shape = ["array", "ensemble", "daemon"][n % 3];
-        let tasks = w.rng.random_range(2..if shape == "array" { 24 } else { 9 });
-        let mut body = job(n, shape, tasks);
-        body["together"] = (n % 2 == 1 && shape == "ensemble").into();
-        body["spread"] = (shape == "daemon").into();
+        let job_type = ["array", "ensemble", "daemon"][n % 3];
+        let tasks = w.rng.random_range(2..if job_type == "array" { 24 } else { 9 });
+        let mut body = job(n, job_type, tasks);
+        body["together"] = (n % 2 == 1 && job_type == "ensemble").into();
+        body["spread"] = (job_type == "daemon").into();
         body["expected_s"] = w.rng.random_range(4.0..20.0).into();
         let at = w.rng_ms(500, 15_000);
         w.add_user(at, body, None);
@@ -393,9 +396,9 @@
         let earlier = format!("req-{:06}", [0, 1, 3, 4][p % 4]);
         let needs = [vec![earlier], vec![id(0)], vec![id(0)], vec![id(1), id(2)], vec![id(0), id(3), id(3)]];
         for (n, needs) in needs.into_iter().enumerate() {
-            let shape = if n == 3 { "ensemble" } else { "array" };
+            let job_type = if n == 3 { "ensemble" } else { "array" };
             let tasks = w.rng.random_range(1..if n == 1 { 12 } else { 4 });
-            let mut body = job(first + n, shape, tasks);
+            let mut body = job(first + n, job_type, tasks);
             body["accelerators"] = 0.0.into();
             body["vcpus"] = 1.0.into();
             body["memory_gb"] = 0.5.into();
@@ -503,7 +506,7 @@
 /// nothing else.
 #[test]
 fn dependent_jobs_are_taken_only_once_every_node_is_new() {
-    let taken_early = |sabotage: Option<fn(&mut Core, u64)>| {
+    let taken_early = |sabotage: Option<fn(&mut Controller, u64)>| {
         let mut w = World::new(850);
         w.begin_old();
         w.sabotage = sabotage;
@@ -524,7 +527,7 @@
         early
     };
     assert!(!taken_early(None));
-    assert!(taken_early(Some(|core, _| core.sabotage_level())), "the mark is what holds it back");
+    assert!(taken_early(Some(|controller, _| controller.sabotage_level())), "the mark is what holds it back");
 }
 
 /// Whether some seed of a few breaks a rule under `faults` and a spoilt `world`.
@@ -540,17 +543,17 @@
 #[test]
 fn the_checker_notices_a_guard_taken_out_of_the_core() {
     // Proof by silence: entries of a machine silent for 4 s are dropped as if they were gone.
-    fn forget_silent(core: &mut Core, _: u64) {
-        core.sabotage_forget_silent(4_000);
+    fn forget_silent(controller: &mut Controller, _: u64) {
+        controller.sabotage_forget_silent(4_000);
     }
     assert!(checker_notices(|w| w.sabotage = Some(forget_silent)));
     // Done as soon as half of the tasks are.
-    fn done_early(core: &mut Core, _: u64) {
-        core.sabotage_done_early();
+    fn done_early(controller: &mut Controller, _: u64) {
+        controller.sabotage_done_early();
     }
     assert!(checker_notices(|w| w.sabotage = Some(done_early)));
     // Dependent jobs get a run at once; or a cancellation does not carry on to them.
-    let with_pipelines = |spoil: fn(&mut Core, u64)| {
+    let with_pipelines = |spoil: fn(&mut Controller, u64)| {
         (300..340).any(|seed| {
             let mut w = World::new(seed);
             pipelines(&mut w, 2_000, 30_000);
@@ -560,8 +563,8 @@
             !w.rules.broken.is_empty()
         })
     };
-    assert!(with_pipelines(|core, _| core.sabotage_graph(Guard::Order)));
-    assert!(with_pipelines(|core, _| core.sabotage_graph(Guard::Cancellation)));
+    assert!(with_pipelines(|controller, _| controller.sabotage_graph(Guard::Order)));
+    assert!(with_pipelines(|controller, _| controller.sabotage_graph(Guard::Cancellation)));
     assert!(!with_pipelines(|_, _| {}));
 }
 
