--- a/crates/cell/src/bin/pearford-served.rs
+++ b/crates/dev-cluster/src/bin/pearford-service-report.rs
@@ -1,7 +1,7 @@
 //! Tells of which classes and teams a day served less than half, from the nodes' log lines on standard input.
 #![forbid(unsafe_code)]
 
-use pearford_cell::served::Served;
+use pearford_dev_cluster::service_report::ServiceReport;
 use std::io::Read;
 use std::process::ExitCode;
 
@@ -11,7 +11,7 @@
         eprintln!("standard input: {error}; give the nodes' log lines, of LOG_LEVEL info or debug");
         return ExitCode::from(2);
     }
-    let served = Served::of(String::from_utf8_lossy(&log).lines());
+    let served = ServiceReport::of(String::from_utf8_lossy(&log).lines());
     if served.classes.is_empty() {
         eprintln!(
             "no job was accepted in these lines; give the nodes' log lines, of LOG_LEVEL info or debug"
--- a/crates/cell/src/cloud.rs
+++ b/crates/dev-cluster/src/cloud.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the cloud: rents machines, which are tasks of this process.
 
-use crate::state::State;
+use crate::store::StoreHandle;
 use crate::worker::{self, Worker};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -33,15 +33,15 @@
 #[derive(Clone)]
 pub struct Cloud {
     inner: Arc<Mutex<Inner>>,
-    state: State,
+    store: StoreHandle,
     nodes: Vec<SocketAddr>,
     zones: Vec<String>,
 }
 
 impl Cloud {
     /// Its machines report to `nodes`.
-    pub fn new(state: State, nodes: Vec<SocketAddr>, zones: Vec<String>) -> Self {
-        Self { inner: Arc::default(), state, nodes, zones }
+    pub fn new(store: StoreHandle, nodes: Vec<SocketAddr>, zones: Vec<String>) -> Self {
+        Self { inner: Arc::default(), store, nodes, zones }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -93,7 +93,7 @@
             let place =
                 worker::Place { id: id.clone(), type_name: text("flavor"), zone: text("region"), spot };
             let zone = place.zone.clone();
-            let Ok((addr, worker, runs)) = worker::start(place, self.nodes.clone(), self.state.clone())
+            let Ok((addr, worker, runs)) = worker::start(place, self.nodes.clone(), self.store.clone())
             else {
                 break;
             };
--- a/crates/cell/src/cluster.rs
+++ b/crates/dev-cluster/src/cluster.rs
@@ -1,7 +1,7 @@
 //! Controllers as real processes around the stand-ins.
 
 use crate::cloud::Cloud;
-use crate::state::State;
+use crate::store::StoreHandle;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -73,10 +73,10 @@
         let ports = free_ports(3 * plan.nodes)?;
         let (api, rest) = ports.split_at(plan.nodes);
         let (back, doors) = rest.split_at(plan.nodes);
-        let state = State::default();
+        let store = StoreHandle::default();
         let zones = (0..plan.nodes).map(|i| format!("z{i}")).collect();
-        let cloud = Cloud::new(state.clone(), api.to_vec(), zones);
-        let (state_addr, cloud_addr) = (state.serve()?, cloud.serve()?);
+        let cloud = Cloud::new(store.clone(), api.to_vec(), zones);
+        let (state_addr, cloud_addr) = (store.serve()?, cloud.serve()?);
         let folder = TempDir::new()?;
         for (i, door) in doors.iter().enumerate() {
             std::fs::write(
--- a/crates/cell/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -4,8 +4,8 @@
 
 pub mod cloud;
 pub mod cluster;
-pub mod served;
-pub mod state;
+pub mod service_report;
+pub mod store;
 mod worker;
 
 use std::net::SocketAddr;
--- a/crates/cell/src/main.rs
+++ b/crates/dev-cluster/src/main.rs
@@ -6,7 +6,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pearford_cell::cluster::{Cluster, Plan};
+use pearford_dev_cluster::cluster::{Cluster, Plan};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -40,21 +40,21 @@
     let beside = || Some(std::env::current_exe().ok()?.parent()?.join("pearford"));
     let Some(program) = cli.program.clone().or_else(beside).filter(|p| p.exists()) else {
         eprintln!(
-            "pearford-cell: there is no controllers' program beside this; build it, or give --program FILE"
+            "pearford-dev-cluster: there is no controllers' program beside this; build it, or give --program FILE"
         );
         return ExitCode::from(2);
     };
     let runtime = match tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("pearford-cell: the runtime can't start: {error}");
+            eprintln!("pearford-dev-cluster: the runtime can't start: {error}");
             return ExitCode::FAILURE;
         }
     };
     match runtime.block_on(run(program, cli)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("pearford-cell: {error}");
+            eprintln!("pearford-dev-cluster: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cell/src/served.rs
+++ b/crates/dev-cluster/src/service_report.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Served {
+pub struct ServiceReport {
     pub classes: BTreeMap<String, Share>,
     pub teams: BTreeMap<String, Share>,
 }
@@ -60,7 +60,7 @@
     Some((seconds, what, words.filter_map(|word| word.split_once('=')).collect()))
 }
 
-impl Served {
+impl ServiceReport {
     /// Counts the jobs of a day's lines. Each may come from several nodes, and more than once after a take-over.
     pub fn of<'a>(lines: impl Iterator<Item = &'a str>) -> Self {
         let mut jobs: BTreeMap<String, Job> = BTreeMap::new();
@@ -109,7 +109,7 @@
     }
 }
 
-impl fmt::Display for Served {
+impl fmt::Display for ServiceReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let all = self.classes.iter().map(|c| ("class", c)).chain(self.teams.iter().map(|t| ("team", t)));
         for (kind, (name, s)) in all {
--- a/crates/cell/src/served/tests.rs
+++ b/crates/dev-cluster/src/service_report/tests.rs
@@ -25,7 +25,7 @@
     log.push(line(190, "accepted", 101, "a", "blue"));
     log.push(line(200, "done", 1, "a", "red"));
     log.push("no line of ours".into());
-    let served = Served::of(log.iter().map(String::as_str));
+    let served = ServiceReport::of(log.iter().map(String::as_str));
     assert_eq!(served.failures(), ["blue"]);
     assert_eq!(served.classes["a"], Share { jobs: 40, started: 31, done: 1, withdrawn: 1, late: 1 });
     assert_eq!(served.teams["blue"], Share { jobs: 10, started: 1, done: 0, withdrawn: 1, late: 1 });
--- a/crates/cell/src/state.rs
+++ b/crates/dev-cluster/src/store.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Default)]
-pub struct State {
+pub struct StoreHandle {
     store: Arc<Mutex<Store>>,
     changed: Arc<Notify>,
 }
@@ -125,7 +125,7 @@
     }
 }
 
-impl State {
+impl StoreHandle {
     fn lock(&self) -> MutexGuard<'_, Store> {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         store.expire();
--- a/crates/cell/src/worker.rs
+++ b/crates/dev-cluster/src/worker.rs
@@ -1,6 +1,6 @@
 //! A stand-in of a worker: takes orders and lets time pass in place of work.
 
-use crate::state::State;
+use crate::store::StoreHandle;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -39,7 +39,7 @@
     serial: u64,
     fencing_token: u64,
     tasks: BTreeMap<String, Task>,
-    state: State,
+    store: StoreHandle,
     /// The machine hangs, or is dead: nobody hears of it, and what runs there is counted until it is returned.
     silent: bool,
 }
@@ -83,7 +83,7 @@
 
     fn start(&mut self, name: String, attempt: u64) {
         let job = name.split('/').next().unwrap_or_default();
-        let record = self.state.value(&format!("j/{job}")).unwrap_or(Value::Null);
+        let record = self.store.value(&format!("j/{job}")).unwrap_or(Value::Null);
         let spec = &record["open"]["spec"];
         let runs = (spec["shape"] != "Service")
             .then(|| Duration::from_millis(spec["estimate"].as_u64().unwrap_or(0)));
@@ -158,11 +158,11 @@
 pub(crate) fn start(
     place: Place,
     nodes: Vec<SocketAddr>,
-    state: State,
+    store: StoreHandle,
 ) -> std::io::Result<(SocketAddr, Worker, JoinHandle<()>)> {
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let inner =
-        Inner { place, addr, serial: 0, fencing_token: 0, tasks: BTreeMap::new(), state, silent: false };
+        Inner { place, addr, serial: 0, fencing_token: 0, tasks: BTreeMap::new(), store, silent: false };
     let worker = Worker(Arc::new(Mutex::new(inner)));
     let direct = worker.clone();
     let answer = move |body: Bytes| {
--- a/crates/pearford/benches/nomad_door.rs
+++ b/crates/pearford/benches/nomad_door.rs
@@ -6,7 +6,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pearford_cell::cluster::{Cluster, Plan};
+use pearford_dev_cluster::cluster::{Cluster, Plan};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/pearford/tests/nomad_client.rs
+++ b/crates/pearford/tests/nomad_client.rs
@@ -4,7 +4,7 @@
 use nomad_client::apis::configuration::Configuration;
 use nomad_client::apis::{evaluations_api, jobs_api};
 use nomad_client::models::{Job, JobPlanRequest, JobsParseRequest, RegisterJobRequest};
-use pearford_cell::cluster::{Cluster, Plan};
+use pearford_dev_cluster::cluster::{Cluster, Plan};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
