--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/world/bad_records.rs
@@ -2,49 +2,21 @@
 
 #![cfg(test)]
 
-use super::tests::{day, run};
-use super::{Event, Fault, NODES, World, job};
+use super::days::bad_records::{
+    BAD, contradicting_reports, impossible_job_records, unreadable_job_record, unreadable_machine_records,
+};
+use super::days::ordinary::day;
+use super::tests::run;
+use super::{Event, NODES};
 use crate::blocks::{self, PeerMessage};
-use crate::node::{Input, Method};
+use crate::node::Input;
 use crate::types::Fence;
-use serde_json::{Value, json};
-
-const BAD: [&str; 5] = ["{\"open\":{\"spec\":7}}", "torn {", "{\"later\":{\"form\":2}}", "", "[]"];
-
-/// A long job's record becomes unreadable while it runs, all nodes begin anew, and the record is put back later.
-fn day_with_a_bad_job_record(seed: u64, bad: &str) -> World {
-    let mut w = World::new(seed);
-    let mut body = job(0, "array", 2);
-    body["expected_s"] = 30.0.into();
-    w.add_user(1_000, body, None);
-    w.add_user(1_500, job(1, "array", 3), None);
-    w.run_until(12_000);
-    let good = w.state.key("j/req-000000").expect("accepted").to_string();
-    w.state.overwrite("j/req-000000", bad);
-    (0..NODES).for_each(|i| w.at(12_100 + i as u64, Event::Fault(Fault::Crash(i))));
-    w.run_until(24_000);
-    for i in 0..NODES {
-        let tag = i as u64;
-        assert!(w.ask(i, tag, Method::Get, "/submissions/req-000000", ""));
-        assert!(w.ask(i, 10 + tag, Method::Post, "/submissions/req-000000/withdraw", ""));
-        assert!(w.ask(i, 20 + tag, Method::Post, "/submissions", &job(0, "array", 2).to_string()));
-    }
-    w.run_until(26_000);
-    assert_eq!(w.answers.len(), 3 * NODES);
-    for a in &w.answers {
-        assert!(a.status == 503 && a.body.contains("j/req-000000"), "{a:?}");
-    }
-    assert_eq!(w.state.key("j/req-000000"), Some(bad), "left for whoever looks into it");
-    let stays = w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.job() == "req-000000" && t.present());
-    assert!(stays.count() > 0, "what runs is not stopped on a guess");
-    w.state.overwrite("j/req-000000", &good);
-    run(seed, w)
-}
 
 #[test]
 fn a_job_whose_record_cannot_be_read_is_never_called_unknown_and_goes_on_once_it_can() {
     for (n, bad) in BAD.iter().enumerate() {
-        let w = day_with_a_bad_job_record(9_200 + n as u64, bad);
+        let seed = 9_200 + n as u64;
+        let w = run(seed, unreadable_job_record(seed, bad));
         assert_eq!(w.rules.verdict("req-000000"), Some("done"), "{bad}");
     }
 }
@@ -53,61 +25,15 @@
 #[test]
 fn nothing_starts_until_a_machine_whose_record_cannot_be_read_is_gone() {
     for (n, bad) in BAD.iter().enumerate() {
-        let mut w = World::new(9_220 + n as u64);
-        w.keeps_images = true;
-        for k in 0..6 {
-            let mut body = job(k, "array", 2);
-            body["expected_s"] = 25.0.into();
-            w.add_user(1_000, body, None);
-        }
-        // These leave room behind.
-        for k in 10..14 {
-            let mut body = job(k, "array", 2);
-            body["expected_s"] = 2.0.into();
-            w.add_user(1_100, body, None);
-        }
-        w.run_until(15_000);
-        let keys: Vec<String> = w.state.under("m/").map(|(key, _)| key.to_string()).collect();
-        assert!(keys.len() > 1, "several machines have records");
-        keys.iter().take(2).for_each(|key| w.state.overwrite(key, bad));
-        // Their workers reach nobody meanwhile, and the cloud answers late.
-        w.workers.iter_mut().filter(|m| keys.iter().take(2).any(|k| k.ends_with(m.id.as_str()))).for_each(
-            |m| {
-                m.muted_until = 40_000;
-            },
-        );
-        w.at(15_050, Event::Fault(Fault::CloudOutage(true)));
-        w.at(27_000, Event::Fault(Fault::CloudOutage(false)));
-        (0..NODES).for_each(|i| w.at(15_100 + i as u64, Event::Fault(Fault::Crash(i))));
-        run(9_220 + n as u64, w);
+        let seed = 9_220 + n as u64;
+        run(seed, unreadable_machine_records(seed, bad));
     }
 }
 
 /// Records that are whole JSON and say what nobody can have stored.
 #[test]
 fn impossible_job_records_take_no_node_down() {
-    let mut w = day(9_240, |w| w.add_user(1_000, job(50, "array", 2), None));
-    w.run_until(10_000);
-    let good: Value = serde_json::from_str(w.state.key("j/req-000050").expect("accepted")).expect("whole");
-    for (n, (path, value)) in [
-        ("/open/spec/tasks", json!(4_000_000_000_u32)),
-        ("/open/spec/tasks", json!(0)),
-        ("/open/spec/room/cpus", json!(-5.0)),
-        ("/open/spec/room/gpus", json!(1e300)),
-    ]
-    .into_iter()
-    .enumerate()
-    {
-        let mut record = good.clone();
-        *record.pointer_mut(path).unwrap_or_else(|| panic!("{path} in {good}")) = value;
-        w.state.overwrite(&format!("j/req-00070{n}"), &record.to_string());
-    }
-    (0..NODES).for_each(|i| w.at(10_100 + i as u64, Event::Fault(Fault::Crash(i))));
-    w.run_until(16_000);
-    for n in 0..4 {
-        assert!(w.ask(0, n, Method::Get, &format!("/submissions/req-00070{n}"), ""));
-    }
-    w.run_until(18_000);
+    let w = impossible_job_records(9_240);
     assert!(w.answers.iter().all(|a| a.status == 503) && w.answers.len() == 4, "{:?}", w.answers);
     run(9_240, w);
 }
@@ -144,25 +70,7 @@
 /// nothing else moves.
 #[test]
 fn reports_that_contradict_themselves_prove_nothing() {
-    let mut w = day(9_260, |_| {});
-    w.run_until(12_000);
-    let leader = w.leader().expect("somebody leads");
-    let task = |name: &str, attempt: u64, phase: &str| json!({"shard": name, "try": attempt, "phase": phase, "cause": "done"});
-    let shards = json!([
-        task("req-000000/0", 1, "running"),
-        task("req-000000/0", 1, "ended"),
-        task("req-000000/0", 2, "running"),
-        task("req-999998/0", 1, "running"),
-        task("req-999998/0", 1, "ended"),
-        task("no task", 1, "running"),
-        task("req-000000/4000000000", 1, "running"),
-        task("req-000000/", 1, "ended"),
-    ]);
-    let fence = w.state.stamp(crate::leader::KEY).map_or(0, |s| s.0);
-    let body = json!({"host": "m-999999", "addr": "10.9.9.9:1", "flavor": "small", "region": "z0", "preemptible": false,
-        "tenure": 1, "serial": 1, "fence": fence, "shards": shards});
-    assert!(w.ask(leader, 1, Method::Post, "/v1/report", &body.to_string()));
-    w.run_until(13_000);
+    let w = contradicting_reports(9_260);
     assert_eq!(w.answers.len(), 1);
     assert!(matches!(w.answers[0].status, 200 | 400 | 421), "{:?}", w.answers[0]);
     let w = run(9_260, w);
--- a/crates/scheduler/src/world/days.rs
+++ b/crates/scheduler/src/world/days/mod.rs
@@ -1,4 +1,13 @@
-//! Troubles for seeded days.
+//! Seeded days by kind, and troubles for them.
+
+pub mod bad_records;
+pub mod directed;
+pub mod fields;
+pub mod gap;
+pub mod kinds;
+pub mod meetings;
+pub mod ordinary;
+pub mod recovery;
 
 use super::{Event, Fault, Host, NODES, World};
 use rand::RngExt;
--- /dev/null
+++ b/crates/scheduler/src/world/digest.rs
@@ -0,0 +1,109 @@
+//! A digest of what the nodes of a simulation do: the same for days that went the same way.
+//!
+//! It covers each effect as it goes over the wire, and never a Rust name, `Debug` output or a derived
+//! `Hash`, so that names can change without a change of the digest.
+
+use crate::node::Effect;
+use crate::types::{OpId, Permit, Span, Stamp};
+use xxhash_rust::xxh3::Xxh3Default;
+
+/// Tells the kinds of effects apart.
+#[derive(Clone, Copy)]
+enum Section {
+    Answer = 1,
+    StateRequest = 2,
+    CloudRequest = 3,
+    WorkerRequest = 4,
+    PeerMessage = 5,
+    StoredValue = 6,
+}
+
+/// A running hash over effects and stored values, in their order.
+#[derive(Clone, Default)]
+pub struct Digest {
+    hasher: Xxh3Default,
+}
+
+impl Digest {
+    /// Adds what a node did at a simulated time, in milliseconds.
+    pub fn effect(&mut self, now_ms: u64, node: usize, effect: &Effect) {
+        self.number(now_ms);
+        self.number(node as u64);
+        match effect {
+            Effect::Answer { request, status, retry_after_s, headers, body } => {
+                self.section(Section::Answer);
+                self.number(request.0);
+                self.number(u64::from(*status));
+                self.optional_number(retry_after_s.map(u64::from));
+                self.number(headers.len() as u64);
+                for (name, value) in headers {
+                    self.bytes(name.as_bytes());
+                    self.bytes(value.as_bytes());
+                }
+                self.bytes(body.as_bytes());
+            }
+            Effect::State { op, request, patience } => {
+                self.section(Section::StateRequest);
+                self.request(*op, &request.http(), *patience);
+            }
+            Effect::Cloud { op, request, patience } => {
+                self.section(Section::CloudRequest);
+                self.request(*op, &request.http(), *patience);
+            }
+            Effect::Worker { op, addr, body, patience } => {
+                self.section(Section::WorkerRequest);
+                self.number(op.0);
+                self.bytes(addr.as_bytes());
+                self.bytes(body.as_bytes());
+                self.number(patience.0);
+            }
+            Effect::Peer { to, bytes } => {
+                self.section(Section::PeerMessage);
+                self.bytes(to.as_str().as_bytes());
+                self.bytes(bytes);
+            }
+        }
+    }
+
+    /// Adds a value that the state service holds, with its revision and the lease that it is bound to.
+    pub fn stored(&mut self, key: &str, value: &str, revision: Stamp, lease: Option<Permit>) {
+        self.section(Section::StoredValue);
+        self.bytes(key.as_bytes());
+        self.bytes(value.as_bytes());
+        self.number(revision.0);
+        self.optional_number(lease.map(|lease| lease.0));
+    }
+
+    /// The hash of all that was added so far.
+    pub fn finish(&self) -> u64 {
+        self.hasher.digest()
+    }
+
+    fn request(&mut self, op: OpId, request: &(http::Method, String, Vec<u8>), patience: Span) {
+        let (method, path, body) = request;
+        self.number(op.0);
+        self.bytes(method.as_str().as_bytes());
+        self.bytes(path.as_bytes());
+        self.bytes(body);
+        self.number(patience.0);
+    }
+
+    fn section(&mut self, section: Section) {
+        self.hasher.update(&[section as u8]);
+    }
+
+    fn number(&mut self, number: u64) {
+        self.hasher.update(&number.to_le_bytes());
+    }
+
+    fn optional_number(&mut self, number: Option<u64>) {
+        self.hasher.update(&[u8::from(number.is_some())]);
+        self.number(number.unwrap_or_default());
+    }
+
+    /// With the length before, so that no two sequences of fields give the same bytes.
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.hasher.update(bytes);
+    }
+}
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -5,6 +5,7 @@
 mod bad_records;
 mod cloud;
 pub mod days;
+mod digest;
 mod directed;
 mod fields;
 mod gap;
@@ -28,7 +29,6 @@
 use serde_json::{Value, json};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use std::hash::{DefaultHasher, Hash};
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -329,8 +329,8 @@
     pub rules: Rules,
     /// Orders that a report on its way would have made needless: living machines returned with work on them.
     pub needless: Vec<String>,
-    /// Over all that the cores did, and when: the same for days that went the same way.
-    pub digest: DefaultHasher,
+    /// Over all that the nodes did so far, and when.
+    effects: digest::Digest,
     /// What each node is given as it starts.
     feature: Option<fn() -> Box<dyn Feature>>,
     feature_prefix: Option<&'static str>,
@@ -386,7 +386,7 @@
             state_slow: 0,
             rules: Rules::new(settings[0].workers.cancel_s, &settings[0].teams),
             needless: Vec::new(),
-            digest: DefaultHasher::new(),
+            effects: digest::Digest::default(),
             feature: None,
             feature_prefix: None,
             described: 0,
@@ -601,11 +601,20 @@
             self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
         }
         for effect in effects {
-            (self.now, i, format!("{effect:?}")).hash(&mut self.digest);
+            self.effects.effect(self.now, i, &effect);
             self.effect(i, life, effect);
         }
     }
 
+    /// A hash over all that the nodes did, and when, and over what the state service holds now.
+    pub fn digest(&self) -> u64 {
+        let mut digest = self.effects.clone();
+        self.state
+            .stored()
+            .for_each(|(key, value, revision, lease)| digest.stored(key, value, revision, lease));
+        digest.finish()
+    }
+
     fn effect(&mut self, i: usize, life: u64, effect: Effect) {
         let host = Host::Node(i);
         let opens = |node: &mut Node, op: OpId| {
--- a/crates/scheduler/src/world/state.rs
+++ b/crates/scheduler/src/world/state.rs
@@ -92,6 +92,11 @@
         all.map(|(k, v)| (k.as_str(), v.0.as_str()))
     }
 
+    /// All keys in their order, with values, revisions and the grants that they are bound to.
+    pub fn stored(&self) -> impl Iterator<Item = (&str, &str, Stamp, Option<Permit>)> {
+        self.keys.iter().map(|(key, (value, stamp, permit))| (key.as_str(), value.as_str(), *stamp, *permit))
+    }
+
     pub fn outage(&mut self, on: bool, now: u64) {
         self.away = on;
         if !on {
