--- a/crates/scheduler/src/blocks/mod.rs
+++ b/crates/scheduler/src/blocks/mod.rs
@@ -169,5 +169,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/compat/mod.rs
+++ b/crates/scheduler/src/compat/mod.rs
@@ -176,5 +176,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/scheduler/src/jobs/golden.rs
@@ -0,0 +1,104 @@
+//! Golden bytes of job records and of the records of which tasks are done.
+
+use super::*;
+use crate::golden_group;
+
+/// Every optional field is given.
+fn full_spec(shape: Shape, priority: Priority) -> JobSpec {
+    JobSpec {
+        kind: "train".into(),
+        team: "red".into(),
+        shape,
+        priority,
+        tasks: 16,
+        room: Room { cpus: 5.0, gpus: 1.0, memory_gb: 6.4 },
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into(), "g2".into()]),
+        zone: Some("z0".into()),
+        together: true,
+        spread: false,
+        spot: true,
+        estimate: Span::ms(240_000),
+        checkpoint: Span::ms(30_000),
+        save: Span::ms(4_000),
+        deadline: Some(Span::ms(900_000)),
+        needs: Vec::new(),
+    }
+}
+
+fn bare_spec() -> JobSpec {
+    JobSpec {
+        types: None,
+        zone: None,
+        deadline: None,
+        together: false,
+        spread: true,
+        spot: false,
+        ..full_spec(Shape::Service, Priority::Production)
+    }
+}
+
+fn open(spec: JobSpec) -> Record {
+    Record::Open(Arc::new(OpenJob { spec, submitted: Wall(1_700_000_000_123), home: "n1".into() }))
+}
+
+fn records() -> Vec<(&'static str, Record)> {
+    let dependent = JobSpec {
+        needs: vec!["req-000001".into(), "req-000002".into()],
+        ..full_spec(Shape::Array, Priority::Low)
+    };
+    vec![
+        ("open, array, low", open(full_spec(Shape::Array, Priority::Low))),
+        ("open, gang, normal", open(full_spec(Shape::Gang, Priority::Normal))),
+        ("open, service, high", open(full_spec(Shape::Service, Priority::High))),
+        ("open, service, production, nothing optional", open(bare_spec())),
+        ("open, dependent", open(dependent)),
+        ("done", Record::Done),
+        ("withdrawn", Record::Withdrawn),
+    ]
+}
+
+#[test]
+fn golden_job_records() {
+    let mut group = golden_group!("job_records.txt");
+    let key = key(&"req-000412".into());
+    for (name, record) in records() {
+        group.both_ways(name, format!("{key} {}", record.to_value()), |line| {
+            let (key, value) = line.split_once(' ')?;
+            let mut mirror = Mirror::default();
+            mirror.learn_pair(&Pair { key: key.into(), value: value.into(), stamp: Stamp(1) });
+            let known = mirror.get(&"req-000412".into())?;
+            Some(format!("{key} {}", known.record.to_value()))
+        });
+    }
+    group.finish();
+}
+
+#[test]
+fn golden_progress_records() {
+    let mut done = Bits::default();
+    for task in [0, 3, 64, CHUNK - 1, CHUNK + 5] {
+        done.add(task);
+    }
+    let mut group = golden_group!("progress_records.txt");
+    group.writes("prefix", PROGRESS_PREFIX);
+    for chunk in 0..2 {
+        group.both_ways(&format!("chunk {chunk}"), done.chunk_value(chunk), |value| {
+            let mut read = Bits::default();
+            read.add_chunk(chunk, value).ok()?;
+            Some(read.chunk_value(chunk))
+        });
+    }
+    group.finish();
+}
+
+/// The order decides who goes first and whom others make room for.
+#[test]
+fn golden_order_of_priorities_and_shapes() {
+    assert!(Priority::Low < Priority::Normal);
+    assert!(Priority::Normal < Priority::High);
+    assert!(Priority::High < Priority::Production);
+    assert!(Shape::Array < Shape::Gang);
+    assert!(Shape::Gang < Shape::Service);
+}
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -346,5 +346,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 pub(crate) mod tests;
--- a/crates/scheduler/src/leader/mod.rs
+++ b/crates/scheduler/src/leader/mod.rs
@@ -251,5 +251,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/scheduler/src/ledger/golden.rs
@@ -0,0 +1,52 @@
+//! Golden bytes of machine records.
+
+use super::*;
+use crate::golden_group;
+
+/// Bytes that the state service stores in a value.
+const LIMIT: usize = 16_000;
+
+fn record() -> MachineRecord {
+    let task = TaskId { job: "req-000412".into(), index: 3 };
+    let room = Room { cpus: 5.0, gpus: 1.0, memory_gb: 6.4 };
+    MachineRecord {
+        type_name: "g8".into(),
+        zone: "z0".into(),
+        spot: true,
+        addr: Some("10.1.0.232:9000".into()),
+        session: Session(2),
+        entries: vec![(task, Attempt(432_013_319), "red".into(), room)],
+        images: vec![("img-07".into(), 6.2)],
+    }
+}
+
+#[test]
+fn golden_machine_records() {
+    let silent = MachineRecord {
+        spot: false,
+        addr: None,
+        session: Session(0),
+        entries: Vec::new(),
+        images: Vec::new(),
+        ..record()
+    };
+    let key = key(&"m-000231".into());
+    let mut group = golden_group!("machine_records.txt");
+    for (name, record) in [("full", record()), ("not heard of yet", silent)] {
+        let value = record.to_value(LIMIT).expect("it fits");
+        group.both_ways(name, format!("{key} {value}"), |line| {
+            let (key, value) = line.split_once(' ')?;
+            let read: MachineRecord = serde_json::from_str(value).ok()?;
+            Some(format!("{key} {}", read.to_value(LIMIT)?))
+        });
+    }
+    group.finish();
+}
+
+/// Batches are written in this order; later ones may wait.
+#[test]
+fn golden_order_of_haste() {
+    assert!(Haste::Idle < Haste::Soon);
+    assert!(Haste::Soon < Haste::Urgent);
+    assert!(Haste::Urgent < Haste::First);
+}
--- a/crates/scheduler/src/ledger/mod.rs
+++ b/crates/scheduler/src/ledger/mod.rs
@@ -222,5 +222,7 @@
     ok(team.max_gpus, used.gpus, more.gpus) && ok(team.max_cpus, used.cpus, more.cpus)
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -8,6 +8,8 @@
 pub mod feature;
 pub mod fleet;
 pub mod gangs;
+#[cfg(any(test, feature = "world"))]
+pub mod golden;
 pub mod jobs;
 pub mod leader;
 pub mod ledger;
--- a/crates/scheduler/src/node/master/apart.rs
+++ b/crates/scheduler/src/node/master/apart.rs
@@ -50,3 +50,6 @@
         self.told.outweigh(|| self.machines.values().filter(heard).count() as u32, self.fence, now)
     }
 }
+
+#[cfg(test)]
+mod golden;
--- /dev/null
+++ b/crates/scheduler/src/node/master/apart/golden.rs
@@ -0,0 +1,17 @@
+//! Golden bytes of what a node that does not hear the leader says through the state service.
+
+use super::*;
+use crate::golden_group;
+
+#[test]
+fn golden_record_of_a_node_apart() {
+    let word = Word { fence: Fence(412), heard: [("z0".into(), 3), ("z1".into(), 0)].into() };
+    let value = serde_json::to_string(&word).expect("writable");
+    let mut group = golden_group!("apart_record.txt");
+    group.both_ways("word", format!("{PREFIX}n1 {value}"), |line| {
+        let (key, value) = line.split_once(' ')?;
+        let read: Word = serde_json::from_str(value).ok()?;
+        Some(format!("{key} {}", serde_json::to_string(&read).ok()?))
+    });
+    group.finish();
+}
--- /dev/null
+++ b/crates/scheduler/src/placement/golden.rs
@@ -0,0 +1,31 @@
+//! Golden bytes of the saved counts.
+
+use super::*;
+use crate::golden_group;
+
+/// Bytes that the state service stores in a value.
+const LIMIT: usize = 16_000;
+
+fn counts() -> Counts {
+    let mut counts = Counts::default();
+    for (machine, kind, success) in
+        [("m-000231", "train", true), ("m-000231", "serve", false), ("m-000007", "serve", false)]
+    {
+        counts.learn(&Learned { machine: machine.into(), kind: kind.into(), success });
+    }
+    counts
+}
+
+#[test]
+fn golden_saved_counts() {
+    let mut group = golden_group!("counts_records.txt");
+    for (part, value) in counts().take_changed(PARTS_AT_ONCE, LIMIT) {
+        group.both_ways(&format!("{COUNTS_PREFIX}{part}"), value, |value| {
+            let mut read = Counts::default();
+            read.add_part(value).ok()?;
+            read.changed.insert(part);
+            read.take_changed(1, LIMIT).pop().map(|(_, value)| value)
+        });
+    }
+    group.finish();
+}
--- a/crates/scheduler/src/placement/mod.rs
+++ b/crates/scheduler/src/placement/mod.rs
@@ -349,5 +349,7 @@
     best.map(|(_, i)| i)
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -547,5 +547,7 @@
 #[cfg(any(test, feature = "world"))]
 pub(crate) const SAMPLE: &str = include_str!("sample.toml");
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/wire/cloud.rs
+++ b/crates/scheduler/src/wire/cloud.rs
@@ -171,3 +171,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden;
--- a/crates/scheduler/src/wire/state.rs
+++ b/crates/scheduler/src/wire/state.rs
@@ -261,5 +261,7 @@
     hay.windows(needle.len()).any(|w| w == needle)
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -231,5 +231,7 @@
     serde_json::to_string(&Error { error: what }).unwrap_or_default()
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -231,5 +231,7 @@
     serde_json::to_string(&Redirect { master: master.map(NodeName::as_str) }).unwrap_or_default()
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
