--- a/crates/nomad/src/door/names.rs
+++ b/crates/nomad/src/door/names.rs
@@ -261,5 +261,7 @@
     native_id(&["door", hash.as_str(), &version.to_string(), group, &part.to_string(), &salt.to_string()])
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/nomad/src/door/tests/golden.rs
@@ -0,0 +1,116 @@
+//! The shape of every answer to clients of Nomad's API: which members there are, and of which type.
+//!
+//! What the members say depends on the seeded run, so it is not recorded.
+
+use super::{call, door, job};
+use pearford_scheduler::feature::{Call, Verb};
+use pearford_scheduler::golden_group;
+use pearford_scheduler::world::World;
+use serde_json::{Value, json};
+
+/// Names by which the caller's own words appear in answers as members: not part of the shape.
+const OWN_NAMES: [&str; 2] = ["g", "t"];
+
+/// Members and types; of a list, those of its first element.
+fn shape(value: &Value) -> String {
+    match value {
+        Value::Null => "null".into(),
+        Value::Bool(_) => "bool".into(),
+        Value::Number(_) => "number".into(),
+        Value::String(_) => "string".into(),
+        Value::Array(list) => format!("[{}]", list.first().map(shape).unwrap_or_default()),
+        Value::Object(members) => {
+            let name = |key: &str| if OWN_NAMES.contains(&key) { "*".to_string() } else { key.to_string() };
+            let members: Vec<String> =
+                members.iter().map(|(k, v)| format!("{}:{}", name(k), shape(v))).collect();
+            format!("{{{}}}", members.join(","))
+        }
+    }
+}
+
+/// The body of the answer to `call`, which must have this status.
+fn answer(w: &mut World, call: Call, status: u16) -> String {
+    w.answers.clear();
+    let what = call.path.clone();
+    w.call(0, 9, call);
+    let until = w.now + 2_000;
+    w.run_until(until);
+    let answer = w.answers.first().expect("an answer");
+    assert_eq!(answer.status, status, "{what}: {}", answer.body);
+    answer.body.clone()
+}
+
+fn read(w: &mut World, path: &str) -> Value {
+    let body = answer(w, call(Verb::Get, path, "namespace=red", &Value::Null), 200);
+    serde_json::from_str(&body).expect("JSON")
+}
+
+/// A world in which a service of two replicas runs.
+fn with_a_service() -> World {
+    let mut w = World::new(5).with_feature(door);
+    w.run_until(6_000);
+    let service = json!({"Job": job("a", "red", "service", 2, 0)});
+    answer(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &service), 200);
+    w.run_until(60_000);
+    w
+}
+
+#[test]
+fn golden_shapes_of_answers_to_questions() {
+    let mut w = with_a_service();
+    let mut group = golden_group!("answer_shapes.txt");
+    let id_of = |list: &Value| list[0]["ID"].as_str().expect("an id").to_string();
+    let allocation = id_of(&read(&mut w, "/v1/allocations"));
+    let evaluation = id_of(&read(&mut w, "/v1/evaluations"));
+    let deployment = id_of(&read(&mut w, "/v1/deployments"));
+    let node = id_of(&read(&mut w, "/v1/nodes"));
+    let paths = [
+        ("jobs", "/v1/jobs".to_string()),
+        ("job", "/v1/job/a".into()),
+        ("job, versions", "/v1/job/a/versions".into()),
+        ("job, summary", "/v1/job/a/summary".into()),
+        ("job, allocations", "/v1/job/a/allocations".into()),
+        ("job, evaluations", "/v1/job/a/evaluations".into()),
+        ("job, deployments", "/v1/job/a/deployments".into()),
+        ("job, deployment", "/v1/job/a/deployment".into()),
+        ("evaluations", "/v1/evaluations".into()),
+        ("evaluation", format!("/v1/evaluation/{evaluation}")),
+        ("evaluation, allocations", format!("/v1/evaluation/{evaluation}/allocations")),
+        ("allocations", "/v1/allocations".into()),
+        ("allocation", format!("/v1/allocation/{allocation}")),
+        ("deployments", "/v1/deployments".into()),
+        ("deployment", format!("/v1/deployment/{deployment}")),
+        ("namespaces", "/v1/namespaces".into()),
+        ("leader", "/v1/status/leader".into()),
+        ("peers", "/v1/status/peers".into()),
+        ("regions", "/v1/regions".into()),
+        ("agent", "/v1/agent/self".into()),
+        ("agent, health", "/v1/agent/health".into()),
+        ("nodes", "/v1/nodes".into()),
+        ("node", format!("/v1/node/{node}")),
+    ];
+    for (name, path) in paths {
+        group.writes(name, shape(&read(&mut w, &path)));
+    }
+    group.finish();
+}
+
+#[test]
+fn golden_shapes_of_answers_to_writes() {
+    let mut w = with_a_service();
+    let mut group = golden_group!("write_answer_shapes.txt");
+    let next = json!({"Job": job("a", "red", "service", 2, 1)});
+    let hcl = json!({"JobHCL": "job \"a\" {}"});
+    let writes = [
+        ("plan", Verb::Post, "/v1/job/a/plan", &next, 200),
+        ("validate", Verb::Post, "/v1/validate/job", &next, 200),
+        ("register", Verb::Post, "/v1/jobs", &next, 200),
+        ("stop", Verb::Delete, "/v1/job/a", &Value::Null, 200),
+    ];
+    for (name, verb, path, body, status) in writes {
+        let body = answer(&mut w, call(verb, path, "namespace=red", body), status);
+        group.writes(name, shape(&serde_json::from_str(&body).expect("JSON")));
+    }
+    answer(&mut w, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &hcl), 400);
+    group.finish();
+}
--- a/crates/nomad/src/door/tests/mod.rs
+++ b/crates/nomad/src/door/tests/mod.rs
@@ -1,5 +1,6 @@
 //! The door in the seeded world of the core.
 
+mod golden;
 mod histories;
 mod hostile;
 mod machines;
--- a/crates/nomad/src/operator.rs
+++ b/crates/nomad/src/operator.rs
@@ -125,3 +125,6 @@
         faults
     }
 }
+
+#[cfg(test)]
+mod golden;
