--- a/crates/pearford/src/main.rs
+++ b/crates/pearford/src/main.rs
@@ -1,6 +1,8 @@
 #![forbid(unsafe_code)]
 
 mod files;
+#[cfg(test)]
+mod golden;
 mod nomad;
 mod shell;
 
--- /dev/null
+++ b/crates/scheduler/src/world/golden.rs
@@ -0,0 +1,61 @@
+//! What operators read of a node: the names of its metrics, and the members of its list of waiting jobs.
+//!
+//! The figures depend on the seeded run, so they are not recorded.
+
+#![cfg(test)]
+
+use super::{World, job};
+use crate::golden_group;
+use serde_json::Value;
+use std::collections::BTreeSet;
+
+/// Tasks beyond what the team may have at a time: some of them wait.
+const MANY: u32 = 40;
+
+/// A world in which one job waits for room and another for that one.
+fn with_waiting_jobs() -> World {
+    let mut w = World::new(3);
+    w.add_user(500, job(0, "array", MANY), None);
+    let mut dependent = job(1, "array", 1);
+    dependent["awaits"] = serde_json::json!([dependent_on(&w)]);
+    w.add_user(600, dependent, None);
+    w.run_until(20_000);
+    w
+}
+
+fn dependent_on(w: &World) -> String {
+    w.users[0].id.clone()
+}
+
+fn leading(w: &World) -> &crate::node::Core {
+    let leader = w.leader().expect("a node leads");
+    w.nodes[leader].core.as_ref().expect("it runs")
+}
+
+#[test]
+fn golden_list_of_waiting_jobs() {
+    let w = with_waiting_jobs();
+    let list: Value = serde_json::from_str(&leading(&w).waiting_report()).expect("JSON");
+    let of = |n: usize| {
+        let id = w.users[n].id.as_str();
+        let line = list.as_array().into_iter().flatten().find(|line| line["id"] == id);
+        line.cloned().unwrap_or_else(|| panic!("{id} is listed in {list}"))
+    };
+    let members = |line: &Value| line.as_object().expect("an object").keys().cloned().collect::<Vec<_>>();
+    let (first, dependent) = (of(0), of(1));
+    assert_eq!(members(&first), ["id", "waiting", "why"]);
+    assert!(first["waiting"].is_u64() && first["why"].is_string());
+    assert_eq!(members(&dependent), ["awaits", "id", "waiting", "why"]);
+    assert_eq!(dependent["awaits"], serde_json::json!([w.users[0].id]));
+}
+
+#[test]
+fn golden_names_of_metrics() {
+    let w = with_waiting_jobs();
+    let text = leading(&w).metrics();
+    // Without the values of labels: they name nodes and say what the run met.
+    let names: BTreeSet<&str> = text.lines().filter_map(|line| line.split(['{', ' ']).next()).collect();
+    let mut group = golden_group!("metrics.txt");
+    group.writes("a leader's", names.into_iter().collect::<Vec<_>>().join(" "));
+    group.finish();
+}
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -8,6 +8,7 @@
 mod directed;
 mod fields;
 mod gap;
+mod golden;
 mod looks;
 mod meetings;
 mod recovery;
