--- /dev/null
+++ b/crates/scheduler/src/cluster_version/golden.rs
@@ -0,0 +1,65 @@
+//! Golden bytes of the records of levels: what a node announces, and what the leader marks as reached.
+
+use super::*;
+use crate::golden::request_line;
+use crate::golden_group;
+
+fn cluster_version() -> ClusterVersion {
+    ClusterVersion::new("n0".into(), std::iter::once("n1".into()))
+}
+
+/// What `cluster_version` asks the state service at `now`, as one line without the program's version, which moves on.
+fn asked(
+    cluster_version: &mut ClusterVersion,
+    now: MonotonicTime,
+    fencing_token: Option<FencingToken>,
+) -> String {
+    let request = cluster_version.tick(now, fencing_token).expect("something is due");
+    request_line(request.http()).replace(VERSION, "VERSION")
+}
+
+#[test]
+fn golden_records_of_levels() {
+    let mut group = golden_group!("level_records.txt");
+    let mut cluster_version = cluster_version();
+    let mut now = MonotonicTime::from_millis(1);
+    group.writes("look", asked(&mut cluster_version, now, None));
+    cluster_version.reply(now, StoreReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
+    group.writes("announcement", asked(&mut cluster_version, now, None));
+    cluster_version.reply(now, StoreReply::Committed { store_revision: 2 });
+    cluster_version.tick(now, None).expect("it looks");
+    let announced = |node: &str| Pair {
+        key: format!("level/node/{node}"),
+        value: "{\"level\":3,\"version\":\"x\"}".into(),
+        revision: Revision(2),
+    };
+    let pairs = vec![announced("n0"), announced("n1")];
+    cluster_version.reply(now, StoreReply::Pairs { pairs, more: false, store_revision: 3 });
+    let nodes: Vec<_> =
+        cluster_version.nodes().map(|(node, level, version)| (node.as_str(), level, version)).collect();
+    assert_eq!(nodes, [("n0", 3, "x"), ("n1", 3, "x")]);
+    now = now + PAUSE;
+    group.writes("mark", asked(&mut cluster_version, now, Some(FencingToken(9))));
+    group.finish();
+}
+
+#[test]
+fn golden_value_of_a_node() {
+    let value = NodeValue { level: 3, version: "0.3.0".into() };
+    let mut group = golden_group!("level_values.txt");
+    group.both_ways("node", serde_json::to_string(&value).expect("writable"), |value| {
+        let read: NodeValue = serde_json::from_str(value).ok()?;
+        serde_json::to_string(&read).ok()
+    });
+    let cluster_version =
+        [DEPENDENCIES, HEARTBEAT_DELEGATION, UNACKNOWLEDGED_STARTS, OURS].map(|level| level.to_string());
+    group.writes("levels", cluster_version.join(" "));
+    group.finish();
+}
+
+#[test]
+fn golden_mark_is_read() {
+    let mut cluster_version = cluster_version();
+    cluster_version.learn(&Pair { key: "level/reached".into(), value: "3".into(), revision: Revision(5) });
+    assert_eq!(cluster_version.reached(), 3);
+}
--- a/crates/scheduler/src/cluster_version/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -178,5 +178,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -260,5 +260,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -353,5 +353,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 pub(crate) mod tests;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,6 +9,8 @@
 pub mod election;
 pub mod extension;
 pub mod gangs;
+#[cfg(any(test, feature = "world"))]
+pub mod golden;
 pub mod jobs;
 pub mod node;
 pub mod partitions;
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -59,3 +59,6 @@
         )
     }
 }
+
+#[cfg(test)]
+mod golden;
--- a/crates/scheduler/src/partitions/mod.rs
+++ b/crates/scheduler/src/partitions/mod.rs
@@ -185,5 +185,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/placement/mod.rs
+++ b/crates/scheduler/src/placement/mod.rs
@@ -352,5 +352,7 @@
     best.map(|(_, i)| i)
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -9,6 +9,7 @@
 mod directed;
 mod fields;
 mod gap;
+mod golden;
 mod looks;
 mod meetings;
 mod recovery;
