--- /dev/null
+++ b/crates/types/src/ids/tests.rs
@@ -0,0 +1,10 @@
+use super::*;
+
+#[test]
+fn a_task_id_is_parsed_from_what_it_displays_as() {
+    let task = TaskId { job: "team/nightly".into(), index: 3 };
+    assert_eq!(task.to_string(), "team/nightly/3");
+    assert_eq!(TaskId::parse("team/nightly/3"), Some(task));
+    assert_eq!(TaskId::parse("nightly"), None);
+    assert_eq!(TaskId::parse("nightly/x"), None);
+}
