--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -1,75 +1,138 @@
-//! Leadership: a key set under a grant, if absent. Its revision is the fence.
+//! Leader election: whether this node leads, and until when. Called by the controller, which sends the
+//! requests that [`Election::tick`] and [`Election::reply`] return to the key-value store.
 //!
-//! The leader counts its tenure from when it *sent* the last renewal that succeeded, shortened
-//! for clock drift; past that it commits and orders nothing, but may go on answering reports for
-//! a while ("holding") so that workers' leases survive an outage of the state service.
+//! The leader is the node that holds the leader key, written under a lease on condition that the key is
+//! absent. The revision at which the key was written is the fencing token of that term.
+//!
+//! The leader counts its lease from when it *sent* the last renewal that succeeded, shortened for clock
+//! drift. Past that point it neither commits nor sends commands, but until the store says that the lease
+//! has expired it goes on answering heartbeats, so that workers' own leases survive an outage of the store.
 
-use crate::types::{Duration, FencingToken, LeaseId, MonotonicTime, NodeName, RequestId, Revision};
-use crate::wire::state::{Change, Pair, StoreReply, StoreRequest};
-use serde::{Deserialize, Serialize};
+mod leader_key;
 
-pub const LEADER_KEY: &str = "leader";
-/// Steady clocks of different machines drift apart by up to 0.05%; twice that is left off.
-const DRIFT: f64 = 0.999;
-/// Extra that a grant's last moment is not used for: the answer's way and a slow step.
-const MARGIN: Duration = Duration::from_millis(50);
+pub use leader_key::LEADER_KEY;
 
-#[derive(Debug, Clone, Serialize, Deserialize)]
-struct LeaderRecord {
-    node: NodeName,
-    #[serde(rename = "permit")]
-    lease: LeaseId,
-}
+use crate::types::{Duration, FencingToken, LeaseId, MonotonicTime, NodeName, RequestId, Revision};
+use crate::wire::state::{Pair, StoreReply, StoreRequest};
+use leader_key::LeaderRecord;
 
+/// Part of a lease that is relied on: monotonic clocks of different machines drift apart by up to 0.05%,
+/// and twice that is left off.
+const DRIFT_FACTOR: f64 = 0.999;
+/// End of a lease that isn't used, in addition: for the way of a request and for a slow step.
+const LEASE_MARGIN: Duration = Duration::from_millis(50);
+/// Time between two reads of the leader key while another node may lead, without jitter.
+const CAMPAIGN_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two reads that check whether a write without an answer succeeded, without jitter.
+const VERIFY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after which a renewal without an answer is sent again.
+const RENEWAL_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which a node that gave up leadership doesn't campaign.
+const STEP_DOWN_PAUSE: Duration = Duration::from_millis(500);
+
+/// How far this node's campaign for leadership is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CampaignState {
+    /// No campaign under way.
     Idle,
+    /// The leader key is being read.
     ReadingKey,
-    /// `replaces`: the version of the key that is to be replaced, 0 if there is none.
+    /// A lease has been requested.
     GrantingLease {
+        /// When the request was sent.
         sent: MonotonicTime,
+        /// Revision of the key that is to be replaced, 0 if there is none.
         replaces: Revision,
     },
+    /// The leader key is being written.
     WritingKey {
+        /// The lease that the key is attached to.
         lease: LeaseId,
+        /// When the lease was requested.
         sent: MonotonicTime,
     },
-    /// The answer to `WritingKey` was lost: look whether the key is ours.
+    /// The answer to the write was lost: the key is read to find out whether it is this node's.
     VerifyingKey {
+        /// The lease that the key may be attached to.
         lease: LeaseId,
+        /// When the lease was requested.
         sent: MonotonicTime,
     },
+    /// This node holds the leader key.
     Leading {
+        /// The lease that the key is attached to.
         lease: LeaseId,
+        /// When the renewal under way was sent.
         renewing: Option<MonotonicTime>,
     },
 }
 
-/// What a reply or a tick led to.
+/// What a reply changed about this node's leadership.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ElectionChange {
+    /// Nothing.
     Unchanged,
+    /// This node leads from now on, with this fencing token.
     Won(FencingToken),
+    /// This node's lease has expired: it leads no longer.
     Lost,
 }
 
+/// What follows from a reply of the key-value store.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ElectionStep {
+    /// What changed about this node's leadership.
+    pub change: ElectionChange,
+    /// The next request of the campaign, to be sent at once.
+    pub next_request: Option<StoreRequest>,
+}
+
+impl ElectionStep {
+    fn unchanged() -> Self {
+        Self { change: ElectionChange::Unchanged, next_request: None }
+    }
+
+    fn changed(change: ElectionChange) -> Self {
+        Self { change, next_request: None }
+    }
+
+    fn request(next_request: StoreRequest) -> Self {
+        Self { change: ElectionChange::Unchanged, next_request: Some(next_request) }
+    }
+}
+
+/// Another node that held the leader key when this one last read it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct OtherLeader {
+    /// The node that led.
+    pub node: NodeName,
+    /// The fencing token of its term.
+    pub fencing_token: FencingToken,
+    /// When the key was read.
+    read_at: MonotonicTime,
+}
+
+/// One node's part in the election. It has at most one request under way.
 #[derive(Debug)]
 pub struct Election {
     node: NodeName,
     lease_duration: Duration,
     renew_every: Duration,
     state: CampaignState,
+    /// Of this node's last term; 0 if it has not led yet.
     fencing_token: FencingToken,
     valid_until: MonotonicTime,
-    next_try: MonotonicTime,
+    /// When the next request of the state is due.
+    next_request_at: MonotonicTime,
     request_id: Option<RequestId>,
-    /// It doesn't stand for the lead before; it looks who has it all the same.
+    /// Before this, the node reads who leads but doesn't campaign itself.
     campaigns_from: MonotonicTime,
-    /// Who else leads, as the key said when this node last looked.
-    other_leader: Option<(NodeName, FencingToken, MonotonicTime)>,
+    other_leader: Option<OtherLeader>,
 }
 
 impl Election {
+    /// The election as `node` sees it when it starts: idle. Leases are granted for `lease_duration` and
+    /// renewed each `renew_every`.
     pub fn new(node: NodeName, lease_duration: Duration, renew_every: Duration) -> Self {
         Self {
             node,
@@ -78,157 +141,192 @@
             state: CampaignState::Idle,
             fencing_token: FencingToken(0),
             valid_until: MonotonicTime::default(),
-            next_try: MonotonicTime::default(),
+            next_request_at: MonotonicTime::default(),
             request_id: None,
             campaigns_from: MonotonicTime::default(),
             other_leader: None,
         }
     }
 
-    fn lease_end(&self, sent: MonotonicTime) -> MonotonicTime {
-        sent + Duration::from_millis(self.lease_duration.times(DRIFT).0.saturating_sub(MARGIN.0))
-    }
-
-    /// Whether this node holds the leader key as far as it knows, validly or only holding on.
+    /// Whether this node holds the leader key as far as it knows, even if its lease isn't valid any more.
     pub fn leads(&self) -> bool {
         matches!(self.state, CampaignState::Leading { .. })
     }
-    /// Whether it may commit, order and call the cloud at `now`.
+
+    /// Whether this node may commit, send commands and call the cloud at `now`.
     pub fn valid(&self, now: MonotonicTime) -> bool {
         self.leads() && now < self.valid_until
     }
+
+    /// The fencing token of this node's last term; 0 if it has not led yet.
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
-    pub fn valid_until(&self) -> MonotonicTime {
-        self.valid_until
-    }
 
-    /// Another node that holds the key, by a look not longer ago than `within`.
-    pub fn other_leader(&self, within: Duration, now: MonotonicTime) -> Option<(&NodeName, FencingToken)> {
-        let other_leader =
-            self.other_leader.as_ref().filter(|(.., at)| now.since(*at) <= within && !self.leads());
-        other_leader.map(|(node, fencing_token, _)| (node, *fencing_token))
+    /// Another node that held the leader key at a read no longer ago than `within`; `None` while this
+    /// node leads itself.
+    pub fn other_leader(&self, within: Duration, now: MonotonicTime) -> Option<&OtherLeader> {
+        self.other_leader.as_ref().filter(|leader| now.since(leader.read_at) <= within && !self.leads())
     }
 
-    /// The next request to the state service, if one is due. `quiet`: somebody else leads and
-    /// was heard of lately.
-    pub fn tick(&mut self, now: MonotonicTime, quiet: bool, jitter: Duration) -> Option<StoreRequest> {
-        if self.request_id.is_some() {
+    /// The next request to the key-value store, if one is due; its id is to be handed to [`Self::sent`].
+    /// `leader_is_heard`: another node leads and was heard from lately, so there is no need to campaign.
+    /// `jitter` is added to the time until the next request.
+    pub fn tick(
+        &mut self,
+        now: MonotonicTime,
+        leader_is_heard: bool,
+        jitter: Duration,
+    ) -> Option<StoreRequest> {
+        if self.request_id.is_some() || now < self.next_request_at {
             return None;
         }
         match self.state {
-            CampaignState::Leading { lease, .. } if now >= self.next_try => {
+            CampaignState::Leading { lease, .. } => {
                 self.state = CampaignState::Leading { lease, renewing: Some(now) };
-                self.next_try = now + self.renew_every;
+                self.next_request_at = now + self.renew_every;
                 Some(StoreRequest::RenewLease { lease })
             }
-            CampaignState::Idle if !quiet && now >= self.next_try => {
-                self.next_try = now + Duration::from_millis(500) + jitter;
+            CampaignState::Idle if !leader_is_heard => {
                 self.state = CampaignState::ReadingKey;
-                Some(StoreRequest::Get { key: LEADER_KEY.into() })
+                self.next_request_at = now + CAMPAIGN_INTERVAL + jitter;
+                Some(leader_key::read_request())
             }
-            CampaignState::VerifyingKey { .. } if now >= self.next_try => {
-                self.next_try = now + Duration::from_millis(200) + jitter;
-                Some(StoreRequest::Get { key: LEADER_KEY.into() })
+            CampaignState::VerifyingKey { .. } => {
+                self.next_request_at = now + VERIFY_INTERVAL + jitter;
+                Some(leader_key::read_request())
             }
             _ => None,
         }
     }
 
-    /// Notes under which id the request given out last was sent.
+    /// Records the id under which the request returned last was sent.
     pub fn sent(&mut self, request_id: RequestId) {
         self.request_id = Some(request_id);
     }
+
+    /// Whether the election waits for the reply to this request.
     pub fn owns(&self, request_id: RequestId) -> bool {
         self.request_id == Some(request_id)
     }
 
-    /// Takes a reply; may give the next request of the campaign.
-    pub fn reply(&mut self, now: MonotonicTime, reply: StoreReply) -> (ElectionChange, Option<StoreRequest>) {
+    /// Takes the reply to the request under way.
+    pub fn reply(&mut self, now: MonotonicTime, reply: StoreReply) -> ElectionStep {
         self.request_id = None;
-        if let (CampaignState::ReadingKey, StoreReply::Found(pair)) = (self.state, &reply) {
-            let holder = serde_json::from_str::<LeaderRecord>(&pair.value).ok().map(|value| value.node);
-            let holder = holder.filter(|node| *node != self.node);
-            self.other_leader = holder.map(|node| (node, FencingToken(pair.revision.0), now));
+        match self.state {
+            CampaignState::Idle => ElectionStep::unchanged(),
+            CampaignState::ReadingKey => self.key_read(now, reply),
+            CampaignState::GrantingLease { sent, replaces } => self.lease_granted(sent, replaces, reply),
+            CampaignState::WritingKey { lease, sent } => self.key_written(now, lease, sent, reply),
+            CampaignState::VerifyingKey { lease, sent } => self.key_verified(now, lease, sent, reply),
+            CampaignState::Leading { lease, renewing } => self.lease_renewed(now, lease, renewing, reply),
         }
-        match (self.state, reply) {
-            (CampaignState::ReadingKey, _) if now < self.campaigns_from => {
-                self.state = CampaignState::Idle;
-                (ElectionChange::Unchanged, None)
+    }
+
+    fn key_read(&mut self, now: MonotonicTime, reply: StoreReply) -> ElectionStep {
+        if let StoreReply::Found(pair) = &reply {
+            self.note_other_leader(now, pair);
+        }
+        if now < self.campaigns_from {
+            return self.abandon_campaign();
+        }
+        match reply {
+            StoreReply::Missing { .. } => self.request_lease(now, Revision(0)),
+            // The key of this node's previous run: that run has ended, and nobody need wait until its lease
+            // expires. Had it not ended (two processes of one name), it would lose the key as to any other leader.
+            StoreReply::Found(pair) if self.is_from_earlier_run(&pair) => {
+                self.request_lease(now, pair.revision)
             }
-            (CampaignState::ReadingKey, StoreReply::Missing { .. }) => {
-                self.state = CampaignState::GrantingLease { sent: now, replaces: Revision(0) };
-                (ElectionChange::Unchanged, Some(StoreRequest::GrantLease { life_ms: self.lease_duration.0 }))
+            _ => self.abandon_campaign(),
+        }
+    }
+
+    fn note_other_leader(&mut self, now: MonotonicTime, pair: &Pair) {
+        self.other_leader =
+            LeaderRecord::parse(pair).filter(|record| record.node != self.node).map(|record| OtherLeader {
+                node: record.node,
+                fencing_token: leader_key::fencing_token(pair.revision),
+                read_at: now,
+            });
+    }
+
+    fn request_lease(&mut self, now: MonotonicTime, replaces: Revision) -> ElectionStep {
+        self.state = CampaignState::GrantingLease { sent: now, replaces };
+        ElectionStep::request(StoreRequest::GrantLease { life_ms: self.lease_duration.0 })
+    }
+
+    fn lease_granted(&mut self, sent: MonotonicTime, replaces: Revision, reply: StoreReply) -> ElectionStep {
+        let StoreReply::LeaseGranted(lease) = reply else {
+            return self.abandon_campaign();
+        };
+        self.state = CampaignState::WritingKey { lease, sent };
+        let record = LeaderRecord { node: self.node.clone(), lease };
+        ElectionStep::request(record.commit_request(replaces))
+    }
+
+    fn key_written(
+        &mut self,
+        now: MonotonicTime,
+        lease: LeaseId,
+        sent: MonotonicTime,
+        reply: StoreReply,
+    ) -> ElectionStep {
+        match reply {
+            StoreReply::Committed { store_revision } => self.win(now, lease, sent, Revision(store_revision)),
+            StoreReply::Unknown => {
+                self.state = CampaignState::VerifyingKey { lease, sent };
+                ElectionStep::unchanged()
             }
-            // The key of this node's run before: that run is over, and nobody need wait until its grant is. Were it
-            // not over (two processes of one name), it would lose the key as to any other leader.
-            (CampaignState::ReadingKey, StoreReply::Found(pair)) if self.is_from_earlier_run(&pair) => {
-                self.state = CampaignState::GrantingLease { sent: now, replaces: pair.revision };
-                (ElectionChange::Unchanged, Some(StoreRequest::GrantLease { life_ms: self.lease_duration.0 }))
+            _ => self.abandon_campaign(),
+        }
+    }
+
+    fn key_verified(
+        &mut self,
+        now: MonotonicTime,
+        lease: LeaseId,
+        sent: MonotonicTime,
+        reply: StoreReply,
+    ) -> ElectionStep {
+        match reply {
+            StoreReply::Found(pair) if self.is_own_key(&pair, lease) => {
+                self.win(now, lease, sent, pair.revision)
             }
-            (CampaignState::GrantingLease { sent, replaces }, StoreReply::LeaseGranted(lease)) => {
-                self.state = CampaignState::WritingKey { lease, sent };
-                let value = LeaderRecord { node: self.node.clone(), lease };
-                let put = Change::Put {
-                    key: LEADER_KEY.into(),
-                    value: serde_json::to_string(&value).unwrap_or_default(),
-                    lease: Some(lease),
-                };
-                let conditions = vec![(LEADER_KEY.to_string(), replaces)];
-                (ElectionChange::Unchanged, Some(StoreRequest::Commit { conditions, changes: vec![put] }))
+            // Until the lease has surely expired, the write without an answer may still be applied.
+            StoreReply::Refused | StoreReply::Unknown if now < self.lease_end(sent) => {
+                ElectionStep::unchanged()
             }
-            (CampaignState::WritingKey { lease, sent }, StoreReply::Committed { store_revision }) => {
-                self.win(now, lease, sent, FencingToken(store_revision))
+            _ => self.abandon_campaign(),
+        }
+    }
+
+    fn lease_renewed(
+        &mut self,
+        now: MonotonicTime,
+        lease: LeaseId,
+        renewing: Option<MonotonicTime>,
+        reply: StoreReply,
+    ) -> ElectionStep {
+        match reply {
+            StoreReply::LeaseRenewed => {
+                self.valid_until = self.valid_until.max(self.lease_end(renewing.unwrap_or_default()));
+                self.state = CampaignState::Leading { lease, renewing: None };
+                ElectionStep::unchanged()
             }
-            (CampaignState::WritingKey { lease, sent }, StoreReply::Unknown) => {
-                self.state = CampaignState::VerifyingKey { lease, sent };
-                (ElectionChange::Unchanged, None)
+            StoreReply::LeaseExpired => {
+                self.step_down(now);
+                ElectionStep::changed(ElectionChange::Lost)
             }
-            (CampaignState::VerifyingKey { lease, sent }, reply) => match reply {
-                StoreReply::Found(pair) if self.is_mine(&pair, lease) => {
-                    self.win(now, lease, sent, FencingToken(pair.revision.0))
-                }
-                // Until the grant has surely ended, the lost request may still set the key.
-                StoreReply::Refused | StoreReply::Unknown if now < self.lease_end(sent) => {
-                    (ElectionChange::Unchanged, None)
-                }
-                _ => {
-                    self.state = CampaignState::Idle;
-                    (ElectionChange::Unchanged, None)
-                }
-            },
-            (CampaignState::Leading { lease, renewing }, reply) => match reply {
-                StoreReply::LeaseRenewed => {
-                    self.valid_until = self.valid_until.max(self.lease_end(renewing.unwrap_or_default()));
-                    self.state = CampaignState::Leading { lease, renewing: None };
-                    (ElectionChange::Unchanged, None)
-                }
-                StoreReply::LeaseExpired => {
-                    self.step_down(now);
-                    (ElectionChange::Lost, None)
-                }
-                _ => {
-                    self.next_try = now + Duration::from_millis(250);
-                    (ElectionChange::Unchanged, None)
-                }
-            },
             _ => {
-                self.state = CampaignState::Idle;
-                (ElectionChange::Unchanged, None)
+                self.next_request_at = now + RENEWAL_RETRY_INTERVAL;
+                ElectionStep::unchanged()
             }
         }
     }
 
-    /// Whether the key was set by an earlier run of this node: this one has not led yet.
-    fn is_from_earlier_run(&self, pair: &Pair) -> bool {
-        self.fencing_token == FencingToken(0)
-            && serde_json::from_str::<LeaderRecord>(&pair.value).is_ok_and(|v| v.node == self.node)
-    }
-
-    fn is_mine(&self, pair: &Pair, lease: LeaseId) -> bool {
-        serde_json::from_str::<LeaderRecord>(&pair.value)
-            .is_ok_and(|v| v.node == self.node && v.lease == lease)
+    fn abandon_campaign(&mut self) -> ElectionStep {
+        self.state = CampaignState::Idle;
+        ElectionStep::unchanged()
     }
 
     fn win(
@@ -236,24 +334,41 @@
         now: MonotonicTime,
         lease: LeaseId,
         sent: MonotonicTime,
-        fencing_token: FencingToken,
-    ) -> (ElectionChange, Option<StoreRequest>) {
+        revision: Revision,
+    ) -> ElectionStep {
         self.state = CampaignState::Leading { lease, renewing: None };
-        self.fencing_token = fencing_token;
+        self.fencing_token = leader_key::fencing_token(revision);
         self.valid_until = self.lease_end(sent);
-        self.next_try = now;
-        (ElectionChange::Won(fencing_token), None)
+        self.next_request_at = now;
+        ElectionStep::changed(ElectionChange::Won(self.fencing_token))
+    }
+
+    /// Until when a lease that was requested or renewed at `sent` can be relied on.
+    fn lease_end(&self, sent: MonotonicTime) -> MonotonicTime {
+        let usable = self.lease_duration.times(DRIFT_FACTOR).0.saturating_sub(LEASE_MARGIN.0);
+        sent + Duration::from_millis(usable)
+    }
+
+    /// Whether the key was written by an earlier run of this node: this run has not led yet.
+    fn is_from_earlier_run(&self, pair: &Pair) -> bool {
+        self.fencing_token == FencingToken(0)
+            && LeaderRecord::parse(pair).is_some_and(|record| record.node == self.node)
+    }
+
+    /// Whether the key was written by this run of this node, under `lease`.
+    fn is_own_key(&self, pair: &Pair, lease: LeaseId) -> bool {
+        LeaderRecord::parse(pair).is_some_and(|record| record.node == self.node && record.lease == lease)
     }
 
-    /// Gives up leadership; it isn't sought again for a moment, so that another node gets it.
+    /// Gives up leadership. It isn't sought again for a moment, so that another node gets it.
     pub fn step_down(&mut self, now: MonotonicTime) {
         self.state = CampaignState::Idle;
         self.valid_until = MonotonicTime::default();
-        self.next_try = now + Duration::from_millis(500);
+        self.next_request_at = now + STEP_DOWN_PAUSE;
         self.request_id = None;
     }
 
-    /// As `step_down`, staying away for `pause`.
+    /// Gives up leadership and doesn't campaign for `pause`.
     pub fn back_off(&mut self, now: MonotonicTime, pause: Duration) {
         self.step_down(now);
         self.campaigns_from = now + pause;
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -257,12 +257,10 @@
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
         let on = heartbeats_delegated(&self.settings, self.cluster_version.reached())
             && self.known_leader().is_none();
-        let Some((leader, fencing_token)) =
-            self.election.other_leader(LEADER_READ_HOLDS, self.now).filter(|_| on)
-        else {
+        let other_leader = self.election.other_leader(LEADER_READ_HOLDS, self.now).filter(|_| on);
+        let Some((leader, fencing_token)) = other_leader.map(|l| (l.node.clone(), l.fencing_token)) else {
             return;
         };
-        let leader = leader.clone();
         self.saw_fencing_token(fencing_token);
         self.delegate.delegation_inferred(&leader, fencing_token, &self.settings.zone, self.now);
         let up_for = self.now.since(self.started_at.unwrap_or(self.now));
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -325,11 +325,11 @@
             self.store_answered_at = self.now;
         }
         if self.election.owns(request_id) {
-            let (turn, next) = self.election.reply(self.now, reply);
-            if let Some(request) = next {
+            let election_step = self.election.reply(self.now, reply);
+            if let Some(request) = election_step.next_request {
                 self.send_election_request(request);
             }
-            match turn {
+            match election_step.change {
                 ElectionChange::Won(fencing_token) => self.take_over(fencing_token),
                 ElectionChange::Lost => self.step_down("the grant has ended"),
                 ElectionChange::Unchanged => {}
