--- a/crates/nomad/src/door/machines.rs
+++ b/crates/nomad/src/door/machines.rs
@@ -97,7 +97,7 @@
     let mut node = stub(id, record);
     if all_teams {
         // Native names: what a machine holds needn't have come through this door.
-        node["Tasks"] = record.assignments.iter().map(|(task, ..)| task.to_string()).collect();
+        node["Tasks"] = record.assignments.iter().map(|assignment| assignment.task.to_string()).collect();
     }
     node
 }
--- a/crates/scheduler/src/assignments/commit_pipeline.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline.rs
@@ -1,90 +1,105 @@
-//! The leader's commit pipeline: one transaction in flight, every one conditional on the leader
-//! key and on each key's own version.
+//! The leader's commit pipeline: at most one transaction in flight, every one conditional on the leader key's
+//! revision and on the revision of each key that it writes.
 //!
-//! A transaction without an answer may still be applied later. The next one for the same keys
-//! has the same conditions, so only one of the two can win; the loser is told which key moved,
-//! reads it, and carries on from there.
+//! A transaction without an answer may still be applied later. The next one for the same keys has the same
+//! conditions, so only one of the two can succeed; the other is refused with the keys whose revisions differ.
+//! The leader reads those keys again, reports their revisions with [`CommitPipeline::corrected`], and goes on.
+
+mod batch;
+mod queues;
+
+pub use batch::{CommitBatch, CommittedWrite};
+pub use queues::CommitPriority;
 
 use crate::types::{FencingToken, Revision};
 use crate::wire::state::Change;
-use std::collections::{BTreeMap, VecDeque};
-
-/// How soon a change is to be written.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum CommitPriority {
-    /// Saves a later reader some work: while nothing else is to be written, or the budget is ample.
-    Background,
-    /// Somebody waits for it, but not users: gets its part however much is urgent.
-    Normal,
-    /// A start or a verdict waits for it.
-    Urgent,
-    /// The start of a replica waits for it: what users of a service feel at once.
-    Critical,
+use batch::BatchBuilder;
+use queues::{BatchShares, CommitQueues};
+use std::collections::BTreeMap;
+
+/// One in so many batches has a share reserved for normal changes.
+const NORMAL_SHARE_EVERY: u64 = 4;
+
+/// Numbers the values that the leader wants written, in the order in which it decided on them.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub struct WriteVersion(u64);
+
+impl WriteVersion {
+    fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
+
+/// A change that the store refused for good.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RefusedWrite {
+    /// The key that was to be written.
+    pub key: String,
+    /// Size of the refused value.
+    pub bytes: usize,
 }
 
+/// A key that is stored or is to be.
 #[derive(Debug, Default)]
 struct PendingWrite {
+    /// The key's revision in the store, as far as known.
     revision: Revision,
     /// Wanted value; `None` deletes the key.
     value: Option<String>,
-    wanted_version: u64,
-    saved_version: u64,
-    /// The most hasty queue that the key is in.
+    wanted_version: WriteVersion,
+    saved_version: WriteVersion,
+    /// The highest priority that the key is queued with.
     queued: Option<CommitPriority>,
 }
 
-/// What one transaction settled: keys, and the version of each that is now durable.
-#[derive(Debug)]
-pub struct CommittedKeys {
-    pub keys: Vec<(String, u64)>,
-}
+impl PendingWrite {
+    fn is_saved(&self) -> bool {
+        self.wanted_version <= self.saved_version
+    }
 
-#[derive(Debug)]
-pub struct CommitBatch {
-    pub conditions: Vec<(String, Revision)>,
-    pub changes: Vec<Change>,
-    versions: Vec<(String, u64)>,
+    fn change(&self, key: &str) -> Change {
+        match &self.value {
+            Some(value) => Change::Put { key: key.into(), value: value.clone(), lease: None },
+            None => Change::Delete { key: key.into() },
+        }
+    }
 }
 
+/// The changes that the leader wants written, and the transaction in flight.
 #[derive(Debug)]
 pub struct CommitPipeline {
     leader_key: String,
     fencing_token: FencingToken,
     writes: BTreeMap<String, PendingWrite>,
-    critical: VecDeque<String>,
-    urgent: VecDeque<String>,
-    normal: VecDeque<String>,
-    background: VecDeque<String>,
-    in_flight: Option<Vec<(String, u64)>>,
+    queues: CommitQueues,
+    in_flight: Option<Vec<CommittedWrite>>,
+    /// Number of batches put together so far.
     batches: u64,
-    next_version: u64,
+    last_version: WriteVersion,
+    /// Most changes in a transaction.
     max_ops: usize,
-    /// Transactions that are to hold one change each: one of these is refused for good.
+    /// Transactions that are to hold a single change each: one of these changes is refused for good.
     single_writes_left: usize,
 }
 
-/// Most that a transaction may hold, with room for its frame.
-const MAX_BYTES: usize = 56 * 1024;
-
 impl CommitPipeline {
+    /// An empty pipeline for the leader of the term `fencing_token`. Its transactions are conditional on
+    /// `leader_key` and hold at most `max_ops` changes.
     pub fn new(leader_key: &str, fencing_token: FencingToken, max_ops: usize) -> Self {
         Self {
             leader_key: leader_key.into(),
             fencing_token,
             writes: BTreeMap::new(),
-            critical: VecDeque::new(),
-            urgent: VecDeque::new(),
-            normal: VecDeque::new(),
-            background: VecDeque::new(),
+            queues: CommitQueues::default(),
             in_flight: None,
             batches: 0,
-            next_version: 1,
+            last_version: WriteVersion::default(),
             max_ops: max_ops.max(1),
             single_writes_left: 0,
         }
     }
 
-    /// Takes note of a key read from the state service.
+    /// Notes the revision of a key that was read from the store.
     pub fn loaded(&mut self, key: &str, revision: Revision) {
         let write = self.writes.entry(key.into()).or_default();
         write.revision = write.revision.max(revision);
@@ -95,129 +110,115 @@
         self.writes.contains_key(key)
     }
 
+    /// The revision of `key` in the store as far as known; 0 if it isn't stored.
     pub fn revision(&self, key: &str) -> Revision {
-        self.writes.get(key).map(|d| d.revision).unwrap_or_default()
+        self.writes.get(key).map(|write| write.revision).unwrap_or_default()
     }
 
-    /// Wants `value` under `key`; returns the version that `CommittedKeys` will name.
-    pub fn put(&mut self, key: &str, value: Option<String>, commit_priority: CommitPriority) -> u64 {
-        let version = self.next_version;
-        self.next_version += 1;
+    /// Queues `value` to be written under `key`, `None` to delete it. Returns the version that
+    /// [`Self::committed`] will name once this value or a later one is durable.
+    pub fn put(&mut self, key: &str, value: Option<String>, priority: CommitPriority) -> WriteVersion {
+        let version = self.last_version.next();
+        self.last_version = version;
         let write = self.writes.entry(key.into()).or_default();
         write.value = value;
         write.wanted_version = version;
-        if write.queued.is_none_or(|queued| queued < commit_priority) {
-            write.queued = Some(commit_priority);
-            let queue = match commit_priority {
-                CommitPriority::Critical => &mut self.critical,
-                CommitPriority::Urgent => &mut self.urgent,
-                CommitPriority::Normal => &mut self.normal,
-                CommitPriority::Background => &mut self.background,
-            };
-            queue.push_back(key.into());
+        if write.queued.is_none_or(|queued| queued < priority) {
+            write.queued = Some(priority);
+            self.queues.push_back(priority, key.into());
         }
         version
     }
 
-    /// Drops the wish to write `key`, since somebody else's verdict stands there.
+    /// Forgets a change of `key`, since another writer's final value is stored there.
     pub fn give_up(&mut self, key: &str) {
         self.writes.remove(key);
     }
 
+    /// Whether no transaction is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_none()
     }
 
+    /// Number of queued changes.
     pub fn backlog(&self) -> usize {
-        self.critical.len() + self.urgent.len() + self.normal.len() + self.background.len()
+        self.queues.len()
     }
 
-    /// Changes that wait for their turn and that starts or verdicts wait for.
-    pub fn pressing(&self) -> usize {
-        self.critical.len() + self.urgent.len()
+    /// Number of queued changes that starts or terminal statuses wait for.
+    pub fn urgent_backlog(&self) -> usize {
+        self.queues.urgent_len()
     }
 
-    /// Whether such a change of `key` waits: what is added to its value by then costs no other one.
-    pub fn is_pressing(&self, key: &str) -> bool {
+    /// Whether such a change of `key` is queued: what is added to its value until then costs no change of its own.
+    pub fn is_urgent(&self, key: &str) -> bool {
         self.writes.get(key).is_some_and(|write| write.queued >= Some(CommitPriority::Urgent))
     }
 
-    /// Whether something waits that `next_batch` would take.
-    pub fn wants(&self, ample: bool) -> bool {
-        self.is_idle()
-            && (!self.critical.is_empty()
-                || !self.urgent.is_empty()
-                || (ample || self.turn_of_the_rest())
-                    && !(self.normal.is_empty() && self.background.is_empty()))
+    /// Whether changes are queued that [`Self::next_batch`] would take.
+    pub fn has_batch(&self, budget_is_ample: bool) -> bool {
+        let takes_deferred = budget_is_ample || self.reserves_normal_share();
+        self.is_idle() && (self.queues.urgent_len() > 0 || takes_deferred && self.queues.deferred_len() > 0)
     }
 
-    /// However much is urgent, what isn't gets a part of every fourth transaction.
-    fn turn_of_the_rest(&self) -> bool {
-        self.batches % 4 == 3
-    }
-
-    /// The next transaction, if there is something to write and none is in flight. What isn't
-    /// urgent goes along while the budget is `ample`.
-    pub fn next_batch(&mut self, ample: bool) -> Option<CommitBatch> {
-        if self.in_flight.is_some() {
+    /// The next transaction, if there is something to write and none is in flight. Changes that aren't urgent
+    /// are included while the write budget is ample, and in one of [`NORMAL_SHARE_EVERY`] batches.
+    pub fn next_batch(&mut self, budget_is_ample: bool) -> Option<CommitBatch> {
+        if !self.is_idle() {
             return None;
         }
-        let turn = self.turn_of_the_rest();
-        self.batches += 1;
-        let mut batch = CommitBatch {
-            conditions: vec![(self.leader_key.clone(), Revision(self.fencing_token.0))],
-            changes: Vec::new(),
-            versions: Vec::new(),
-        };
-        let mut bytes = 0;
         let max_ops = if self.single_writes_left > 0 { 1 } else { self.max_ops };
-        // Filled only from what urgent writes left, the rest had to wait for a minute and more
-        // (andina, inc-72db).
-        let for_the_rest = if turn { max_ops / 2 } else { 0 };
-        while batch.changes.len() < max_ops {
-            let mut next = None;
-            if batch.changes.len() < for_the_rest {
-                next = self.normal.pop_front();
-            }
-            // However many replicas wait, every second change goes to other starts: no class waits for ever.
-            if batch.changes.len().is_multiple_of(2) {
-                next = next.or_else(|| self.critical.pop_front());
-            }
-            next = next.or_else(|| self.urgent.pop_front()).or_else(|| self.critical.pop_front());
-            if next.is_none() && (ample || turn) {
-                next = self.normal.pop_front().or_else(|| self.background.pop_front());
-            }
-            let Some(key) = next else { break };
-            let Some(write) = self.writes.get_mut(&key) else { continue };
-            write.queued = None;
-            if write.wanted_version <= write.saved_version || batch.versions.iter().any(|(k, _)| *k == key) {
-                continue;
-            }
-            let change = match &write.value {
-                Some(value) => Change::Put { key: key.clone(), value: value.clone(), lease: None },
-                None => Change::Delete { key: key.clone() },
-            };
-            if bytes > 0 && bytes + change.size() > MAX_BYTES {
-                write.queued = Some(CommitPriority::Urgent);
-                self.urgent.push_front(key);
+        let shares = self.batch_shares(max_ops, budget_is_ample);
+        self.batches += 1;
+        let mut builder = BatchBuilder::new(&self.leader_key, Revision(self.fencing_token.0));
+        while builder.len() < max_ops {
+            let Some(key) = self.queues.pop_next(builder.len(), shares) else { break };
+            if !self.add_to_batch(key, &mut builder) {
                 break;
             }
-            bytes += change.size();
-            batch.conditions.push((key.clone(), write.revision));
-            batch.versions.push((key.clone(), write.wanted_version));
-            batch.changes.push(change);
         }
-        if batch.changes.is_empty() {
-            return None;
-        }
-        self.in_flight = Some(batch.versions.clone());
+        let (batch, writes) = builder.finish()?;
+        self.in_flight = Some(writes);
         Some(batch)
     }
 
-    pub fn committed(&mut self, store_revision: u64) -> CommittedKeys {
-        let keys = self.in_flight.take().unwrap_or_default();
+    /// When normal changes were taken only from what urgent ones left, they waited for more than a minute
+    /// (incident inc-72db on the andina fleet).
+    fn batch_shares(&self, max_ops: usize, budget_is_ample: bool) -> BatchShares {
+        let reserves_normal_share = self.reserves_normal_share();
+        BatchShares {
+            reserved_for_normal: if reserves_normal_share { max_ops / 2 } else { 0 },
+            fill_with_deferred: budget_is_ample || reserves_normal_share,
+        }
+    }
+
+    fn reserves_normal_share(&self) -> bool {
+        self.batches % NORMAL_SHARE_EVERY == NORMAL_SHARE_EVERY - 1
+    }
+
+    /// Adds the queued change of `key`, unless it is already saved or included. Returns whether the batch may
+    /// take more; if not, the change is queued again.
+    fn add_to_batch(&mut self, key: String, builder: &mut BatchBuilder) -> bool {
+        let Some(write) = self.writes.get_mut(&key) else { return true };
+        write.queued = None;
+        if write.is_saved() || builder.contains(&key) {
+            return true;
+        }
+        let change = write.change(&key);
+        if !builder.has_space_for(&change) {
+            write.queued = Some(CommitPriority::Urgent);
+            self.queues.push_front(CommitPriority::Urgent, key);
+            return false;
+        }
+        builder.push(key, write, change);
+        true
+    }
+
+    /// The transaction in flight was committed at `store_revision`. Returns what is durable now.
+    pub fn committed(&mut self, store_revision: u64) -> Vec<CommittedWrite> {
+        let committed = self.in_flight.take().unwrap_or_default();
         self.single_writes_left = self.single_writes_left.saturating_sub(1);
-        for (key, version) in &keys {
+        for CommittedWrite { key, version } in &committed {
             let Some(write) = self.writes.get_mut(key) else { continue };
             write.saved_version = *version;
             write.revision = Revision(store_revision);
@@ -225,38 +226,42 @@
                 self.writes.remove(key);
             }
         }
-        CommittedKeys { keys }
+        committed
     }
 
-    /// Nothing known to be written: the same keys are tried again.
+    /// The transaction in flight is not known to be committed: its changes are tried again first.
     pub fn failed(&mut self) {
-        for (key, _) in self.in_flight.take().unwrap_or_default().into_iter().rev() {
+        let writes = self.in_flight.take().unwrap_or_default();
+        self.queue_again(writes);
+    }
+
+    fn queue_again(&mut self, writes: Vec<CommittedWrite>) {
+        for CommittedWrite { key, .. } in writes.into_iter().rev() {
             if let Some(write) = self.writes.get_mut(&key) {
                 write.queued = Some(CommitPriority::Urgent);
             }
-            self.urgent.push_front(key);
+            self.queues.push_front(CommitPriority::Urgent, key);
         }
     }
 
-    /// The transaction was refused for good. Its changes are tried again one by one; one that is refused
-    /// alone is given up, and told with its size. The key's stored value stays known.
-    pub fn refused(&mut self) -> Option<(String, usize)> {
-        let keys = self.in_flight.take().unwrap_or_default();
-        if keys.len() != 1 {
-            self.single_writes_left = keys.len();
-            self.in_flight = Some(keys);
-            self.failed();
+    /// The transaction in flight was refused for good. Its changes are tried again one by one; one that is
+    /// refused alone is given up and returned. The revision of its stored value stays known.
+    pub fn refused(&mut self) -> Option<RefusedWrite> {
+        let mut writes = self.in_flight.take().unwrap_or_default();
+        if writes.len() != 1 {
+            self.single_writes_left = writes.len();
+            self.queue_again(writes);
             return None;
         }
-        let (key, version) = keys.into_iter().next()?;
+        let CommittedWrite { key, version } = writes.pop()?;
         self.single_writes_left = self.single_writes_left.saturating_sub(1);
         let write = self.writes.get_mut(&key)?;
         write.saved_version = version;
         let bytes = write.value.as_ref().map_or(0, String::len);
-        Some((key, bytes))
+        Some(RefusedWrite { key, bytes })
     }
 
-    /// What a key turned out to be after a conflict.
+    /// Notes the revision that a key has after a conflict.
     pub fn corrected(&mut self, key: &str, revision: Revision) {
         if let Some(write) = self.writes.get_mut(key) {
             write.revision = revision;
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::assignments::MachineRecord;
+use crate::assignments::{MachineRecord, RecordedAssignment};
 use crate::jobs::{self, JobSpec, JobType, OpenJob, Priority, Record};
 use crate::partitions::{PeerMessage, decode, encode};
 use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
@@ -148,7 +148,13 @@
     }
     let machine: MachineRecord = serde_json::from_str(golden("machine")[0]).expect("read");
     let task = TaskId { job: "req-000412".into(), index: 3 };
-    assert_eq!(machine.assignments, [(task, Attempt(432_013_319), "red".into(), resources())]);
+    let assignment = RecordedAssignment {
+        task,
+        attempt: Attempt(432_013_319),
+        team: "red".into(),
+        resources: resources(),
+    };
+    assert_eq!(machine.assignments, [assignment]);
     assert_eq!((machine.worker_epoch, &machine.images[..]), (WorkerEpoch(2), &[("img-07".into(), 6.2)][..]));
     assert_eq!(serde_json::to_string(&machine).expect("writable"), golden("machine")[0]);
     let mut bits = jobs::TaskSet::default();
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -15,7 +15,7 @@
         }
         let most = self.settings.state.txn_ops as f64;
         let ample = self.writes.ample(now);
-        if self.commit_pipeline.wants(ample)
+        if self.commit_pipeline.has_batch(ample)
             && self.writes.take(most.min(USUAL_CHANGES), now)
             && let Some(batch) = self.commit_pipeline.next_batch(ample)
         {
@@ -34,8 +34,7 @@
         let pause = Duration::from_millis(context.rng.random_range(80..250));
         match reply {
             StoreReply::Committed { store_revision } => {
-                let settled = self.commit_pipeline.committed(store_revision);
-                for (key, version) in settled.keys {
+                for CommittedWrite { key, version } in self.commit_pipeline.committed(store_revision) {
                     if let Some(id) = self.settle(&key, version, now) {
                         context.job_cache.learn(id, Revision(store_revision), Record::Done);
                     } else if let Some(id) = key.strip_prefix(jobs::PREFIX).map(JobId::from)
@@ -56,7 +55,7 @@
             }
             StoreReply::Malformed => {
                 self.commit_not_before = now + pause;
-                if let Some((key, bytes)) = self.commit_pipeline.refused() {
+                if let Some(RefusedWrite { key, bytes }) = self.commit_pipeline.refused() {
                     tracing::error!(key, bytes, "the state service refuses this value; left as it is stored");
                     self.unwritable(&key, now);
                 }
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -24,7 +24,10 @@
 use super::catalogue::Catalogue;
 use super::outbox::{LeaderRequest, Outbox, Pending};
 use super::peers::Peers;
-use crate::assignments::{self, Assignment, AssignmentState, CommitPipeline, CommitPriority, MachineRecord};
+use crate::assignments::{
+    self, Assignment, AssignmentState, CommitPipeline, CommitPriority, CommittedWrite, MachineRecord,
+    RecordedAssignment, RefusedWrite, WriteVersion,
+};
 use crate::autoscaler::{self, CapacityRequest, IncomingCapacity, InstanceOffer, InstanceOffers};
 use crate::election;
 use crate::gangs::{self, Attempts};
@@ -107,7 +110,7 @@
 /// What a durable key will settle.
 #[derive(Debug)]
 struct PendingOutcome {
-    version: u64,
+    version: WriteVersion,
     machine: MachineId,
     task: TaskId,
 }
--- a/crates/scheduler/src/node/leader/reconciliation.rs
+++ b/crates/scheduler/src/node/leader/reconciliation.rs
@@ -30,7 +30,7 @@
         if m.images.is_empty() {
             m.images = record.images;
         }
-        for (task, attempt, team, resources) in record.assignments {
+        for RecordedAssignment { task, attempt, team, resources } in record.assignments {
             let assignment =
                 Assignment::new(&task, attempt, team, resources, AssignmentState::Inherited, now);
             m.assignments.entry(task).or_insert(assignment);
@@ -431,7 +431,7 @@
     }
 
     /// Writes that a job is done.
-    pub(super) fn finish(&mut self, id: &JobId) -> (String, u64) {
+    pub(super) fn finish(&mut self, id: &JobId) -> (String, WriteVersion) {
         let key = jobs::key(id);
         if let Some(job_state) = self.job_states.get_mut(id) {
             job_state.finishing = true;
@@ -441,7 +441,7 @@
     }
 
     /// A version of a key is durable. Gives the job that is done by it.
-    pub(super) fn settle(&mut self, key: &str, version: u64, now: MonotonicTime) -> Option<JobId> {
+    pub(super) fn settle(&mut self, key: &str, version: WriteVersion, now: MonotonicTime) -> Option<JobId> {
         if let Some(id) = key.strip_prefix(assignments::PREFIX) {
             let m = self.machines.get_mut(&MachineId::from(id))?;
             let ready: Vec<TaskId> =
--- a/crates/scheduler/src/node/leader/reconciliation/tests.rs
+++ b/crates/scheduler/src/node/leader/reconciliation/tests.rs
@@ -8,12 +8,12 @@
         spot: false,
         addr: Some("10.9.0.1:1".into()),
         worker_epoch: WorkerEpoch(1),
-        assignments: vec![(
-            TaskId { job: "req-1".into(), index: 0 },
-            Attempt(attempt),
-            "red".into(),
-            Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
-        )],
+        assignments: vec![RecordedAssignment {
+            task: TaskId { job: "req-1".into(), index: 0 },
+            attempt: Attempt(attempt),
+            team: "red".into(),
+            resources: Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
+        }],
         images: vec![("i".into(), 5.0)],
     }
 }
--- a/crates/scheduler/src/node/leader/rounds.rs
+++ b/crates/scheduler/src/node/leader/rounds.rs
@@ -91,7 +91,8 @@
             let mut tasks = job_state.waiting(if gang { usize::MAX } else { left });
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = (assignments::fitting(team, sum, &spec.resources) as usize).min(tasks.len());
+            let fitting =
+                (assignments::tasks_within_limit(team, sum, &spec.resources) as usize).min(tasks.len());
             if fitting == 0 || (gang && fitting < tasks.len()) {
                 job_state.reason = "its team is at its limit";
                 job_state.tried = version;
--- a/crates/scheduler/src/node/leader/upkeep.rs
+++ b/crates/scheduler/src/node/leader/upkeep.rs
@@ -470,8 +470,9 @@
             let spec = &job_state.job.spec;
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting =
-                assignments::fitting(team, sum, &spec.resources).min(job_state.waiting_count()).min(left);
+            let fitting = assignments::tasks_within_limit(team, sum, &spec.resources)
+                .min(job_state.waiting_count())
+                .min(left);
             if fitting == 0 || (job_state.is_gang() && fitting < spec.tasks) {
                 continue;
             }
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -17,7 +17,7 @@
     pub(super) fn spare_changes(&mut self, requests: &mut Vec<PlacementRequest>) -> Option<usize> {
         let array = |request: &PlacementRequest| request.job_type == JobType::Array;
         let tasks: usize = requests.iter().filter(|a| array(a)).map(|a| a.tasks.len()).sum();
-        let records = (self.writes.rate() as usize).saturating_sub(self.commit_pipeline.pressing());
+        let records = (self.writes.rate() as usize).saturating_sub(self.commit_pipeline.urgent_backlog());
         if tasks <= records {
             return None;
         }
@@ -40,7 +40,7 @@
         for (i, v) in field.views.iter().enumerate() {
             let slots = v.free.count_of(&resources).min(MOST_AT_ONCE);
             let cheap = v.spot || !cheap_will_do;
-            if self.commit_pipeline.is_pressing(&assignments::key(&v.id)) {
+            if self.commit_pipeline.is_urgent(&assignments::key(&v.id)) {
                 kept[i] = true;
                 needed = needed.saturating_sub(if cheap { slots } else { 0 });
             } else {
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,6 +1,8 @@
 //! Workers: what their reports say, what that proves, and the orders they get.
 
-use crate::assignments::{Assignment, AssignmentState, MachineRecord, Stop};
+use crate::assignments::{
+    Assignment, AssignmentState, MachineRecord, RecordedAssignment, Stop, WriteVersion,
+};
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, TaskId, TeamName,
     TypeName, WorkerEpoch, Zone,
@@ -89,7 +91,7 @@
     /// The session that a direct command should name, as far as an earlier leader knew.
     pub last_known_epoch: WorkerEpoch,
     /// Version from which each planned entry is durable.
-    pub planned: BTreeMap<TaskId, u64>,
+    pub planned: BTreeMap<TaskId, WriteVersion>,
     pub draining: bool,
     /// Jobs that have failed here since one was done.
     pub failed: Vec<JobId>,
@@ -190,7 +192,12 @@
             assignments: self
                 .assignments
                 .iter()
-                .map(|(t, e)| (t.clone(), e.attempt, e.team.clone(), e.resources))
+                .map(|(task, assignment)| RecordedAssignment {
+                    task: task.clone(),
+                    attempt: assignment.attempt,
+                    team: assignment.team.clone(),
+                    resources: assignment.resources,
+                })
                 .collect(),
             images: self.images.clone(),
         }
