--- a/crates/scheduler/src/assignments/commit_pipeline.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline.rs
@@ -183,7 +183,7 @@
     }
 
     /// When normal changes were taken only from what urgent ones left, they waited for more than a minute
-    /// (incident inc-72db on the andina fleet).
+    /// (incident inc-72db at the andina site).
     fn batch_shares(&self, max_ops: usize, budget_is_ample: bool) -> BatchShares {
         let reserves_normal_share = self.reserves_normal_share();
         BatchShares {
