--- a/crates/scheduler/src/gangs/mod.rs
+++ b/crates/scheduler/src/gangs/mod.rs
@@ -1,29 +1,16 @@
-//! Gangs: all tasks of an attempt run at the same time or none does.
+//! Gang scheduling: all tasks of an attempt run at the same time or none does. Used by the leader.
 
-use crate::jobs::{JobSpec, JobState};
-use crate::types::{Attempt, FencingToken};
+mod attempts;
 
-/// Numbers for attempts, unique over all leaders: the fence is in the upper bits, so a number is
-/// never used again even though the counter lives in memory only.
-#[derive(Debug)]
-pub struct Attempts {
-    next: u64,
-}
+pub use attempts::Attempts;
 
-const COUNTER_BITS: u32 = 20;
+use crate::jobs::{JobSpec, JobState};
 
-impl Attempts {
-    pub fn new(fencing_token: FencingToken) -> Self {
-        Self { next: fencing_token.0 << COUNTER_BITS }
-    }
-    pub fn issue(&mut self) -> Attempt {
-        self.next += 1;
-        Attempt(self.next)
-    }
-}
+/// Seconds of grace in addition to the time that a checkpoint takes to save.
+const SAVE_MARGIN_S: f64 = 1.0;
 
-/// Whether a gang's attempt can't go on: some of its tasks are placed, others are gone. The rest
-/// must leave before the next attempt.
+/// Whether a gang's attempt can't go on: some of its tasks are placed and others are gone. Those that remain
+/// must be stopped before the next attempt.
 pub fn broken(job_state: &JobState) -> bool {
     job_state.is_gang()
         && !job_state.placed().is_empty()
@@ -31,10 +18,8 @@
         && job_state.waiting_count() > 0
 }
 
-/// The grace an orderly stop needs for a save: 0 where nothing is ever saved.
+/// Seconds of grace that a graceful stop needs for saving a checkpoint; 0 if the job never saves one.
 pub fn save_grace_s(spec: &JobSpec) -> f64 {
-    if spec.checkpoint.0 == 0 { 0.0 } else { spec.save.as_secs_f64() + 1.0 }
+    let saves_checkpoints = spec.checkpoint.0 > 0;
+    if saves_checkpoints { spec.save.as_secs_f64() + SAVE_MARGIN_S } else { 0.0 }
 }
-
-#[cfg(test)]
-mod tests;
