--- a/crates/scheduler/src/node/leader/rounds.rs
+++ b/crates/scheduler/src/node/leader/rounds.rs
@@ -113,7 +113,7 @@
         me: &NodeName,
         now: MonotonicTime,
     ) -> Vec<(NodeName, u64, Vec<MachineView>, Vec<PlacementRequest>)> {
-        if self.partitions.due(live, now) && self.pending_rounds.is_empty() {
+        if self.partitions.needs_division(live, now) && self.pending_rounds.is_empty() {
             let mut work: BTreeMap<NodeName, u32> = live.iter().map(|n| (n.clone(), 0)).collect();
             for job_state in self.job_states.values() {
                 let home = if live.contains(&job_state.home) { &job_state.home } else { me };
@@ -122,7 +122,7 @@
             let up = self.machines.values().filter(|m| m.status == MachineStatus::Up);
             let up: BTreeSet<MachineId> = up.map(|m| m.id.clone()).collect();
             let lease = Duration::from_secs_f64(self.settings.operator.block_lease_s);
-            self.partitions.cut(&up, &work, lease, now);
+            self.partitions.divide(&up, &work, lease, now);
         }
         let mut requests = self.waiting_asks(self.settings.operator.round_tasks, now);
         let spared = self.spare_changes(&mut requests);
@@ -385,7 +385,7 @@
                         if claim.request.allows(v) { v.free.count_of(&claim.request.resources) } else { 0 };
                 }
                 places += v.free.count_of(&request.resources);
-                self.partitions.give(node, [v.id.clone()]);
+                self.partitions.transfer(node, [v.id.clone()]);
                 owners[i] = Some(node.clone());
                 moved += 1;
             }
--- a/crates/scheduler/src/node/leader/rounds/tests.rs
+++ b/crates/scheduler/src/node/leader/rounds/tests.rs
@@ -64,7 +64,7 @@
     m.build_rounds(&live, &me, now); // cuts the blocks
     m.job_states.values_mut().for_each(|r| r.offered = 0);
     let all: Vec<MachineId> = m.machines.keys().cloned().collect();
-    m.partitions.give(&"n1".into(), all);
+    m.partitions.transfer(&"n1".into(), all);
     let mut offered = offered(&m.build_rounds(&live, &me, now));
     offered.sort();
     assert_eq!(offered, [("req-0".to_string(), 2), ("req-1".to_string(), 4)]);
--- a/crates/scheduler/src/partitions/mod.rs
+++ b/crates/scheduler/src/partitions/mod.rs
@@ -1,12 +1,15 @@
-//! Machine blocks: the leader leases disjoint sets of machines to the live controllers; each
-//! proposes inside its own. Also what controllers say to each other.
+//! Partitions: the leader leases disjoint sets of machines to the live controllers, and each proposes placements
+//! inside its own (the design's documents call a partition a block). Also the messages between controllers.
+
+mod division;
+
+pub use division::{Partition, Partitions};
 
 use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
-use crate::types::{Duration, FencingToken, JobId, MachineId, MonotonicTime, NodeName, Zone};
+use crate::types::{Duration, FencingToken, JobId, MachineId, NodeName, Zone};
 use crate::wire::workers::WorkerCommand;
 use pearford_heartbeat::{Delegation, HeartbeatDigest, RelayResult, RelayedCommand, UnacknowledgedStarts};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
 
 /// Raised when messages change; a node drops what it doesn't understand.
 pub const VERSION: u16 = 5;
@@ -81,109 +84,5 @@
     postcard::from_bytes::<Envelope>(bytes).ok().filter(|e| e.version == VERSION)
 }
 
-#[derive(Debug, Clone)]
-pub struct Partition {
-    pub id: u64,
-    pub machines: BTreeSet<MachineId>,
-    pub until: MonotonicTime,
-}
-
-/// The leader's division of the fleet.
-#[derive(Debug, Default)]
-pub struct Partitions {
-    partitions: BTreeMap<NodeName, Partition>,
-    /// Whose block each machine is in; rounds ask for it machine by machine.
-    owners: BTreeMap<MachineId, NodeName>,
-    next_id: u64,
-}
-
-impl Partitions {
-    pub fn get(&self, node: &NodeName) -> Option<&Partition> {
-        self.partitions.get(node)
-    }
-
-    pub fn owner(&self, machine: &MachineId) -> Option<&NodeName> {
-        self.owners.get(machine)
-    }
-
-    /// Whether the division no longer suits: a lease is over, a controller came or went, or
-    /// there are machines in no block.
-    pub fn due(&self, live: &BTreeSet<NodeName>, now: MonotonicTime) -> bool {
-        self.partitions.len() != live.len()
-            || self.partitions.iter().any(|(n, b)| !live.contains(n) || now >= b.until)
-    }
-
-    /// Divides `machines` anew, by the work waiting with each live controller. Machines stay
-    /// where they are as far as shares allow, so that a controller's rounds meet known ones.
-    pub fn cut(
-        &mut self,
-        machines: &BTreeSet<MachineId>,
-        work: &BTreeMap<NodeName, u32>,
-        lease: Duration,
-        now: MonotonicTime,
-    ) {
-        let total: u32 = work.values().map(|w| w + 1).sum();
-        let mut free = machines.clone();
-        let mut new: BTreeMap<NodeName, Partition> = BTreeMap::new();
-        for (node, waiting) in work {
-            let share =
-                (machines.len() as f64 * f64::from(waiting + 1) / f64::from(total.max(1))).ceil() as usize;
-            let kept: BTreeSet<MachineId> = self
-                .partitions
-                .get(node)
-                .map(|b| b.machines.intersection(&free).take(share).cloned().collect())
-                .unwrap_or_default();
-            free = free.difference(&kept).cloned().collect();
-            self.next_id += 1;
-            new.insert(node.clone(), Partition { id: self.next_id, machines: kept, until: now + lease });
-        }
-        for machine in free {
-            let wants = |n: &NodeName, b: &Partition| {
-                let waiting = work.get(n).copied().unwrap_or(0) + 1;
-                (b.machines.len() as u64 * 1000) / u64::from(waiting)
-            };
-            let Some(node) = new.iter().min_by_key(|(n, b)| wants(n, b)).map(|(n, _)| n.clone()) else {
-                break;
-            };
-            if let Some(partition) = new.get_mut(&node) {
-                partition.machines.insert(machine);
-            }
-        }
-        self.owners =
-            new.iter().flat_map(|(node, b)| b.machines.iter().map(|m| (m.clone(), node.clone()))).collect();
-        self.partitions = new;
-    }
-
-    /// Adds a machine that came up to the smallest block.
-    pub fn add(&mut self, machine: &MachineId) {
-        if self.owner(machine).is_none()
-            && let Some((node, partition)) = self.partitions.iter_mut().min_by_key(|(_, b)| b.machines.len())
-        {
-            partition.machines.insert(machine.clone());
-            self.owners.insert(machine.clone(), node.clone());
-        }
-    }
-
-    pub fn remove(&mut self, machine: &MachineId) {
-        if let Some(owner) = self.owners.remove(machine)
-            && let Some(partition) = self.partitions.get_mut(&owner)
-        {
-            partition.machines.remove(machine);
-        }
-    }
-
-    /// Moves machines to `node`'s block: for work that fits no block as they are cut, such as a
-    /// gang larger than any of them.
-    pub fn give(&mut self, node: &NodeName, machines: impl IntoIterator<Item = MachineId>) {
-        for machine in machines {
-            self.remove(&machine);
-            if let Some(partition) = self.partitions.get_mut(node) {
-                partition.machines.insert(machine.clone());
-                self.owners.insert(machine, node.clone());
-            }
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
