--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -190,55 +190,58 @@
 }
 
 #[test]
-fn a_level_is_reached_when_every_configured_node_has_said_so_and_never_earlier() {
-    let mut l = ClusterVersion::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
+fn a_level_is_reached_when_every_configured_node_has_announced_it_and_never_earlier() {
+    let mut cluster = ClusterVersion::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
     let mut now = MonotonicTime::from_millis(1);
     assert!(
-        matches!(l.tick(now, Some(FencingToken(9))), Some(StoreRequest::Range { .. })),
-        "it looks what is stored"
+        matches!(cluster.tick(now, Some(FencingToken(9))), Some(StoreRequest::Range { .. })),
+        "it reads what is stored"
     );
-    l.reply(now, StoreReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
-    let first = l.tick(now, Some(FencingToken(9))).expect("it announces itself first");
+    cluster.reply(now, StoreReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
+    let first = cluster.tick(now, Some(FencingToken(9))).expect("it announces itself first");
     assert!(matches!(&first, StoreRequest::Commit { changes, .. } if changes[0].key() == "level/node/n0"));
-    l.reply(now, StoreReply::Committed { store_revision: 2 });
+    cluster.reply(now, StoreReply::Committed { store_revision: 2 });
     let mut seen = vec![pair("level/node/n0", "{\"level\":1}"), pair("level/node/n2", "{\"level\":1}")];
     for _ in 0..5000 {
         now = now + Duration::from_millis(1000);
-        let request = l.tick(now, Some(FencingToken(9))).expect("it looks");
-        assert!(matches!(request, StoreRequest::Range { .. }), "n1 hasn't shown up: {request:?}");
-        l.reply(now, StoreReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
+        let request = cluster.tick(now, Some(FencingToken(9))).expect("it reads");
+        assert!(matches!(request, StoreRequest::Range { .. }), "n1 has not announced a level: {request:?}");
+        cluster.reply(now, StoreReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
     }
     // Nodes that aren't configured don't stand in for one that is.
     seen.push(pair("level/node/n7", "{\"level\":1}"));
     seen.push(pair("level/node/n1", "{\"level\":1,\"version\":\"x\"}"));
     now = now + Duration::from_millis(1000);
-    l.tick(now, None).expect("it looks");
-    l.reply(now, StoreReply::Pairs { pairs: seen, more: false, store_revision: 4 });
+    cluster.tick(now, None).expect("it reads");
+    cluster.reply(now, StoreReply::Pairs { pairs: seen, more: false, store_revision: 4 });
     now = now + Duration::from_millis(1000);
-    assert!(matches!(l.tick(now, None), Some(StoreRequest::Range { .. })), "only the leader marks");
-    l.reply(now, StoreReply::Unknown);
+    assert!(
+        matches!(cluster.tick(now, None), Some(StoreRequest::Range { .. })),
+        "only the leader raises the level"
+    );
+    cluster.reply(now, StoreReply::Unknown);
     now = now + Duration::from_millis(1000);
-    let Some(StoreRequest::Commit { conditions, .. }) = l.tick(now, Some(FencingToken(9))) else {
-        panic!("the leader marks it")
+    let Some(StoreRequest::Commit { conditions, .. }) = cluster.tick(now, Some(FencingToken(9))) else {
+        panic!("the leader raises the level")
     };
     assert_eq!(conditions[0], ("leader".to_string(), Revision(9)));
-    assert_eq!(l.reached(), 0, "not before that is durable");
-    l.reply(now, StoreReply::Committed { store_revision: 5 });
-    assert_eq!(l.reached(), 1);
+    assert_eq!(cluster.reached(), FeatureLevel(0), "not before that is durable");
+    cluster.reply(now, StoreReply::Committed { store_revision: 5 });
+    assert_eq!(cluster.reached(), FeatureLevel(1));
 }
 
-/// A restart wrote the same again, which was refused while others used up the changes.
+/// A restart wrote the same again, which was refused while others used up the write limit.
 #[test]
-fn a_node_whose_level_is_stored_says_nothing_anew_and_one_that_went_back_does() {
-    for (stored, says) in [(OURS, false), (OURS + 1, true)] {
-        let mut l = ClusterVersion::new("n0".into(), std::iter::empty());
+fn a_node_whose_level_is_stored_does_not_announce_it_again_and_a_downgraded_one_does() {
+    for (stored, announces) in [(CURRENT, false), (FeatureLevel(CURRENT.0 + 1), true)] {
+        let mut cluster = ClusterVersion::new("n0".into(), std::iter::empty());
         let now = MonotonicTime::from_millis(1);
-        l.tick(now, None).expect("it looks");
-        let value = format!("{{\"level\":{stored},\"version\":\"{VERSION}\"}}");
-        let pairs = vec![pair("level/node/n0", &value), pair(MARK, &OURS.to_string())];
-        l.reply(now, StoreReply::Pairs { pairs, more: false, store_revision: 3 });
-        assert_eq!(l.reached(), OURS);
-        let next = l.tick(now + PAUSE, None);
-        assert_eq!(matches!(next, Some(StoreRequest::Commit { .. })), says, "{stored}: {next:?}");
+        cluster.tick(now, None).expect("it reads");
+        let value = format!("{{\"level\":{stored},\"version\":\"{PROGRAM_VERSION}\"}}");
+        let pairs = vec![pair("level/node/n0", &value), pair(CLUSTER_LEVEL_KEY, &CURRENT.to_string())];
+        cluster.reply(now, StoreReply::Pairs { pairs, more: false, store_revision: 3 });
+        assert_eq!(cluster.reached(), CURRENT);
+        let next = cluster.tick(now + STEP_INTERVAL, None);
+        assert_eq!(matches!(next, Some(StoreRequest::Commit { .. })), announces, "{stored}: {next:?}");
     }
 }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -11,7 +11,7 @@
 use super::peers::Peers;
 use super::prefix_watcher::{PrefixWatcher, Turn as ReadTurn};
 use super::{Effect, Input, Method, Now};
-use crate::cluster_version::ClusterVersion;
+use crate::cluster_version::{ClusterVersion, NodeVersion};
 use crate::election::{self, Election, ElectionChange};
 use crate::jobs::{self, JobCache, PendingRequests, Served};
 use crate::partitions::{Envelope, PeerMessage};
@@ -562,7 +562,7 @@
             format!("pearford_peer_messages_dropped {}", self.dropped),
             format!("pearford_records_unreadable {}", self.job_cache.unreadable()),
         ];
-        for (node, level, version) in self.cluster_version.nodes() {
+        for NodeVersion { node, level, version } in self.cluster_version.nodes() {
             lines.push(format!("pearford_node_level{{node=\"{node}\",version=\"{version}\"}} {level}"));
         }
         lines.push(format!("pearford_level_reached {}", self.cluster_version.reached()));
@@ -627,7 +627,7 @@
     }
 
     pub fn sabotage_level(&mut self) {
-        self.cluster_version.sabotage_reached();
+        self.cluster_version.assume_current_level();
     }
 }
 
