--- a/crates/scheduler/src/assignments/machine_record.rs
+++ b/crates/scheduler/src/assignments/machine_record.rs
@@ -47,6 +47,28 @@
     }
 }
 
+/// An image on a machine, stored as a JSON array of its name and its size.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CachedImage {
+    /// The image.
+    pub image: Image,
+    /// Its size in gigabytes.
+    pub size_gb: f64,
+}
+
+impl Serialize for CachedImage {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.image, self.size_gb).serialize(serializer)
+    }
+}
+
+impl<'de> Deserialize<'de> for CachedImage {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let (image, size_gb) = Deserialize::deserialize(deserializer)?;
+        Ok(Self { image, size_gb })
+    }
+}
+
 /// Bytes that an assignment takes in its machine's record, as a [`RecordedAssignment`] and a comma.
 pub fn assignment_bytes(task: &TaskId, attempt: Attempt, team: &TeamName, resources: &Resources) -> usize {
     serde_json::to_string(&(task, attempt, team, resources)).map_or(UNWRITABLE_BYTES, |text| text.len() + 1)
@@ -73,10 +95,10 @@
     /// The tasks that may be on the machine.
     #[serde(rename = "t", default)]
     pub assignments: Vec<RecordedAssignment>,
-    /// Images on the machine and their sizes in gigabytes, those used longest ago first: a new leader that
-    /// didn't know them would have them fetched again on other machines.
+    /// Images on the machine, those used longest ago first: a new leader that didn't know them would have them
+    /// fetched again on other machines.
     #[serde(rename = "i", default)]
-    pub images: Vec<(Image, f64)>,
+    pub images: Vec<CachedImage>,
 }
 
 impl MachineRecord {
--- a/crates/scheduler/src/assignments/machine_record/tests.rs
+++ b/crates/scheduler/src/assignments/machine_record/tests.rs
@@ -9,6 +9,17 @@
     }
 }
 
+fn cached(image: &str, size_gb: f64) -> CachedImage {
+    CachedImage { image: image.into(), size_gb }
+}
+
+#[test]
+fn an_image_is_stored_as_an_array_of_two() {
+    let stored = r#"["img-07",6.2]"#;
+    assert_eq!(serde_json::to_string(&cached("img-07", 6.2)).expect("writable"), stored);
+    assert_eq!(serde_json::from_str::<CachedImage>(stored).expect("readable"), cached("img-07", 6.2));
+}
+
 #[test]
 fn an_assignment_is_stored_as_an_array_of_four() {
     let assignment = recorded(3, 7, Resources { cpus: 1.0, gpus: 0.0, memory_gb: 6.4 });
@@ -32,7 +43,7 @@
         addr: Some("255.255.255.255:65535".into()),
         worker_epoch: WorkerEpoch(u64::from(u32::MAX)),
         assignments: Vec::new(),
-        images: (0..64).map(|i| (Image::from(format!("img-{i:02}").as_str()), 6.25)).collect(),
+        images: (0..64).map(|i| cached(&format!("img-{i:02}"), 6.25)).collect(),
     };
     let limit = 2000;
     let mut bytes = 0;
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -13,5 +13,7 @@
 pub use commit_pipeline::{
     CommitBatch, CommitPipeline, CommitPriority, CommittedWrite, RefusedWrite, WriteVersion,
 };
-pub use machine_record::{MAX_ASSIGNMENTS, MachineRecord, PREFIX, RecordedAssignment, assignment_bytes, key};
+pub use machine_record::{
+    CachedImage, MAX_ASSIGNMENTS, MachineRecord, PREFIX, RecordedAssignment, assignment_bytes, key,
+};
 pub use quota::{tasks_within_limit, used_by_team, within_limit};
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::assignments::{MachineRecord, RecordedAssignment};
+use crate::assignments::{CachedImage, MachineRecord, RecordedAssignment};
 use crate::jobs::{self, JobSpec, JobType, OpenJob, Priority, Record};
 use crate::partitions::{PeerMessage, decode, encode};
 use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
@@ -155,7 +155,8 @@
         resources: resources(),
     };
     assert_eq!(machine.assignments, [assignment]);
-    assert_eq!((machine.worker_epoch, &machine.images[..]), (WorkerEpoch(2), &[("img-07".into(), 6.2)][..]));
+    assert_eq!(machine.worker_epoch, WorkerEpoch(2));
+    assert_eq!(machine.images, [CachedImage { image: "img-07".into(), size_gb: 6.2 }]);
     assert_eq!(serde_json::to_string(&machine).expect("writable"), golden("machine")[0]);
     let mut bits = jobs::TaskSet::default();
     for (n, text) in golden("progress").into_iter().enumerate() {
--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -85,7 +85,7 @@
     let quota = (MOST / groups.len().max(1)).max(2);
     let mut out = Vec::new();
     for mut group in groups.into_values() {
-        let ready = |m: &Machine| m.images.iter().any(|(image, _)| asked.contains(image));
+        let ready = |m: &Machine| m.images.iter().any(|cached| asked.contains(&cached.image));
         group.sort_by_cached_key(|(m, _)| (!ready(m), (m.free().gpus * 1000.0) as u64));
         let rest = group.split_off(quota.min(group.len()) / 2);
         out.append(&mut group);
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -289,7 +289,13 @@
             empty: m.is_empty(),
             health,
             fetching: self.fetching(m),
-            images: m.images.iter().map(|(i, _)| i).filter(|i| asked.contains(i)).cloned().collect(),
+            images: m
+                .images
+                .iter()
+                .map(|cached| &cached.image)
+                .filter(|i| asked.contains(i))
+                .cloned()
+                .collect(),
             fetch_gb_per_s: self.instance_offers.type_of(&m.type_name).map_or(0.0, |t| t.fetch_gb_per_s),
             held_for: m.held_for(now).cloned(),
         }
--- a/crates/scheduler/src/node/leader/reconciliation/tests.rs
+++ b/crates/scheduler/src/node/leader/reconciliation/tests.rs
@@ -14,7 +14,7 @@
             team: "red".into(),
             resources: Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
         }],
-        images: vec![("i".into(), 5.0)],
+        images: vec![assignments::CachedImage { image: "i".into(), size_gb: 5.0 }],
     }
 }
 
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,7 +1,7 @@
 //! Workers: what their reports say, what that proves, and the orders they get.
 
 use crate::assignments::{
-    Assignment, AssignmentState, MachineRecord, RecordedAssignment, Stop, WriteVersion,
+    Assignment, AssignmentState, CachedImage, MachineRecord, RecordedAssignment, Stop, WriteVersion,
 };
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, TaskId, TeamName,
@@ -85,7 +85,7 @@
     /// Tasks reported that the ledger doesn't know: stopped, and until then nothing starts here.
     pub unknown_tasks: BTreeSet<TaskId>,
     /// Images a task got here and their sizes, in order of last use.
-    pub images: Vec<(Image, f64)>,
+    pub images: Vec<CachedImage>,
     pub empty_since: Option<MonotonicTime>,
     pub not_before: MonotonicTime,
     /// The session that a direct command should name, as far as an earlier leader knew.
@@ -289,16 +289,16 @@
     /// Notes an image that a task has got here. The machine keeps the most recently used ones, as
     /// many as `cache_gb` holds.
     pub fn remember_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| i != image);
-        self.images.push((image.clone(), gb));
-        let mut sum: f64 = self.images.iter().map(|(_, gb)| gb).sum();
+        self.images.retain(|cached| cached.image != *image);
+        self.images.push(CachedImage { image: image.clone(), size_gb: gb });
+        let mut sum: f64 = self.images.iter().map(|cached| cached.size_gb).sum();
         while self.images.len() > 1 && (sum > cache_gb || self.images.len() > IMAGES_REMEMBERED) {
-            sum -= self.images.remove(0).1;
+            sum -= self.images.remove(0).size_gb;
         }
     }
 
     pub fn has_image(&self, image: &Image) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.images.iter().any(|cached| cached.image == *image)
     }
 
     /// Asks a task to stop. True if it is off the ledger at once, since no order can have
