--- a/crates/scheduler/src/assignments/assignment.rs
+++ b/crates/scheduler/src/assignments/assignment.rs
@@ -4,6 +4,9 @@
 use crate::types::{Attempt, MonotonicTime, Resources, TaskId, TeamName, WorkerEpoch};
 use pearford_recovery::RecordedState;
 
+/// Serial number of a start that was sent without an acknowledgement: it may arrive until the worker's run ends.
+pub const UNACKNOWLEDGED_SERIAL: u64 = u64::MAX;
+
 /// How far an assignment is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AssignmentState {
@@ -15,8 +18,7 @@
     Sent {
         /// The run of the worker that sent the heartbeat.
         worker_epoch: WorkerEpoch,
-        /// The heartbeat's number within that run; `u64::MAX` for a start that was sent directly and not
-        /// acknowledged, which may arrive during the whole run.
+        /// The heartbeat's number within that run, or [`UNACKNOWLEDGED_SERIAL`].
         serial: u64,
     },
     /// The start was sent directly to the worker, whose answer is awaited.
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -9,7 +9,7 @@
 mod machine_record;
 mod quota;
 
-pub use assignment::{Assignment, AssignmentState, Stop};
+pub use assignment::{Assignment, AssignmentState, Stop, UNACKNOWLEDGED_SERIAL};
 pub use commit_pipeline::{
     CommitBatch, CommitPipeline, CommitPriority, CommittedWrite, RefusedWrite, WriteVersion,
 };
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,7 +1,8 @@
 //! Workers: what their reports say, what that proves, and the orders they get.
 
 use crate::assignments::{
-    Assignment, AssignmentState, CachedImage, MachineRecord, RecordedAssignment, Stop, WriteVersion,
+    Assignment, AssignmentState, CachedImage, MachineRecord, RecordedAssignment, Stop, UNACKNOWLEDGED_SERIAL,
+    WriteVersion,
 };
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, TaskId, TeamName,
@@ -494,7 +495,7 @@
                 (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
                     commands.push(WorkerCommand::Start { task: task.clone(), attempt: assignment.attempt });
                     let serial = match self.unacknowledged.contains_key(&(task.clone(), assignment.attempt)) {
-                        true => u64::MAX,
+                        true => UNACKNOWLEDGED_SERIAL,
                         false => heartbeat.serial,
                     };
                     assignment.state = AssignmentState::Sent { worker_epoch: heartbeat.worker_epoch, serial };
@@ -567,7 +568,8 @@
     ) -> (Vec<WorkerCommand>, Vec<WorkerCommand>) {
         let queued_commands = self.commands(heartbeat, false, |task| may_start || may_stop(task), may_start);
         let again = self.assignments.iter().filter(|(_, e)| {
-            let unacknowledged = matches!(e.state, AssignmentState::Sent { serial: u64::MAX, .. });
+            let unacknowledged =
+                matches!(e.state, AssignmentState::Sent { serial: UNACKNOWLEDGED_SERIAL, .. });
             may_start && unacknowledged && e.stop.is_none()
         });
         let again: Vec<(TaskId, Attempt)> = again.map(|(t, e)| (t.clone(), e.attempt)).collect();
@@ -595,7 +597,7 @@
                 Some(None) => AssignmentState::Ready,
                 None => {
                     self.unacknowledged.insert((task, attempt), worker_epoch);
-                    AssignmentState::Sent { worker_epoch, serial: u64::MAX }
+                    AssignmentState::Sent { worker_epoch, serial: UNACKNOWLEDGED_SERIAL }
                 }
             };
         }
