--- a/crates/scheduler/src/node/leader/rounds.rs
+++ b/crates/scheduler/src/node/leader/rounds.rs
@@ -91,7 +91,8 @@
             let mut tasks = job_state.waiting(if gang { usize::MAX } else { left });
             let Some(team) = self.settings.teams.get(&spec.team) else { continue };
             let sum = used.entry(spec.team.clone()).or_default();
-            let fitting = (assignments::fitting(team, sum, &spec.resources) as usize).min(tasks.len());
+            let fitting =
+                (assignments::tasks_within_limit(team, sum, &spec.resources) as usize).min(tasks.len());
             if fitting == 0 || (gang && fitting < tasks.len()) {
                 job_state.reason = "its team is at its limit";
                 job_state.tried = version;
@@ -112,7 +113,7 @@
         me: &NodeName,
         now: MonotonicTime,
     ) -> Vec<(NodeName, u64, Vec<MachineView>, Vec<PlacementRequest>)> {
-        if self.partitions.due(live, now) && self.pending_rounds.is_empty() {
+        if self.partitions.needs_division(live, now) && self.pending_rounds.is_empty() {
             let mut work: BTreeMap<NodeName, u32> = live.iter().map(|n| (n.clone(), 0)).collect();
             for job_state in self.job_states.values() {
                 let home = if live.contains(&job_state.home) { &job_state.home } else { me };
@@ -121,7 +122,7 @@
             let up = self.machines.values().filter(|m| m.status == MachineStatus::Up);
             let up: BTreeSet<MachineId> = up.map(|m| m.id.clone()).collect();
             let lease = Duration::from_secs_f64(self.settings.operator.block_lease_s);
-            self.partitions.cut(&up, &work, lease, now);
+            self.partitions.divide(&up, &work, lease, now);
         }
         let mut requests = self.waiting_asks(self.settings.operator.round_tasks, now);
         let spared = self.spare_changes(&mut requests);
@@ -384,7 +385,7 @@
                         if claim.request.allows(v) { v.free.count_of(&claim.request.resources) } else { 0 };
                 }
                 places += v.free.count_of(&request.resources);
-                self.partitions.give(node, [v.id.clone()]);
+                self.partitions.transfer(node, [v.id.clone()]);
                 owners[i] = Some(node.clone());
                 moved += 1;
             }
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,6 +1,9 @@
 //! Workers: what their reports say, what that proves, and the orders they get.
 
-use crate::assignments::{Assignment, AssignmentState, MachineRecord, Stop};
+use crate::assignments::{
+    Assignment, AssignmentState, CachedImage, MachineRecord, RecordedAssignment, Stop, UNACKNOWLEDGED_SERIAL,
+    WriteVersion,
+};
 use crate::types::{
     Attempt, Duration, FencingToken, Image, JobId, MachineId, MonotonicTime, Resources, TaskId, TeamName,
     TypeName, WorkerEpoch, Zone,
@@ -83,13 +86,13 @@
     /// Tasks reported that the ledger doesn't know: stopped, and until then nothing starts here.
     pub unknown_tasks: BTreeSet<TaskId>,
     /// Images a task got here and their sizes, in order of last use.
-    pub images: Vec<(Image, f64)>,
+    pub images: Vec<CachedImage>,
     pub empty_since: Option<MonotonicTime>,
     pub not_before: MonotonicTime,
     /// The session that a direct command should name, as far as an earlier leader knew.
     pub last_known_epoch: WorkerEpoch,
     /// Version from which each planned entry is durable.
-    pub planned: BTreeMap<TaskId, u64>,
+    pub planned: BTreeMap<TaskId, WriteVersion>,
     pub draining: bool,
     /// Jobs that have failed here since one was done.
     pub failed: Vec<JobId>,
@@ -190,7 +193,12 @@
             assignments: self
                 .assignments
                 .iter()
-                .map(|(t, e)| (t.clone(), e.attempt, e.team.clone(), e.resources))
+                .map(|(task, assignment)| RecordedAssignment {
+                    task: task.clone(),
+                    attempt: assignment.attempt,
+                    team: assignment.team.clone(),
+                    resources: assignment.resources,
+                })
                 .collect(),
             images: self.images.clone(),
         }
@@ -282,16 +290,16 @@
     /// Notes an image that a task has got here. The machine keeps the most recently used ones, as
     /// many as `cache_gb` holds.
     pub fn remember_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| i != image);
-        self.images.push((image.clone(), gb));
-        let mut sum: f64 = self.images.iter().map(|(_, gb)| gb).sum();
+        self.images.retain(|cached| cached.image != *image);
+        self.images.push(CachedImage { image: image.clone(), size_gb: gb });
+        let mut sum: f64 = self.images.iter().map(|cached| cached.size_gb).sum();
         while self.images.len() > 1 && (sum > cache_gb || self.images.len() > IMAGES_REMEMBERED) {
-            sum -= self.images.remove(0).1;
+            sum -= self.images.remove(0).size_gb;
         }
     }
 
     pub fn has_image(&self, image: &Image) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.images.iter().any(|cached| cached.image == *image)
     }
 
     /// Asks a task to stop. True if it is off the ledger at once, since no order can have
@@ -487,7 +495,7 @@
                 (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
                     commands.push(WorkerCommand::Start { task: task.clone(), attempt: assignment.attempt });
                     let serial = match self.unacknowledged.contains_key(&(task.clone(), assignment.attempt)) {
-                        true => u64::MAX,
+                        true => UNACKNOWLEDGED_SERIAL,
                         false => heartbeat.serial,
                     };
                     assignment.state = AssignmentState::Sent { worker_epoch: heartbeat.worker_epoch, serial };
@@ -560,7 +568,8 @@
     ) -> (Vec<WorkerCommand>, Vec<WorkerCommand>) {
         let queued_commands = self.commands(heartbeat, false, |task| may_start || may_stop(task), may_start);
         let again = self.assignments.iter().filter(|(_, e)| {
-            let unacknowledged = matches!(e.state, AssignmentState::Sent { serial: u64::MAX, .. });
+            let unacknowledged =
+                matches!(e.state, AssignmentState::Sent { serial: UNACKNOWLEDGED_SERIAL, .. });
             may_start && unacknowledged && e.stop.is_none()
         });
         let again: Vec<(TaskId, Attempt)> = again.map(|(t, e)| (t.clone(), e.attempt)).collect();
@@ -588,7 +597,7 @@
                 Some(None) => AssignmentState::Ready,
                 None => {
                     self.unacknowledged.insert((task, attempt), worker_epoch);
-                    AssignmentState::Sent { worker_epoch, serial: u64::MAX }
+                    AssignmentState::Sent { worker_epoch, serial: UNACKNOWLEDGED_SERIAL }
                 }
             };
         }
