--- a/crates/scheduler/src/assignments/golden.rs
+++ b/crates/scheduler/src/assignments/golden.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::golden_group;
+use crate::types::{Attempt, Resources, TaskId, WorkerEpoch};
 
 /// Bytes that the state service stores in a value.
 const LIMIT: usize = 16_000;
@@ -15,8 +16,13 @@
         spot: true,
         addr: Some("10.1.0.232:9000".into()),
         worker_epoch: WorkerEpoch(2),
-        assignments: vec![(task, Attempt(432_013_319), "red".into(), resources)],
-        images: vec![("img-07".into(), 6.2)],
+        assignments: vec![RecordedAssignment {
+            task,
+            attempt: Attempt(432_013_319),
+            team: "red".into(),
+            resources,
+        }],
+        images: vec![CachedImage { image: "img-07".into(), size_gb: 6.2 }],
     }
 }
 
@@ -45,7 +51,7 @@
 
 /// Batches are written in this order; later ones may wait.
 #[test]
-fn golden_order_of_haste() {
+fn golden_order_of_commit_priorities() {
     assert!(CommitPriority::Background < CommitPriority::Normal);
     assert!(CommitPriority::Normal < CommitPriority::Urgent);
     assert!(CommitPriority::Urgent < CommitPriority::Critical);
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -17,3 +17,6 @@
     CachedImage, MAX_ASSIGNMENTS, MachineRecord, PREFIX, RecordedAssignment, assignment_bytes, key,
 };
 pub use quota::{tasks_within_limit, used_by_team, within_limit};
+
+#[cfg(test)]
+mod golden;
--- a/crates/scheduler/src/cluster_version/golden.rs
+++ b/crates/scheduler/src/cluster_version/golden.rs
@@ -15,7 +15,7 @@
     fencing_token: Option<FencingToken>,
 ) -> String {
     let request = cluster_version.tick(now, fencing_token).expect("something is due");
-    request_line(request.http()).replace(VERSION, "VERSION")
+    request_line(request.http()).replace(PROGRAM_VERSION, "VERSION")
 }
 
 #[test]
@@ -36,23 +36,23 @@
     let pairs = vec![announced("n0"), announced("n1")];
     cluster_version.reply(now, StoreReply::Pairs { pairs, more: false, store_revision: 3 });
     let nodes: Vec<_> =
-        cluster_version.nodes().map(|(node, level, version)| (node.as_str(), level, version)).collect();
+        cluster_version.nodes().map(|node| (node.node.as_str(), node.level.0, node.version)).collect();
     assert_eq!(nodes, [("n0", 3, "x"), ("n1", 3, "x")]);
-    now = now + PAUSE;
+    now = now + STEP_INTERVAL;
     group.writes("mark", asked(&mut cluster_version, now, Some(FencingToken(9))));
     group.finish();
 }
 
 #[test]
 fn golden_value_of_a_node() {
-    let value = NodeValue { level: 3, version: "0.3.0".into() };
+    let value = NodeRecord { level: FeatureLevel(3), version: "0.3.0".into() };
     let mut group = golden_group!("level_values.txt");
     group.both_ways("node", serde_json::to_string(&value).expect("writable"), |value| {
-        let read: NodeValue = serde_json::from_str(value).ok()?;
+        let read: NodeRecord = serde_json::from_str(value).ok()?;
         serde_json::to_string(&read).ok()
     });
     let cluster_version =
-        [DEPENDENCIES, HEARTBEAT_DELEGATION, UNACKNOWLEDGED_STARTS, OURS].map(|level| level.to_string());
+        [DEPENDENCIES, HEARTBEAT_DELEGATION, UNACKNOWLEDGED_STARTS, CURRENT].map(|level| level.to_string());
     group.writes("levels", cluster_version.join(" "));
     group.finish();
 }
@@ -61,5 +61,5 @@
 fn golden_mark_is_read() {
     let mut cluster_version = cluster_version();
     cluster_version.learn(&Pair { key: "level/reached".into(), value: "3".into(), revision: Revision(5) });
-    assert_eq!(cluster_version.reached(), 3);
+    assert_eq!(cluster_version.reached(), FeatureLevel(3));
 }
--- a/crates/scheduler/src/partitions/golden.rs
+++ b/crates/scheduler/src/partitions/golden.rs
@@ -7,6 +7,7 @@
 use crate::types::{Attempt, Resources, TaskId, WorkerEpoch};
 use crate::workers::Health;
 use pearford_heartbeat::{FullHeartbeat, HeartbeatPosition, NodeWeight, NodeWeights, UnchangedHeartbeat};
+use std::collections::BTreeSet;
 
 const FENCE: FencingToken = FencingToken(412);
 
