--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -637,50 +637,50 @@
     pub fn sabotage_forget_silent(&mut self, ms: u64) {
         let now = self.now;
         if let Some(leader) = &mut self.leader {
-            leader.sabotage_forget_silent(ms, now);
+            leader.inject_forgetting_silent_machines(Duration::from_millis(ms), now);
         }
     }
 
     pub fn sabotage_forget_sent(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_forget_sent);
+        self.leader.iter_mut().for_each(Leader::inject_forgetting_sent_starts);
     }
 
     pub fn sabotage_apart(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_apart);
+        self.leader.iter_mut().for_each(Leader::disable_isolation_reports);
     }
 
     pub fn sabotage_unheard(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_unheard);
+        self.leader.iter_mut().for_each(Leader::inject_loss_of_unheard_machines);
     }
 
     pub fn sabotage_done_early(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_done_early);
+        self.leader.iter_mut().for_each(Leader::inject_early_completion);
     }
 
     pub fn sabotage_free_cancelled(&mut self) {
         let now = self.now;
-        self.leader.iter_mut().for_each(|m| m.sabotage_free_cancelled(now));
+        self.leader.iter_mut().for_each(|m| m.inject_freeing_of_stopping_tasks(now));
     }
 
     pub fn sabotage_start_early(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_start_early);
+        self.leader.iter_mut().for_each(Leader::disable_record_before_start);
     }
 
     pub fn sabotage_keep_silent(&mut self) {
         let now = self.now;
-        self.leader.iter_mut().for_each(|m| m.sabotage_keep_silent(now));
+        self.leader.iter_mut().for_each(|m| m.disable_silence_detection(now));
     }
 
     pub fn sabotage_no_stops(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_no_stops);
+        self.leader.iter_mut().for_each(Leader::disable_stops);
     }
 
     pub fn sabotage_any_serial(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_any_serial);
+        self.leader.iter_mut().for_each(Leader::disable_heartbeat_order);
     }
 
     pub fn sabotage_any_zone(&mut self) {
-        self.leader.iter_mut().for_each(Leader::sabotage_any_zone);
+        self.leader.iter_mut().for_each(Leader::disable_zone_binding);
     }
 
     pub fn sabotage_graph(&mut self, guard: jobs::graph::Guard) {
@@ -694,7 +694,7 @@
 
     /// The kept sums against a recount from the ground up.
     pub fn sums_hold(&self) -> Result<(), String> {
-        self.leader.as_ref().map_or(Ok(()), Leader::sums_hold)
+        self.leader.as_ref().map_or(Ok(()), Leader::check_totals)
     }
 
     pub fn validly_leads(&self, at: crate::types::MonotonicTime) -> bool {
--- /dev/null
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -0,0 +1,186 @@
+//! Faults for tests: each method disables one of the leader's safety checks or injects one wrong step.
+//!
+//! The simulation calls these through the controller to prove that its checker notices when a check is
+//! missing, as in mutation testing. Nothing here is compiled into the program.
+
+use super::Leader;
+use crate::assignments::{self, Assignment, AssignmentState};
+use crate::types::{Duration, MachineId, MonotonicTime, Resources, TaskId, TeamName, WorkerEpoch};
+use crate::workers::Machine;
+use pearford_heartbeat::IsolationReports;
+use pearford_recovery::HeartbeatCollection;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Unanswered probes that count as lost for any machine, heard or not.
+const MORE_UNANSWERED_THAN_ALLOWED: u32 = 9;
+
+impl Leader {
+    /// Takes silence as proof of absence: drops the assignments of machines that are silent for
+    /// longer than `silence`.
+    pub(in crate::node) fn inject_forgetting_silent_machines(
+        &mut self,
+        silence: Duration,
+        now: MonotonicTime,
+    ) {
+        let mut dropped = Vec::new();
+        for machine in self.machines.values_mut() {
+            if machine.last_heartbeat.is_some_and(|at| now.since(at) > silence) {
+                let assignments = std::mem::take(&mut machine.assignments);
+                dropped.extend(assignments.into_keys().map(|task| (task, machine.id.clone())));
+                machine.recount(&mut self.used, now);
+            }
+        }
+        self.unplace_all(dropped);
+    }
+
+    /// Takes starts sent directly as unable to arrive a second time.
+    pub(in crate::node) fn inject_forgetting_sent_starts(&mut self) {
+        self.machines.values_mut().for_each(Machine::sabotage_forget_sent);
+    }
+
+    /// Ignores what isolated nodes report through the key-value store.
+    pub(in crate::node) fn disable_isolation_reports(&mut self) {
+        self.isolation_reports = IsolationReports::default();
+    }
+
+    /// Gives up machines at once that this leader has not heard yet.
+    pub(in crate::node) fn inject_loss_of_unheard_machines(&mut self) {
+        if !self.loaded() {
+            return;
+        }
+        let unheard = self.machines.values_mut().filter(|machine| !machine.has_been_heard());
+        unheard.for_each(|machine| machine.unanswered = MORE_UNANSWERED_THAN_ALLOWED);
+        let workers = &self.settings.workers;
+        self.heartbeat_collection = HeartbeatCollection::new(
+            Duration::from_secs_f64(workers.report_s),
+            Duration::from_secs_f64(workers.lease_s),
+        );
+        self.heartbeat_collection.records_read(MonotonicTime::default());
+        self.heartbeat_collection.heard(1, 1, self.since);
+    }
+
+    /// Frees the resources of stopping tasks without a proof that they are gone.
+    pub(in crate::node) fn inject_freeing_of_stopping_tasks(&mut self, now: MonotonicTime) {
+        let mut dropped = Vec::new();
+        for machine in self.machines.values_mut() {
+            let assignments = std::mem::take(&mut machine.assignments);
+            let (stopping, kept): (BTreeMap<TaskId, Assignment>, BTreeMap<TaskId, Assignment>) =
+                assignments.into_iter().partition(|(_, assignment)| assignment.stop.is_some());
+            machine.assignments = kept;
+            dropped.extend(stopping.into_keys().map(|task| (task, machine.id.clone())));
+            machine.recount(&mut self.used, now);
+        }
+        self.unplace_all(dropped);
+    }
+
+    fn unplace_all(&mut self, dropped: Vec<(TaskId, MachineId)>) {
+        for (task, machine) in dropped {
+            if let Some(job_state) = self.job_states.get_mut(&task.job) {
+                job_state.unplace(task.index, &machine);
+            }
+            self.capacity_version += 1;
+        }
+    }
+
+    /// Lets starts leave before their machine's record is durable.
+    pub(in crate::node) fn disable_record_before_start(&mut self) {
+        for machine in self.machines.values_mut() {
+            let planned = machine
+                .assignments
+                .values_mut()
+                .filter(|assignment| assignment.state == AssignmentState::Planned);
+            planned.for_each(|assignment| assignment.state = AssignmentState::Ready);
+            if machine.has_starts() {
+                self.to_direct.insert(machine.id.clone());
+            }
+        }
+    }
+
+    /// Forgets all tasks that are to be stopped.
+    pub(in crate::node) fn disable_stops(&mut self) {
+        let assignments = self.machines.values_mut().flat_map(|machine| machine.assignments.values_mut());
+        assignments.for_each(|assignment| assignment.stop = None);
+    }
+
+    /// Lets no machine count as silent.
+    pub(in crate::node) fn disable_silence_detection(&mut self, now: MonotonicTime) {
+        for machine in self.machines.values_mut().filter(|machine| machine.last_heartbeat.is_some()) {
+            machine.last_heartbeat = Some(now);
+            machine.unanswered = 0;
+        }
+    }
+
+    /// Takes whichever heartbeat arrives last for the newest.
+    pub(in crate::node) fn disable_heartbeat_order(&mut self) {
+        for machine in self.machines.values_mut() {
+            machine.worker_epoch = WorkerEpoch(0);
+            machine.serial = 1;
+        }
+    }
+
+    /// Places jobs that are bound to a zone in any zone.
+    pub(in crate::node) fn disable_zone_binding(&mut self) {
+        let bound = self.job_states.values_mut().filter(|job_state| job_state.job.spec.zone.is_some());
+        for job_state in bound {
+            let mut job = (*job_state.job).clone();
+            job.spec.zone = None;
+            job_state.job = Arc::new(job);
+        }
+    }
+
+    /// Takes a job as done as soon as half of its tasks are.
+    pub(in crate::node) fn inject_early_completion(&mut self) {
+        for job_state in self.job_states.values_mut() {
+            let done = job_state.done().count();
+            let tasks = job_state.job.spec.tasks;
+            if done > 0 && done * 2 >= tasks {
+                (0..tasks).for_each(|index| job_state.mark_done(index));
+            }
+        }
+    }
+
+    /// Compares the incrementally kept totals with a full recount.
+    ///
+    /// # Errors
+    /// The first total that differs, with both values.
+    pub(in crate::node) fn check_totals(&self) -> Result<(), String> {
+        self.check_team_totals()?;
+        self.machines.values().try_for_each(check_machine_totals)?;
+        for (id, job_state) in &self.job_states {
+            let recounted = job_state.recount();
+            let kept = job_state.waiting_count();
+            if recounted != kept {
+                return Err(format!("{id}: {recounted} wait, kept {kept}"));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_team_totals(&self) -> Result<(), String> {
+        let assignments = self.machines.values().flat_map(|machine| machine.assignments.values());
+        let used = assignments::used_by_team(assignments);
+        let of_team = |totals: &BTreeMap<TeamName, Resources>, team: &TeamName| {
+            totals.get(team).copied().unwrap_or_default()
+        };
+        for team in self.used.keys().chain(used.keys()) {
+            let kept = of_team(&self.used, team);
+            let recounted = of_team(&used, team);
+            if !kept.fits_in(&recounted) || !recounted.fits_in(&kept) {
+                return Err(format!("team {team}: kept {kept:?}, recounted {recounted:?}"));
+            }
+        }
+        Ok(())
+    }
+}
+
+fn check_machine_totals(machine: &Machine) -> Result<(), String> {
+    let occupying = machine.assignments.values().filter(|assignment| assignment.occupies());
+    let free = occupying.fold(machine.total, |free, assignment| free.minus(&assignment.resources));
+    let occupied = machine.assignments.values().any(Assignment::occupies);
+    let empty = !occupied && machine.unknown_tasks.is_empty();
+    if !free.fits_in(&machine.free()) || !machine.free().fits_in(&free) || empty != machine.is_empty() {
+        return Err(format!("{}: kept {:?}, recounted {free:?}", machine.id, machine.free()));
+    }
+    Ok(())
+}
