--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -171,8 +171,9 @@
     }
 
     fn worker_answered(&mut self, request_id: RequestId, status: u16, at: Option<HeartbeatPosition>) {
-        let seen =
-            self.leading().and_then(|(leader, context)| leader.worker(request_id, status, at, context.now));
+        let seen = self
+            .leading()
+            .and_then(|(leader, context)| leader.worker_reply(request_id, status, at, context.now));
         if let Some(fencing_token) = seen {
             self.saw_fencing_token(fencing_token);
         }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -378,7 +378,7 @@
             Some(Pending::Leader(fencing_token, request_id)) => {
                 let end_leadership = self.leading().and_then(|(leader, mut context)| {
                     if leader.fencing_token() == fencing_token {
-                        leader.state(&mut context, request_id, reply)
+                        leader.store_reply(&mut context, request_id, reply)
                     } else {
                         None
                     }
@@ -391,7 +391,7 @@
     fn cloud(&mut self, request_id: RequestId, reply: CloudReply) {
         if !self.catalogue.owns(request_id) {
             if let Some((leader, mut context)) = self.leading() {
-                leader.cloud(&mut context, request_id, reply);
+                leader.cloud_reply(&mut context, request_id, reply);
             }
             return;
         }
@@ -430,7 +430,7 @@
             None => {}
             Some(LeadershipEnd::Lost(reason)) => {
                 self.election.step_down(self.now);
-                self.step_down(reason);
+                self.step_down(reason.as_str());
             }
             Some(LeadershipEnd::Resign(reason)) => {
                 let fencing_token = self.election.fencing_token();
@@ -440,7 +440,7 @@
                 };
                 self.out.request_store(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
                 self.election.back_off(self.now, RESIGN_BACK_OFF);
-                self.step_down(reason);
+                self.step_down(reason.as_str());
             }
         }
     }
--- /dev/null
+++ b/crates/scheduler/src/node/leader/adoption/tests.rs
@@ -0,0 +1,43 @@
+use super::super::test_support::{heartbeat, leader};
+use super::*;
+use crate::assignments::CachedImage;
+use crate::jobs::{OpenJob, Record};
+use crate::types::{Resources, Revision, WallTime, WorkerEpoch};
+use std::sync::Arc;
+
+fn record(attempt: u64) -> MachineRecord {
+    MachineRecord {
+        type_name: "t".into(),
+        zone: "z0".into(),
+        spot: false,
+        addr: Some("10.9.0.1:1".into()),
+        worker_epoch: WorkerEpoch(1),
+        assignments: vec![RecordedAssignment {
+            task: TaskId { job: "req-1".into(), index: 0 },
+            attempt: Attempt(attempt),
+            team: "red".into(),
+            resources: Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 },
+        }],
+        images: vec![CachedImage { image: "i".into(), size_gb: 5.0 }],
+    }
+}
+
+/// The removal of an old assignment had not been written when the leader crashed, the task's new
+/// assignment elsewhere had: the old one's absence then freed a task that was running.
+#[test]
+fn an_assignment_left_over_from_an_earlier_attempt_does_not_hide_the_live_one() {
+    for (first, second, live) in [(5, 7, "m-2"), (7, 5, "m-1")] {
+        let now = MonotonicTime::from_millis(1);
+        let mut leader = leader();
+        leader.inherit("m-1".into(), record(first), now);
+        leader.inherit("m-2".into(), record(second), now);
+        let mut job_cache = JobCache::default();
+        let job = OpenJob { spec: crate::jobs::tests::spec(), submitted: WallTime(1), home: "n0".into() };
+        job_cache.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
+        leader.build_job_states(&job_cache, now);
+        let dead = if live == "m-1" { "m-2" } else { "m-1" };
+        leader.process_heartbeat(&heartbeat(dead, "z0", 8), MonotonicTime::from_millis(2));
+        let job_state = &leader.job_states[&JobId::from("req-1")];
+        assert_eq!(job_state.placed().get(&0), Some(&MachineId::from(live)), "it is still on {live}");
+    }
+}
--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -1,96 +1,191 @@
-//! The machines that a look at what waits goes by: those with room, or a part of them where they are many.
+//! The machines that a scheduling pass considers: those with free resources, or a part of them where
+//! they are many.
 
-use super::*;
+use super::Leader;
+use crate::placement::{MachineView, PlacementRequest};
+use crate::types::{Duration, Image, MonotonicTime, NodeName, Resources, TaskId};
+use crate::workers::{Health, Machine, MachineStatus};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in one look. Of a busy fleet fewer have room. Just after leases have ended nearly all have, and going
-/// through them for each ask took a second of a leader's processor (four times the andina fleet, all nodes crashed).
-const MOST: usize = 512;
+/// Machines in one pass, at most. Of a busy cluster fewer have free resources. Just after leases have
+/// ended nearly all have, and going through them for each request took a second of a leader's
+/// processor (four times the andina fleet, all nodes crashed).
+const MAX_CANDIDATES: usize = 512;
 
-/// What a look goes by.
-pub(super) struct Field {
+/// The machines that a scheduling pass considers.
+pub(super) struct Candidates {
+    /// The machines as controllers see them.
     pub views: Vec<MachineView>,
-    /// Whose block each is in.
+    /// The controller whose partition each machine is in.
     pub owners: Vec<Option<NodeName>>,
-    /// These are all that have room: what fits none of them fits nowhere.
-    pub whole: bool,
+    /// These are all that have free resources: what fits none of them fits nowhere.
+    pub complete: bool,
 }
 
-impl Field {
+impl Candidates {
     /// Drops the machines that are not `kept`: what fits none of the rest may fit elsewhere.
     pub fn keep(&mut self, kept: &[bool]) {
         let mut kept_views = kept.iter();
         self.views.retain(|_| kept_views.next() == Some(&true));
         let mut kept_owners = kept.iter();
         self.owners.retain(|_| kept_owners.next() == Some(&true));
-        self.whole = false;
+        self.complete = false;
     }
 
-    /// The machines in a controller's block.
+    /// The machines in a controller's partition.
     pub fn of(&self, node: &NodeName) -> impl Iterator<Item = &MachineView> {
         let owned = self.views.iter().zip(&self.owners);
-        owned.filter(move |(_, owner)| owner.as_ref() == Some(node)).map(|(v, _)| v)
+        owned.filter(move |(_, owner)| owner.as_ref() == Some(node)).map(|(view, _)| view)
     }
 }
 
+/// A machine that may take tasks, and its health.
+type OpenMachine<'a> = (&'a Machine, Health);
+
 impl Leader {
-    /// Machines that could take some task of `requests`: of a busy fleet that is a small part.
-    pub(super) fn open_field(&mut self, requests: &[PlacementRequest], now: MonotonicTime) -> Field {
-        let least =
-            |of: fn(&Resources) -> f64| requests.iter().map(|a| of(&a.resources)).fold(f64::MAX, f64::min);
-        let least =
-            Resources { cpus: least(|r| r.cpus), gpus: least(|r| r.gpus), memory_gb: least(|r| r.memory_gb) };
-        // One whose record can't hold the largest entry is left out: offered, it would be chosen in vain.
-        let last_task =
-            |a: &PlacementRequest| TaskId { job: a.job.clone(), index: a.tasks.last().copied().unwrap_or(0) };
-        let bytes = requests.iter().filter_map(|a| {
-            self.job_states.get(&a.job).map(|r| self.assignment_bytes(&last_task(a), &r.job.spec))
+    /// Machines that could take some task of `requests`: of a busy cluster that is a small part.
+    pub(super) fn candidates(&mut self, requests: &[PlacementRequest], now: MonotonicTime) -> Candidates {
+        let requested_images: BTreeSet<&Image> = requests.iter().map(|request| &request.image).collect();
+        let mut open = self.open_machines(requests, now);
+        let complete = open.len() <= MAX_CANDIDATES;
+        if !complete {
+            open = select_part(open, &requested_images);
+        }
+        let views: Vec<MachineView> = open
+            .into_iter()
+            .map(|(machine, health)| self.view(machine, health, &requested_images, now))
+            .collect();
+        let owners = views.iter().map(|view| {
+            self.partitions.add(&view.id);
+            self.partitions.owner(&view.id).cloned()
         });
-        let (bytes, limit) = (bytes.max().unwrap_or(0), self.settings.state.value_bytes);
-        let asked: BTreeSet<&Image> = requests.iter().map(|a| &a.image).collect();
+        Candidates { owners: owners.collect(), views, complete }
+    }
+
+    fn open_machines(&self, requests: &[PlacementRequest], now: MonotonicTime) -> Vec<OpenMachine<'_>> {
+        let least = least_of_each(requests);
+        // A machine whose record can't hold the largest assignment is left out: offered, it would be
+        // chosen in vain.
+        let record_bytes = self.largest_assignment_bytes(requests);
+        let record_limit = self.settings.state.value_bytes;
         let mut open = Vec::new();
-        // Orders to a zone that is cut off arrive when the cut is over, or never.
-        let reached = |m: &&Machine| m.status == MachineStatus::Up && !self.cut_zones.contains(&m.zone);
-        for m in self.machines.values().filter(reached) {
-            if !least.fits_in(&m.free()) || !m.open_for_tasks(now) || !m.record_holds(bytes, limit) {
+        for machine in self.machines.iter() {
+            // Commands to a zone that is cut off arrive when the cut is over, or never.
+            if machine.status != MachineStatus::Up || self.isolation.is_cut(&machine.zone) {
                 continue;
             }
-            let health = self.health(m, now);
+            if !least.fits_in(&machine.free())
+                || !machine.open_for_tasks(now)
+                || !machine.record_holds(record_bytes, record_limit)
+            {
+                continue;
+            }
+            let health = self.health(machine, now);
             if health != Health::Unreachable {
-                open.push((m, health));
+                open.push((machine, health));
             }
         }
-        let whole = open.len() <= MOST;
-        if !whole {
-            open = part_of(open, &asked);
-        }
-        let views: Vec<MachineView> =
-            open.into_iter().map(|(m, health)| self.view(m, health, &asked, now)).collect();
-        let owners = views.iter().map(|v| {
-            self.partitions.add(&v.id);
-            self.partitions.owner(&v.id).cloned()
+        open
+    }
+
+    fn largest_assignment_bytes(&self, requests: &[PlacementRequest]) -> usize {
+        let bytes = requests.iter().filter_map(|request| {
+            let job_state = self.job_states.get(&request.job)?;
+            let index = request.tasks.last().copied().unwrap_or(0);
+            let task = TaskId { job: request.job.clone(), index };
+            Some(self.assignment_bytes(&task, &job_state.job.spec))
         });
-        Field { owners: owners.collect(), views, whole }
+        bytes.max().unwrap_or(0)
+    }
+
+    /// A machine as controllers see it; of its images they need to know the requested ones.
+    fn view(
+        &self,
+        machine: &Machine,
+        health: Health,
+        requested_images: &BTreeSet<&Image>,
+        now: MonotonicTime,
+    ) -> MachineView {
+        let images = machine.images.iter().map(|cached| &cached.image);
+        let images = images.filter(|image| requested_images.contains(image)).cloned().collect();
+        MachineView {
+            id: machine.id.clone(),
+            type_name: machine.type_name.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            free: machine.free(),
+            total: machine.total,
+            empty: machine.is_empty(),
+            health,
+            fetching: self.images_being_fetched(machine),
+            images,
+            fetch_gb_per_s: self.fetch_gb_per_s(machine),
+            held_for: machine.held_for(now).cloned(),
+        }
+    }
+
+    /// Images that tasks on the machine wait for.
+    fn images_being_fetched(&self, machine: &Machine) -> Vec<Image> {
+        let mut images: Vec<Image> = Vec::new();
+        for (task, assignment) in &machine.assignments {
+            if !assignment.occupies() || assignment.running_since.is_some() {
+                continue;
+            }
+            let Some(job_state) = self.job_states.get(&task.job) else { continue };
+            let image = &job_state.job.spec.image;
+            if !machine.has_image(image) && !images.contains(image) {
+                images.push(image.clone());
+            }
+        }
+        images
+    }
+
+    /// How fast the machine fetches images, in GB a second; 0 if that isn't known.
+    pub(super) fn fetch_gb_per_s(&self, machine: &Machine) -> f64 {
+        let machine_type = self.instance_offers.type_of(&machine.type_name);
+        machine_type.map_or(0.0, |machine_type| machine_type.fetch_gb_per_s)
+    }
+
+    /// The machine's health, by how long it has been silent.
+    pub(super) fn health(&self, machine: &Machine, now: MonotonicTime) -> Health {
+        let operator = &self.settings.operator;
+        let heartbeat = Duration::from_secs_f64(self.settings.workers.report_s);
+        machine.health(now, heartbeat, operator.degraded_reports, operator.unreachable_reports)
     }
 }
 
-type Open<'a> = (&'a Machine, Health);
+/// The least that any request's task takes, of each resource.
+fn least_of_each(requests: &[PlacementRequest]) -> Resources {
+    let least = |of: fn(&Resources) -> f64| {
+        requests.iter().map(|request| of(&request.resources)).fold(f64::MAX, f64::min)
+    };
+    Resources {
+        cpus: least(|resources| resources.cpus),
+        gpus: least(|resources| resources.gpus),
+        memory_gb: least(|resources| resources.memory_gb),
+    }
+}
 
-/// A part of `open` that has some of each zone, type and kind; of those first the ones with an image asked for and the
-/// fullest, and as many of the emptiest, for work that needs a whole machine.
-fn part_of<'a>(open: Vec<Open<'a>>, asked: &BTreeSet<&Image>) -> Vec<Open<'a>> {
-    let mut groups: BTreeMap<_, Vec<Open>> = BTreeMap::new();
-    for (m, health) in open {
-        groups.entry((&m.zone, &m.type_name, m.spot)).or_default().push((m, health));
+/// A part of `open` that has some of each zone, type and kind; of those first the ones with a
+/// requested image and the fullest, and as many of the emptiest, for work that needs a whole machine.
+fn select_part<'a>(open: Vec<OpenMachine<'a>>, requested_images: &BTreeSet<&Image>) -> Vec<OpenMachine<'a>> {
+    let mut groups: BTreeMap<_, Vec<OpenMachine>> = BTreeMap::new();
+    for (machine, health) in open {
+        let group = groups.entry((&machine.zone, &machine.type_name, machine.spot)).or_default();
+        group.push((machine, health));
     }
-    let quota = (MOST / groups.len().max(1)).max(2);
-    let mut out = Vec::new();
+    let quota = (MAX_CANDIDATES / groups.len().max(1)).max(2);
+    let mut selected = Vec::new();
     for mut group in groups.into_values() {
-        let ready = |m: &Machine| m.images.iter().any(|cached| asked.contains(&cached.image));
-        group.sort_by_cached_key(|(m, _)| (!ready(m), (m.free().gpus * 1000.0) as u64));
+        let has_requested =
+            |machine: &Machine| machine.images.iter().any(|cached| requested_images.contains(&cached.image));
+        group.sort_by_cached_key(|(machine, _)| {
+            (!has_requested(machine), (machine.free().gpus * 1000.0) as u64)
+        });
         let rest = group.split_off(quota.min(group.len()) / 2);
-        out.append(&mut group);
+        selected.append(&mut group);
         let from = rest.len().saturating_sub(quota - quota / 2);
-        out.extend_from_slice(&rest[from..]);
+        selected.extend_from_slice(&rest[from..]);
     }
-    out
+    selected
 }
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -1,92 +1,229 @@
-//! Calls to the cloud, and what their answers say of the fleet.
+//! Calls to the cloud, and what their replies say about the machines.
 
-use super::*;
+use super::{Leader, StepContext};
+use crate::autoscaler::InstanceOffer;
+use crate::rate_limit::TokenBucket;
+use crate::types::{Duration, MachineId, MonotonicTime, RequestId};
+use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine};
+use std::collections::{BTreeMap, BTreeSet};
 
+/// Machines in a page of the cloud's list.
 const LIST_PAGE: u32 = 500;
-const TYPES_EVERY: Duration = Duration::from_millis(60_000);
+/// How often the catalogue of instance types is read again.
+const TYPES_INTERVAL: Duration = Duration::from_millis(60_000);
 /// Nothing is rented for so long after a call without an answer.
-const AWAY_PAUSE: Duration = Duration::from_millis(2000);
+const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(2000);
+/// Part of the cloud's rate limit that the leader's calls may use.
+const RATE_SHARE: f64 = 0.7;
+/// Machines returned by one call, at most.
+const RELEASES_PER_CALL: usize = 100;
 
+/// A call to the cloud that waits for its reply.
 #[derive(Debug)]
 pub(super) enum CloudCall {
-    Rent { offer: InstanceOffer, number: u32 },
-    Release { machines: Vec<MachineId> },
+    /// Renting `number` machines of an offer.
+    Rent {
+        /// What is rented.
+        offer: InstanceOffer,
+        /// How many machines.
+        number: u32,
+    },
+    /// Returning machines.
+    Release {
+        /// The machines to return.
+        machines: Vec<MachineId>,
+    },
+    /// A page of the list of all machines.
     List,
 }
 
-impl Leader {
-    fn call(&mut self, context: &mut StepContext, request: CloudRequest, request_id: CloudCall) {
-        self.cloud_calls_open.insert(context.out.request_cloud(request), request_id);
+/// A call to the cloud that is to be sent.
+#[derive(Debug)]
+pub(super) struct PlannedCall {
+    /// What is sent.
+    pub request: CloudRequest,
+    /// What its reply will be for.
+    pub call: CloudCall,
+}
+
+/// Open calls to the cloud, their rate limit and when the periodic ones are due.
+#[derive(Debug)]
+pub(super) struct CloudClient {
+    open_calls: BTreeMap<RequestId, CloudCall>,
+    budget: TokenBucket,
+    /// The last machine of the list's page read last, while more pages follow.
+    list_cursor: Option<MachineId>,
+    next_listing: MonotonicTime,
+    next_types: MonotonicTime,
+    rent_not_before: MonotonicTime,
+    /// Machines whose return is under way.
+    releasing: BTreeSet<MachineId>,
+}
+
+impl CloudClient {
+    /// `rate_limit`: calls a second that the cloud allows.
+    pub fn new(rate_limit: f64, now: MonotonicTime) -> Self {
+        Self {
+            open_calls: BTreeMap::new(),
+            budget: TokenBucket::new(rate_limit * RATE_SHARE),
+            list_cursor: None,
+            next_listing: now,
+            next_types: now,
+            rent_not_before: now,
+            releasing: BTreeSet::new(),
+        }
+    }
+
+    /// Takes one call from the rate limit; false: none is left now.
+    pub fn take_call(&mut self, now: MonotonicTime) -> bool {
+        self.budget.take(1.0, now)
     }
 
-    /// Lists, returns and rents what is due.
+    /// Whether rentals are allowed after the last call without an answer.
+    pub fn may_rent(&self, now: MonotonicTime) -> bool {
+        now >= self.rent_not_before
+    }
+
+    /// Rentals that wait for their reply: the offer and the number of machines of each.
+    pub fn open_rentals(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
+        self.open_calls.values().filter_map(|call| match call {
+            CloudCall::Rent { offer, number } => Some((offer, *number)),
+            CloudCall::Release { .. } | CloudCall::List => None,
+        })
+    }
+
+    /// The call that returns the first of `machines` whose return isn't under way yet, if there are
+    /// any and the rate limit allows it.
+    pub fn release(
+        &mut self,
+        machines: impl Iterator<Item = MachineId>,
+        now: MonotonicTime,
+    ) -> Option<PlannedCall> {
+        let due: Vec<MachineId> =
+            machines.filter(|id| !self.releasing.contains(id)).take(RELEASES_PER_CALL).collect();
+        if due.is_empty() || !self.take_call(now) {
+            return None;
+        }
+        self.releasing.extend(due.iter().cloned());
+        Some(PlannedCall {
+            request: CloudRequest::Release { machines: due.clone() },
+            call: CloudCall::Release { machines: due },
+        })
+    }
+
+    /// The return of the machine is over, done or failed.
+    pub fn release_ended(&mut self, id: &MachineId) {
+        self.releasing.remove(id);
+    }
+
+    /// Whether a new listing begins now.
+    fn begin_listing(&mut self, interval: Duration, now: MonotonicTime) -> bool {
+        let begins = now >= self.next_listing && self.list_cursor.is_none();
+        if begins {
+            self.next_listing = now + interval;
+        }
+        begins
+    }
+
+    /// Whether the catalogue of types is to be read now.
+    fn begin_types_read(&mut self, now: MonotonicTime) -> bool {
+        let begins = now >= self.next_types;
+        if begins {
+            self.next_types = now + TYPES_INTERVAL;
+        }
+        begins
+    }
+
+    fn send(&mut self, context: &mut StepContext, planned: PlannedCall) {
+        let request_id = context.out.request_cloud(planned.request);
+        self.open_calls.insert(request_id, planned.call);
+    }
+
+    fn send_listing(&mut self, context: &mut StepContext, after: Option<MachineId>) {
+        let request = CloudRequest::List { after, most: LIST_PAGE };
+        self.send(context, PlannedCall { request, call: CloudCall::List });
+    }
+}
+
+impl Leader {
+    /// Lists, returns and rents machines as far as that is due.
     pub(super) fn call_cloud(&mut self, context: &mut StepContext) {
         let now = context.now;
-        let list = now >= self.next_listing && self.list_after.is_none();
-        if list {
-            self.next_listing = now + Duration::from_secs_f64(self.settings.operator.list_every_s);
-        }
-        if now >= self.next_types {
-            self.next_types = now + TYPES_EVERY;
+        let list_interval = Duration::from_secs_f64(self.settings.operator.list_every_s);
+        let list = self.cloud.begin_listing(list_interval, now);
+        if self.cloud.begin_types_read(now) {
             context.catalogue.refresh(context.out);
         }
         let returns = self.returns(now);
-        let rentals = if self.plans.due(now) { self.rentals(now) } else { Vec::new() };
+        let rentals = if self.rental_pacer.due(now) { self.rentals(now) } else { Vec::new() };
         if list {
-            self.call(context, CloudRequest::List { after: None, most: LIST_PAGE }, CloudCall::List);
+            self.cloud.send_listing(context, None);
         }
-        for (request, request_id) in returns.into_iter().chain(rentals) {
-            self.call(context, request, request_id);
+        for planned in returns.into_iter().chain(rentals) {
+            self.cloud.send(context, planned);
         }
     }
 
-    pub(in crate::node) fn cloud(
+    /// The cloud's reply to one of this leader's calls.
+    pub(in crate::node) fn cloud_reply(
         &mut self,
         context: &mut StepContext,
         request_id: RequestId,
         reply: CloudReply,
     ) {
         let now = context.now;
-        let pause = Duration::from_secs_f64(self.settings.operator.refusal_pause_s);
-        let Some(what) = self.cloud_calls_open.remove(&request_id) else { return };
-        match (what, reply) {
-            (CloudCall::Rent { offer, number, .. }, CloudReply::Rented(ids)) => {
-                tracing::info!(machine_type = %offer.type_name, zone = %offer.zone, spot = offer.spot,
-                    wanted = number, got = ids.len(), "rented");
-                if (ids.len() as u32) < number {
-                    self.instance_offers.refuse(offer.clone(), now + pause);
-                }
-                for id in ids {
-                    self.rented(id, &offer, now);
-                }
-            }
-            (CloudCall::Rent { offer, .. }, CloudReply::NoCapacity) => {
-                self.instance_offers.refuse(offer, now + pause);
+        let Some(call) = self.cloud.open_calls.remove(&request_id) else { return };
+        match (call, reply) {
+            (CloudCall::Rent { offer, number }, CloudReply::Rented(ids)) => {
+                self.machines_rented(offer, number, ids, now);
             }
-            // Away or no answer: what was rented after all shows in the list or by its reports.
-            (CloudCall::Rent { .. }, _) => self.rent_not_before = now + AWAY_PAUSE,
+            (CloudCall::Rent { offer, .. }, CloudReply::NoCapacity) => self.refuse_offer(offer, now),
+            // No answer: what was rented after all shows in the list or by its heartbeats.
+            (CloudCall::Rent { .. }, _) => self.cloud.rent_not_before = now + UNAVAILABLE_PAUSE,
             (CloudCall::Release { machines }, CloudReply::Released) => {
-                for id in machines {
-                    self.released(&id, now);
-                }
+                machines.iter().for_each(|id| self.released(id, now));
             }
             (CloudCall::Release { machines }, _) => {
-                for id in machines {
-                    self.releasing.remove(&id);
-                }
+                machines.iter().for_each(|id| self.cloud.release_ended(id));
             }
             (CloudCall::List, CloudReply::Listed { machines, more }) => {
-                let last = machines.last().map(|m| m.id.clone());
-                for listed in machines {
-                    self.listed(listed, now);
-                }
-                self.list_after = last.filter(|_| more);
-                if let Some(last) = self.list_after.clone() {
-                    let request = CloudRequest::List { after: Some(last), most: LIST_PAGE };
-                    self.call(context, request, CloudCall::List);
-                }
+                self.page_listed(context, machines, more);
             }
-            (CloudCall::List, _) => self.list_after = None,
+            (CloudCall::List, _) => self.cloud.list_cursor = None,
+        }
+    }
+
+    fn machines_rented(
+        &mut self,
+        offer: InstanceOffer,
+        wanted: u32,
+        ids: Vec<MachineId>,
+        now: MonotonicTime,
+    ) {
+        tracing::info!(machine_type = %offer.type_name, zone = %offer.zone, spot = offer.spot,
+            wanted, got = ids.len(), "rented");
+        if (ids.len() as u32) < wanted {
+            self.refuse_offer(offer.clone(), now);
+        }
+        for id in ids {
+            self.rented(id, &offer, now);
+        }
+    }
+
+    /// Doesn't ask for this offer for a while.
+    fn refuse_offer(&mut self, offer: InstanceOffer, now: MonotonicTime) {
+        let pause = Duration::from_secs_f64(self.settings.operator.refusal_pause_s);
+        self.instance_offers.refuse(offer, now + pause);
+    }
+
+    fn page_listed(&mut self, context: &mut StepContext, machines: Vec<ListedMachine>, more: bool) {
+        let last = machines.last().map(|machine| machine.id.clone());
+        for listed in machines {
+            self.listed(listed, context.now);
+        }
+        self.cloud.list_cursor = last.filter(|_| more);
+        if let Some(last) = self.cloud.list_cursor.clone() {
+            self.cloud.send_listing(context, Some(last));
         }
     }
 }
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -1,78 +1,118 @@
-//! The leader's part in reports that other nodes answer: delegations out, digests in, orders by way of whoever
-//! hears the worker. `pearford_heartbeat` decides; here what it says meets the ledger.
+//! Heartbeats that other nodes answer: delegations go out, digests come in, and commands go by way of
+//! whoever hears the worker. `pearford_heartbeat` decides; here its decisions meet the assignments.
 
-use super::*;
-use crate::cluster_version;
+use super::worker_commands::DirectCall;
+use super::{Leader, StepContext};
+use crate::cluster_version::{self, FeatureLevel};
+use crate::partitions::PeerMessage;
+use crate::settings::Settings;
+use crate::types::{FencingToken, MachineId, MonotonicTime, NodeName, TaskId, Zone};
+use crate::wire::workers::{self, Heartbeat, WorkerCommand};
+use crate::workers::{Machine, MachineStatus};
 use pearford_heartbeat::{HeardHeartbeat, HeartbeatDigest, UnacknowledgedStarts};
+use std::collections::BTreeMap;
 
-/// Orders in one message to a node.
+/// Machines with commands in one message to a node.
 const COMMANDS_PER_MESSAGE: usize = 500;
 
-/// How a take-over goes on, for operators: each is logged once.
-#[derive(Debug, Default)]
-pub(super) struct Phases {
-    digest: bool,
-    order: bool,
-    heard: bool,
+/// How a failover goes on, for operators: each milestone is logged once.
+#[derive(Debug)]
+pub(super) struct FailoverLog {
+    fencing_token: FencingToken,
+    since: MonotonicTime,
+    digest_received: bool,
+    command_sent: bool,
+    all_heard: bool,
 }
 
-impl Phases {
-    fn told(
-        once: &mut bool,
-        phase: &str,
-        fencing_token: FencingToken,
-        since: MonotonicTime,
-        now: MonotonicTime,
-    ) {
-        if !std::mem::replace(once, true) {
-            tracing::info!(%fencing_token, after_ms = now.since(since).0, phase, "take-over");
+impl FailoverLog {
+    /// Of a leadership that began at `since`.
+    pub fn new(fencing_token: FencingToken, since: MonotonicTime) -> Self {
+        Self { fencing_token, since, digest_received: false, command_sent: false, all_heard: false }
+    }
+
+    /// A command goes straight to a worker.
+    pub fn command_sent(&mut self, now: MonotonicTime) {
+        if !std::mem::replace(&mut self.command_sent, true) {
+            self.log("first order", now);
+        }
+    }
+
+    fn digest_received(&mut self, now: MonotonicTime) {
+        if !std::mem::replace(&mut self.digest_received, true) {
+            self.log("first digest", now);
+        }
+    }
+
+    fn all_heard(&mut self, now: MonotonicTime) {
+        if !std::mem::replace(&mut self.all_heard, true) {
+            self.log("all machines heard", now);
         }
     }
 
-    pub(super) fn ordered(&mut self, fencing_token: FencingToken, since: MonotonicTime, now: MonotonicTime) {
-        Self::told(&mut self.order, "first order", fencing_token, since, now);
+    fn log(&self, phase: &str, now: MonotonicTime) {
+        let after_ms = now.since(self.since).0;
+        tracing::info!(fencing_token = %self.fencing_token, after_ms, phase, "take-over");
+    }
+}
+
+/// Commands that other nodes are to send with their answers to workers' next heartbeats.
+#[derive(Debug, Default)]
+pub(super) struct QueuedCommands {
+    by_node: BTreeMap<NodeName, Vec<(MachineId, Vec<WorkerCommand>)>>,
+}
+
+impl QueuedCommands {
+    fn add(&mut self, node: &NodeName, machine: &MachineId, commands: Vec<WorkerCommand>) {
+        self.by_node.entry(node.clone()).or_default().push((machine.clone(), commands));
     }
 }
 
 impl Leader {
-    /// Lets the other nodes answer reports. All of them are told, also those that seem away: a delegation
-    /// that comes late changes nothing.
+    /// Lets the other nodes answer heartbeats. All of them are sent the delegation, also those that
+    /// seem away: one that comes late changes nothing.
     pub(super) fn delegate(&mut self, context: &mut StepContext) {
         if !context.heartbeats_delegated || !context.valid {
             return;
         }
-        let live = context.peers.live(context.now);
-        let peers = self.settings.peers.iter().filter(|p| live.contains(&p.name));
-        let peers = peers.map(|p| (p.name.clone(), p.zone.clone()));
-        let all: Vec<(NodeName, Zone)> =
-            std::iter::once((self.settings.node.clone(), self.settings.zone.clone())).chain(peers).collect();
-        let Some(delegation) = self.coordinator.delegation(&all, self.loaded(), context.now) else { return };
-        let unacknowledged_starts =
-            self.unacknowledged_starts(delegation.sequence, !context.lease_renewal.is_fresh(context.now));
+        let nodes = self.live_nodes(context);
+        let Some(delegation) = self.coordinator.delegation(&nodes, self.loaded(), context.now) else {
+            return;
+        };
+        let cancellations_unknown = !context.lease_renewal.is_fresh(context.now);
+        let unacknowledged = self.unacknowledged_starts(delegation.sequence, cancellations_unknown);
         for peer in context.peers.names() {
-            context.out.tell(peer, PeerMessage::UnacknowledgedStarts(unacknowledged_starts.clone()));
+            context.out.tell(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
             context.out.tell(peer, PeerMessage::Delegation(delegation.clone()));
         }
-        let up = || self.machines.values().filter(|m| m.status == MachineStatus::Up);
-        if !self.phases.heard && self.loaded() && up().next().is_some() && up().all(Machine::has_been_heard) {
-            Phases::told(
-                &mut self.phases.heard,
-                "all machines heard",
-                self.fencing_token,
-                self.since,
-                context.now,
-            );
+        if !self.failover_log.all_heard && self.loaded() && self.all_machines_heard() {
+            self.failover_log.all_heard(context.now);
         }
     }
 
-    /// Where starts of this leader may still arrive. `blind`: its own look is too old to know what is cancelled.
-    fn unacknowledged_starts(&self, sequence: u64, blind: bool) -> UnacknowledgedStarts {
-        let unacknowledged = self.machines.values().filter(|m| m.has_unacknowledged_starts());
-        let (mut machines, mut never_renew) = (Vec::new(), Vec::new());
-        for m in unacknowledged {
-            machines.push(m.id.clone());
-            if blind || m.status == MachineStatus::Releasing {
-                never_renew.push(m.id.clone());
+    /// This node and the peers that are heard, with the zone of each.
+    fn live_nodes(&self, context: &StepContext) -> Vec<(NodeName, Zone)> {
+        let live = context.peers.live(context.now);
+        let peers = self.settings.peers.iter().filter(|peer| live.contains(&peer.name));
+        let peers = peers.map(|peer| (peer.name.clone(), peer.zone.clone()));
+        std::iter::once((self.settings.node.clone(), self.settings.zone.clone())).chain(peers).collect()
+    }
+
+    /// Whether there are machines, and all of them have sent a heartbeat under this leadership.
+    fn all_machines_heard(&self) -> bool {
+        let mut up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).peekable();
+        up.peek().is_some() && up.all(Machine::has_been_heard)
+    }
+
+    /// Where starts of this leader may still arrive. `cancellations_unknown`: its own read of the
+    /// job records is too old to know what is cancelled.
+    fn unacknowledged_starts(&self, sequence: u64, cancellations_unknown: bool) -> UnacknowledgedStarts {
+        let mut machines = Vec::new();
+        let mut never_renew = Vec::new();
+        for machine in self.machines.iter().filter(|machine| machine.has_unacknowledged_starts()) {
+            machines.push(machine.id.clone());
+            if cancellations_unknown || machine.status == MachineStatus::Releasing {
+                never_renew.push(machine.id.clone());
             }
         }
         UnacknowledgedStarts::new(self.fencing_token, sequence, machines, never_renew)
@@ -86,25 +126,23 @@
         digest: HeartbeatDigest,
     ) {
         if !self.loaded() || !context.holds {
-            return; // told again once all records are read
+            return; // it comes again once all records are read
         }
-        Phases::told(&mut self.phases.digest, "first digest", self.fencing_token, self.since, context.now);
+        self.failover_log.digest_received(context.now);
         for heard in self.coordinator.digest(from, digest, context.now) {
             self.process_delegated_heartbeat(context, from, heard);
         }
         for (node, machines) in self.coordinator.take_missing() {
-            context
-                .out
-                .tell(&node, PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines });
+            let message = PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines };
+            context.out.tell(&node, message);
         }
     }
 
     /// Takes in what this node heard before it led.
-    pub(super) fn take_early(&mut self, context: &mut StepContext) {
+    pub(super) fn process_early_heartbeats(&mut self, context: &mut StepContext) {
         let me = self.settings.node.clone();
-        for heard in
-            self.coordinator.seed(std::mem::take(&mut self.early_heartbeats), self.since, context.now)
-        {
+        let early = self.record_loading.take_early_heartbeats();
+        for heard in self.coordinator.seed(early, self.since, context.now) {
             self.process_delegated_heartbeat(context, &me, heard);
         }
     }
@@ -116,65 +154,87 @@
         heard: HeardHeartbeat,
     ) {
         let id = &heard.machine;
-        if self.tombstones.contains_key(id) {
+        if self.machines.was_returned(id) {
             return self.coordinator.forget(id);
         }
-        let settled = self.machines.get(id).is_some_and(|m| m.has_been_heard() && m.is_settled());
-        if settled && !heard.new {
-            if let Some(m) = self.machines.get_mut(id) {
-                m.heartbeat_unchanged(heard.at.worker_epoch, heard.at.serial, heard.heard);
-                context.peers.heard_zone(&m.zone, heard.heard);
-            }
+        if let Some(machine) = self.machines.get_mut(id)
+            && machine.has_been_heard()
+            && machine.is_settled()
+            && !heard.new
+        {
+            machine.heartbeat_unchanged(heard.at.worker_epoch, heard.at.serial, heard.heard);
+            context.peers.heard_zone(&machine.zone, heard.heard);
             return;
         }
-        // A report is worth the same whoever has heard it: it carries session, serial and the fence that the
-        // worker had seen.
+        // A heartbeat is worth the same whoever has heard it: it carries the epoch, the serial and
+        // the fencing token that the worker had seen.
         let Some(known) = self.coordinator.known(id) else { return };
         let Some(heartbeat) = Heartbeat::of(id, heard.at, &known.content) else {
-            tracing::error!(machine = %id, node = %from, "a report told by another node can't be read");
+            tracing::error!(machine = %id, node = %from, "a heartbeat heard by another node can't be read");
             return;
         };
         self.process_heartbeat(&heartbeat, context.now);
         context.peers.heard_zone(&heartbeat.zone, heard.heard);
+        self.command_delegated_worker(context, from, &heartbeat, heard.heard);
+    }
+
+    /// What a worker is to do whose heartbeat another node has answered: some commands go with that
+    /// node's next answer, others directly.
+    fn command_delegated_worker(
+        &mut self,
+        context: &mut StepContext,
+        from: &NodeName,
+        heartbeat: &Heartbeat,
+        heard_at: MonotonicTime,
+    ) {
         let may_start = self.may_start(context);
-        let Some(m) = self.machines.get_mut(id) else { return };
-        if (m.worker_epoch, m.serial) != (heartbeat.worker_epoch, heartbeat.serial) {
+        let id = &heartbeat.machine;
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        if !is_newest(machine, heartbeat) {
             return;
         }
-        m.last_heartbeat = Some(heard.heard);
+        machine.last_heartbeat = Some(heard_at);
         let job_cache = &context.job_cache;
-        let over = |task: &TaskId| job_cache.terminal_status(&task.job).is_some();
-        let (queued_commands, again) = m.commands_for_delegate(&heartbeat, may_start, over, context.now);
-        if !queued_commands.is_empty() && *from != self.settings.node {
-            self.queued_commands.entry(from.clone()).or_default().push((id.clone(), queued_commands));
-        }
-        if m.has_starts() {
-            self.to_direct.insert(id.clone());
-        }
-        if let (false, Some(addr)) = (again.is_empty(), m.addr.clone()) {
-            // In doubt until the worker's session ends, whatever becomes of this one.
-            let body = workers::command(self.fencing_token, m.worker_epoch, &again);
-            let (machine, worker_epoch) = (id.clone(), m.worker_epoch);
-            let request_id =
-                self.send_to_worker(context, &machine, addr, body, worker_commands::WORKER_TIMEOUT);
-            self.directs.insert(request_id, DirectCall { machine, worker_epoch, starts: Vec::new() });
+        let finished = |task: &TaskId| job_cache.terminal_status(&task.job).is_some();
+        let (queued, restarts) = machine.commands_for_delegate(heartbeat, may_start, finished, context.now);
+        if !queued.is_empty() && *from != self.settings.node {
+            self.queued_commands.add(from, id, queued);
+        }
+        if machine.has_starts() {
+            self.worker_calls.queue_commands(id.clone());
         }
+        if restarts.is_empty() {
+            return;
+        }
+        let Some(addr) = machine.addr.clone() else { return };
+        // These starts stay unacknowledged until the worker's epoch ends, whatever this call's answer is.
+        let worker_epoch = machine.worker_epoch;
+        let body = workers::command(self.fencing_token, worker_epoch, &restarts);
+        let request_id = self.send_to_worker(context, id, addr, body);
+        let call = DirectCall { machine: id.clone(), worker_epoch, starts: Vec::new() };
+        self.worker_calls.commands_sent(request_id, call);
     }
 
+    /// Sends the commands that go with other nodes' answers.
     pub(super) fn send_queued_commands(&mut self, context: &mut StepContext) {
-        for (node, mut commands) in std::mem::take(&mut self.queued_commands) {
+        let fencing_token = self.fencing_token;
+        for (node, mut commands) in std::mem::take(&mut self.queued_commands.by_node) {
             while !commands.is_empty() {
                 let rest = commands.split_off(commands.len().min(COMMANDS_PER_MESSAGE));
-                context
-                    .out
-                    .tell(&node, PeerMessage::QueuedCommands { fencing_token: self.fencing_token, commands });
+                context.out.tell(&node, PeerMessage::QueuedCommands { fencing_token, commands });
                 commands = rest;
             }
         }
     }
 }
 
-/// Whether all nodes understand what is needed for it, and the operators want it.
-pub(in crate::node) fn on(settings: &Settings, reached: cluster_version::FeatureLevel) -> bool {
+/// Whether the heartbeat is the newest one that the machine's state stands for.
+pub(super) fn is_newest(machine: &Machine, heartbeat: &Heartbeat) -> bool {
+    machine.worker_epoch == heartbeat.worker_epoch && machine.serial == heartbeat.serial
+}
+
+/// Whether other nodes answer heartbeats: all of them understand what is needed for it, and the
+/// operators want it.
+pub(in crate::node) fn is_enabled(settings: &Settings, reached: FeatureLevel) -> bool {
     settings.operator.report_homes && reached >= cluster_version::HEARTBEAT_DELEGATION
 }
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -7,7 +7,6 @@
 use crate::assignments::{self, Assignment, AssignmentState};
 use crate::types::{Duration, MachineId, MonotonicTime, Resources, TaskId, TeamName, WorkerEpoch};
 use crate::workers::Machine;
-use pearford_heartbeat::IsolationReports;
 use pearford_recovery::HeartbeatCollection;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,25 +22,27 @@
         silence: Duration,
         now: MonotonicTime,
     ) {
+        let mut changed = Vec::new();
         let mut dropped = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.machines.iter_mut() {
             if machine.last_heartbeat.is_some_and(|at| now.since(at) > silence) {
                 let assignments = std::mem::take(&mut machine.assignments);
                 dropped.extend(assignments.into_keys().map(|task| (task, machine.id.clone())));
-                machine.recount(&mut self.used, now);
+                changed.push(machine.id.clone());
             }
         }
+        changed.iter().for_each(|id| self.machines.recount(id, now));
         self.unplace_all(dropped);
     }
 
     /// Takes starts sent directly as unable to arrive a second time.
     pub(in crate::node) fn inject_forgetting_sent_starts(&mut self) {
-        self.machines.values_mut().for_each(Machine::sabotage_forget_sent);
+        self.machines.iter_mut().for_each(Machine::sabotage_forget_sent);
     }
 
     /// Ignores what isolated nodes report through the key-value store.
     pub(in crate::node) fn disable_isolation_reports(&mut self) {
-        self.isolation_reports = IsolationReports::default();
+        self.isolation.forget_reports();
     }
 
     /// Gives up machines at once that this leader has not heard yet.
@@ -49,7 +50,7 @@
         if !self.loaded() {
             return;
         }
-        let unheard = self.machines.values_mut().filter(|machine| !machine.has_been_heard());
+        let unheard = self.machines.iter_mut().filter(|machine| !machine.has_been_heard());
         unheard.for_each(|machine| machine.unanswered = MORE_UNANSWERED_THAN_ALLOWED);
         let workers = &self.settings.workers;
         self.heartbeat_collection = HeartbeatCollection::new(
@@ -63,17 +64,19 @@
     /// Frees the resources of stopping tasks without a proof that they are gone.
     pub(in crate::node) fn inject_freeing_of_stopping_tasks(&mut self, now: MonotonicTime) {
         let mut dropped = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.machines.iter_mut() {
             let assignments = std::mem::take(&mut machine.assignments);
             let (stopping, kept): (BTreeMap<TaskId, Assignment>, BTreeMap<TaskId, Assignment>) =
                 assignments.into_iter().partition(|(_, assignment)| assignment.stop.is_some());
             machine.assignments = kept;
             dropped.extend(stopping.into_keys().map(|task| (task, machine.id.clone())));
-            machine.recount(&mut self.used, now);
         }
+        let all: Vec<MachineId> = self.machines.ids().cloned().collect();
+        all.iter().for_each(|id| self.machines.recount(id, now));
         self.unplace_all(dropped);
     }
 
+    /// Lets go of tasks whose assignments to machines were dropped.
     fn unplace_all(&mut self, dropped: Vec<(TaskId, MachineId)>) {
         for (task, machine) in dropped {
             if let Some(job_state) = self.job_states.get_mut(&task.job) {
@@ -85,27 +88,27 @@
 
     /// Lets starts leave before their machine's record is durable.
     pub(in crate::node) fn disable_record_before_start(&mut self) {
-        for machine in self.machines.values_mut() {
+        for machine in self.machines.iter_mut() {
             let planned = machine
                 .assignments
                 .values_mut()
                 .filter(|assignment| assignment.state == AssignmentState::Planned);
             planned.for_each(|assignment| assignment.state = AssignmentState::Ready);
             if machine.has_starts() {
-                self.to_direct.insert(machine.id.clone());
+                self.worker_calls.queue_commands(machine.id.clone());
             }
         }
     }
 
     /// Forgets all tasks that are to be stopped.
     pub(in crate::node) fn disable_stops(&mut self) {
-        let assignments = self.machines.values_mut().flat_map(|machine| machine.assignments.values_mut());
+        let assignments = self.machines.iter_mut().flat_map(|machine| machine.assignments.values_mut());
         assignments.for_each(|assignment| assignment.stop = None);
     }
 
     /// Lets no machine count as silent.
     pub(in crate::node) fn disable_silence_detection(&mut self, now: MonotonicTime) {
-        for machine in self.machines.values_mut().filter(|machine| machine.last_heartbeat.is_some()) {
+        for machine in self.machines.iter_mut().filter(|machine| machine.last_heartbeat.is_some()) {
             machine.last_heartbeat = Some(now);
             machine.unanswered = 0;
         }
@@ -113,7 +116,7 @@
 
     /// Takes whichever heartbeat arrives last for the newest.
     pub(in crate::node) fn disable_heartbeat_order(&mut self) {
-        for machine in self.machines.values_mut() {
+        for machine in self.machines.iter_mut() {
             machine.worker_epoch = WorkerEpoch(0);
             machine.serial = 1;
         }
@@ -146,7 +149,7 @@
     /// The first total that differs, with both values.
     pub(in crate::node) fn check_totals(&self) -> Result<(), String> {
         self.check_team_totals()?;
-        self.machines.values().try_for_each(check_machine_totals)?;
+        self.machines.iter().try_for_each(check_machine_totals)?;
         for (id, job_state) in &self.job_states {
             let recounted = job_state.recount();
             let kept = job_state.waiting_count();
@@ -158,13 +161,14 @@
     }
 
     fn check_team_totals(&self) -> Result<(), String> {
-        let assignments = self.machines.values().flat_map(|machine| machine.assignments.values());
+        let assignments = self.machines.iter().flat_map(|machine| machine.assignments.values());
         let used = assignments::used_by_team(assignments);
         let of_team = |totals: &BTreeMap<TeamName, Resources>, team: &TeamName| {
             totals.get(team).copied().unwrap_or_default()
         };
-        for team in self.used.keys().chain(used.keys()) {
-            let kept = of_team(&self.used, team);
+        let all_kept = self.machines.used_by_teams();
+        for team in all_kept.keys().chain(used.keys()) {
+            let kept = of_team(all_kept, team);
             let recounted = of_team(&used, team);
             if !kept.fits_in(&recounted) || !recounted.fits_in(&kept) {
                 return Err(format!("team {team}: kept {kept:?}, recounted {recounted:?}"));
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -1,62 +1,126 @@
-//! Nodes that the leader can't reach, while they reach the state service: what they say there of the workers they answer.
+//! Isolated nodes: those that the leader can't reach while they reach the key-value store. They
+//! report there whose workers' heartbeats they answer; zones that are cut off are kept here too.
 
-use super::*;
-use pearford_heartbeat::IsolationReport;
+use super::{Leader, StepContext};
+use crate::node::outbox::{LeaderRequest, Pending};
+use crate::types::{Duration, MonotonicTime, Zone};
+use crate::wire::state::{Pair, StoreReply, StoreRequest};
+use crate::workers::Machine;
+use pearford_heartbeat::{IsolationReport, IsolationReports};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Prefix of what nodes say that are apart from the leader.
+/// Key prefix of isolated nodes' reports.
 pub(in crate::node) const PREFIX: &str = "apart/";
-const ASK_EVERY: Duration = Duration::from_millis(2000);
-const MOST: u32 = 100;
-/// After the first reports, until they have come by way of other nodes as well.
-const SETTLES: Duration = Duration::from_millis(1000);
+/// How often the reports are read while some node isn't heard.
+const READ_INTERVAL: Duration = Duration::from_millis(2000);
+/// Reports read at a time, at most.
+const MAX_REPORTS: u32 = 100;
+/// Report intervals after which each worker has been heard once, with some slack.
+const HEARD_WITHIN_INTERVALS: f64 = 1.25;
+/// After the first heartbeats, until others have come by way of other nodes as well.
+const SETTLE_TIME: Duration = Duration::from_millis(1000);
+
+/// What isolated nodes report, and which zones are cut off as far as this node can tell.
+#[derive(Debug)]
+pub(super) struct ZoneIsolation {
+    reports: IsolationReports,
+    next_read: MonotonicTime,
+    cut_zones: BTreeSet<Zone>,
+    /// When each zone was last found cut off with a node inside that answers its workers.
+    partitioned_until: BTreeMap<Zone, MonotonicTime>,
+}
+
+impl ZoneIsolation {
+    /// No zone is cut off, and the first read may begin at once.
+    pub fn new(now: MonotonicTime) -> Self {
+        Self {
+            reports: IsolationReports::default(),
+            next_read: now,
+            cut_zones: BTreeSet::new(),
+            partitioned_until: BTreeMap::new(),
+        }
+    }
+
+    /// Whether the zone is cut off.
+    pub fn is_cut(&self, zone: &Zone) -> bool {
+        self.cut_zones.contains(zone)
+    }
+
+    /// Zones whose workers' leases are renewed by isolated nodes.
+    pub fn zones_alive(&self, now: MonotonicTime) -> BTreeSet<Zone> {
+        self.reports.alive(now)
+    }
+
+    /// When the zone was last found cut off with a node inside that answers its workers.
+    pub fn partitioned_until(&self, zone: &Zone) -> Option<MonotonicTime> {
+        self.partitioned_until.get(zone).copied()
+    }
+
+    /// Notes the zones that are cut off now; `alive` as [`ZoneIsolation::zones_alive`] gives them.
+    pub fn set_cut_zones(&mut self, cut_zones: &BTreeSet<Zone>, alive: &BTreeSet<Zone>, now: MonotonicTime) {
+        for zone in cut_zones.intersection(alive) {
+            self.partitioned_until.insert(zone.clone(), now);
+        }
+        self.cut_zones.clone_from(cut_zones);
+    }
+
+    /// Takes in a report that was read; gives the error of one that can't be parsed.
+    fn learn(&mut self, node: &str, pair: &Pair, now: MonotonicTime) -> Result<(), serde_json::Error> {
+        let report = serde_json::from_str::<IsolationReport>(&pair.value)?;
+        self.reports.learn(node.into(), pair.revision, report, now);
+        Ok(())
+    }
+
+    /// Forgets all reports, for the simulation.
+    #[cfg(any(test, feature = "world"))]
+    pub fn forget_reports(&mut self) {
+        self.reports = IsolationReports::default();
+    }
+}
 
 impl Leader {
-    /// While some node isn't heard, what it says is looked up.
+    /// Reads isolated nodes' reports while some node isn't heard.
     pub(super) fn read_isolation_reports(&mut self, context: &mut StepContext) {
-        if context.now < self.next_isolation_read
+        if context.now < self.isolation.next_read
             || context.peers.live(context.now).len() >= context.peers.names().len()
         {
             return;
         }
-        self.next_isolation_read = context.now + ASK_EVERY;
-        let request = StoreRequest::Range { prefix: PREFIX, after: None, most: MOST };
+        self.isolation.next_read = context.now + READ_INTERVAL;
+        let request = StoreRequest::Range { prefix: PREFIX, after: None, most: MAX_REPORTS };
         context.out.request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::Apart));
     }
 
+    /// The reply to a read of isolated nodes' reports.
     pub(super) fn isolation_reports_read(&mut self, context: &mut StepContext, reply: StoreReply) {
         let StoreReply::Pairs { pairs, .. } = reply else { return };
         for pair in pairs {
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
-            // Said before this leader's time, perhaps long before: read as new, a word of a minute ago kept a zone that
-            // was cut off altogether for 20 s too long (andina grown, rough).
+            // Written before this leadership, perhaps long before: taken as new, a report that was a
+            // minute old kept a zone that was cut off altogether for 20 s too long (andina grown, rough).
             if pair.revision.0 <= self.fencing_token.0 {
                 continue;
             }
-            match serde_json::from_str::<IsolationReport>(&pair.value) {
-                Ok(isolation_report) => {
-                    self.isolation_reports.learn(node.into(), pair.revision, isolation_report, context.now)
-                }
-                Err(error) => tracing::error!(key = pair.key, %error, "a node's word can't be read"),
+            if let Err(error) = self.isolation.learn(node, &pair, context.now) {
+                tracing::error!(key = pair.key, %error, "an isolated node's report can't be read");
             }
         }
     }
 
-    /// Whether a node that is apart hears so many more workers that it should lead: this one would place work on the
-    /// smaller side only for as long as the cut lasts.
+    /// Whether an isolated node hears so many more workers that it should lead: this leader would
+    /// place work on the smaller side only for as long as the cut lasts.
     pub(super) fn is_outnumbered(&self, now: MonotonicTime) -> bool {
-        let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(1.25);
-        // A new leader has not heard its own side yet: compared too early each resigned to the next, all stood aside, and
-        // nobody led for 14 s (parted days, seed 928).
-        if now.since(self.since) < interval + SETTLES {
+        let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(HEARD_WITHIN_INTERVALS);
+        // A new leader has not heard its own side yet: compared too early each resigned in favour of
+        // the next, all held back, and nobody led for 14 s (partitioned days, seed 928).
+        if now.since(self.since) < interval + SETTLE_TIME {
             return false;
         }
-        let heard =
-            |m: &&Machine| m.has_been_heard() && m.last_heartbeat.is_some_and(|at| now.since(at) <= interval);
-        self.isolation_reports.is_outnumbered(
-            || self.machines.values().filter(heard).count() as u32,
-            self.fencing_token,
-            now,
-        )
+        let heard = |machine: &&Machine| {
+            machine.has_been_heard() && machine.last_heartbeat.is_some_and(|at| now.since(at) <= interval)
+        };
+        let count_heard = || self.machines.iter().filter(heard).count() as u32;
+        self.isolation.reports.is_outnumbered(count_heard, self.fencing_token, now)
     }
 }
 
--- a/crates/scheduler/src/node/leader/isolation/golden.rs
+++ b/crates/scheduler/src/node/leader/isolation/golden.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::golden_group;
+use crate::types::FencingToken;
 
 #[test]
 fn golden_record_of_a_node_apart() {
--- /dev/null
+++ b/crates/scheduler/src/node/leader/quota.rs
@@ -0,0 +1,59 @@
+//! Teams' guarantees, and the order in which jobs are served.
+
+use super::Leader;
+use crate::jobs::{JobState, Priority};
+use crate::settings::Team;
+use crate::types::{JobId, Resources, TeamName};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// Difference up to which sums of resources count as equal.
+const TOLERANCE: f64 = 1e-6;
+
+/// The order in which jobs are served: by priority, those within their team's guarantee first, the
+/// earliest first.
+pub(super) type ServiceOrder = (Reverse<Priority>, bool, u64);
+
+impl Leader {
+    /// The job's place in the order in which jobs are served.
+    pub(super) fn service_order(
+        &self,
+        id: &JobId,
+        job_state: &JobState,
+        guaranteed: &BTreeSet<JobId>,
+    ) -> ServiceOrder {
+        (Reverse(job_state.priority), !guaranteed.contains(id), job_state.job.submitted.0)
+    }
+
+    /// Jobs within their team's guarantee, alongside the team's earlier unfinished jobs.
+    pub(super) fn guaranteed_jobs(&mut self) -> Arc<BTreeSet<JobId>> {
+        if let Some(known) = &self.guaranteed {
+            return known.clone();
+        }
+        let mut jobs: Vec<(&JobId, &JobState)> = self.job_states.iter().collect();
+        jobs.sort_by_key(|(id, job_state)| (job_state.job.submitted, (*id).clone()));
+        let mut taken: BTreeMap<&TeamName, Resources> = BTreeMap::new();
+        let mut guaranteed = BTreeSet::new();
+        for (id, job_state) in jobs {
+            let spec = &job_state.job.spec;
+            let Some(team) = self.settings.teams.get(&spec.team) else { continue };
+            let sum = taken.entry(&spec.team).or_default();
+            *sum = sum.plus(&spec.resources.times(f64::from(spec.tasks)));
+            if is_within_guarantee(team, sum) {
+                guaranteed.insert(id.clone());
+            }
+        }
+        let guaranteed = Arc::new(guaranteed);
+        self.guaranteed = Some(guaranteed.clone());
+        guaranteed
+    }
+}
+
+/// Whether the team has a guarantee, and `sum` is within it.
+fn is_within_guarantee(team: &Team, sum: &Resources) -> bool {
+    let fits =
+        |guarantee: Option<f64>, used: f64| guarantee.is_none_or(|guarantee| used <= guarantee + TOLERANCE);
+    let has_guarantee = team.guaranteed_cpus.is_some() || team.guaranteed_gpus.is_some();
+    has_guarantee && fits(team.guaranteed_cpus, sum.cpus) && fits(team.guaranteed_gpus, sum.gpus)
+}
--- /dev/null
+++ b/crates/scheduler/src/node/leader/scale_in.rs
@@ -0,0 +1,57 @@
+//! Scale in: machines that nobody needs, or that are given up, go back to the cloud.
+
+use super::Leader;
+use super::cloud_calls::PlannedCall;
+use crate::assignments::{self, AssignmentState, CommitPriority};
+use crate::types::{Duration, MachineId, MonotonicTime};
+use crate::workers::{Machine, MachineStatus, Outcome};
+use pearford_recovery::LeaderAction;
+
+impl Leader {
+    /// The call that returns machines now, if there are any to return.
+    pub(super) fn returns(&mut self, now: MonotonicTime) -> Option<PlannedCall> {
+        if self.heartbeat_collection.allows(LeaderAction::ReturnIdle) {
+            self.begin_idle_returns(now);
+        }
+        let releasing = self.machines.iter().filter(|machine| machine.status == MachineStatus::Releasing);
+        self.cloud.release(releasing.map(|machine| machine.id.clone()), now)
+    }
+
+    /// Has machines returned that stand empty for long, or are faulty and empty.
+    fn begin_idle_returns(&mut self, now: MonotonicTime) {
+        let idle_limit = Duration::from_secs_f64(self.settings.operator.idle_return_s);
+        for machine in self.machines.iter_mut() {
+            if is_to_return(machine, idle_limit, now) {
+                tracing::info!(machine = %machine.id, faulty = machine.draining, "idle; returning it");
+                machine.status = MachineStatus::Releasing;
+                self.partitions.remove(&machine.id);
+            }
+        }
+    }
+
+    /// The cloud has confirmed that the machine and everything on it are gone.
+    pub(super) fn released(&mut self, id: &MachineId, now: MonotonicTime) {
+        self.cloud.release_ended(id);
+        self.coordinator.forget(id);
+        self.machines.mark_returned(id, now);
+        self.partitions.remove(id);
+        let Some(machine) = self.machines.remove(id, now) else { return };
+        for (task, assignment) in &machine.assignments {
+            // One that is done is being recorded; its outcome is known.
+            if assignment.state != AssignmentState::Done {
+                self.task_gone(id, task, Outcome::Vanished, now);
+            }
+        }
+        self.commits.unmark_changed(id);
+        let key = assignments::key(id);
+        if self.commits.holds(&key) {
+            self.commits.put(&key, None, CommitPriority::Normal);
+        }
+    }
+}
+
+fn is_to_return(machine: &Machine, idle_limit: Duration, now: MonotonicTime) -> bool {
+    let empty = machine.assignments.is_empty() && machine.unknown_tasks.is_empty();
+    let idle_for = machine.empty_since.map(|since| now.since(since)).unwrap_or_default();
+    machine.status == MachineStatus::Up && empty && (idle_for >= idle_limit || machine.draining)
+}
--- /dev/null
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -0,0 +1,245 @@
+//! The scheduling pass: what waits is put in order, divided among the controllers, and each gets a
+//! round of requests with the machines of its partition.
+
+use super::Leader;
+use super::candidates::Candidates;
+use super::partition_moves::Claim;
+use super::scheduling_rounds::Round;
+use super::waiting_reason::WaitingReason;
+use crate::assignments;
+use crate::jobs::{JobSpec, JobType};
+use crate::placement::{MachineView, PlacementRequest};
+use crate::types::{Attempt, Duration, JobId, MachineId, MonotonicTime, NodeName, Resources, TaskId};
+use crate::types::{TeamName, Zone};
+use crate::workers::MachineStatus;
+use pearford_recovery::LeaderAction;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Searches of all machines for preemption in a pass, at most.
+const PREEMPTIONS_PER_PASS: usize = 2;
+/// Waiting tasks that a job counts for at most when machines are divided among controllers.
+const MAX_WAITING_COUNTED: u32 = 1000;
+
+/// A scheduling pass under way.
+struct Pass<'a> {
+    live: &'a BTreeSet<NodeName>,
+    me: &'a NodeName,
+    candidates: Candidates,
+    /// What the requests taken so far count on in their controllers' partitions.
+    claims: Vec<Claim>,
+    /// Searches for preemption that are left.
+    searches_left: usize,
+    now: MonotonicTime,
+}
+
+impl Leader {
+    /// The rounds to run now, one for each controller that has requests.
+    pub(super) fn build_rounds(
+        &mut self,
+        live: &BTreeSet<NodeName>,
+        me: &NodeName,
+        now: MonotonicTime,
+    ) -> Vec<Round> {
+        self.divide_partitions_if_due(live, me, now);
+        let mut requests = self.waiting_requests(self.settings.operator.round_tasks, now);
+        let max_records = self.limit_to_write_budget(&mut requests);
+        if requests.is_empty() {
+            return Vec::new();
+        }
+        let mut candidates = self.candidates(&requests, now);
+        if let Some(records) = max_records {
+            self.narrow_to_records(&mut candidates, &requests, records);
+        }
+        let searches_left = PREEMPTIONS_PER_PASS;
+        let mut pass = Pass { live, me, candidates, claims: Vec::new(), searches_left, now };
+        let mut requests_by_node: BTreeMap<NodeName, Vec<PlacementRequest>> = BTreeMap::new();
+        for request in requests {
+            if let Some((node, request)) = self.offer(&mut pass, request) {
+                requests_by_node.entry(node).or_default().push(request);
+            }
+        }
+        let rounds = requests_by_node.into_iter();
+        rounds.filter_map(|(node, requests)| self.round_of(node, requests, &pass.candidates)).collect()
+    }
+
+    /// Divides the machines among the controllers anew, if that is due and no round is under way.
+    fn divide_partitions_if_due(&mut self, live: &BTreeSet<NodeName>, me: &NodeName, now: MonotonicTime) {
+        if !self.partitions.needs_division(live, now) || self.rounds.any_pending() {
+            return;
+        }
+        let mut work: BTreeMap<NodeName, u32> = live.iter().map(|node| (node.clone(), 0)).collect();
+        for job_state in self.job_states.values() {
+            let node = if live.contains(&job_state.home) { &job_state.home } else { me };
+            *work.entry(node.clone()).or_default() += job_state.waiting_count().min(MAX_WAITING_COUNTED);
+        }
+        let up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up);
+        let up: BTreeSet<MachineId> = up.map(|machine| machine.id.clone()).collect();
+        let lease = Duration::from_secs_f64(self.settings.operator.block_lease_s);
+        self.partitions.divide(&up, &work, lease, now);
+    }
+
+    /// What waits, most urgent first, as far as teams' limits allow.
+    fn waiting_requests(&mut self, max_tasks: usize, now: MonotonicTime) -> Vec<PlacementRequest> {
+        let mut ids: Vec<JobId> = self
+            .job_states
+            .iter()
+            .filter(|(_, job_state)| {
+                job_state.offered == 0 && !job_state.finishing && job_state.not_before <= now
+            })
+            .filter(|(_, job_state)| job_state.tried < self.capacity_version)
+            .filter(|(_, job_state)| job_state.waiting_count() > 0)
+            .map(|(id, _)| id.clone())
+            .collect();
+        if ids.is_empty() {
+            return Vec::new();
+        }
+        let guaranteed = self.guaranteed_jobs();
+        ids.sort_by_cached_key(|id| self.service_order(id, &self.job_states[id], &guaranteed));
+        let mut used = self.used_with_offers();
+        let mut requests = Vec::new();
+        let mut left = max_tasks;
+        for id in ids {
+            if left == 0 {
+                break;
+            }
+            if let Some(request) = self.request_for(&id, left, &mut used) {
+                left = left.saturating_sub(request.tasks.len());
+                requests.push(request);
+            }
+        }
+        requests
+    }
+
+    /// What teams take on machines, and would with the rounds under way.
+    fn used_with_offers(&self) -> BTreeMap<TeamName, Resources> {
+        let mut used = self.machines.used_by_teams().clone();
+        for job_state in self.job_states.values().filter(|job_state| job_state.offered > 0) {
+            let spec = &job_state.job.spec;
+            let sum = used.entry(spec.team.clone()).or_default();
+            *sum = sum.plus(&spec.resources.times(f64::from(job_state.offered)));
+        }
+        used
+    }
+
+    /// The request for a job's waiting tasks, `max_tasks` at most unless it is a gang; what it takes
+    /// is added to `used`.
+    fn request_for(
+        &mut self,
+        id: &JobId,
+        max_tasks: usize,
+        used: &mut BTreeMap<TeamName, Resources>,
+    ) -> Option<PlacementRequest> {
+        let job_state = self.job_states.get(id)?;
+        let spec = job_state.job.spec.clone();
+        let zones = self.zone_capacity(id, job_state);
+        let job_state = self.job_states.get_mut(id)?;
+        let gang = job_state.is_gang();
+        if gang && !job_state.placed().is_empty() {
+            job_state.reason = WaitingReason::GangStillPlaced.as_str();
+            return None;
+        }
+        let mut tasks = job_state.waiting(if gang { usize::MAX } else { max_tasks });
+        let team = self.settings.teams.get(&spec.team)?;
+        let sum = used.entry(spec.team.clone()).or_default();
+        let fitting = (assignments::tasks_within_limit(team, sum, &spec.resources) as usize).min(tasks.len());
+        if fitting == 0 || (gang && fitting < tasks.len()) {
+            job_state.reason = WaitingReason::TeamAtLimit.as_str();
+            job_state.tried = self.capacity_version;
+            return None;
+        }
+        tasks.truncate(fitting);
+        *sum = sum.plus(&spec.resources.times(tasks.len() as f64));
+        Some(placement_request(id, &spec, tasks, zones))
+    }
+
+    /// The controller that is to place the request, and what of it; `None` if it is not offered now.
+    fn offer(
+        &mut self,
+        pass: &mut Pass,
+        mut request: PlacementRequest,
+    ) -> Option<(NodeName, PlacementRequest)> {
+        let job_state = self.job_states.get_mut(&request.job)?;
+        if !pass.live.contains(&job_state.home) {
+            job_state.home = pass.me.clone();
+        }
+        let node = job_state.home.clone();
+        if self.rounds.is_pending_at(&node) {
+            return None;
+        }
+        if request.job_type == JobType::Service {
+            let views = &pass.candidates.views;
+            let kept = self.keep_for_image(&request, views, &mut pass.searches_left, pass.now) as usize;
+            request.tasks.truncate(request.tasks.len() - kept.min(request.tasks.len()));
+            if request.tasks.is_empty() {
+                return None;
+            }
+        }
+        // What fits nowhere is not offered: a round's answer would only say the same.
+        if !self.make_fit(&node, &request, &mut pass.candidates, &mut pass.claims) {
+            self.free_resources_for(pass, &request);
+            return None;
+        }
+        Some((node, request))
+    }
+
+    /// Has less urgent work stopped for a request that fits nowhere, or keeps machines for it.
+    fn free_resources_for(&mut self, pass: &mut Pass, request: &PlacementRequest) {
+        let may_preempt = pass.searches_left > 0
+            && pass.candidates.complete
+            && self.heartbeat_collection.allows(LeaderAction::Preempt);
+        if may_preempt {
+            pass.searches_left -= usize::from(self.preempt(request, pass.now));
+        }
+        if request.job_type == JobType::Gang && request.tasks.len() > 1 {
+            self.hold_for_gang(request, &mut pass.candidates.views, pass.now);
+        }
+    }
+
+    /// The controller's round, if it has a partition.
+    fn round_of(
+        &mut self,
+        node: NodeName,
+        requests: Vec<PlacementRequest>,
+        candidates: &Candidates,
+    ) -> Option<Round> {
+        let partition = self.partitions.get(&node)?.id;
+        let machines =
+            candidates.of(&node).filter(|view| requests.iter().any(|request| request.allows(view)));
+        let machines: Vec<MachineView> = machines.cloned().collect();
+        for request in &requests {
+            if let Some(job_state) = self.job_states.get_mut(&request.job) {
+                job_state.offered = request.tasks.len() as u32;
+            }
+        }
+        Some(Round { node, partition, machines, requests })
+    }
+
+    /// Bytes that an assignment of the task takes in a machine's record, whichever attempt it will be.
+    pub(super) fn assignment_bytes(&self, task: &TaskId, spec: &JobSpec) -> usize {
+        assignments::assignment_bytes(task, Attempt(u64::MAX), &spec.team, &spec.resources)
+    }
+}
+
+fn placement_request(
+    id: &JobId,
+    spec: &JobSpec,
+    tasks: Vec<u32>,
+    zones: Vec<(Zone, u32)>,
+) -> PlacementRequest {
+    PlacementRequest {
+        job: id.clone(),
+        kind: spec.kind.clone(),
+        job_type: spec.job_type,
+        tasks,
+        resources: spec.resources,
+        types: spec.types.clone(),
+        spot: spec.spot,
+        zones,
+        together: spec.together,
+        image: spec.image.clone(),
+        image_gb: spec.image_gb,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
@@ -0,0 +1,86 @@
+use super::super::test_support::{heartbeat, leader};
+use super::*;
+use crate::jobs::{JobState, OpenJob, Priority};
+use crate::types::WallTime;
+use std::sync::Arc;
+
+/// A leader with machines that hold one GPU task each, and nodes n0 (itself), n1 and n2.
+struct Cluster {
+    leader: Leader,
+    live: BTreeSet<NodeName>,
+    me: NodeName,
+    now: MonotonicTime,
+}
+
+impl Cluster {
+    fn new(machines: usize) -> Self {
+        let now = MonotonicTime::from_millis(1_000);
+        let mut leader = leader();
+        let ids: Vec<MachineId> =
+            (0..machines).map(|index| MachineId::from(format!("m-{index}").as_str())).collect();
+        for id in &ids {
+            leader.process_heartbeat(&heartbeat(id.as_str(), "z0", 1), now);
+            let machine = leader.machines.get_mut(id).expect("there");
+            machine.total = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 8.0 };
+        }
+        ids.iter().for_each(|id| leader.machines.recount(id, now));
+        let mut settings = (*leader.settings).clone();
+        settings.zones = vec!["z0".into()];
+        leader.settings = Arc::new(settings);
+        let nodes = ["n0", "n1", "n2"].map(NodeName::from);
+        Self { leader, live: nodes.iter().cloned().collect(), me: nodes[0].clone(), now }
+    }
+
+    /// Adds a job of one-GPU tasks, which the controller `node` places.
+    fn add_job(&mut self, id: &str, node: &str, priority: Priority, tasks: u32) {
+        let mut spec = crate::jobs::tests::spec();
+        spec.priority = priority;
+        spec.tasks = tasks;
+        spec.types = None;
+        spec.zone = None;
+        spec.resources = Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
+        spec.team = self.leader.settings.teams.keys().next().expect("a team").clone();
+        let job = OpenJob { spec, submitted: WallTime(1), home: node.into() };
+        self.leader.job_states.insert(id.into(), JobState::new(Arc::new(job), self.now));
+    }
+
+    fn build_rounds(&mut self) -> Vec<Round> {
+        self.leader.build_rounds(&self.live, &self.me, self.now)
+    }
+}
+
+/// The first job of each round, and how many machines the round has.
+fn offered(rounds: &[Round]) -> Vec<(String, usize)> {
+    rounds.iter().map(|round| (round.requests[0].job.to_string(), round.machines.len())).collect()
+}
+
+/// The one machine with free resources went from partition to partition within a pass, and the least
+/// urgent request had it: replicas stopped array tasks twice a second for half a minute, and array
+/// tasks took the machine (inc-2777).
+#[test]
+fn a_scarce_machine_goes_to_the_most_urgent_request_of_a_pass() {
+    for nodes in [["n0", "n1", "n2"], ["n2", "n1", "n0"], ["n1", "n0", "n2"]] {
+        let mut cluster = Cluster::new(1);
+        for (index, node) in nodes.iter().enumerate() {
+            let priority = [Priority::Production, Priority::Normal, Priority::Low][index];
+            cluster.add_job(&format!("req-{index}"), node, priority, 1);
+        }
+        let rounds = cluster.build_rounds();
+        assert_eq!(offered(&rounds), [("req-0".to_string(), 1)], "{nodes:?}");
+    }
+}
+
+/// What an urgent request doesn't need goes on to others in the same pass.
+#[test]
+fn machines_beyond_what_urgent_requests_need_still_move() {
+    let mut cluster = Cluster::new(6);
+    cluster.add_job("req-0", "n1", Priority::Production, 2);
+    cluster.add_job("req-1", "n2", Priority::Low, 9);
+    cluster.build_rounds(); // divides the partitions
+    cluster.leader.job_states.values_mut().for_each(|job_state| job_state.offered = 0);
+    let all: Vec<MachineId> = cluster.leader.machines.ids().cloned().collect();
+    cluster.leader.partitions.transfer(&"n1".into(), all);
+    let mut offered = offered(&cluster.build_rounds());
+    offered.sort();
+    assert_eq!(offered, [("req-0".to_string(), 2), ("req-1".to_string(), 4)]);
+}
--- /dev/null
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -0,0 +1,75 @@
+//! What operators and other parts of the node may ask of the leader: counts, quotas, metrics.
+
+use super::Leader;
+use crate::assignments::Assignment;
+use crate::jobs::{JobState, Served};
+use crate::types::{JobId, MonotonicTime, Resources, TaskId, TeamName};
+use crate::workers::MachineStatus;
+
+impl Leader {
+    /// Done and running tasks of a job.
+    pub(in crate::node) fn counts_of_job(&self, id: &JobId) -> Option<(u32, u32)> {
+        let job_state = self.job_states.get(id)?;
+        let running = job_state.placed().iter().filter(|(index, machine)| {
+            let task = TaskId { job: id.clone(), index: **index };
+            let machine = self.machines.get(machine);
+            machine.and_then(|machine| machine.assignments.get(&task)).is_some_and(Assignment::is_running)
+        });
+        Some((job_state.done().count(), running.count() as u32))
+    }
+
+    /// How many tasks of a job have no machine yet.
+    pub(in crate::node) fn waiting_of(&self, id: &JobId) -> Option<u32> {
+        self.job_states.get(id).map(JobState::waiting_count)
+    }
+
+    /// What `team` may take beyond what it takes now.
+    pub(in crate::node) fn remaining_quota(&self, team: &TeamName) -> Option<Resources> {
+        let limits = self.settings.teams.get(team)?;
+        let used = self.machines.used_by(team);
+        let left = |max: Option<f64>, used: f64| max.map_or(f64::MAX, |max| (max - used).max(0.0));
+        Some(Resources {
+            cpus: left(limits.max_cpus, used.cpus),
+            gpus: left(limits.max_gpus, used.gpus),
+            memory_gb: f64::MAX,
+        })
+    }
+
+    /// Takes `changes` writes for an extension: nothing while more urgent changes may need them.
+    pub(in crate::node) fn spare_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
+        self.commits.take_spare_writes(changes, now)
+    }
+
+    /// Jobs started and done under this leadership.
+    pub(in crate::node) fn served(&self) -> &Served {
+        &self.served
+    }
+
+    /// As [`Leader::served`], when the leadership ends.
+    pub(in crate::node) fn into_served(self) -> Served {
+        self.served
+    }
+
+    /// Adds this leader's metrics, a line each.
+    pub(in crate::node) fn metrics(&self, lines: &mut Vec<String>) {
+        let assignments: usize = self.machines.iter().map(|machine| machine.assignments.len()).sum();
+        let up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).count();
+        let waiting: u32 = self.job_states.values().map(JobState::waiting_count).sum();
+        lines.push(format!("pearford_machines {}", self.machines.len()));
+        lines.push(format!("pearford_machines_up {up}"));
+        lines.push(format!("pearford_ledger_entries {assignments}"));
+        lines.push(format!("pearford_jobs_open {}", self.job_states.len()));
+        lines.push(format!("pearford_tasks_waiting {waiting}"));
+        lines.push(format!("pearford_journal_backlog {}", self.commits.backlog()));
+        lines.push(format!("pearford_recovery_phase {}", self.heartbeat_collection.phase() as u8));
+        for (node, machines) in self.coordinator.machines_by_node() {
+            lines.push(format!("pearford_reports_home{{node=\"{node}\"}} {machines}"));
+        }
+    }
+
+    /// Jobs with waiting tasks, how many wait, and the reason.
+    pub(in crate::node) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, &'static str)> {
+        let waiting = self.job_states.iter().filter(|(_, job_state)| job_state.waiting_count() > 0);
+        waiting.map(|(id, job_state)| (id, job_state.waiting_count(), job_state.reason))
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -0,0 +1,163 @@
+//! How tasks end: results that are recorded, results that are durable, and tasks that are gone
+//! without one.
+
+use super::Leader;
+use super::commits::PendingOutcome;
+use super::job_changes::progress_key;
+use super::machine_health::JOB_AT_FAULT;
+use crate::assignments::{self, AssignmentState, CommitPriority, WriteVersion};
+use crate::gangs;
+use crate::jobs::{self, JobType, Record};
+use crate::placement::PlacementOutcome;
+use crate::types::{Duration, JobId, MachineId, MonotonicTime, TaskId};
+use crate::workers::Outcome;
+use pearford_recovery::TaskExit;
+
+/// Failures of a job in a row from which on it pauses before its next start.
+const FAILURES_BEFORE_PAUSE: u32 = 3;
+/// Half of the first such pause, in milliseconds; each further failure doubles it.
+const FAILURE_PAUSE_MS: u64 = 250;
+/// The pause is doubled this often at the most.
+const MAX_PAUSE_DOUBLINGS: u32 = 7;
+/// How long a job pauses whose task was refused.
+const REFUSAL_PAUSE: Duration = Duration::from_millis(1000);
+/// How long nothing is placed on a machine that had no resources for a task.
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(2000);
+
+/// A queued record, and the version that is durable with it.
+pub(super) struct QueuedRecord {
+    /// The record's key.
+    key: String,
+    /// The version of the key's value.
+    version: WriteVersion,
+}
+
+impl Leader {
+    /// A worker reports a task as done: records it, then lets go.
+    pub(super) fn task_done(&mut self, id: &MachineId, task: &TaskId, now: MonotonicTime) {
+        let Some(job_state) = self.job_states.get_mut(&task.job) else {
+            // The job has its terminal status; nothing is left to record.
+            return self.remove_assignment(id, task, now);
+        };
+        if job_state.job.spec.job_type == JobType::Service {
+            // Services run until they are cancelled: one that ends by itself is replaced.
+            job_state.unplace(task.index, id);
+            return self.remove_assignment(id, task, now);
+        }
+        job_state.errors = 0;
+        let kind = job_state.job.spec.kind.clone();
+        if job_state.is_gang() {
+            // They complete together: if one is done, all are.
+            (0..job_state.job.spec.tasks).for_each(|index| job_state.mark_done(index));
+        } else {
+            job_state.mark_done(task.index);
+        }
+        let all_done = job_state.all_done();
+        self.broadcaster.add_outcome(PlacementOutcome { machine: id.clone(), kind, success: true });
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.failed.clear();
+        }
+        let record = if all_done { self.record_job_done(&task.job) } else { self.record_progress(task) };
+        let outcome = PendingOutcome { version: record.version, machine: id.clone(), task: task.clone() };
+        self.commits.await_outcome(record.key, outcome);
+        self.capacity_version += 1;
+    }
+
+    /// Writes which tasks of the job are done. Not urgent: until it is written the worker goes on
+    /// reporting the task as done.
+    fn record_progress(&mut self, task: &TaskId) -> QueuedRecord {
+        let chunk = task.index / jobs::CHUNK;
+        let key = progress_key(&task.job, chunk);
+        let job_state = self.job_states.get(&task.job);
+        let value = job_state.map(|job_state| job_state.done().chunk_value(chunk));
+        let version = self.commits.put(&key, value, CommitPriority::Normal);
+        QueuedRecord { key, version }
+    }
+
+    /// Writes that a job is done.
+    pub(super) fn record_job_done(&mut self, id: &JobId) -> QueuedRecord {
+        let key = jobs::key(id);
+        if let Some(job_state) = self.job_states.get_mut(id) {
+            job_state.finishing = true;
+        }
+        let value = Some(Record::Done.to_value());
+        let version = self.commits.put(&key, value, CommitPriority::Urgent);
+        QueuedRecord { key, version }
+    }
+
+    /// A version of a key is durable. Gives the job that is done by it.
+    pub(super) fn settle(&mut self, key: &str, version: WriteVersion, now: MonotonicTime) -> Option<JobId> {
+        if let Some(id) = key.strip_prefix(assignments::PREFIX) {
+            self.record_durable(&MachineId::from(id), version);
+            return None;
+        }
+        for outcome in self.commits.take_settled(key, version) {
+            self.outcome_durable(&outcome, now);
+        }
+        let id: JobId = key.strip_prefix(jobs::PREFIX)?.into();
+        let done = self.job_states.get(&id).is_some_and(|job_state| job_state.finishing);
+        done.then_some(id)
+    }
+
+    /// A task's result is durable: its assignment goes.
+    fn outcome_durable(&mut self, outcome: &PendingOutcome, now: MonotonicTime) {
+        let PendingOutcome { machine: id, task, .. } = outcome;
+        if let Some(machine) = self.machines.get_mut(id)
+            && machine.assignments.get(task).is_some_and(|known| known.state == AssignmentState::Done)
+        {
+            machine.assignments.remove(task);
+            self.commits.mark_changed(id.clone());
+        }
+        if let Some(job_state) = self.job_states.get_mut(&task.job) {
+            job_state.unplace(task.index, id);
+        }
+        self.machines.recount(id, now);
+    }
+
+    /// A task is proved gone without being done.
+    pub(super) fn task_gone(&mut self, id: &MachineId, task: &TaskId, outcome: Outcome, now: MonotonicTime) {
+        self.commits.mark_changed(id.clone());
+        self.capacity_version += 1;
+        if outcome == Outcome::Ended(TaskExit::NoRoom)
+            && let Some(machine) = self.machines.get_mut(id)
+        {
+            machine.not_before = now + NO_CAPACITY_PAUSE;
+        }
+        let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
+        job_state.unplace(task.index, id);
+        tracing::debug!(%task, machine = %id, ?outcome, "task left");
+        let mut failures = None;
+        match outcome {
+            Outcome::Ended(TaskExit::Failed) => {
+                job_state.errors += 1;
+                job_state.not_before = now + failure_pause(job_state.errors);
+                failures = Some(job_state.errors);
+                if job_state.errors < JOB_AT_FAULT {
+                    let kind = job_state.job.spec.kind.clone();
+                    let outcome = PlacementOutcome { machine: id.clone(), kind, success: false };
+                    self.broadcaster.add_outcome(outcome);
+                }
+            }
+            Outcome::Ended(TaskExit::Refused | TaskExit::NoRoom) => {
+                job_state.not_before = now + REFUSAL_PAUSE;
+            }
+            _ => {}
+        }
+        if gangs::broken(job_state) {
+            self.stop_job(&task.job, 0.0, now);
+        }
+        if let Some(failures) = failures {
+            self.blame(id, &task.job, failures);
+        }
+    }
+}
+
+/// How long a job pauses after `failures` in a row. One failure speaks of the machine; several may
+/// speak of the job.
+fn failure_pause(failures: u32) -> Duration {
+    if failures < FAILURES_BEFORE_PAUSE {
+        return Duration::from_millis(0);
+    }
+    let doublings = (failures - (FAILURES_BEFORE_PAUSE - 1)).min(MAX_PAUSE_DOUBLINGS);
+    Duration::from_millis(FAILURE_PAUSE_MS << doublings)
+}
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -1,176 +1,234 @@
-//! Workers' reports, and what goes straight to a worker: orders, the fence, questions.
+//! Calls that go straight to workers rather than with the answer to their next heartbeat: commands,
+//! the leader's fencing token, and probes of silent workers.
 
-use super::*;
-use crate::workers::stop_finished;
+use super::{Leader, StepContext};
+use crate::types::{Attempt, Duration, FencingToken, MachineId, MonotonicTime, NodeName, RequestId};
+use crate::types::{TaskId, WorkerEpoch};
+use crate::wire::workers;
 use pearford_heartbeat::HeartbeatPosition;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a worker has to answer an order.
+/// How long a worker has to answer a command.
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Workers that are sent orders at a time, if the node's limit of sockets allows as many: after all leases have ended
-/// thousands of starts are due at once, and each costs a connection. Those beyond get theirs as these answer, or with
-/// their next report.
-const DIRECTS_AT_ONCE: usize = 512;
-/// Workers that are told the fence directly at a time.
-const PUSHES_AT_ONCE: usize = 8;
+/// Workers that are sent commands at a time, if the node's limit of sockets allows as many: after
+/// all leases have ended thousands of starts are due at once, and each costs a connection. Those
+/// beyond get theirs as these answer, or with their next heartbeat.
+const MAX_DIRECT_CALLS: usize = 512;
+/// Workers that are sent the fencing token directly at a time.
+const MAX_TOKEN_PUSHES: usize = 8;
+/// The status of a worker that has carried the commands out.
+const STATUS_OK: u16 = 200;
+/// Statuses by which a worker says that it has refused commands as a whole.
+const REFUSED_STATUSES: [u16; 2] = [400, 409];
+/// The status of a worker that knows a newer fencing token or epoch than the call names.
+const STATUS_CONFLICT: u16 = 409;
+/// The status of a call without an answer.
+const STATUS_NO_ANSWER: u16 = 0;
 
-impl Leader {
-    /// Takes a report and answers it; false: this node may not speak for the controllers now.
-    pub(in crate::node) fn heartbeat(
-        &mut self,
-        context: &mut StepContext,
-        request: RequestId,
-        heartbeat: &Heartbeat,
-    ) -> bool {
-        let may_start = self.may_start(context);
-        if !self.may_renew(context, &heartbeat.machine) {
-            return false;
-        }
-        if self.tombstones.contains_key(&heartbeat.machine) {
-            context.out.refuse(request, 503, "this machine was returned");
-            return true;
-        }
-        if context.heartbeats_delegated && self.loaded() {
-            if let Some(home) =
-                self.coordinator.redirect_for(&heartbeat.machine, &heartbeat.zone, context.now)
-            {
-                context.out.answer(request, 421, workers::redirect(Some(&home)));
-                return true;
-            }
-            self.coordinator.heartbeat_received_here(&heartbeat.machine, heartbeat.position(), Vec::new());
-        }
-        context.peers.heard_zone(&heartbeat.zone, context.now);
-        let job_cache = &context.job_cache;
-        let over = |task: &TaskId| job_cache.terminal_status(&task.job).is_some();
-        let mut commands = Vec::new();
-        // Before the records are read its lease is renewed and it learns the fence; what it says of its tasks can only
-        // be judged afterwards.
-        if self.loaded() {
-            self.process_heartbeat(heartbeat, context.now);
-            if let Some(m) = self.machines.get_mut(&heartbeat.machine)
-                && (m.worker_epoch, m.serial) == (heartbeat.worker_epoch, heartbeat.serial)
-            {
-                commands = m.commands(heartbeat, may_start, over, may_start);
-            }
+/// Commands sent straight to a worker.
+#[derive(Debug)]
+pub(super) struct DirectCall {
+    /// The worker's machine.
+    pub machine: MachineId,
+    /// The epoch that the commands name.
+    pub worker_epoch: WorkerEpoch,
+    /// Starts among the commands.
+    pub starts: Vec<(TaskId, Attempt)>,
+}
+
+/// A silent worker that is to be probed.
+#[derive(Debug)]
+pub(super) struct Probe {
+    /// The worker's machine.
+    pub machine: MachineId,
+    /// Where the worker listens.
+    pub addr: String,
+    /// A command without content, which any worker answers.
+    pub body: String,
+}
+
+/// Which workers are to be called, and the calls under way.
+#[derive(Debug, Default)]
+pub(super) struct WorkerCalls {
+    /// Workers that must learn this leader's fencing token before they send a heartbeat.
+    awaiting_token: BTreeSet<MachineId>,
+    token_pushes: BTreeMap<RequestId, MachineId>,
+    /// Probes of silent workers.
+    probes: BTreeMap<RequestId, MachineId>,
+    /// Workers with commands that needn't wait for their next heartbeat.
+    awaiting_commands: BTreeSet<MachineId>,
+    direct_calls: BTreeMap<RequestId, DirectCall>,
+}
+
+impl WorkerCalls {
+    /// Sends the fencing token to the worker as soon as that is possible.
+    pub fn queue_token(&mut self, machine: MachineId) {
+        self.awaiting_token.insert(machine);
+    }
+
+    /// Sends the worker its commands as soon as that is possible.
+    pub fn queue_commands(&mut self, machine: MachineId) {
+        self.awaiting_commands.insert(machine);
+    }
+
+    /// Notes that a call with commands is under way.
+    pub fn commands_sent(&mut self, request_id: RequestId, call: DirectCall) {
+        self.direct_calls.insert(request_id, call);
+    }
+
+    /// Workers that are being probed.
+    pub fn probed(&self) -> BTreeSet<&MachineId> {
+        self.probes.values().collect()
+    }
+
+    /// The next worker that is to learn the fencing token, if a further push may go out.
+    fn next_token_push(&mut self) -> Option<MachineId> {
+        if self.token_pushes.len() >= MAX_TOKEN_PUSHES {
+            return None;
         }
-        if context.lease_renewal.stops() {
-            stop_finished(heartbeat, |job| job_cache.terminal_status(job).is_some(), &mut commands);
+        self.awaiting_token.pop_first()
+    }
+
+    /// The next worker with commands, if there are fewer than `max_calls` under way.
+    fn next_direct_call(&mut self, max_calls: usize) -> Option<MachineId> {
+        if self.direct_calls.len() >= max_calls {
+            return None;
         }
-        context.out.answer(request, 200, workers::answer(self.fencing_token, &commands));
-        true
+        self.awaiting_commands.pop_first()
     }
 
-    /// A worker's answer to something direct; the fence that it has seen, if it says one.
-    pub(in crate::node) fn worker(
+    #[cfg(test)]
+    pub fn has_queued_commands(&self, machine: &MachineId) -> bool {
+        self.awaiting_commands.contains(machine)
+    }
+}
+
+impl Leader {
+    /// A worker's answer to a call; gives the fencing token that it has seen, if it says one.
+    /// `status` is 0 if there was no answer.
+    pub(in crate::node) fn worker_reply(
         &mut self,
         request_id: RequestId,
         status: u16,
-        heartbeat: Option<HeartbeatPosition>,
+        position: Option<HeartbeatPosition>,
         now: MonotonicTime,
     ) -> Option<FencingToken> {
-        if let Some(call) = self.directs.remove(&request_id) {
-            let at = match (&heartbeat, status) {
-                (Some(r), 200) => Some(Some((r.worker_epoch, r.serial))),
-                (_, 400 | 409) => Some(None),
-                _ => None,
-            };
-            if let Some(m) = self.machines.get_mut(&call.machine) {
-                m.direct_answered(call.starts, call.worker_epoch, at);
-            }
-            return heartbeat.map(|r| r.fencing_token);
+        if let Some(call) = self.worker_calls.direct_calls.remove(&request_id) {
+            self.commands_answered(call, status, position.as_ref());
+            return position.map(|position| position.fencing_token);
         }
-        if let Some(machine) = self.probes.remove(&request_id) {
-            if let Some(m) = self.machines.get_mut(&machine) {
-                if status == 0 {
-                    m.unanswered += 1;
-                } else {
-                    (m.unanswered, m.answered_at) = (0, now);
-                }
-            }
+        if let Some(machine) = self.worker_calls.probes.remove(&request_id) {
+            self.probe_answered(&machine, status, now);
             return None;
         }
-        let machine = self.pushes.remove(&request_id)?;
-        // The body is a report, but only what it says of fence and session is used: it may have
-        // been made before an order sent in answer to a report ran, and would prove nothing.
-        let heartbeat = heartbeat?;
-        if let Some(m) = self.machines.get_mut(&machine)
-            && status == 409
-            && heartbeat.fencing_token < self.fencing_token
-            && heartbeat.worker_epoch > m.worker_epoch
+        let machine = self.worker_calls.token_pushes.remove(&request_id)?;
+        // The body is a heartbeat, but only its fencing token and epoch are used: it may have been
+        // made before a command that was sent with an answer ran, and would prove nothing.
+        let position = position?;
+        self.token_answered(machine, status, &position);
+        Some(position.fencing_token)
+    }
+
+    fn commands_answered(&mut self, call: DirectCall, status: u16, position: Option<&HeartbeatPosition>) {
+        let Some(machine) = self.machines.get_mut(&call.machine) else { return };
+        let carried_out_at = match position {
+            Some(position) if status == STATUS_OK => Some(Some((position.worker_epoch, position.serial))),
+            _ if REFUSED_STATUSES.contains(&status) => Some(None),
+            _ => None,
+        };
+        machine.direct_answered(call.starts, call.worker_epoch, carried_out_at);
+    }
+
+    fn probe_answered(&mut self, machine: &MachineId, status: u16, now: MonotonicTime) {
+        let Some(machine) = self.machines.get_mut(machine) else { return };
+        if status == STATUS_NO_ANSWER {
+            machine.unanswered += 1;
+        } else {
+            machine.unanswered = 0;
+            machine.answered_at = now;
+        }
+    }
+
+    /// A worker in a newer epoch than the push named is sent the fencing token once more.
+    fn token_answered(&mut self, id: MachineId, status: u16, position: &HeartbeatPosition) {
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        if status == STATUS_CONFLICT
+            && position.fencing_token < self.fencing_token
+            && position.worker_epoch > machine.worker_epoch
         {
-            m.last_known_epoch = heartbeat.worker_epoch;
-            self.to_push.insert(machine);
+            machine.last_known_epoch = position.worker_epoch;
+            self.worker_calls.queue_token(id);
         }
-        Some(heartbeat.fencing_token)
     }
 
     /// Sends something straight to a worker, by way of the node that hears it if that is another one.
     pub(super) fn send_to_worker(
-        &mut self,
+        &self,
         context: &mut StepContext,
         id: &MachineId,
         addr: String,
         body: String,
-        timeout: Duration,
     ) -> RequestId {
         let via = self.coordinator.route(id, context.now).filter(|_| context.heartbeats_delegated);
-        send_to_worker_via(context, via, addr, body, timeout)
+        send_to_worker_via(context, via, addr, body, WORKER_TIMEOUT)
     }
 
-    /// Tells workers the fence that have not reported yet. A few at a time: most learn it by their
-    /// next report before their turn comes.
+    /// Sends the fencing token to workers without a heartbeat so far. A few at a time: most learn
+    /// it by the answer to their next heartbeat before their turn comes.
     pub(super) fn push_fencing_token(&mut self, context: &mut StepContext) {
-        while self.pushes.len() < PUSHES_AT_ONCE
-            && let Some(id) = self.to_push.pop_first()
-        {
-            let Some(m) = self.machines.get(&id).filter(|m| m.fencing_token < self.fencing_token) else {
+        while let Some(id) = self.worker_calls.next_token_push() {
+            let Some(machine) = self.machines.get(&id) else { continue };
+            if machine.fencing_token >= self.fencing_token {
                 continue;
-            };
-            let Some(addr) = m.addr.clone() else { continue };
-            let body = workers::command(self.fencing_token, m.worker_epoch.max(m.last_known_epoch), &[]);
-            let request_id = self.send_to_worker(context, &id, addr, body, WORKER_TIMEOUT);
-            self.pushes.insert(request_id, id);
+            }
+            let Some(addr) = machine.addr.clone() else { continue };
+            let epoch = machine.worker_epoch.max(machine.last_known_epoch);
+            let body = workers::command(self.fencing_token, epoch, &[]);
+            let request_id = self.send_to_worker(context, &id, addr, body);
+            self.worker_calls.token_pushes.insert(request_id, id);
         }
     }
 
-    /// Orders that needn't wait for a worker's next report go straight to it.
-    pub(super) fn send_directs(&mut self, context: &mut StepContext) {
-        let (may_start, fencing_token) = (self.may_start(context), self.fencing_token);
-        let at_once = DIRECTS_AT_ONCE.min(self.settings.limits.commands());
-        while self.directs.len() < at_once
-            && let Some(id) = self.to_direct.pop_first()
-        {
-            let Some(m) = self.machines.get_mut(&id).filter(|m| m.reachable(fencing_token)) else { continue };
-            let (commands, starts) = m.direct_commands(may_start, context.now);
-            if let (false, Some(addr)) = (commands.is_empty(), m.addr.clone()) {
-                self.phases.ordered(self.fencing_token, self.since, context.now);
-                let body = workers::command(fencing_token, m.worker_epoch, &commands);
-                let worker_epoch = m.worker_epoch;
-                let request_id = self.send_to_worker(context, &id, addr, body, WORKER_TIMEOUT);
-                self.directs.insert(request_id, DirectCall { machine: id, worker_epoch, starts });
+    /// Sends commands that needn't wait for a worker's next heartbeat.
+    pub(super) fn send_direct_commands(&mut self, context: &mut StepContext) {
+        let may_start = self.may_start(context);
+        let max_calls = MAX_DIRECT_CALLS.min(self.settings.limits.commands());
+        while let Some(id) = self.worker_calls.next_direct_call(max_calls) {
+            let Some(machine) = self.machines.get_mut(&id) else { continue };
+            if !machine.reachable(self.fencing_token) {
+                continue;
+            }
+            let (commands, starts) = machine.direct_commands(may_start, context.now);
+            if commands.is_empty() {
+                continue;
             }
+            let Some(addr) = machine.addr.clone() else { continue };
+            let worker_epoch = machine.worker_epoch;
+            let body = workers::command(self.fencing_token, worker_epoch, &commands);
+            self.failover_log.command_sent(context.now);
+            let request_id = self.send_to_worker(context, &id, addr, body);
+            let call = DirectCall { machine: id, worker_epoch, starts };
+            self.worker_calls.commands_sent(request_id, call);
         }
     }
 
     /// Asks silent workers whether they are there.
     pub(super) fn probe(&mut self, context: &mut StepContext) {
-        for (id, addr, body) in self.silent_workers(context.now) {
-            // The second question takes another way: it may be this node, or the one that heard the worker,
-            // that has lost it. (A leader that had lost the workers' network gave up those whose reports it
-            // answered itself, andina fleet, apart.)
-            let again = self.machines.get(&id).is_some_and(|m| m.unanswered % 2 == 1);
-            let via = match again {
-                true => self.coordinator.detour(&id, context.now),
-                false => self.coordinator.route(&id, context.now),
+        for probe in self.silent_workers(context.now) {
+            // The second probe takes another way: it may be this node, or the one that heard the
+            // worker, that has lost it. (A leader that had lost the workers' network gave up those
+            // whose heartbeats it answered itself, andina fleet, apart.)
+            let repeated =
+                self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered % 2 == 1);
+            let via = if repeated {
+                self.coordinator.detour(&probe.machine, context.now)
+            } else {
+                self.coordinator.route(&probe.machine, context.now)
             };
-            let request_id = send_to_worker_via(
-                context,
-                via.filter(|_| context.heartbeats_delegated),
-                addr,
-                body,
-                PROBE_TIMEOUT,
-            );
-            self.probes.insert(request_id, id);
+            let via = via.filter(|_| context.heartbeats_delegated);
+            let request_id = send_to_worker_via(context, via, probe.addr, probe.body, PROBE_TIMEOUT);
+            self.worker_calls.probes.insert(request_id, probe.machine);
         }
     }
 }
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -1,65 +1,88 @@
-//! Starts against changes: while the state service takes fewer changes than tasks could start, arrays' tasks go where one
-//! change carries most of them.
+//! Starts against writes: while the key-value store takes fewer changes than tasks could start,
+//! arrays' tasks go where one change carries most of them.
 
-use super::candidates::Field;
-use super::*;
+use super::Leader;
+use super::candidates::Candidates;
+use crate::assignments;
+use crate::jobs::JobType;
+use crate::placement::PlacementRequest;
+use std::cmp::Reverse;
 
 /// Tasks that a machine is counted for at the most: a small task fits one many times.
-const MOST_AT_ONCE: u32 = 64;
+const MAX_TASKS_COUNTED: u32 = 64;
+
+/// A machine whose record is not about to be written anyway. Ordered as they are preferred.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CostlyMachine {
+    /// Tasks that one record's write would start.
+    slots: Reverse<u32>,
+    /// It isn't spot, though spot would do.
+    expensive: bool,
+    /// Its place among the candidates.
+    index: usize,
+}
 
 impl Leader {
-    /// How many further machines' records arrays' tasks may take in this look, if that is bounded: then what is asked in
-    /// a look is either arrays or all else, in turn, since machines sent to a controller are there for all its asks.
+    /// How many further machines' records arrays' tasks may take in this pass, if that is bounded:
+    /// then a pass is either for arrays or for all else, in turn, since machines sent to a
+    /// controller are there for all its requests.
     ///
-    /// The bound is what this leader may write in a second. Placed at once wherever there was room, tasks waited up to
-    /// 26 s for their machine's record, each with a change of its own, on machines that stood idle meanwhile (offshore
-    /// deployment, steady: 0.69 changes a start, and the changes were spent all day).
-    pub(super) fn spare_changes(&mut self, requests: &mut Vec<PlacementRequest>) -> Option<usize> {
-        let array = |request: &PlacementRequest| request.job_type == JobType::Array;
-        let tasks: usize = requests.iter().filter(|a| array(a)).map(|a| a.tasks.len()).sum();
-        let records = (self.writes.rate() as usize).saturating_sub(self.commit_pipeline.urgent_backlog());
-        if tasks <= records {
+    /// The bound is what this leader may write in a second. Placed at once wherever there were free
+    /// resources, tasks waited up to 26 s for their machine's record, each with a change of its own,
+    /// on machines that stood idle meanwhile (offshore deployment, steady: 0.69 changes a start, and
+    /// the changes were spent all day).
+    pub(super) fn limit_to_write_budget(&mut self, requests: &mut Vec<PlacementRequest>) -> Option<usize> {
+        let is_array = |request: &PlacementRequest| request.job_type == JobType::Array;
+        let array_tasks: usize =
+            requests.iter().filter(|request| is_array(request)).map(|request| request.tasks.len()).sum();
+        let records = (self.commits.writes_per_s() as usize).saturating_sub(self.commits.urgent_backlog());
+        if array_tasks <= records {
             return None;
         }
-        let others = requests.iter().any(|request| !array(request));
-        self.arrays_scheduled = !others || !self.arrays_scheduled;
+        let any_other = requests.iter().any(|request| !is_array(request));
+        self.arrays_scheduled = !any_other || !self.arrays_scheduled;
         let arrays = self.arrays_scheduled;
-        requests.retain(|request| array(request) == arrays);
+        requests.retain(|request| is_array(request) == arrays);
         arrays.then_some(records)
     }
 
-    /// Leaves in the field machines whose record waits to be written anyway, and of the others as many as the asks need,
-    /// at most `records`: cheap ones, if there is room enough on so many of them, else any; those first where one record
-    /// has room for most tasks.
-    pub(super) fn narrow(&self, field: &mut Field, requests: &[PlacementRequest], records: usize) {
+    /// Keeps candidates whose record waits to be written anyway, and of the others as many as the
+    /// requests need, at most `records`: cheap ones, if enough of them have free resources, else any;
+    /// those first where one record starts most tasks.
+    pub(super) fn narrow_to_records(
+        &self,
+        candidates: &mut Candidates,
+        requests: &[PlacementRequest],
+        records: usize,
+    ) {
         let Some(resources) = requests.first().map(|request| request.resources) else { return };
         let mut needed: u32 = requests.iter().map(|request| request.tasks.len() as u32).sum();
-        let cheap_will_do = requests.iter().all(|request| request.spot);
-        let mut kept = vec![false; field.views.len()];
+        let spot_will_do = requests.iter().all(|request| request.spot);
+        let mut kept = vec![false; candidates.views.len()];
         let mut others = Vec::new();
-        for (i, v) in field.views.iter().enumerate() {
-            let slots = v.free.count_of(&resources).min(MOST_AT_ONCE);
-            let cheap = v.spot || !cheap_will_do;
-            if self.commit_pipeline.is_urgent(&assignments::key(&v.id)) {
-                kept[i] = true;
-                needed = needed.saturating_sub(if cheap { slots } else { 0 });
+        for (index, view) in candidates.views.iter().enumerate() {
+            let slots = view.free.count_of(&resources).min(MAX_TASKS_COUNTED);
+            let expensive = !view.spot && spot_will_do;
+            if self.commits.is_urgent(&assignments::key(&view.id)) {
+                kept[index] = true;
+                needed = needed.saturating_sub(if expensive { 0 } else { slots });
             } else {
-                others.push((Reverse(slots), !cheap, i));
+                others.push(CostlyMachine { slots: Reverse(slots), expensive, index });
             }
         }
         others.sort_unstable();
-        let cheap = others.iter().filter(|(_, dear, _)| !dear).take(records);
-        if cheap.map(|(Reverse(slots), ..)| slots).sum::<u32>() >= needed {
-            others.retain(|(_, dear, _)| !dear);
+        let cheap = others.iter().filter(|machine| !machine.expensive).take(records);
+        if cheap.map(|machine| machine.slots.0).sum::<u32>() >= needed {
+            others.retain(|machine| !machine.expensive);
         }
-        for (Reverse(slots), _, i) in others.into_iter().take(records) {
+        for machine in others.into_iter().take(records) {
             if needed == 0 {
                 break;
             }
-            kept[i] = true;
-            needed = needed.saturating_sub(slots);
+            kept[machine.index] = true;
+            needed = needed.saturating_sub(machine.slots.0);
         }
-        field.keep(&kept);
+        candidates.keep(&kept);
     }
 }
 
--- a/crates/scheduler/src/node/leader/write_budget/tests.rs
+++ b/crates/scheduler/src/node/leader/write_budget/tests.rs
@@ -1,76 +1,89 @@
-use super::super::reconciliation::tests::{heartbeat, leader};
+use super::super::test_support::{heartbeat, leader};
 use super::*;
+use crate::assignments::CommitPriority;
+use crate::jobs::{JobState, OpenJob};
+use crate::settings::Settings;
+use crate::types::{JobId, MachineId, MonotonicTime, NodeName, Resources, WallTime};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
 
 /// Two large machines and twenty small ones, and a leader that may write four changes a second.
-fn fleet() -> (Leader, MonotonicTime) {
-    let (mut m, now) = (leader(), MonotonicTime::from_millis(1_000));
-    m.writes = TokenBucket::new(4.0);
-    for i in 0..22 {
-        let id = format!("m-{i:02}");
-        m.process_heartbeat(&heartbeat(&id, "z0", 1), now);
-        let size = if i < 2 { 16.0 } else { 1.0 };
-        let total = Resources { cpus: size, gpus: 0.0, memory_gb: size };
-        m.machines.get_mut(&MachineId::from(id.as_str())).expect("there").total = total;
-        m.recount(&id.as_str().into(), now);
+fn cluster() -> Leader {
+    let mut leader = leader();
+    leader.commits.limit_writes(4.0);
+    for index in 0..22 {
+        let id = MachineId::from(format!("m-{index:02}").as_str());
+        leader.process_heartbeat(&heartbeat(id.as_str(), "z0", 1), NOW);
+        let size = if index < 2 { 16.0 } else { 1.0 };
+        let machine = leader.machines.get_mut(&id).expect("there");
+        machine.total = Resources { cpus: size, gpus: 0.0, memory_gb: size };
+        leader.machines.recount(&id, NOW);
     }
-    m.settings = Arc::new(Settings { zones: vec!["z0".into()], ..(*m.settings).clone() });
-    (m, now)
+    leader.settings = Arc::new(Settings { zones: vec!["z0".into()], ..(*leader.settings).clone() });
+    leader
 }
 
-fn job(m: &mut Leader, id: &str, job_type: JobType, tasks: u32, now: MonotonicTime) {
-    let mut spec = jobs::tests::spec();
-    (spec.job_type, spec.tasks, spec.types, spec.zone) = (job_type, tasks, None, None);
+fn add_job(leader: &mut Leader, id: &str, job_type: JobType, tasks: u32) {
+    let mut spec = crate::jobs::tests::spec();
+    spec.job_type = job_type;
+    spec.tasks = tasks;
+    spec.types = None;
+    spec.zone = None;
     spec.resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
-    spec.team = m.settings.teams.keys().next().expect("a team").clone();
-    let job = jobs::OpenJob { spec, submitted: crate::types::WallTime(1), home: "n0".into() };
-    m.job_states.insert(id.into(), JobState::new(Arc::new(job), now));
+    spec.team = leader.settings.teams.keys().next().expect("a team").clone();
+    let job = OpenJob { spec, submitted: WallTime(1), home: "n0".into() };
+    leader.job_states.insert(id.into(), JobState::new(Arc::new(job), NOW));
 }
 
-fn look(m: &mut Leader, now: MonotonicTime) -> Vec<(Vec<MachineId>, Vec<PlacementRequest>)> {
+/// The first job and the machines of the one round that a scheduling pass makes.
+fn pass(leader: &mut Leader) -> (JobId, Vec<MachineId>) {
     let me = NodeName::from("n0");
-    let rounds = m.build_rounds(&BTreeSet::from([me.clone()]), &me, now);
-    let ids = |views: Vec<MachineView>| views.into_iter().map(|v| v.id).collect();
-    rounds.into_iter().map(|(_, _, views, requests)| (ids(views), requests)).collect()
+    let rounds = leader.build_rounds(&BTreeSet::from([me.clone()]), &me, NOW);
+    let round = &rounds[0];
+    let machines = round.machines.iter().map(|view| view.id.clone()).collect();
+    (round.requests[0].job.clone(), machines)
 }
 
-/// Spread over all machines with room, thirty tasks took twenty records, at four changes a second; on the large
-/// ones they take two.
+/// Spread over all machines with free resources, thirty tasks took twenty records, at four changes a
+/// second; on the large ones they take two.
 #[test]
-fn while_changes_are_short_arrays_go_where_a_change_carries_most_starts() {
-    let (mut m, now) = fleet();
-    job(&mut m, "req-1", JobType::Array, 30, now);
-    let scheduling_passes = look(&mut m, now);
-    assert_eq!(scheduling_passes[0].0, ["m-00".into(), "m-01".into()]);
+fn while_writes_are_scarce_arrays_go_where_a_change_carries_most_starts() {
+    let mut leader = cluster();
+    add_job(&mut leader, "req-1", JobType::Array, 30);
+    let (_, machines) = pass(&mut leader);
+    assert_eq!(machines, ["m-00".into(), "m-01".into()]);
     // One whose record waits anyway takes more for nothing, and beyond the bound nobody else does.
-    let (mut m, now) = fleet();
-    job(&mut m, "req-1", JobType::Array, 30, now);
-    for i in 5..9 {
-        m.commit_pipeline.put(
-            &assignments::key(&format!("m-{i:02}").as_str().into()),
-            Some("{}".into()),
-            CommitPriority::Urgent,
-        );
+    let mut leader = cluster();
+    add_job(&mut leader, "req-1", JobType::Array, 30);
+    let pressing: Vec<MachineId> = (5..9).map(|index| format!("m-{index:02}").as_str().into()).collect();
+    for id in &pressing {
+        leader.commits.put(&assignments::key(id), Some("{}".into()), CommitPriority::Urgent);
     }
-    let ids: Vec<MachineId> = (5..9).map(|i| format!("m-{i:02}").as_str().into()).collect();
-    assert_eq!(look(&mut m, now)[0].0, ids);
+    let (_, machines) = pass(&mut leader);
+    assert_eq!(machines, pressing);
     // With changes to spare all machines are there.
-    let (mut m, now) = fleet();
-    job(&mut m, "req-1", JobType::Array, 4, now);
-    assert_eq!(look(&mut m, now)[0].0.len(), 22);
+    let mut leader = cluster();
+    add_job(&mut leader, "req-1", JobType::Array, 4);
+    let (_, machines) = pass(&mut leader);
+    assert_eq!(machines.len(), 22);
 }
 
-/// Replicas are asked in looks of their own, over all machines, and neither they nor arrays wait for the other.
+/// Replicas are requested in passes of their own, over all machines, and neither they nor arrays wait
+/// for the other.
 #[test]
 fn replicas_and_arrays_have_their_turns() {
-    let (mut m, now) = fleet();
-    job(&mut m, "req-1", JobType::Array, 30, now);
-    job(&mut m, "req-2", JobType::Service, 3, now);
+    let mut leader = cluster();
+    add_job(&mut leader, "req-1", JobType::Array, 30);
+    add_job(&mut leader, "req-2", JobType::Service, 3);
     let mut seen = Vec::new();
     for _ in 0..4 {
-        m.job_states.values_mut().for_each(|r| r.offered = 0);
-        let scheduling_passes = look(&mut m, now);
-        seen.push((scheduling_passes[0].1[0].job.to_string(), scheduling_passes[0].0.len()));
+        leader.job_states.values_mut().for_each(|job_state| job_state.offered = 0);
+        let (job, machines) = pass(&mut leader);
+        seen.push((job.to_string(), machines.len()));
     }
-    let (array, service) = (("req-1".to_string(), 2), ("req-2".to_string(), 22));
+    let array = ("req-1".to_string(), 2);
+    let service = ("req-2".to_string(), 22);
     assert_eq!(seen, [array.clone(), service.clone(), array, service]);
 }
