--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -39,8 +39,12 @@
     }
 }
 
-/// A machine that may take tasks, and its health.
-type OpenMachine<'a> = (&'a Machine, Health);
+/// A machine that may take tasks.
+#[derive(Clone, Copy)]
+struct OpenMachine<'a> {
+    machine: &'a Machine,
+    health: Health,
+}
 
 impl Leader {
     /// Machines that could take some task of `requests`: of a busy cluster that is a small part.
@@ -51,10 +55,8 @@
         if !complete {
             open = select_part(open, &requested_images);
         }
-        let views: Vec<MachineView> = open
-            .into_iter()
-            .map(|(machine, health)| self.view(machine, health, &requested_images, now))
-            .collect();
+        let views: Vec<MachineView> =
+            open.into_iter().map(|candidate| self.view(candidate, &requested_images, now)).collect();
         let owners = views.iter().map(|view| {
             self.partitions.add(&view.id);
             self.partitions.owner(&view.id).cloned()
@@ -82,7 +84,7 @@
             }
             let health = self.health(machine, now);
             if health != Health::Unreachable {
-                open.push((machine, health));
+                open.push(OpenMachine { machine, health });
             }
         }
         open
@@ -101,8 +103,7 @@
     /// A machine as controllers see it; of its images they need to know the requested ones.
     fn view(
         &self,
-        machine: &Machine,
-        health: Health,
+        OpenMachine { machine, health }: OpenMachine,
         requested_images: &BTreeSet<&Image>,
         now: MonotonicTime,
     ) -> MachineView {
@@ -170,16 +171,18 @@
 /// requested image and the fullest, and as many of the emptiest, for work that needs a whole machine.
 fn select_part<'a>(open: Vec<OpenMachine<'a>>, requested_images: &BTreeSet<&Image>) -> Vec<OpenMachine<'a>> {
     let mut groups: BTreeMap<_, Vec<OpenMachine>> = BTreeMap::new();
-    for (machine, health) in open {
+    for candidate in open {
+        let machine = candidate.machine;
         let group = groups.entry((&machine.zone, &machine.type_name, machine.spot)).or_default();
-        group.push((machine, health));
+        group.push(candidate);
     }
     let quota = (MAX_CANDIDATES / groups.len().max(1)).max(2);
     let mut selected = Vec::new();
     for mut group in groups.into_values() {
         let has_requested =
             |machine: &Machine| machine.images.iter().any(|cached| requested_images.contains(&cached.image));
-        group.sort_by_cached_key(|(machine, _)| {
+        group.sort_by_cached_key(|candidate| {
+            let machine = candidate.machine;
             (!has_requested(machine), (machine.free().gpus * 1000.0) as u64)
         });
         let rest = group.split_off(quota.min(group.len()) / 2);
--- a/crates/scheduler/src/node/leader/job_changes.rs
+++ b/crates/scheduler/src/node/leader/job_changes.rs
@@ -54,7 +54,7 @@
     ) {
         self.commits.loaded(&jobs::key(id), known.revision);
         let job_state = self.job_states.entry(id.clone()).or_insert_with(|| {
-            self.guaranteed = None;
+            self.guarantees.invalidate();
             JobState::new(job.clone(), now)
         });
         let priority = job_cache.priority(id);
@@ -72,7 +72,7 @@
         self.commits.give_up(&jobs::key(id));
         self.stop_job(id, 0.0, now);
         let Some(job_state) = self.job_states.remove(id) else { return };
-        self.guaranteed = None;
+        self.guarantees.invalidate();
         for (index, machine) in job_state.placed() {
             self.remove_or_stop(machine, &TaskId { job: id.clone(), index: *index }, now);
         }
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -1,3 +1,4 @@
+use super::super::silence_rules::PROBES_LOST;
 use super::super::test_support::{heartbeat, leader};
 use super::*;
 use crate::wire::cloud::CloudRequest;
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -25,12 +25,14 @@
 mod partition_moves;
 mod placement_commits;
 mod preemption;
+mod probing;
 mod quota;
 mod reservations;
 mod scale_in;
 mod scale_out;
 mod scheduling_pass;
 mod scheduling_rounds;
+mod silence_rules;
 mod state_loading;
 mod status;
 mod stops;
@@ -66,13 +68,15 @@
 use machines::Machines;
 use pearford_heartbeat::{Coordinator, FullHeartbeat, LeaseRenewal};
 use pearford_recovery::{HeartbeatCollection, LeaderAction, Pacer};
+use quota::Guarantees;
 use rand::rngs::StdRng;
 use scheduling_rounds::SchedulingRounds;
 use state_loading::{RecordKind, RecordLoading};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 use worker_commands::WorkerCalls;
+use write_budget::ArrayTurns;
 
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 /// How often waiting tasks are tried again though nothing is known to have changed: machines' health
@@ -188,8 +192,6 @@
     job_states: BTreeMap<JobId, JobState>,
     /// Progress of jobs whose own record can't be read: what they have on machines is left as it is.
     unreadable_jobs: BTreeMap<JobId, Vec<Pair>>,
-    /// Jobs within their team's guarantee, until the jobs change.
-    guaranteed: Option<Arc<BTreeSet<JobId>>>,
     /// Grows with everything that may let a waiting task fit.
     capacity_version: u64,
     instance_offers: InstanceOffers,
@@ -208,8 +210,8 @@
     isolation: ZoneIsolation,
     silence: SilenceDetector,
     rounds: SchedulingRounds,
-    /// While writes are scarce: the last scheduling pass was for arrays.
-    arrays_scheduled: bool,
+    array_turns: ArrayTurns,
+    guarantees: Guarantees,
     broadcaster: StatusBroadcaster,
     cloud: CloudClient,
     rental_pacer: Pacer,
@@ -239,7 +241,6 @@
             machines: Machines::default(),
             job_states: BTreeMap::new(),
             unreadable_jobs: BTreeMap::new(),
-            guaranteed: None,
             capacity_version: 1,
             instance_offers: InstanceOffers::new(types),
             partitions: Partitions::default(),
@@ -255,7 +256,8 @@
             isolation: ZoneIsolation::new(now),
             silence: SilenceDetector::default(),
             rounds: SchedulingRounds::new(now),
-            arrays_scheduled: false,
+            array_turns: ArrayTurns::default(),
+            guarantees: Guarantees::default(),
             broadcaster: StatusBroadcaster::new(counts_save_interval, now),
             cloud: CloudClient::new(settings.cloud.rps, now),
             rental_pacer: Pacer::new(HOUSEKEEPING_INTERVAL, scale_out::PLANNING_REST, now),
--- a/crates/scheduler/src/node/leader/quota.rs
+++ b/crates/scheduler/src/node/leader/quota.rs
@@ -15,6 +15,27 @@
 /// earliest first.
 pub(super) type ServiceOrder = (Reverse<Priority>, bool, u64);
 
+/// Jobs within their team's guarantee, kept until the jobs change.
+#[derive(Debug, Default)]
+pub(super) struct Guarantees {
+    jobs: Option<Arc<BTreeSet<JobId>>>,
+}
+
+impl Guarantees {
+    /// The jobs have changed.
+    pub fn invalidate(&mut self) {
+        self.jobs = None;
+    }
+
+    fn jobs(
+        &mut self,
+        job_states: &BTreeMap<JobId, JobState>,
+        teams: &BTreeMap<TeamName, Team>,
+    ) -> Arc<BTreeSet<JobId>> {
+        self.jobs.get_or_insert_with(|| Arc::new(jobs_within_guarantee(job_states, teams))).clone()
+    }
+}
+
 impl Leader {
     /// The job's place in the order in which jobs are served.
     pub(super) fn service_order(
@@ -28,26 +49,28 @@
 
     /// Jobs within their team's guarantee, alongside the team's earlier unfinished jobs.
     pub(super) fn guaranteed_jobs(&mut self) -> Arc<BTreeSet<JobId>> {
-        if let Some(known) = &self.guaranteed {
-            return known.clone();
-        }
-        let mut jobs: Vec<(&JobId, &JobState)> = self.job_states.iter().collect();
-        jobs.sort_by_key(|(id, job_state)| (job_state.job.submitted, (*id).clone()));
-        let mut taken: BTreeMap<&TeamName, Resources> = BTreeMap::new();
-        let mut guaranteed = BTreeSet::new();
-        for (id, job_state) in jobs {
-            let spec = &job_state.job.spec;
-            let Some(team) = self.settings.teams.get(&spec.team) else { continue };
-            let sum = taken.entry(&spec.team).or_default();
-            *sum = sum.plus(&spec.resources.times(f64::from(spec.tasks)));
-            if is_within_guarantee(team, sum) {
-                guaranteed.insert(id.clone());
-            }
+        self.guarantees.jobs(&self.job_states, &self.settings.teams)
+    }
+}
+
+fn jobs_within_guarantee(
+    job_states: &BTreeMap<JobId, JobState>,
+    teams: &BTreeMap<TeamName, Team>,
+) -> BTreeSet<JobId> {
+    let mut jobs: Vec<(&JobId, &JobState)> = job_states.iter().collect();
+    jobs.sort_by_key(|(id, job_state)| (job_state.job.submitted, (*id).clone()));
+    let mut taken: BTreeMap<&TeamName, Resources> = BTreeMap::new();
+    let mut guaranteed = BTreeSet::new();
+    for (id, job_state) in jobs {
+        let spec = &job_state.job.spec;
+        let Some(team) = teams.get(&spec.team) else { continue };
+        let sum = taken.entry(&spec.team).or_default();
+        *sum = sum.plus(&spec.resources.times(f64::from(spec.tasks)));
+        if is_within_guarantee(team, sum) {
+            guaranteed.insert(id.clone());
         }
-        let guaranteed = Arc::new(guaranteed);
-        self.guaranteed = Some(guaranteed.clone());
-        guaranteed
     }
+    guaranteed
 }
 
 /// Whether the team has a guarantee, and `sum` is within it.
--- a/crates/scheduler/src/node/leader/scale_in.rs
+++ b/crates/scheduler/src/node/leader/scale_in.rs
@@ -3,6 +3,7 @@
 use super::Leader;
 use super::cloud_calls::PlannedCall;
 use crate::assignments::{self, AssignmentState, CommitPriority};
+use crate::partitions::Partitions;
 use crate::types::{Duration, MachineId, MonotonicTime};
 use crate::workers::{Machine, MachineStatus, Outcome};
 use pearford_recovery::LeaderAction;
@@ -23,8 +24,7 @@
         for machine in self.machines.iter_mut() {
             if is_to_return(machine, idle_limit, now) {
                 tracing::info!(machine = %machine.id, faulty = machine.draining, "idle; returning it");
-                machine.status = MachineStatus::Releasing;
-                self.partitions.remove(&machine.id);
+                begin_return(machine, &mut self.partitions);
             }
         }
     }
@@ -50,6 +50,12 @@
     }
 }
 
+/// Has a machine returned: nothing new is placed there.
+pub(super) fn begin_return(machine: &mut Machine, partitions: &mut Partitions) {
+    machine.status = MachineStatus::Releasing;
+    partitions.remove(&machine.id);
+}
+
 fn is_to_return(machine: &Machine, idle_limit: Duration, now: MonotonicTime) -> bool {
     let empty = machine.assignments.is_empty() && machine.unknown_tasks.is_empty();
     let idle_for = machine.empty_since.map(|since| now.since(since)).unwrap_or_default();
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -2,6 +2,7 @@
 
 use super::Leader;
 use super::cloud_calls::{CloudCall, PlannedCall};
+use super::scale_in::begin_return;
 use crate::assignments;
 use crate::autoscaler::{CapacityRequest, IncomingCapacity, InstanceOffer};
 use crate::jobs::{JobState, JobType};
@@ -222,8 +223,7 @@
         }
         if listed.phase == MachinePhase::Failed && machine.status != MachineStatus::Releasing {
             tracing::warn!(machine = %machine.id, "machine failed; returning it");
-            machine.status = MachineStatus::Releasing;
-            self.partitions.remove(&machine.id);
+            begin_return(machine, &mut self.partitions);
         }
     }
 }
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -1,5 +1,5 @@
-//! Calls that go straight to workers rather than with the answer to their next heartbeat: commands,
-//! the leader's fencing token, and probes of silent workers.
+//! Calls that go straight to workers rather than with the answer to their next heartbeat: commands
+//! and the leader's fencing token here, probes of silent workers in `probing`.
 
 use super::{Leader, StepContext};
 use crate::types::{Attempt, Duration, FencingToken, MachineId, MonotonicTime, NodeName, RequestId};
@@ -10,7 +10,6 @@
 
 /// How long a worker has to answer a command.
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
-const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Workers that are sent commands at a time, if the node's limit of sockets allows as many: after
 /// all leases have ended thousands of starts are due at once, and each costs a connection. Those
 /// beyond get theirs as these answer, or with their next heartbeat.
@@ -37,17 +36,6 @@
     pub starts: Vec<(TaskId, Attempt)>,
 }
 
-/// A silent worker that is to be probed.
-#[derive(Debug)]
-pub(super) struct Probe {
-    /// The worker's machine.
-    pub machine: MachineId,
-    /// Where the worker listens.
-    pub addr: String,
-    /// A command without content, which any worker answers.
-    pub body: String,
-}
-
 /// Which workers are to be called, and the calls under way.
 #[derive(Debug, Default)]
 pub(super) struct WorkerCalls {
@@ -77,6 +65,11 @@
         self.direct_calls.insert(request_id, call);
     }
 
+    /// Notes that a probe is under way.
+    pub fn probe_sent(&mut self, request_id: RequestId, machine: MachineId) {
+        self.probes.insert(request_id, machine);
+    }
+
     /// Workers that are being probed.
     pub fn probed(&self) -> BTreeSet<&MachineId> {
         self.probes.values().collect()
@@ -212,28 +205,10 @@
             self.worker_calls.commands_sent(request_id, call);
         }
     }
-
-    /// Asks silent workers whether they are there.
-    pub(super) fn probe(&mut self, context: &mut StepContext) {
-        for probe in self.silent_workers(context.now) {
-            // The second probe takes another way: it may be this node, or the one that heard the
-            // worker, that has lost it. (A leader that had lost the workers' network gave up those
-            // whose heartbeats it answered itself, andina fleet, apart.)
-            let repeated =
-                self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered % 2 == 1);
-            let via = if repeated {
-                self.coordinator.detour(&probe.machine, context.now)
-            } else {
-                self.coordinator.route(&probe.machine, context.now)
-            };
-            let via = via.filter(|_| context.heartbeats_delegated);
-            let request_id = send_to_worker_via(context, via, probe.addr, probe.body, PROBE_TIMEOUT);
-            self.worker_calls.probes.insert(request_id, probe.machine);
-        }
-    }
 }
 
-fn send_to_worker_via(
+/// Sends something to the worker at `addr`, by way of the node `via` if there is one.
+pub(super) fn send_to_worker_via(
     context: &mut StepContext,
     via: Option<&NodeName>,
     addr: String,
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -22,6 +22,21 @@
     index: usize,
 }
 
+/// While writes are scarce, scheduling passes are for arrays and for all else in turn.
+#[derive(Debug, Default)]
+pub(super) struct ArrayTurns {
+    /// The last such pass was for arrays.
+    last_was_arrays: bool,
+}
+
+impl ArrayTurns {
+    /// Whether the next pass is for arrays; `any_other`: something else waits too.
+    fn next_is_arrays(&mut self, any_other: bool) -> bool {
+        self.last_was_arrays = !any_other || !self.last_was_arrays;
+        self.last_was_arrays
+    }
+}
+
 impl Leader {
     /// How many further machines' records arrays' tasks may take in this pass, if that is bounded:
     /// then a pass is either for arrays or for all else, in turn, since machines sent to a
@@ -40,8 +55,7 @@
             return None;
         }
         let any_other = requests.iter().any(|request| !is_array(request));
-        self.arrays_scheduled = !any_other || !self.arrays_scheduled;
-        let arrays = self.arrays_scheduled;
+        let arrays = self.array_turns.next_is_arrays(any_other);
         requests.retain(|request| is_array(request) == arrays);
         arrays.then_some(records)
     }
