--- a/crates/dev-cluster/src/cluster.rs
+++ b/crates/dev-cluster/src/cluster.rs
@@ -32,7 +32,7 @@
     /// Where users and workers turn to.
     pub api: Vec<SocketAddr>,
     /// Where the port in the operators' file has come to be.
-    pub doors: Vec<SocketAddr>,
+    pub nomad_apis: Vec<SocketAddr>,
 }
 
 fn free_ports(n: usize) -> std::io::Result<Vec<SocketAddr>> {
@@ -72,22 +72,23 @@
     pub async fn start(plan: Plan) -> std::io::Result<Self> {
         let ports = free_ports(3 * plan.nodes)?;
         let (api, rest) = ports.split_at(plan.nodes);
-        let (back, doors) = rest.split_at(plan.nodes);
+        let (back, nomad_apis) = rest.split_at(plan.nodes);
         let store = StoreHandle::default();
         let zones = (0..plan.nodes).map(|i| format!("z{i}")).collect();
         let cloud = Cloud::new(store.clone(), api.to_vec(), zones);
         let (state_addr, cloud_addr) = (store.serve()?, cloud.serve()?);
         let folder = TempDir::new()?;
-        for (i, door) in doors.iter().enumerate() {
+        for (i, nomad_api) in nomad_apis.iter().enumerate() {
             std::fs::write(
                 folder.path().join(format!("n{i}.toml")),
                 settings(&plan, i, api, back, cloud_addr, state_addr),
             )?;
-            let operator = plan.operator.replace("PORT", &door.port().to_string());
+            let operator = plan.operator.replace("PORT", &nomad_api.port().to_string());
             std::fs::write(folder.path().join(format!("n{i}.yaml")), operator)?;
         }
         let nodes = (0..plan.nodes).map(|_| None).collect();
-        let mut cluster = Self { plan, folder, nodes, cloud, api: api.to_vec(), doors: doors.to_vec() };
+        let mut cluster =
+            Self { plan, folder, nodes, cloud, api: api.to_vec(), nomad_apis: nomad_apis.to_vec() };
         for i in 0..cluster.plan.nodes {
             cluster.start_node(i)?;
         }
--- a/crates/dev-cluster/src/main.rs
+++ b/crates/dev-cluster/src/main.rs
@@ -70,11 +70,11 @@
         write_rps: 100.0,
     })
     .await?;
-    for (i, (api, door)) in cluster.api.iter().zip(&cluster.doors).enumerate() {
-        println!("node {i}: users http://{api}  nomad http://{door}");
+    for (i, (api, nomad_api)) in cluster.api.iter().zip(&cluster.nomad_apis).enumerate() {
+        println!("node {i}: users http://{api}  nomad http://{nomad_api}");
     }
     if let Some(file) = &cli.place {
-        place(&program, &format!("http://{}", cluster.doors[0]), file).await?;
+        place(&program, &format!("http://{}", cluster.nomad_apis[0]), file).await?;
     }
     match cli.lasts {
         Some(seconds) => tokio::time::sleep(Duration::from_secs(seconds)).await,
@@ -84,11 +84,11 @@
 }
 
 /// Registers a job file and waits until its tasks run.
-async fn place(program: &Path, door: &str, file: &Path) -> std::io::Result<()> {
+async fn place(program: &Path, nomad_api: &str, file: &Path) -> std::io::Result<()> {
     let began = Instant::now();
     let output = loop {
         let nomad =
-            Command::new(program).args(["nomad", "run", "--address", door]).arg(file).output().await?;
+            Command::new(program).args(["nomad", "run", "--address", nomad_api]).arg(file).output().await?;
         // Right after its start a node refuses for a moment.
         let early =
             String::from_utf8_lossy(&nomad.stderr).contains("come back") || nomad.stderr.starts_with(b"http");
@@ -103,7 +103,8 @@
     }
     let client: Client<HttpConnector, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     while began.elapsed() < PATIENCE {
-        let request = http::Request::get(format!("{door}/v1/jobs?namespace=*")).body(Full::new(Bytes::new()));
+        let request =
+            http::Request::get(format!("{nomad_api}/v1/jobs?namespace=*")).body(Full::new(Bytes::new()));
         if let Ok(response) = client.request(request.map_err(std::io::Error::other)?).await
             && let Ok(body) = response.into_body().collect().await
         {
--- a/crates/nomad/src/door/machines.rs
+++ b/crates/nomad/src/api/machines.rs
@@ -61,7 +61,7 @@
 }
 
 /// The answer, from what was found.
-pub fn told(asked: &Asked, found: Result<MachinePage, Outcome>) -> Reply {
+pub fn reply(asked: &Asked, found: Result<MachinePage, Outcome>) -> Reply {
     let found = match found {
         Ok(found) => found,
         Err(Outcome::NoBudget) => {
--- a/crates/nomad/src/door/upkeep.rs
+++ b/crates/nomad/src/api/maintenance.rs
@@ -2,7 +2,7 @@
 //! commit at a time, from what the node has to spare.
 
 use super::names::{Ended, Head, NameHash, VersionRecord};
-use super::rolls::{self, Facts, Health, Step};
+use super::rollouts::{self, Facts, Health, Step};
 use super::versions::{self, VERSIONS_KEPT, Writes};
 use crate::decode;
 use crate::fault::Faults;
@@ -18,7 +18,7 @@
 const ROLLS_AT_ONCE: usize = 64;
 
 #[derive(Debug, Default)]
-pub struct Upkeep {
+pub struct Maintenance {
     /// Names with a roll, or with native jobs left to withdraw.
     active: BTreeSet<NameHash>,
     /// Names with versions beyond those that are kept.
@@ -34,8 +34,8 @@
     failed: u64,
 }
 
-impl Upkeep {
-    pub fn learned(&mut self, hash: &NameHash, head: &Head) {
+impl Maintenance {
+    pub fn record_changed(&mut self, hash: &NameHash, head: &Head) {
         if head.roll.as_ref().is_some_and(|r| !r.kept) || !head.ending.is_empty() {
             self.active.insert(hash.clone());
         } else if self.active.remove(hash) {
@@ -138,7 +138,7 @@
         let fits = |group: &str| {
             let part = head.groups.iter().find(|g| g.name == group).and_then(|g| g.parts.first());
             let spec = part.and_then(|p| view.jobs.get(&p.id)).and_then(|k| k.record.open()).map(|j| &j.spec);
-            spec.is_none_or(|spec| rolls::fits(view.remaining_quota(&spec.team), &spec.resources))
+            spec.is_none_or(|spec| rollouts::fits(view.remaining_quota(&spec.team), &spec.resources))
         };
         let facts = Facts {
             parts: &parts,
@@ -147,11 +147,11 @@
             unchanged: self.health.unchanged(hash.as_str(), view.now),
             wall_ms: view.wall_time.0,
         };
-        match rolls::next(head, roll, &facts) {
+        match rollouts::next(head, roll, &facts) {
             Step::Wait => None,
-            Step::Withdraw(id) => {
+            Step::Cancel(id) => {
                 self.health.touched(hash.as_str(), view.now);
-                let next = rolls::without(head, &id, view.wall_time.0);
+                let next = rollouts::without(head, &id, view.wall_time.0);
                 Some(versions::write_roll(view, revision, &next, Some(&id)))
             }
             Step::Finish => {
--- a/crates/nomad/src/door/mod.rs
+++ b/crates/nomad/src/api/mod.rs
@@ -8,14 +8,14 @@
 mod ids;
 mod limits;
 mod machines;
+mod maintenance;
 pub mod names;
 mod requests;
 mod retry;
-mod rolls;
+mod rollouts;
 #[cfg(test)]
 mod tests;
 pub mod tokens;
-mod upkeep;
 mod versions;
 
 use crate::decode;
@@ -24,6 +24,7 @@
 use crate::translate::{Context, Job, translate};
 use guards::{Guard, holds};
 use limits::Queries;
+use maintenance::Maintenance;
 use names::{Head, NameHash, PREFIX};
 use pearford_scheduler::extension::{Action, Call, Extension, Input, View};
 use pearford_scheduler::types::{Duration, JobId, RequestId};
@@ -32,7 +33,6 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use tokens::Tokens;
-use upkeep::Upkeep;
 
 const DEFAULT_WAIT: Duration = Duration::from_millis(300_000);
 
@@ -66,7 +66,7 @@
     Committing(Write),
 }
 
-pub struct Door {
+pub struct NomadApi {
     settings: NomadSettings,
     tokens: Tokens,
     next_tag: u64,
@@ -79,10 +79,10 @@
     owners: BTreeMap<JobId, NameHash>,
     /// Revision of the newest record of any name.
     newest: u64,
-    upkeep: Upkeep,
+    maintenance: Maintenance,
 }
 
-impl Door {
+impl NomadApi {
     pub fn new(settings: NomadSettings) -> Result<Self, Vec<String>> {
         Ok(Self {
             tokens: Tokens::new(&settings.tokens)?,
@@ -94,7 +94,7 @@
             by_name: BTreeMap::new(),
             owners: BTreeMap::new(),
             newest: 1,
-            upkeep: Upkeep::default(),
+            maintenance: Maintenance::default(),
         })
     }
 
@@ -430,7 +430,7 @@
             self.newest = self.newest.max(revision);
         }
         self.by_name.insert((head.namespace.clone(), head.name.clone()), hash.clone());
-        self.upkeep.learned(&hash, &head);
+        self.maintenance.record_changed(&hash, &head);
         self.heads.insert(hash.clone(), head);
         self.queries.changed(hash);
     }
@@ -492,7 +492,7 @@
     Action::Answer { request, status: reply.status, retry_after_s, headers, body: reply.body }
 }
 
-impl Extension for Door {
+impl Extension for NomadApi {
     fn prefix(&self) -> &'static str {
         PREFIX
     }
@@ -509,7 +509,9 @@
                 Vec::new()
             }
             Input::Machines { tag, found } => match self.waiting.remove(&tag) {
-                Some(Waiting::Machines(request, asked)) => vec![send(request, machines::told(&asked, found))],
+                Some(Waiting::Machines(request, asked)) => {
+                    vec![send(request, machines::reply(&asked, found))]
+                }
                 _ => Vec::new(),
             },
             Input::Read { tag, fresh } => match (self.waiting.remove(&tag), fresh) {
@@ -524,7 +526,7 @@
             Input::Committed { tag, outcome } => match self.waiting.remove(&tag) {
                 Some(Waiting::Committing(write)) => self.committed(view, write, outcome),
                 _ => {
-                    self.upkeep.committed(tag, &outcome, view.now);
+                    self.maintenance.committed(tag, &outcome, view.now);
                     Vec::new()
                 }
             },
@@ -533,7 +535,7 @@
                 let tag = self.next_tag + 1;
                 let settings = &self.settings;
                 let context = || context_of(settings, view);
-                if let Some(action) = self.upkeep.tick(view, &self.heads, &context, tag) {
+                if let Some(action) = self.maintenance.tick(view, &self.heads, &context, tag) {
                     self.next_tag = tag;
                     actions.push(action);
                 }
@@ -546,6 +548,6 @@
         lines.push(format!("pearford_nomad_names {}", self.heads.len()));
         lines.push(format!("pearford_nomad_requests_waiting {}", self.waiting.len()));
         lines.push(format!("pearford_nomad_queries_blocking {}", self.queries.len()));
-        self.upkeep.metrics(lines);
+        self.maintenance.metrics(lines);
     }
 }
--- a/crates/nomad/src/door/names.rs
+++ b/crates/nomad/src/api/names.rs
@@ -89,7 +89,7 @@
 
 /// A service on its way from one version to the next.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Roll {
+pub struct Rollout {
     /// The version that runs as long as the new one doesn't.
     pub from: u64,
     /// Parts of earlier versions that are still there, by group, in the order in which they go.
@@ -141,7 +141,7 @@
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub purged: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub roll: Option<Roll>,
+    pub roll: Option<Rollout>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<Ended>,
     /// Native jobs that must still be withdrawn.
--- a/crates/nomad/src/door/names/golden.rs
+++ b/crates/nomad/src/api/names/golden.rs
@@ -31,9 +31,9 @@
     vec![rolled, batch]
 }
 
-fn roll(kept: bool, gone: Vec<(String, u32)>) -> Roll {
+fn roll(kept: bool, gone: Vec<(String, u32)>) -> Rollout {
     let olds = vec![Old { group: "web".into(), part: part("req-000001", 4) }];
-    Roll { from: 6, olds, gone, progressed_ms: 1_700_000_000_456, kept }
+    Rollout { from: 6, olds, gone, progressed_ms: 1_700_000_000_456, kept }
 }
 
 /// Every field is given.
@@ -123,7 +123,7 @@
     group.writes("version", hash.version_key(7));
     group.writes("versions", hash.versions_from());
     group.writes("native job of a part", part_id(&hash, 7, "web", 1, 2).as_str());
-    group.writes("evaluation and deployment", crate::door::ids::of_version(&hash, 7));
-    group.writes("allocation", crate::door::ids::of_task(&hash, 7, 1, 300));
+    group.writes("evaluation and deployment", crate::api::ids::of_version(&hash, 7));
+    group.writes("allocation", crate::api::ids::of_task(&hash, 7, 1, 300));
     group.finish();
 }
--- a/crates/nomad/src/door/requests.rs
+++ b/crates/nomad/src/api/requests.rs
@@ -285,12 +285,12 @@
     let Some(text) = member("JobHCL").and_then(Value::as_str) else {
         return Err((400, "the body must be an object with `JobHCL`".into()));
     };
-    let told = |faults: Vec<crate::fault::Fault>| {
+    let shown = |faults: Vec<crate::fault::Fault>| {
         (400, faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     };
     let variables: Vec<Assignment> = match member("Variables").and_then(Value::as_str) {
-        Some(text) => hcl::read_assignments(text, Budget::CALL).map_err(told)?,
+        Some(text) => hcl::read_assignments(text, Budget::CALL).map_err(shown)?,
         None => Vec::new(),
     };
-    source::hcl_as_api(text, &variables, Budget::CALL, context).map_err(told)
+    source::hcl_as_api(text, &variables, Budget::CALL, context).map_err(shown)
 }
--- a/crates/nomad/src/door/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -3,7 +3,7 @@
 
 use super::names::{NameHash, PREFIX};
 use super::versions::{self, Decision, Writes};
-use super::{Door, Reply, Waiting, answers, ids, send};
+use super::{NomadApi, Reply, Waiting, answers, ids, send};
 use crate::translate::Job;
 use pearford_scheduler::extension::{Action, Outcome, Share, View};
 use pearford_scheduler::types::RequestId;
@@ -39,7 +39,7 @@
     made: BTreeSet<String>,
 }
 
-impl Door {
+impl NomadApi {
     pub(super) fn write(&mut self, view: &View<'_>, request: RequestId, change: Change) -> Vec<Action> {
         let write = Write { request, change, tries: 0, salt: 0, made: BTreeSet::new() };
         // Setting the keys if absent decides by itself; no read is needed before. A name that this node
@@ -77,7 +77,7 @@
     fn carry_out(&mut self, view: &View<'_>, mut write: Write, decision: Decision) -> Vec<Action> {
         match decision {
             Decision::Refuse { status, why } => vec![send(write.request, Reply::error(status, why))],
-            Decision::Same => vec![self.told(view, &write, true)],
+            Decision::Same => vec![self.saved_reply(view, &write, true)],
             Decision::Write(writes) => {
                 if let Change::Register { plan: true, .. } = &write.change {
                     return vec![send(write.request, self.planned(view, &write.change.hash(), false))];
@@ -110,7 +110,7 @@
     }
 
     /// The answer to a change that has been made, or was so already.
-    fn told(&self, view: &View<'_>, write: &Write, same: bool) -> Action {
+    fn saved_reply(&self, view: &View<'_>, write: &Write, same: bool) -> Action {
         let hash = write.change.hash();
         let registers = match &write.change {
             Change::Register { plan: true, .. } => {
@@ -147,7 +147,7 @@
                 if let Change::Register { job, .. } = &write.change {
                     tracing::info!(job = job.id, namespace = job.namespace, "registered");
                 }
-                vec![self.told(view, &write, false)]
+                vec![self.saved_reply(view, &write, false)]
             }
             Outcome::Conflict(failed) if write.tries < TRIES => {
                 write.tries += 1;
--- a/crates/nomad/src/door/rolls.rs
+++ b/crates/nomad/src/api/rollouts.rs
@@ -5,7 +5,7 @@
 //! where the team's limit leaves no room for another new one does an old part go first.
 
 use super::guards::{Guard, holds};
-use super::names::{Head, Roll};
+use super::names::{Head, Rollout};
 use pearford_scheduler::types::{Duration, JobId, MonotonicTime, Resources};
 use std::collections::BTreeMap;
 
@@ -38,17 +38,17 @@
 pub enum Step {
     Wait,
     /// This old part goes; it has gone already if it isn't open any more.
-    Withdraw(JobId),
+    Cancel(JobId),
     Finish,
     Fail,
 }
 
-pub fn next(head: &Head, roll: &Roll, facts: &Facts<'_>) -> Step {
+pub fn next(head: &Head, roll: &Rollout, facts: &Facts<'_>) -> Step {
     if roll.kept {
         return Step::Wait;
     }
     if let Some(old) = roll.olds.iter().find(|o| !(facts.open)(&o.part.id)) {
-        return Step::Withdraw(old.part.id.clone());
+        return Step::Cancel(old.part.id.clone());
     }
     let seen =
         |id: &JobId| facts.parts.get(id).copied().unwrap_or(Seen { running: 0, waiting: 0, healthy: false });
@@ -60,7 +60,7 @@
         let Some(old) = roll.olds.iter().find(|o| o.group == group.name) else { continue };
         let gone: u32 = roll.gone.iter().filter(|(g, _)| *g == group.name).map(|(_, n)| n).sum();
         if whole || healthy >= gone + old.part.tasks || !holds(Guard::HealthyFirst) {
-            return Step::Withdraw(old.part.id.clone());
+            return Step::Cancel(old.part.id.clone());
         }
         // More of the new version waits, and the limit has no room for it. What has a machine but does not
         // run yet takes of the limit too: it is waited for. (With two of three new replicas up, a roll once
@@ -71,7 +71,7 @@
         let min_healthy = group.update.unwrap_or_default().min_healthy;
         let settled = facts.unchanged.0 >= PATIENCE.0 + min_healthy.0;
         if waits && !coming && settled && !(facts.fits)(&group.name) {
-            return Step::Withdraw(old.part.id.clone());
+            return Step::Cancel(old.part.id.clone());
         }
     }
     if roll.olds.is_empty() && all_healthy {
--- a/crates/nomad/src/door/tests/golden.rs
+++ b/crates/nomad/src/api/tests/golden.rs
@@ -2,7 +2,7 @@
 //!
 //! What the members say depends on the seeded run, so it is not recorded.
 
-use super::{call, door, job};
+use super::{api, call, job};
 use pearford_scheduler::extension::{Call, Verb};
 use pearford_scheduler::golden_group;
 use pearford_scheduler::world::World;
@@ -47,7 +47,7 @@
 
 /// A world in which a service of two replicas runs.
 fn with_a_service() -> World {
-    let mut w = World::new(5).with_feature(door);
+    let mut w = World::new(5).with_feature(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
     answer(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &service), 200);
--- a/crates/nomad/src/door/tests/histories.rs
+++ b/crates/nomad/src/api/tests/histories.rs
@@ -2,9 +2,9 @@
 //! The rules of the core hold throughout; besides: one set of native jobs for each version, one final
 //! answer, no index and no version ever back, and in the end what was asked for last.
 
-use super::{call, door, job};
-use crate::door::guards::{Guard, without};
-use crate::door::names::{Head, NAMES, NameHash};
+use super::{api, call, job};
+use crate::api::guards::{Guard, without};
+use crate::api::names::{Head, NAMES, NameHash};
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::jobs::Record;
 use pearford_scheduler::world::days::{DAY_ENDS, troubles};
@@ -53,7 +53,7 @@
     tag: u64,
     /// What had been told of each name when a question was asked: no answer may be older.
     floors: BTreeMap<u64, (usize, Seen, bool)>,
-    told: Vec<Seen>,
+    answered: Vec<Seen>,
     /// The newest index that a list was told, and those asked for with what had been told by then.
     listed: u64,
     lists: BTreeMap<u64, u64>,
@@ -105,18 +105,18 @@
 
 impl Play {
     fn new(seed: u64, faults: impl FnOnce(&mut World)) -> Self {
-        let mut w = World::new(seed).with_feature(door);
+        let mut w = World::new(seed).with_feature(api);
         faults(&mut w);
         let mut rng = StdRng::seed_from_u64(seed);
         let users = users(&mut rng);
-        let told = vec![Seen::default(); users.len()];
+        let answered = vec![Seen::default(); users.len()];
         Play {
             w,
             rng,
             users,
             tag: 0,
             floors: BTreeMap::new(),
-            told,
+            answered,
             listed: 0,
             lists: BTreeMap::new(),
             over: BTreeMap::new(),
@@ -190,7 +190,7 @@
         let escaped: String = self.users[u].name.bytes().map(|b| format!("%{b:02X}")).collect();
         let query = format!("namespace={}", self.users[u].team);
         self.tag += 1;
-        self.floors.insert(self.tag, (u, self.told[u], true));
+        self.floors.insert(self.tag, (u, self.answered[u], true));
         self.w.call(node, self.tag, call(Verb::Get, &format!("/v1/job/{escaped}"), &query, &Value::Null));
     }
 
@@ -218,9 +218,9 @@
                 self.broken
                     .push(format!("at {now}: {} went back: {seen:?} after {floor:?}", self.users[u].name));
             }
-            self.told[u] = Seen {
-                index: self.told[u].index.max(index),
-                version: self.told[u].version.max(seen.version),
+            self.answered[u] = Seen {
+                index: self.answered[u].index.max(index),
+                version: self.answered[u].version.max(seen.version),
             };
             let dead = body["Status"] == "dead";
             let done =
--- a/crates/nomad/src/door/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -1,6 +1,6 @@
 //! Whatever comes to the door: an answer, and nothing broken.
 
-use super::{call, door, job};
+use super::{api, call, job};
 use arbtest::arbtest;
 use pearford_scheduler::extension::{Call, Verb};
 use pearford_scheduler::world::World;
@@ -8,7 +8,7 @@
 
 /// A world with a leader, a job, and no more that happens by itself.
 fn world() -> World {
-    let mut w = World::new(77).with_feature(door);
+    let mut w = World::new(77).with_feature(api);
     w.run_until(6_000);
     w.call(
         0,
--- a/crates/nomad/src/door/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -1,8 +1,8 @@
 //! Machines as the door lists them: what the ledger has durably, at any node.
 
-use super::{call, door, job};
-use crate::door::machines::{Asked, told};
-use crate::door::requests::{Ask, Page, Query};
+use super::{api, call, job};
+use crate::api::machines::{Asked, reply};
+use crate::api::requests::{Ask, Page, Query};
 use pearford_scheduler::assignments::MachineRecord;
 use pearford_scheduler::extension::{MachinePage, Verb};
 use pearford_scheduler::world::World;
@@ -19,7 +19,7 @@
 
 #[test]
 fn every_node_lists_the_machines_that_hold_tasks_and_what_they_hold() {
-    let mut w = World::new(5).with_feature(door);
+    let mut w = World::new(5).with_feature(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
     w.call(0, 1, call(Verb::Post, "/v1/jobs", "namespace=red", &service));
@@ -59,7 +59,7 @@
 /// Each read may bring half a megabyte of records to a small node.
 #[test]
 fn machines_are_read_a_few_times_a_second_at_most() {
-    let mut w = World::new(5).with_feature(door);
+    let mut w = World::new(5).with_feature(api);
     w.run_until(6_000);
     for tag in 0..50 {
         w.call(0, tag, call(Verb::Get, "/v1/nodes", "", &Value::Null));
@@ -80,7 +80,7 @@
     for all in [false, true] {
         let asked = Asked::of(&Ask::Node("m-1".into()), &page, all).expect("about machines");
         let found = MachinePage { machines: vec![("m-1".into(), record.clone())], more: false };
-        let body: Value = serde_json::from_str(&told(&asked, Ok(found)).body).expect("JSON");
+        let body: Value = serde_json::from_str(&reply(&asked, Ok(found)).body).expect("JSON");
         assert_eq!(body["Address"], "10.0.0.9");
         assert_eq!(body.get("Tasks").is_some(), all);
     }
--- a/crates/nomad/src/door/tests/mod.rs
+++ b/crates/nomad/src/api/tests/mod.rs
@@ -5,15 +5,15 @@
 mod hostile;
 mod machines;
 mod placements;
-mod rolls;
+mod rollouts;
 
-use crate::door::Door;
+use crate::api::NomadApi;
 use crate::operator::NomadSettings;
 use pearford_scheduler::extension::{Call, Extension, Verb};
 use serde_json::{Value, json};
 
-pub(super) fn door() -> Box<dyn Extension> {
-    Box::new(Door::new(NomadSettings::default()).expect("the defaults are valid"))
+pub(super) fn api() -> Box<dyn Extension> {
+    Box::new(NomadApi::new(NomadSettings::default()).expect("the defaults are valid"))
 }
 
 pub(super) fn call(verb: Verb, path: &str, query: &str, body: &Value) -> Call {
--- a/crates/nomad/src/door/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -1,8 +1,8 @@
 //! The same seeds with jobs submitted natively and through the door: the same tasks start on the same
 //! machines at the same times.
 
-use super::{call, door};
-use crate::door::names::{NameHash, part_id};
+use super::{api, call};
+use crate::api::names::{NameHash, part_id};
 use crate::source;
 use crate::translate::Context;
 use pearford_scheduler::extension::Verb;
@@ -74,11 +74,11 @@
 /// Plays a day; every submission is repeated at other nodes until it is accepted.
 fn starts(
     seed: u64,
-    through_door: bool,
+    through_api: bool,
     troubled: bool,
     spoil: fn(&mut Value),
 ) -> Vec<(u64, String, MachineId)> {
-    let mut w = World::new(seed).with_feature(door);
+    let mut w = World::new(seed).with_feature(api);
     if troubled {
         troubles(&mut w);
     }
@@ -105,7 +105,7 @@
             next[n] = Some(now + 5_000);
             let tag = (tries[n] * jobs.len() + n) as u64;
             let node = (n + tries[n]) % NODES;
-            if through_door {
+            if through_api {
                 w.call(node, tag, call(Verb::Post, "/v1/jobs", "", &json!({"Job": jobs[n].nomad})));
             } else {
                 w.ask(node, tag, Method::Post, "/submissions", &jobs[n].native.to_string());
@@ -132,14 +132,14 @@
 }
 
 #[test]
-fn quiet_days_go_the_same_way_through_either_door() {
+fn quiet_days_go_the_same_way_through_either_api() {
     for seed in 0..6 {
         compare(seed, false);
     }
 }
 
 #[test]
-fn troubled_days_go_the_same_way_through_either_door() {
+fn troubled_days_go_the_same_way_through_either_api() {
     let more = std::env::var("PEARFORD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
     for seed in 100..100 + more {
         compare(seed, true);
--- a/crates/nomad/src/door/tests/rolls.rs
+++ b/crates/nomad/src/api/tests/rollouts.rs
@@ -1,14 +1,14 @@
 //! Rolls of services: no replica is missing where room was there, and no limit is passed.
 
-use super::{call, door, job};
-use crate::door::guards::{Guard, without};
-use crate::door::names::{Ended, Head, NameHash};
+use super::{api, call, job};
+use crate::api::guards::{Guard, without};
+use crate::api::names::{Ended, Head, NameHash};
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::world::{Event, Fault, World};
 use serde_json::{Value, json};
 
 /// A service under way from file 0 to file 1.
-struct Roll {
+struct Rollout {
     w: World,
     name: &'static str,
     /// Fewest and most replicas that were up at once since the roll began.
@@ -16,7 +16,7 @@
     most: usize,
 }
 
-impl Roll {
+impl Rollout {
     fn file(&self, count: u32, run: u32, edit: &dyn Fn(&mut Value)) -> Value {
         let mut job = job(self.name, "red", "service", count, run);
         job["Update"] = json!({"MinHealthyTime": 2_000_000_000u64, "ProgressDeadline": 40_000_000_000u64});
@@ -38,7 +38,7 @@
     }
 
     fn begin(seed: u64, count: u32, edit: impl Fn(&mut Value)) -> Self {
-        let mut roll = Roll { w: World::new(seed).with_feature(door), name: "quotes", fewest: 0, most: 0 };
+        let mut roll = Rollout { w: World::new(seed).with_feature(api), name: "quotes", fewest: 0, most: 0 };
         roll.w.run_until(6_000);
         let job = roll.file(count, 0, &edit);
         assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
@@ -75,7 +75,7 @@
 fn where_both_versions_fit_no_replica_is_ever_missing() {
     let mut shown = 0;
     for seed in 0..8 {
-        let mut roll = Roll::begin(seed, 4, |_| {});
+        let mut roll = Rollout::begin(seed, 4, |_| {});
         let job = roll.file(4, 1, &|_| {});
         assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
         roll.play(60_000);
@@ -95,7 +95,7 @@
 #[test]
 fn where_the_limit_is_in_the_way_it_goes_in_steps() {
     for (seed, count, missing) in [(10, 10, 0), (11, 12, 2), (12, 7, 0)] {
-        let mut roll = Roll::begin(seed, count, |_| {});
+        let mut roll = Rollout::begin(seed, count, |_| {});
         let parts = roll.head().groups[0].parts.len();
         assert!(parts > 1, "seed {seed}: {parts} parts");
         let job = roll.file(count, 1, &|_| {});
@@ -110,8 +110,8 @@
 }
 
 /// New replicas that need machines of their own, while the cloud gives none.
-fn stuck(seed: u64, auto_revert: bool) -> Roll {
-    let mut roll = Roll::begin(seed, 3, |_| {});
+fn stuck(seed: u64, auto_revert: bool) -> Rollout {
+    let mut roll = Rollout::begin(seed, 3, |_| {});
     let big = |job: &mut Value| {
         job["Update"]["AutoRevert"] = auto_revert.into();
         job["TaskGroups"][0]["Tasks"][0]["Resources"]["Cores"] = 8.into();
@@ -154,7 +154,7 @@
 fn a_stop_in_the_midst_of_a_roll_wins() {
     // Seeds on which every machine of file 0 comes up: waited for, one that never does takes longer than `begin` looks.
     for seed in 42..48 {
-        let mut roll = Roll::begin(seed, 10, |_| {});
+        let mut roll = Rollout::begin(seed, 10, |_| {});
         let job = roll.file(10, 1, &|_| {});
         assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
         roll.play(5_000 + 4_000 * (seed - 42));
@@ -170,7 +170,7 @@
 #[test]
 fn an_old_part_that_goes_too_early_shows() {
     without(Guard::HealthyFirst, || {
-        let mut roll = Roll::begin(0, 4, |_| {});
+        let mut roll = Rollout::begin(0, 4, |_| {});
         let job = roll.file(4, 1, &|_| {});
         assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
         roll.play(60_000);
@@ -182,7 +182,7 @@
 #[test]
 fn of_two_registrations_that_enforce_an_index_one_wins() {
     for seed in 40..52 {
-        let mut roll = Roll::begin(seed, 2, |_| {});
+        let mut roll = Rollout::begin(seed, 2, |_| {});
         let index = {
             let key = NameHash::of("red", "quotes").version_key(0);
             let revision = roll.w.state.revision(&key).expect("registered");
@@ -195,9 +195,9 @@
         }
         let until = roll.w.now + 3_000;
         roll.w.run_until(until);
-        let mut told: Vec<u16> = roll.w.answers.iter().map(|a| a.status).collect();
-        told.sort_unstable();
-        assert_eq!(told, [200, 409], "seed {seed}: {:?}", roll.w.answers);
+        let mut answered: Vec<u16> = roll.w.answers.iter().map(|a| a.status).collect();
+        answered.sort_unstable();
+        assert_eq!(answered, [200, 409], "seed {seed}: {:?}", roll.w.answers);
         assert_eq!(roll.head().version, 1, "seed {seed}");
     }
 }
--- a/crates/nomad/src/door/versions.rs
+++ b/crates/nomad/src/api/versions.rs
@@ -2,7 +2,7 @@
 //! version's, and the native jobs, conditional on the name's record as it was read.
 
 use super::guards::{Guard, holds};
-use super::names::{Ended, GroupRecord, Head, NameHash, Old, Part, Roll, VersionRecord, part_id, split};
+use super::names::{Ended, GroupRecord, Head, NameHash, Old, Part, Rollout, VersionRecord, part_id, split};
 use crate::translate::Job;
 use pearford_scheduler::extension::View;
 use pearford_scheduler::jobs::{self, Record};
@@ -25,7 +25,7 @@
 
     /// Withdraws a native job, if it has no final answer yet: then the same transaction fails where it
     /// gets one meanwhile, so that neither overwrites the other.
-    fn withdraw(&mut self, view: &View<'_>, id: &JobId) {
+    fn cancel(&mut self, view: &View<'_>, id: &JobId) {
         if holds(Guard::Withdrawal)
             && let Some(known) = view.jobs.get(id).filter(|k| k.record.is_open())
         {
@@ -34,9 +34,9 @@
     }
 
     /// Withdraws as many as the transaction has room for; gives the rest, for `ending`.
-    fn withdraw_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
+    fn cancel_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
         let rest = open.split_off(at_most.min(open.len()));
-        open.iter().for_each(|id| self.withdraw(view, id));
+        open.iter().for_each(|id| self.cancel(view, id));
         rest
     }
 }
@@ -157,7 +157,7 @@
     let record = VersionRecord::new(&digest, view.wall_time.0, json).to_value();
     let revision = known.as_ref().map_or(Revision(0), |(revision, _)| *revision);
     let spare = ops - 2 - made.len();
-    head.ending.extend(writes.withdraw_some(view, leaving, spare));
+    head.ending.extend(writes.cancel_some(view, leaving, spare));
     for (what, value) in [("its record", &head.to_value()), ("the job", &record)] {
         let (bytes, limit) = (value.len(), view.settings.state.value_bytes);
         if bytes > limit {
@@ -181,13 +181,13 @@
         olds.extend(group.parts.iter().map(|p| Old { group: group.name.clone(), part: p.clone() }));
     }
     olds.retain(|o| is_open(view, &o.part.id));
-    let rolls = old.service && head.service && !old.stopped;
+    let rollouts = old.service && head.service && !old.stopped;
     let (staying, going): (Vec<Old>, Vec<Old>) =
-        olds.into_iter().partition(|o| rolls && head.groups.iter().any(|g| g.name == o.group));
+        olds.into_iter().partition(|o| rollouts && head.groups.iter().any(|g| g.name == o.group));
     leaving.extend(going.into_iter().map(|o| o.part.id));
     if !staying.is_empty() {
         let from = old.roll.as_ref().filter(|r| !r.kept).map_or(old.version, |r| r.from);
-        head.roll = Some(Roll {
+        head.roll = Some(Rollout {
             from,
             olds: staying,
             gone: Vec::new(),
@@ -216,7 +216,7 @@
     let version_key = hash.version_key(head.version);
     let version = view.records.get(&version_key).map(|(revision, value)| (revision, value.to_string()));
     let at_once = view.settings.state.txn_ops - 1 - usize::from(version.is_some());
-    head.ending = writes.withdraw_some(view, open, at_once);
+    head.ending = writes.cancel_some(view, open, at_once);
     writes.put(hash.key(), revision, head.to_value());
     if let Some((revision, value)) = version {
         writes.put(version_key, revision, value);
@@ -233,7 +233,7 @@
     let mut writes = Writes::default();
     let at_once = view.settings.state.txn_ops - 1;
     let open: Vec<JobId> = head.ending.iter().filter(|id| is_open(view, id)).cloned().collect();
-    head.ending = writes.withdraw_some(view, open, at_once);
+    head.ending = writes.cancel_some(view, open, at_once);
     writes.put(hash.key(), revision, head.to_value());
     Some(writes)
 }
@@ -260,10 +260,10 @@
 }
 
 /// How a roll goes on, as the leader decided.
-pub fn write_roll(view: &View<'_>, revision: Revision, head: &Head, withdraw: Option<&JobId>) -> Writes {
+pub fn write_roll(view: &View<'_>, revision: Revision, head: &Head, cancel: Option<&JobId>) -> Writes {
     let mut writes = Writes::default();
-    if let Some(id) = withdraw {
-        writes.withdraw(view, id);
+    if let Some(id) = cancel {
+        writes.cancel(view, id);
     }
     writes.put(head.hash().key(), revision, head.to_value());
     writes
@@ -304,7 +304,7 @@
         digest: record.digest.clone(),
         submitted_ms: view.wall_time.0,
         groups,
-        roll: Some(Roll {
+        roll: Some(Rollout {
             from: failed.version,
             olds,
             gone: Vec::new(),
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -4,8 +4,8 @@
 //! reads files and API bodies by it; `translate` gives the native jobs.
 #![forbid(unsafe_code)]
 
+pub mod api;
 pub mod decode;
-pub mod door;
 pub mod fault;
 pub mod fields;
 
--- a/crates/nomad/src/operator.rs
+++ b/crates/nomad/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' own settings for Nomad's files and door (YAML).
 
-use crate::door::tokens::{Token, Tokens};
+use crate::api::tokens::{Token, Tokens};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     pub devices: BTreeMap<String, Vec<String>>,
     /// Attributes that constraints may name besides ${node.datacenter} and ${node.class}, and which of
     /// the two they stand for.
-    pub attributes: BTreeMap<String, Stands>,
+    pub attributes: BTreeMap<String, AttributeMeaning>,
     /// GB of an image for which a job says nothing.
     pub image_gb: Option<f64>,
     /// Seconds that a batch task is expected to run, for jobs that say nothing.
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stands {
+pub enum AttributeMeaning {
     Zone,
     MachineType,
 }
--- a/crates/nomad/src/operator/golden.rs
+++ b/crates/nomad/src/operator/golden.rs
@@ -36,8 +36,8 @@
         namespaces: [("default".into(), "green".into())].into(),
         devices: [("nvidia/gpu/a100".into(), vec!["g8".into(), "g16".into()])].into(),
         attributes: [
-            ("${attr.platform.type}".into(), Stands::MachineType),
-            ("${attr.platform.zone}".into(), Stands::Zone),
+            ("${attr.platform.type}".into(), AttributeMeaning::MachineType),
+            ("${attr.platform.zone}".into(), AttributeMeaning::Zone),
         ]
         .into(),
         image_gb: Some(1.5),
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -3,7 +3,7 @@
 use crate::decode::Section;
 use crate::fault::{Fault, Faults};
 use crate::fields::{META, META_FIELDS, MetaKind};
-use crate::operator::{NomadSettings, Stands};
+use crate::operator::{AttributeMeaning, NomadSettings};
 use crate::tree::Value;
 use pearford_scheduler::jobs::{JobSpec, JobType, Priority};
 use pearford_scheduler::types::{Duration, JobId, Resources};
@@ -370,12 +370,12 @@
             }
             let (attribute, value) =
                 (c.text("attribute").unwrap_or_default(), c.text("value").unwrap_or_default());
-            let stands = match attribute {
-                ZONE => Some(Stands::Zone),
-                MACHINE_TYPE => Some(Stands::MachineType),
+            let meaning = match attribute {
+                ZONE => Some(AttributeMeaning::Zone),
+                MACHINE_TYPE => Some(AttributeMeaning::MachineType),
                 other => self.context.settings.attributes.get(other).copied(),
             };
-            let Some(stands) = stands else {
+            let Some(meaning) = meaning else {
                 let why = format!(
                     "`{attribute}` says nothing here; constrain {MACHINE_TYPE} or {ZONE}, or have the operators map it in `attributes`"
                 );
@@ -386,23 +386,25 @@
                 self.fault(c, "value", "is missing; name a zone or a machine type");
                 continue;
             }
-            match (stands, c.text("operator").unwrap_or("=")) {
-                (Stands::Zone, "=" | "==" | "is") => match &zone {
+            match (meaning, c.text("operator").unwrap_or("=")) {
+                (AttributeMeaning::Zone, "=" | "==" | "is") => match &zone {
                     Some(other) if other != value => {
                         self.fault(c, "value", format!("wants zone `{value}`, another constraint `{other}`"));
                     }
                     _ => zone = Some(value.into()),
                 },
-                (Stands::MachineType, "=" | "==" | "is") => types = Some(meet(types, vec![value.into()])),
-                (Stands::MachineType, "set_contains_any") => {
+                (AttributeMeaning::MachineType, "=" | "==" | "is") => {
+                    types = Some(meet(types, vec![value.into()]))
+                }
+                (AttributeMeaning::MachineType, "set_contains_any") => {
                     let list = value.split(',').map(|t| t.trim().to_string()).filter(|t| !t.is_empty());
                     types = Some(meet(types, list.collect()));
                 }
-                (Stands::Zone, other) => {
+                (AttributeMeaning::Zone, other) => {
                     let why = format!("`{other}` can't be checked for zones; write \"=\" and one zone");
                     self.fault(c, "operator", why);
                 }
-                (Stands::MachineType, other) => {
+                (AttributeMeaning::MachineType, other) => {
                     let why = format!(
                         "`{other}` can't be checked for machine types; write \"=\" or \"set_contains_any\" and name them"
                     );
--- a/crates/pearford/benches/nomad_door.rs
+++ b/crates/pearford/benches/nomad_api.rs
@@ -1,5 +1,5 @@
-//! What the door costs, against the same node without it or the native door, as ratios in one run:
-//! `cargo bench -p pearford --bench nomad_door`. Real processes, stand-ins beside them, on loopback.
+//! What the nomad_api costs, against the same node without it or the native nomad_api, as ratios in one run:
+//! `cargo bench -p pearford --bench nomad_api`. Real processes, stand-ins beside them, on loopback.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -49,7 +49,7 @@
     cluster: Cluster,
     client: Http,
     api: SocketAddr,
-    door: SocketAddr,
+    nomad_api: SocketAddr,
     ready_ms: f64,
 }
 
@@ -66,12 +66,12 @@
         let began = Instant::now();
         let cluster = Cluster::start(plan).await.expect("starts");
         let client = Client::builder(TokioExecutor::new()).build_http();
-        let (api, door) = (cluster.api[0], cluster.doors[0]);
+        let (api, nomad_api) = (cluster.api[0], cluster.nomad_apis[0]);
         while send(&client, "GET", format!("http://{api}/up"), &Value::Null).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let ready_ms = began.elapsed().as_secs_f64() * 1000.0;
-        let node = Self { cluster, client, api, door, ready_ms };
+        let node = Self { cluster, client, api, nomad_api, ready_ms };
         // Until machine types are known and a leader is there.
         while node.native(999_999_999).await != 201 {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -96,15 +96,15 @@
             "Meta": {"pearford_image_gb": "1", "pearford_expected_s": "3600", "pearford_class": "bench"},
             "TaskGroups": [{"Name": "g", "Count": 1, "Tasks": [{"Name": "t", "Driver": "docker", "Config": {"image": "img"},
                 "Resources": {"Cores": 1, "MemoryMB": 1024, "Devices": [{"Name": "gpu", "Count": 1}]}}]}]}});
-        send(&self.client, "POST", format!("http://{}/v1/jobs", self.door), &body).await.0
+        send(&self.client, "POST", format!("http://{}/v1/jobs", self.nomad_api), &body).await.0
     }
 
     /// Submits `jobs` one after another; per processor second of the node.
-    async fn rate(&self, jobs: usize, door: bool) -> f64 {
+    async fn rate(&self, jobs: usize, nomad_api: bool) -> f64 {
         let (before, _) = self.used();
         let mut taken = 0;
         for n in 0..jobs {
-            let status = if door { self.nomad(n).await } else { self.native(n).await };
+            let status = if nomad_api { self.nomad(n).await } else { self.native(n).await };
             taken += usize::from(matches!(status, 200 | 201));
         }
         let (after, _) = self.used();
@@ -136,36 +136,40 @@
 
 async fn measure() {
     let (off, on) = (Node::start("{}\n").await, Node::start(DOOR).await);
-    println!("ready: {:.0} ms without, {:.0} ms with the door", off.ready_ms, on.ready_ms);
+    println!("ready: {:.0} ms without, {:.0} ms with the nomad_api", off.ready_ms, on.ready_ms);
     println!("memory at the start: {:.1} MB without, {:.1} MB with", off.used().1, on.used().1);
     println!("idle: {:.2}% of a core without, {:.2}% with", idle_share(&off).await, idle_share(&on).await);
 
     let native = off.rate(JOBS, false).await;
-    let (beside, door) = (on.rate(JOBS, false).await, Node::start(DOOR).await.rate(JOBS, true).await);
+    let (beside, nomad_api) = (on.rate(JOBS, false).await, Node::start(DOOR).await.rate(JOBS, true).await);
     println!(
-        "submissions a processor second: native {native:.0}, native with the door open {beside:.0}, door {door:.0}"
+        "submissions a processor second: native {native:.0}, native with the nomad_api open {beside:.0}, nomad_api {nomad_api:.0}"
+    );
+    println!(
+        "  ratio nomad_api to native: {:.2}; native with to without: {:.2}",
+        nomad_api / native,
+        beside / native
     );
-    println!("  ratio door to native: {:.2}; native with to without: {:.2}", door / native, beside / native);
     drop((off, on));
 
-    // 10,000 names that are over, so that what they cost is the door's alone.
+    // 10,000 names that are over, so that what they cost is the nomad_api's alone.
     let node = Arc::new(Node::start(DOOR).await);
     let baseline = Node::start("{}\n").await;
     for n in 0..NAMES {
         assert_eq!(node.nomad(n).await, 200);
         assert_eq!(baseline.native(n).await, 201);
-        let name = format!("http://{}/v1/job/job-{n}?namespace=red", node.door);
+        let name = format!("http://{}/v1/job/job-{n}?namespace=red", node.nomad_api);
         assert_eq!(send(&node.client, "DELETE", name, &Value::Null).await.0, 200);
         let id = format!("http://{}/submissions/req-{n}/withdraw", baseline.api);
         assert_eq!(send(&baseline.client, "POST", id, &Value::Null).await.0, 200);
     }
     println!(
-        "memory with {NAMES} jobs that are over: native {:.1} MB, names at the door {:.1} MB",
+        "memory with {NAMES} jobs that are over: native {:.1} MB, names at the nomad_api {:.1} MB",
         baseline.used().1,
         node.used().1
     );
     println!(
-        "idle with them: native {:.2}% of a core, door {:.2}%",
+        "idle with them: native {:.2}% of a core, nomad_api {:.2}%",
         idle_share(&baseline).await,
         idle_share(&node).await
     );
@@ -174,8 +178,11 @@
     for n in 0..QUERIES {
         let node = node.clone();
         waiting.push(tokio::spawn(async move {
-            let uri =
-                format!("http://{}/v1/job/job-{}?namespace=red&index=99999999&wait=60s", node.door, n % 50);
+            let uri = format!(
+                "http://{}/v1/job/job-{}?namespace=red&index=99999999&wait=60s",
+                node.nomad_api,
+                n % 50
+            );
             send(&node.client, "GET", uri, &Value::Null).await.0
         }));
     }
--- a/crates/pearford/src/main.rs
+++ b/crates/pearford/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use files::Loaded;
-use pearford_nomad::door::Door;
+use pearford_nomad::api::NomadApi;
 use pearford_nomad::operator::NomadSettings;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -95,14 +95,14 @@
             return ExitCode::FAILURE;
         }
     };
-    let doors = match loaded.nomad.map(nomad_door).transpose() {
-        Ok(door) => door.flatten().into_iter().collect(),
+    let nomad_apis = match loaded.nomad.map(nomad_api).transpose() {
+        Ok(api) => api.flatten().into_iter().collect(),
         Err(faults) => {
             faults.iter().for_each(|fault| eprintln!("pearford: nomad.{fault}"));
             return ExitCode::from(2);
         }
     };
-    match runtime.block_on(shell::run(loaded.settings, doors)) {
+    match runtime.block_on(shell::run(loaded.settings, nomad_apis)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!(
@@ -114,12 +114,12 @@
 }
 
 /// Nomad's door, if it is to listen anywhere.
-fn nomad_door(settings: NomadSettings) -> Result<Option<shell::Door>, Vec<String>> {
+fn nomad_api(settings: NomadSettings) -> Result<Option<shell::NomadApi>, Vec<String>> {
     let Some(listen) = settings.listen else { return Ok(None) };
-    Ok(Some(shell::Door {
+    Ok(Some(shell::NomadApi {
         listen,
         connections: settings.max_connections,
         timeout: Duration::from_secs_f64(settings.max_wait_s + ANSWER_SLACK_S),
-        feature: Box::new(Door::new(settings)?),
+        feature: Box::new(NomadApi::new(settings)?),
     }))
 }
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -65,7 +65,7 @@
 }
 
 /// A feature with a listener of its own.
-pub struct Door {
+pub struct NomadApi {
     pub feature: Box<dyn Extension>,
     pub listen: SocketAddr,
     /// Connections at a time; they come out of the node's.
@@ -90,7 +90,7 @@
 type Requests = mpsc::Sender<Asked>;
 
 /// Runs the node until its process is killed.
-pub async fn run(settings: Settings, doors: Vec<Door>) -> std::io::Result<()> {
+pub async fn run(settings: Settings, nomad_apis: Vec<NomadApi>) -> std::io::Result<()> {
     let settings = Arc::new(settings);
     let api = TcpListener::bind(settings.api_addr).await?;
     let back = TcpListener::bind(settings.peer_addr).await?;
@@ -99,13 +99,13 @@
 
     let mut left = settings.limits.max_connections - settings.limits.outward();
     let mut controller = Controller::new(settings.clone(), rand::random());
-    for (slot, door) in doors.into_iter().enumerate() {
-        let listener = TcpListener::bind(door.listen).await?;
+    for (slot, api) in nomad_apis.into_iter().enumerate() {
+        let listener = TcpListener::bind(api.listen).await?;
         // Users and workers keep half, however many a door asks for.
-        let connections = door.connections.min(left / 2).max(1);
+        let connections = api.connections.min(left / 2).max(1);
         left -= connections;
-        tokio::spawn(serve_door(listener, connections, slot, door.timeout, requests.clone()));
-        controller = controller.with_feature(door.feature);
+        tokio::spawn(serve_nomad_api(listener, connections, slot, api.timeout, requests.clone()));
+        controller = controller.with_feature(api.feature);
     }
     tokio::spawn(serve_api(api, Arc::new(Semaphore::new(left)), requests));
     tokio::spawn(serve_peers(back, settings.peers.len() * 4 + 4, tx.clone()));
@@ -288,7 +288,13 @@
 }
 
 /// Serves a feature's listener.
-async fn serve_door(listener: TcpListener, connections: usize, slot: usize, timeout: Duration, tx: Requests) {
+async fn serve_nomad_api(
+    listener: TcpListener,
+    connections: usize,
+    slot: usize,
+    timeout: Duration,
+    tx: Requests,
+) {
     let filter = warp::any()
         .and(warp::method())
         .and(warp::path::full())
--- a/crates/pearford/tests/nomad_client.rs
+++ b/crates/pearford/tests/nomad_client.rs
@@ -18,7 +18,7 @@
 }
 
 fn at(cluster: &Cluster, node: usize) -> Configuration {
-    Configuration { base_path: format!("http://{}/v1", cluster.doors[node]), ..Configuration::default() }
+    Configuration { base_path: format!("http://{}/v1", cluster.nomad_apis[node]), ..Configuration::default() }
 }
 
 fn job(name: &str, kind: &str, count: u32, image: &str) -> Job {
