--- a/crates/nomad/src/api/answers.rs
+++ b/crates/nomad/src/api/answers.rs
@@ -4,7 +4,7 @@
 use super::names::{Ended, Head, Part, VersionRecord};
 use super::versions::modify_index;
 use pearford_scheduler::extension::View;
-use pearford_scheduler::jobs::Phase;
+use pearford_scheduler::jobs::{Phase, TaskCounts};
 use serde_json::{Value, json};
 
 /// How many tasks of something are where.
@@ -33,7 +33,7 @@
 }
 
 pub fn counts_of(view: &View<'_>, part: &Part) -> Counts {
-    let (done, running) = view.standing(&part.id).unwrap_or((0, 0));
+    let TaskCounts { done, running } = view.task_counts(&part.id).unwrap_or_default();
     let tasks = part.tasks;
     match view.jobs.terminal_status(&part.id) {
         Some(Phase::Done) => Counts { tasks, done: tasks, running: 0, stopped: 0 },
--- a/crates/nomad/src/api/machines.rs
+++ b/crates/nomad/src/api/machines.rs
@@ -71,15 +71,15 @@
     };
     match &asked.what {
         What::One(_) => match found.machines.first() {
-            Some((id, record)) => Reply::json(200, None, &node(id, record, asked.all_teams)),
+            Some(machine) => Reply::json(200, None, &node(&machine.id, &machine.record, asked.all_teams)),
             None => Reply::error(404, "no machine of this name holds tasks"),
         },
         What::Page { prefix, .. } => {
-            let of = found.machines.iter().filter(|(id, _)| id.as_str().starts_with(prefix));
-            let nodes: Vec<Value> = of.map(|(id, record)| stub(id, record)).collect();
+            let of = found.machines.iter().filter(|machine| machine.id.as_str().starts_with(prefix));
+            let nodes: Vec<Value> = of.map(|machine| stub(&machine.id, &machine.record)).collect();
             let mut reply = Reply::json(200, None, &nodes.into());
             let last = found.machines.last().filter(|_| found.more);
-            reply.next_token = last.map(|(id, _)| id.to_string());
+            reply.next_token = last.map(|machine| machine.id.to_string());
             reply
         }
     }
--- a/crates/nomad/src/api/maintenance.rs
+++ b/crates/nomad/src/api/maintenance.rs
@@ -128,7 +128,7 @@
             let min = group.update.unwrap_or_default().min_healthy;
             for part in &group.parts {
                 let open = versions::is_open(view, &part.id);
-                let running = view.standing(&part.id).map_or(0, |(_, running)| running);
+                let running = view.task_counts(&part.id).map_or(0, |counts| counts.running);
                 let waiting = view.waiting(&part.id).unwrap_or(0);
                 let now = if open { (running, waiting) } else { (0, 0) };
                 let seen = self.health.see(hash.as_str(), &part.id, now, part.tasks, min, view.now);
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -4,7 +4,7 @@
 use crate::api::machines::{Asked, reply};
 use crate::api::requests::{Ask, Page, Query};
 use pearford_scheduler::assignments::MachineRecord;
-use pearford_scheduler::extension::{MachinePage, Verb};
+use pearford_scheduler::extension::{MachinePage, RecordedMachine, Verb};
 use pearford_scheduler::world::World;
 use serde_json::{Value, json};
 
@@ -79,7 +79,8 @@
     let page = Page::of(&Query::default()).expect("valid");
     for all in [false, true] {
         let asked = Asked::of(&Ask::Node("m-1".into()), &page, all).expect("about machines");
-        let found = MachinePage { machines: vec![("m-1".into(), record.clone())], more: false };
+        let machine = RecordedMachine { id: "m-1".into(), record: record.clone() };
+        let found = MachinePage { machines: vec![machine], more: false };
         let body: Value = serde_json::from_str(&reply(&asked, Ok(found)).body).expect("JSON");
         assert_eq!(body["Address"], "10.0.0.9");
         assert_eq!(body.get("Tasks").is_some(), all);
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -105,7 +105,7 @@
         let connections = api.connections.min(left / 2).max(1);
         left -= connections;
         tokio::spawn(serve_nomad_api(listener, connections, slot, api.timeout, requests.clone()));
-        controller = controller.with_feature(api.feature);
+        controller = controller.with_extension(api.feature);
     }
     tokio::spawn(serve_api(api, Arc::new(Semaphore::new(left)), requests));
     tokio::spawn(serve_peers(back, settings.peers.len() * 4 + 4, tx.clone()));
@@ -484,7 +484,7 @@
             // Peers speak every second: a connection silent for long is dead.
             while let Ok(Some(Ok(frame))) = tokio::time::timeout(Duration::from_secs(15), frames.next()).await
             {
-                match pearford_scheduler::partitions::decode(&frame) {
+                match pearford_scheduler::peer_messages::decode(&frame) {
                     Some(envelope) => {
                         if tx.send(Input::Peer(envelope)).await.is_err() {
                             break;
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::assignments::{CachedImage, MachineRecord, RecordedAssignment};
-use crate::jobs::{self, JobSpec, JobType, OpenJob, Priority, Record};
-use crate::partitions::{PeerMessage, decode, encode};
+use crate::jobs::{self, JobSpec, JobType, OpenJob, Priority, Record, TaskCounts};
+use crate::peer_messages::{BroadcastPosition, JobTaskCounts, PeerMessage, ZoneHeard, decode, encode};
 use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
 use crate::types::{Attempt, Resources, TaskId, WallTime, WorkerEpoch};
 use crate::workers::Health;
@@ -84,24 +84,25 @@
         fetch_gb_per_s: 0.2,
         held_for: Some("req-000001".into()),
     };
-    let (fencing_token, broadcast) = (FencingToken(412), 10);
-    let jobs = vec![("req-000412".into(), 3, 13)];
+    let fencing_token = FencingToken(412);
+    let position = BroadcastPosition { fencing_token, sequence: 10 };
+    let counts = TaskCounts { done: 3, running: 13 };
+    let jobs = vec![JobTaskCounts { job: "req-000412".into(), counts }];
     let proposal = Proposal { job: "req-000412".into(), task: 300, machine: "m-000231".into() };
     vec![
         PeerMessage::Ping {
             store_reachable: true,
             fencing_token_seen: fencing_token,
-            broadcast_seen: (fencing_token, 9),
+            broadcast_seen: BroadcastPosition { fencing_token, sequence: 9 },
             hears_workers: false,
-            zones_heard: vec![("z0".into(), Duration::from_millis(1200))],
+            zones_heard: vec![ZoneHeard { zone: "z0".into(), age: Duration::from_millis(1200) }],
         },
         PeerMessage::StatusBroadcast {
-            fencing_token,
-            broadcast,
+            position,
             jobs: jobs.clone(),
             placement_outcomes: placement_outcomes(),
         },
-        PeerMessage::StatusSnapshot { fencing_token, broadcast, jobs, success_counts: success_counts() },
+        PeerMessage::StatusSnapshot { position, jobs, success_counts: success_counts() },
         PeerMessage::RoundRequest {
             fencing_token,
             partition: 7,
--- a/crates/scheduler/src/extension/records.rs
+++ b/crates/scheduler/src/extension/records.rs
@@ -1,67 +1,84 @@
-//! A node's copy of a feature's records.
+//! A node's copy of an extension's records. The controller's prefix watcher fills it; the extension reads it.
 
 use crate::types::Revision;
 use crate::wire::state::{Event, Pair};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// The copy of all keys under an extension's prefix.
 #[derive(Debug, Default)]
 pub struct Records {
-    pairs: BTreeMap<String, (Revision, Arc<str>)>,
+    records: BTreeMap<String, Record>,
     store_revision: Option<u64>,
-    /// Keys that a full read under way has not met yet: what is left at its end was removed unseen.
+    /// Keys that a full read under way has not met yet: those left at its end were deleted unseen.
     unmet: BTreeSet<String>,
     changed: Vec<String>,
 }
 
+#[derive(Debug)]
+struct Record {
+    revision: Revision,
+    value: Arc<str>,
+}
+
 impl Records {
+    /// Revision and value of a key.
     pub fn get(&self, key: &str) -> Option<(Revision, &Arc<str>)> {
-        self.pairs.get(key).map(|(revision, value)| (*revision, value))
+        self.records.get(key).map(|record| (record.revision, &record.value))
     }
 
+    /// Keys from `from` on in their order, each with its revision and value.
     pub fn iter_from<'a>(&'a self, from: &str) -> impl Iterator<Item = (&'a str, Revision, &'a Arc<str>)> {
-        self.pairs.range(from.to_string()..).map(|(k, (revision, v))| (k.as_str(), *revision, v))
+        let records = self.records.range(from.to_string()..);
+        records.map(|(key, record)| (key.as_str(), record.revision, &record.value))
     }
 
-    /// All changes up to this revision are in it; `None` until the first full read is over.
+    /// Revision of the key-value store up to which all changes are in the copy; `None` until the first full read has
+    /// ended.
     pub fn store_revision(&self) -> Option<u64> {
         self.store_revision
     }
 
+    /// Takes out the keys that have changed since the last call.
     pub(crate) fn take_changed(&mut self) -> Vec<String> {
         std::mem::take(&mut self.changed)
     }
 
+    /// Learns a key's value, unless a newer one is known.
     pub(crate) fn learn(&mut self, key: &str, revision: Revision, value: &str) {
         self.unmet.remove(key);
-        if self.pairs.get(key).is_none_or(|(known, _)| *known < revision) {
-            self.pairs.insert(key.into(), (revision, value.into()));
+        if self.records.get(key).is_none_or(|known| known.revision < revision) {
+            self.records.insert(key.into(), Record { revision, value: value.into() });
             self.changed.push(key.into());
         }
     }
 
+    /// Learns that a key was deleted at `revision`, unless a newer value is known.
     pub(crate) fn learn_removed(&mut self, key: &str, revision: Revision) {
-        if self.pairs.get(key).is_some_and(|(known, _)| *known < revision) {
-            self.pairs.remove(key);
+        if self.records.get(key).is_some_and(|known| known.revision < revision) {
+            self.records.remove(key);
             self.changed.push(key.into());
         }
     }
 
+    /// A full read begins: the copy may lack changes until [`Self::reach`].
     pub(crate) fn forget_store_revision(&mut self) {
         self.store_revision = None;
-        self.unmet = self.pairs.keys().cloned().collect();
+        self.unmet = self.records.keys().cloned().collect();
     }
 
+    /// A full read has ended: the copy has all changes up to `store_revision`.
     pub(crate) fn reach(&mut self, store_revision: u64) {
         for key in std::mem::take(&mut self.unmet) {
-            self.pairs.remove(&key);
+            self.records.remove(&key);
             self.changed.push(key);
         }
-        if self.store_revision.is_none_or(|e| e < store_revision) {
+        if self.store_revision.is_none_or(|known| known < store_revision) {
             self.store_revision = Some(store_revision);
         }
     }
 
+    /// Learns the changes that a watch has returned, which are all up to `store_revision`.
     pub(crate) fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
         for event in events {
             match event {
@@ -69,7 +86,7 @@
                 Event::Delete { key, revision } => self.learn_removed(key, *revision),
             }
         }
-        if self.store_revision.is_some_and(|e| e < store_revision) {
+        if self.store_revision.is_some_and(|known| known < store_revision) {
             self.store_revision = Some(store_revision);
         }
     }
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -5,11 +5,13 @@
 mod job_state;
 mod pending_requests;
 mod served;
+mod task_counts;
 
 pub use admission::Admission;
 pub use job_state::{CHUNK, JobState, TaskSet};
 pub use pending_requests::{PendingRequest, PendingRequests, Refusal, UserRequest};
 pub use served::{Served, Stage};
+pub use task_counts::TaskCounts;
 
 use crate::settings::Settings;
 use crate::types::{
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod jobs;
 pub mod node;
 pub mod partitions;
+pub mod peer_messages;
 pub mod placement;
 pub mod preemption;
 pub mod rate_limit;
--- a/crates/scheduler/src/node/catalogue.rs
+++ b/crates/scheduler/src/node/catalogue.rs
@@ -1,42 +1,49 @@
-//! The cloud's machine types, as last read.
+//! The catalogue of machine types that the cloud offers. The controller reads it once at its start; the leader has it
+//! refreshed.
 
 use super::outbox::Outbox;
 use crate::types::{Duration, MonotonicTime, RequestId};
 use crate::wire::cloud::{CloudReply, CloudRequest, MachineType};
 
-const RETRY: Duration = Duration::from_millis(1000);
+/// Least time between two first reads, while there is no answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(1000);
 
+/// The machine types, as last read from the cloud.
 #[derive(Debug, Default)]
 pub(super) struct Catalogue {
     types: Vec<MachineType>,
+    /// The read under way.
     request_id: Option<RequestId>,
-    next: MonotonicTime,
+    next_read: MonotonicTime,
 }
 
 impl Catalogue {
-    /// Empty until they are known.
+    /// The machine types; empty until they are known.
     pub fn types(&self) -> &[MachineType] {
         &self.types
     }
 
+    /// Reads the types if they are not known yet.
     pub fn tick(&mut self, now: MonotonicTime, out: &mut Outbox) {
-        if self.types.is_empty() && self.request_id.is_none() && now >= self.next {
-            self.next = now + RETRY;
+        if self.types.is_empty() && self.request_id.is_none() && now >= self.next_read {
+            self.next_read = now + RETRY_INTERVAL;
             self.refresh(out);
         }
     }
 
+    /// Reads the types anew, unless a read is under way.
     pub fn refresh(&mut self, out: &mut Outbox) {
         if self.request_id.is_none() {
             self.request_id = Some(out.request_cloud(CloudRequest::Types));
         }
     }
 
+    /// Whether this is the id of the read under way.
     pub fn owns(&self, request_id: RequestId) -> bool {
         self.request_id == Some(request_id)
     }
 
-    /// Takes the answer to its own request; whether the types are new.
+    /// Processes the reply to the read under way. Returns whether it has brought types.
     pub fn reply(&mut self, reply: CloudReply) -> bool {
         self.request_id = None;
         let CloudReply::Types(types) = reply else { return false };
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -1,10 +1,10 @@
-//! Features in their slots: what happens is handed to them, and what they want is done.
+//! Runs the extensions: hands them what happens, and does what they want done.
 
-use super::{Controller, read_pause};
+use super::{Controller, read_interval};
 use crate::assignments;
 use crate::election;
 use crate::extension::{
-    Action, Call, Extension, Input, MachinePage, Machines, Outcome, Records, Share, View,
+    Action, Call, Extension, Input, MachinePage, Machines, Outcome, RecordedMachine, Records, Share, View,
 };
 use crate::jobs;
 use crate::node::Effect;
@@ -16,105 +16,135 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// How long a feature waits for a read that it asked for.
+/// How long an extension waits for a read that it has requested.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Reads of machines' records a second that a feature has: each may bring half a megabyte.
-const MACHINE_READS: f64 = 2.0;
+/// Reads of machines' records a second for each extension: each may bring half a megabyte.
+const MACHINE_READS_PER_S: f64 = 2.0;
 
-pub(super) struct Slot {
-    /// Out of its place while it takes a step.
-    feature: Option<Box<dyn Extension>>,
+/// An extension with what the controller keeps for it.
+pub(super) struct ExtensionSlot {
+    /// Taken out while it takes a step.
+    extension: Option<Box<dyn Extension>>,
+    /// This node's copy of its records.
     records: Records,
+    /// Keeps `records` up to date.
     watcher: PrefixWatcher,
-    reads: Vec<Asked>,
+    /// Reads that it waits for.
+    reads: Vec<PendingRead>,
     machine_reads: TokenBucket,
-    /// Of its own, so that the core's draws are the same with and without it.
+    /// Of its own, so that the core's random draws are the same with and without it.
     rng: StdRng,
 }
 
-/// A read asked for, and how many had begun by then.
-struct Asked {
+/// A read that an extension waits for, and how many reads had begun when it was requested.
+struct PendingRead {
     tag: u64,
-    at: MonotonicTime,
-    own: u64,
-    jobs: u64,
+    requested_at: MonotonicTime,
+    /// Reads of the extension's records begun by then.
+    own_reads_begun: u64,
+    /// Reads of the job records begun by then.
+    job_reads_begun: u64,
+}
+
+/// A read that has ended.
+struct FinishedRead {
+    tag: u64,
+    fresh: bool,
 }
 
 impl Controller {
-    /// Adds a feature. Its slot is the number of those added before.
-    pub fn with_feature(mut self, feature: Box<dyn Extension>) -> Self {
-        let watched = WatchedPrefix::Extension(self.extensions.len());
-        let watcher = PrefixWatcher::new(watched, feature.prefix(), read_pause(&self.settings));
-        let rng = StdRng::seed_from_u64(self.extensions.len() as u64);
-        let (records, reads) = (Records::default(), Vec::new());
-        let machine_reads = TokenBucket::new(MACHINE_READS);
-        self.extensions.push(Slot { feature: Some(feature), records, watcher, reads, machine_reads, rng });
+    /// Adds an extension. Its slot is the number of those added before.
+    pub fn with_extension(mut self, extension: Box<dyn Extension>) -> Self {
+        let slot = self.extensions.len();
+        let watched = WatchedPrefix::Extension(slot);
+        self.extensions.push(ExtensionSlot {
+            watcher: PrefixWatcher::new(watched, extension.prefix(), read_interval(&self.settings)),
+            extension: Some(extension),
+            records: Records::default(),
+            reads: Vec::new(),
+            machine_reads: TokenBucket::new(MACHINE_READS_PER_S),
+            rng: StdRng::seed_from_u64(slot as u64),
+        });
         self
     }
 
-    pub(super) fn call(&mut self, slot: usize, request: RequestId, call: Call) {
+    /// A client's request to the extension in `slot`.
+    pub(super) fn extension_call(&mut self, slot: usize, request: RequestId, call: Call) {
         if slot >= self.extensions.len() {
             return self.out.refuse(request, 404, "no such path");
         }
-        self.hand(slot, Input::Call { request, call });
+        self.run_extension(slot, Input::Call { request, call });
     }
 
-    pub(super) fn extensions_tick(&mut self) {
+    pub(super) fn tick_extensions(&mut self) {
         let now = self.now;
         for slot in 0..self.extensions.len() {
-            let overdue = self.extensions[slot].reads.extract_if(.., |a| now.since(a.at) >= READ_TIMEOUT);
-            for tag in overdue.map(|a| a.tag).collect::<Vec<_>>() {
-                self.hand(slot, Input::Read { tag, fresh: false });
+            let reads = &mut self.extensions[slot].reads;
+            let overdue = reads.extract_if(.., |read| now.since(read.requested_at) >= READ_TIMEOUT);
+            let tags: Vec<u64> = overdue.map(|read| read.tag).collect();
+            for tag in tags {
+                self.run_extension(slot, Input::Read { tag, fresh: false });
             }
-            self.hand(slot, Input::Tick);
+            self.run_extension(slot, Input::Tick);
         }
     }
 
-    pub(super) fn extensions_learn_jobs(&mut self, changed: &[JobId]) {
+    pub(super) fn announce_jobs_to_extensions(&mut self, changed: &[JobId]) {
         for slot in 0..self.extensions.len() {
-            self.hand(slot, Input::Jobs(changed));
+            self.run_extension(slot, Input::Jobs(changed));
         }
     }
 
+    /// Whether an extension waits for a read of the job records. Of the two reads that it waits for, either may end
+    /// first.
     pub(super) fn extensions_want_read(&self) -> bool {
-        // Of the two reads that each needs one may be over before the other.
-        self.extensions.iter().flat_map(|s| &s.reads).any(|a| self.job_watcher.is_past(a.jobs).is_none())
+        let mut reads = self.extensions.iter().flat_map(|slot| &slot.reads);
+        reads.any(|read| self.job_watcher.read_after(read.job_reads_begun).is_none())
     }
 
-    /// Reads their records, and tells them of reads that are over.
-    pub(super) fn extensions_pump(&mut self) {
-        for slot in 0..self.extensions.len() {
-            let s = &mut self.extensions[slot];
-            let wanted = s.reads.iter().any(|a| s.watcher.is_past(a.own).is_none());
-            s.watcher.pump(self.now, s.records.store_revision(), wanted, &mut self.out);
-            let changed = s.records.take_changed();
+    /// Reads the extensions' records as needed, and tells them of changes and of reads that have ended.
+    pub(super) fn pump_extensions(&mut self) {
+        for slot_number in 0..self.extensions.len() {
+            let slot = &mut self.extensions[slot_number];
+            let wanted =
+                slot.reads.iter().any(|read| slot.watcher.read_after(read.own_reads_begun).is_none());
+            slot.watcher.pump(self.now, slot.records.store_revision(), wanted, &mut self.out);
+            let changed = slot.records.take_changed();
             if !changed.is_empty() {
-                self.hand(slot, Input::Records(&changed));
+                self.run_extension(slot_number, Input::Records(&changed));
             }
-            let (s, jobs) = (&mut self.extensions[slot], &self.job_watcher);
-            let mut over = Vec::new();
-            s.reads.retain(|a| match (s.watcher.is_past(a.own), jobs.is_past(a.jobs)) {
-                (Some(true), Some(true)) => {
-                    over.push((a.tag, true));
-                    false
-                }
-                (Some(false), _) | (_, Some(false)) => {
-                    over.push((a.tag, false));
-                    false
-                }
-                _ => true,
-            });
-            for (tag, fresh) in over {
-                self.hand(slot, Input::Read { tag, fresh });
+            for FinishedRead { tag, fresh } in self.take_finished_reads(slot_number) {
+                self.run_extension(slot_number, Input::Read { tag, fresh });
             }
         }
     }
 
-    pub(super) fn extension_read(&mut self, slot: usize, read: Read, reply: StoreReply) {
-        let Some(s) = self.extensions.get_mut(slot) else { return };
-        s.watcher.reply(self.now, read, reply, &mut s.records, &mut s.rng, &mut self.out);
+    /// Takes out the reads that have ended: both of its parts have succeeded, or one has failed.
+    fn take_finished_reads(&mut self, slot: usize) -> Vec<FinishedRead> {
+        let slot = &mut self.extensions[slot];
+        let job_watcher = &self.job_watcher;
+        let mut finished = Vec::new();
+        slot.reads.retain(|read| {
+            let own = slot.watcher.read_after(read.own_reads_begun);
+            let jobs = job_watcher.read_after(read.job_reads_begun);
+            let fresh = match (own, jobs) {
+                (Some(true), Some(true)) => true,
+                (Some(false), _) | (_, Some(false)) => false,
+                _ => return true,
+            };
+            finished.push(FinishedRead { tag: read.tag, fresh });
+            false
+        });
+        finished
+    }
+
+    /// Processes the store's reply to a read of an extension's records.
+    pub(super) fn extension_records_reply(&mut self, slot: usize, read: Read, reply: StoreReply) {
+        let Some(slot) = self.extensions.get_mut(slot) else { return };
+        slot.watcher.reply(self.now, read, reply, &mut slot.records, &mut slot.rng, &mut self.out);
     }
 
+    /// Processes the store's reply to an extension's commit.
     pub(super) fn extension_committed(
         &mut self,
         slot: usize,
@@ -124,7 +154,7 @@
     ) {
         let outcome = match reply {
             StoreReply::Committed { store_revision } => {
-                // Known here at once, not only when the watch brings it.
+                // Known here at once, not only when the watch returns it.
                 for change in &changes {
                     self.learn_change(slot, store_revision, change);
                 }
@@ -134,33 +164,35 @@
             StoreReply::Malformed => Outcome::Malformed,
             _ => Outcome::Unknown,
         };
-        self.hand(slot, Input::Committed { tag, outcome });
+        self.run_extension(slot, Input::Committed { tag, outcome });
     }
 
     fn learn_change(&mut self, slot: usize, store_revision: u64, change: &Change) {
+        let revision = Revision(store_revision);
         match change {
             Change::Put { key, value, .. } => match key.strip_prefix(jobs::PREFIX) {
                 Some(id) => match serde_json::from_str(value) {
-                    Ok(record) => self.job_cache.learn(JobId::from(id), Revision(store_revision), record),
+                    Ok(record) => self.job_cache.learn(JobId::from(id), revision, record),
                     Err(error) => tracing::error!(key, %error, "a job record written here can't be read"),
                 },
-                None => self.extensions[slot].records.learn(key, Revision(store_revision), value),
+                None => self.extensions[slot].records.learn(key, revision, value),
             },
-            Change::Delete { key } => {
-                self.extensions[slot].records.learn_removed(key, Revision(store_revision))
-            }
+            Change::Delete { key } => self.extensions[slot].records.learn_removed(key, revision),
         }
     }
 
-    fn hand(&mut self, slot: usize, input: Input<'_>) {
+    /// Hands an input to an extension and does what it wants done.
+    fn run_extension(&mut self, slot: usize, input: Input<'_>) {
         let actions = self.step_extension(slot, input);
-        self.act(slot, actions);
+        for action in actions {
+            self.execute(slot, action);
+        }
     }
 
     fn step_extension(&mut self, slot: usize, input: Input<'_>) -> Vec<Action> {
-        let Some(mut feature) = self.extensions[slot].feature.take() else { return Vec::new() };
+        let Some(mut extension) = self.extensions[slot].extension.take() else { return Vec::new() };
         let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
-        let (leader, job_counts) = (&self.leader, &self.job_counts);
+        let leader = self.leader.as_ref();
         let view = View {
             now: self.now,
             wall_time: self.wall_time,
@@ -170,39 +202,36 @@
             records: &self.extensions[slot].records,
             leads: fencing_token.filter(|_| leader.is_some()),
             admission: self.admission(),
-            standing: &|id| match leader {
-                Some(leader) => leader.counts_of_job(id),
-                None => job_counts.get(id).copied(),
-            },
-            waiting: &|id| leader.as_ref().and_then(|m| m.waiting_of(id)),
-            remaining_quota: &|team| leader.as_ref().and_then(|m| m.remaining_quota(team)),
+            task_counts: &|id| self.counts_of(id),
+            waiting: &|id| leader.and_then(|leader| leader.waiting_of(id)),
+            remaining_quota: &|team| leader.and_then(|leader| leader.remaining_quota(team)),
         };
-        let actions = feature.step(&view, input);
-        self.extensions[slot].feature = Some(feature);
+        let actions = extension.step(&view, input);
+        self.extensions[slot].extension = Some(extension);
         actions
     }
 
-    fn act(&mut self, slot: usize, actions: Vec<Action>) {
-        for action in actions {
-            match action {
-                Action::Answer { request, status, retry_after_s, headers, body } => {
-                    self.out.push(Effect::Answer { request, status, retry_after_s, headers, body });
-                }
-                Action::Read { tag } => {
-                    let (own, jobs) = (self.extensions[slot].watcher.begun(), self.job_watcher.begun());
-                    self.extensions[slot].reads.push(Asked { tag, at: self.now, own, jobs });
-                }
-                Action::Machines { tag, which } => self.read_machines(slot, tag, which),
-                Action::Commit { tag, share, conditions, changes } => {
-                    self.commit_for(slot, tag, share, conditions, changes);
-                }
+    fn execute(&mut self, slot: usize, action: Action) {
+        match action {
+            Action::Answer { request, status, retry_after_s, headers, body } => {
+                self.out.push(Effect::Answer { request, status, retry_after_s, headers, body });
+            }
+            Action::Read { tag } => {
+                let own_reads_begun = self.extensions[slot].watcher.reads_begun();
+                let job_reads_begun = self.job_watcher.reads_begun();
+                let read = PendingRead { tag, requested_at: self.now, own_reads_begun, job_reads_begun };
+                self.extensions[slot].reads.push(read);
+            }
+            Action::Machines { tag, which } => self.read_machines(slot, tag, which),
+            Action::Commit { tag, share, conditions, changes } => {
+                self.commit_for_extension(slot, tag, share, conditions, changes);
             }
         }
     }
 
     fn read_machines(&mut self, slot: usize, tag: u64, which: Machines) {
         if !self.extensions[slot].machine_reads.take(1.0, self.now) {
-            return self.hand(slot, Input::Machines { tag, found: Err(Outcome::NoBudget) });
+            return self.run_extension(slot, Input::Machines { tag, found: Err(Outcome::NoBudget) });
         }
         let request = match which {
             Machines::One(id) => StoreRequest::Get { key: assignments::key(&id) },
@@ -212,31 +241,25 @@
                 most,
             },
         };
-        self.out.request_store(request, Pending::Machines { slot, tag });
+        self.out.request_store(request, Pending::ExtensionMachines { slot, tag });
     }
 
-    pub(super) fn extension_machines(&mut self, slot: usize, tag: u64, reply: StoreReply) {
-        let read = |pair: &Pair| match serde_json::from_str(&pair.value) {
-            Ok(record) => Some((MachineId::from(pair.key.strip_prefix(assignments::PREFIX)?), record)),
-            Err(error) => {
-                tracing::error!(key = pair.key, %error, "a machine's record can't be read");
-                None
-            }
-        };
+    /// Processes the store's reply to an extension's read of machines.
+    pub(super) fn extension_machines_reply(&mut self, slot: usize, tag: u64, reply: StoreReply) {
         let found = match reply {
             StoreReply::Found(pair) => {
-                Ok(MachinePage { machines: read(&pair).into_iter().collect(), more: false })
+                Ok(MachinePage { machines: recorded_machine(&pair).into_iter().collect(), more: false })
             }
             StoreReply::Missing { .. } => Ok(MachinePage::default()),
             StoreReply::Pairs { pairs, more, .. } => {
-                Ok(MachinePage { machines: pairs.iter().filter_map(read).collect(), more })
+                Ok(MachinePage { machines: pairs.iter().filter_map(recorded_machine).collect(), more })
             }
             _ => Err(Outcome::Unknown),
         };
-        self.hand(slot, Input::Machines { tag, found });
+        self.run_extension(slot, Input::Machines { tag, found });
     }
 
-    fn commit_for(
+    fn commit_for_extension(
         &mut self,
         slot: usize,
         tag: u64,
@@ -244,23 +267,39 @@
         mut conditions: Vec<(String, Revision)>,
         changes: Vec<Change>,
     ) {
-        let paid = match share {
-            Share::Users => self.user_writes.take(changes.len() as f64, self.now),
+        let now = self.now;
+        let within_budget = match share {
+            Share::Users => self.user_writes.take(changes.len() as f64, now),
             Share::Upkeep => {
-                let valid = self.election.valid(self.now);
                 conditions.push((election::LEADER_KEY.into(), Revision(self.election.fencing_token().0)));
-                let now = self.now;
-                valid && self.leader.as_mut().is_some_and(|m| m.spare_writes(changes.len(), now))
+                self.election.valid(now)
+                    && self.leader.as_mut().is_some_and(|leader| leader.spare_writes(changes.len(), now))
             }
         };
-        if !paid {
-            return self.hand(slot, Input::Committed { tag, outcome: Outcome::NoBudget });
+        if !within_budget {
+            return self.run_extension(slot, Input::Committed { tag, outcome: Outcome::NoBudget });
         }
         let request = StoreRequest::Commit { conditions, changes: changes.clone() };
-        self.out.request_store(request, Pending::Extension { slot, tag, changes });
+        self.out.request_store(request, Pending::ExtensionCommit { slot, tag, changes });
     }
 
-    pub(super) fn extensions_metrics(&self, lines: &mut Vec<String>) {
-        self.extensions.iter().filter_map(|s| s.feature.as_ref()).for_each(|f| f.metrics(lines));
+    pub(super) fn extension_metrics(&self, lines: &mut Vec<String>) {
+        for extension in self.extensions.iter().filter_map(|slot| slot.extension.as_ref()) {
+            extension.metrics(lines);
+        }
+    }
+}
+
+/// The machine of an assignment record; `None`, with an error in the log, if the record can't be read.
+fn recorded_machine(pair: &Pair) -> Option<RecordedMachine> {
+    match serde_json::from_str(&pair.value) {
+        Ok(record) => {
+            let id = MachineId::from(pair.key.strip_prefix(assignments::PREFIX)?);
+            Some(RecordedMachine { id, record })
+        }
+        Err(error) => {
+            tracing::error!(key = pair.key, %error, "a machine's record can't be read");
+            None
+        }
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -0,0 +1,137 @@
+//! Faults that the simulation injects into a controller, to prove that its rules notice them; and views of the
+//! controller's state for those rules. Compiled for tests only.
+
+use super::Controller;
+use crate::jobs::{JobSpec, graph};
+use crate::node::leader::Leader;
+use crate::types::{Duration, JobId, MonotonicTime};
+
+/// A check or a step of the protocol that can be disabled.
+///
+/// Most of them change the leader's state once. The simulation therefore disables them again after every step.
+#[derive(Debug, Clone, Copy)]
+pub enum DisabledCheck {
+    /// Tasks of a silent worker hold their resources until its lease has expired. Disabled, they are dropped after
+    /// this silence, in ms.
+    LeaseExpiry { silence_ms: u64 },
+    /// A start that was sent directly may still arrive while it is unacknowledged.
+    UnacknowledgedStarts,
+    /// Isolation reports of nodes that are cut off keep their workers from being given up.
+    IsolationReports,
+    /// After a failover, machines count as lost only once their workers had time for a heartbeat.
+    HeartbeatCollection,
+    /// A job is finished only when all its tasks are. Disabled, half of them are enough.
+    TaskCompletion,
+    /// Tasks of a cancelled job hold their resources until they are known to have stopped.
+    StoppingTasks,
+    /// A start leaves only when the machine's record is durable.
+    DurableBeforeStart,
+    /// Workers without a heartbeat count as silent.
+    SilenceDetection,
+    /// Tasks that are to stop are stopped.
+    StopCommands,
+    /// An older heartbeat never replaces a newer one.
+    HeartbeatOrder,
+    /// Jobs bound to a zone run in that zone.
+    ZoneConstraint,
+    /// A part of the handling of job dependencies.
+    JobGraph(graph::Guard),
+    /// A part of the rules by which leases are renewed.
+    LeaseRenewal(pearford_heartbeat::DisabledCheck),
+    /// A feature is used only when every node understands it.
+    ClusterVersion,
+    /// Starts of finished jobs are not relayed.
+    RelayFilter,
+    /// Users' requests are answered only after a read begun since they came.
+    ReadBeforeAnswer,
+}
+
+/// Faults that stay until the controller is restarted.
+#[derive(Debug, Default)]
+pub(super) struct InjectedFaults {
+    /// Behaves like the version before job dependencies.
+    pub previous_version: bool,
+    /// Relays starts of finished jobs as well.
+    pub relays_all_starts: bool,
+}
+
+impl InjectedFaults {
+    /// A submission as this controller understands it.
+    pub fn filter_submission(&self, mut spec: JobSpec) -> JobSpec {
+        if self.previous_version {
+            spec.needs.clear();
+        }
+        spec
+    }
+}
+
+impl Controller {
+    /// Disables one check of this controller.
+    pub fn disable_check(&mut self, check: DisabledCheck) {
+        match check {
+            DisabledCheck::JobGraph(guard) => self.job_cache.take_out(guard),
+            DisabledCheck::LeaseRenewal(check) => self.lease_renewal.disable(check),
+            DisabledCheck::ClusterVersion => self.cluster_version.assume_current_level(),
+            DisabledCheck::RelayFilter => self.injected_faults.relays_all_starts = true,
+            DisabledCheck::ReadBeforeAnswer => {
+                self.pending_requests.read_begins();
+                self.job_records_read(true);
+            }
+            check => {
+                let now = self.now;
+                if let Some(leader) = &mut self.leader {
+                    disable_leader_check(leader, check, now);
+                }
+            }
+        }
+    }
+
+    /// Behaves like the version before job dependencies, for days on which both versions serve: it announces no
+    /// feature level, ignores `awaits` in submissions, and can't read records of dependent jobs.
+    pub fn act_as_previous_version(&mut self) {
+        self.injected_faults.previous_version = true;
+        self.job_cache.skip_dependent = true;
+    }
+
+    /// Whether this node knows that a job is done or cancelled.
+    pub fn knows_finished(&self, job: &JobId) -> bool {
+        self.job_cache.terminal_status(job).is_some()
+    }
+
+    /// Compares the sums that the leader maintains with a recount of everything.
+    ///
+    /// # Errors
+    ///
+    /// The first sum that differs.
+    pub fn check_sums(&self) -> Result<(), String> {
+        self.leader.as_ref().map_or(Ok(()), Leader::check_totals)
+    }
+
+    /// Whether this node's leadership lease is valid at `at`.
+    pub fn holds_lease(&self, at: MonotonicTime) -> bool {
+        self.election.valid(at)
+    }
+}
+
+fn disable_leader_check(leader: &mut Leader, check: DisabledCheck, now: MonotonicTime) {
+    match check {
+        DisabledCheck::LeaseExpiry { silence_ms } => {
+            leader.inject_forgetting_silent_machines(Duration::from_millis(silence_ms), now);
+        }
+        DisabledCheck::UnacknowledgedStarts => leader.inject_forgetting_sent_starts(),
+        DisabledCheck::IsolationReports => leader.disable_isolation_reports(),
+        DisabledCheck::HeartbeatCollection => leader.inject_loss_of_unheard_machines(),
+        DisabledCheck::TaskCompletion => leader.inject_early_completion(),
+        DisabledCheck::StoppingTasks => leader.inject_freeing_of_stopping_tasks(now),
+        DisabledCheck::DurableBeforeStart => leader.disable_record_before_start(),
+        DisabledCheck::SilenceDetection => leader.disable_silence_detection(now),
+        DisabledCheck::StopCommands => leader.disable_stops(),
+        DisabledCheck::HeartbeatOrder => leader.disable_heartbeat_order(),
+        DisabledCheck::ZoneConstraint => leader.disable_zone_binding(),
+        DisabledCheck::JobGraph(_)
+        | DisabledCheck::LeaseRenewal(_)
+        | DisabledCheck::ClusterVersion
+        | DisabledCheck::RelayFilter
+        | DisabledCheck::ReadBeforeAnswer => {}
+    }
+}
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -1,48 +1,38 @@
-//! Workers' reports at any node: answered as the leader, in the leader's name, or sent elsewhere; and orders
-//! that are passed on for the leader.
+//! Workers' heartbeats that reach this node: answered as the leader, answered in the leader's name as its delegate,
+//! redirected to another node, or deferred until a leader is known.
 
-use super::*;
+use super::Controller;
 use crate::cluster_version;
-use crate::node::leader::ISOLATION_PREFIX;
-use crate::types::MachineId;
-use crate::wire::workers::{Filtered, WorkerCommand};
+use crate::node::leader::{ISOLATION_PREFIX, heartbeats_delegated};
+use crate::node::outbox::Pending;
+use crate::peer_messages::PeerMessage;
+use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, RequestId};
+use crate::wire::state::{Change, StoreRequest};
+use crate::wire::workers::{self, Heartbeat, WorkerCommand};
 use crate::workers::stop_finished;
-use pearford_heartbeat::{IncomingHeartbeat, RelayResult, RelayedCommand, Routing};
-use std::collections::VecDeque;
+use pearford_heartbeat::{IncomingHeartbeat, Routing};
 
-/// Orders passed on for a leader at a time; more are answered as not sent.
-const MAX_RELAYED: usize = 4096;
-/// Machines that orders wait for.
-const MAX_QUEUED_COMMANDS: usize = 10_000;
-/// Not passed on, and never will be: its leader is not the latest, or it only starts what is over.
-const NOT_SENT: u16 = 409;
-/// As one without an answer: should it come again, it may be passed on then.
-const NO_ANSWER: u16 = 0;
-
-/// Reports that wait for a leader here, at most, and for how long. A worker that is turned away comes back in a second,
-/// one that gets no answer in five: while nobody led, being turned away made five times the usual load, and no node got
-/// as far as to lead (four times the andina fleet). Workers wait 4 s for an answer.
+/// Heartbeats that wait here for a leader, at most.
+///
+/// A worker that is turned away comes back after one second, one that gets no answer after five. While nobody led,
+/// turning workers away made five times the usual load, and no node got as far as to become leader (measured with
+/// four times the machines of the andina scenario).
 const MAX_DEFERRED: usize = 8192;
-const DEFER_AT_MOST: Duration = Duration::from_millis(2800);
-/// A node that has just started may be the first that is back.
-const ALONE_AFTER: Duration = Duration::from_millis(10_000);
-/// A look at the leader key counts for so long.
-const LEADER_READ_HOLDS: Duration = Duration::from_millis(3000);
-/// Reports taken out of waiting in a step: they come beside all else.
-const DEFERRED_AT_ONCE: usize = 100;
-
-/// What passes through this node between the leader and workers.
-#[derive(Debug, Default)]
-pub(super) struct Relay {
-    /// Direct orders under way, for whom, and as what they know it.
-    calls: BTreeMap<RequestId, (NodeName, FencingToken, u64)>,
-    /// Orders that go out with the answers to the next reports.
-    queued_commands: BTreeMap<MachineId, (FencingToken, Vec<WorkerCommand>)>,
-    /// Reports that came while no leader was known, in their order.
-    deferred: VecDeque<(MonotonicTime, RequestId, Heartbeat)>,
-    /// Guard out: starts of what is over are passed on.
-    #[cfg(any(test, feature = "world"))]
-    passes_all: bool,
+/// How long a heartbeat waits here for a leader. Workers wait 4 s for an answer.
+const MAX_DEFERRAL: Duration = Duration::from_millis(2800);
+/// Deferred heartbeats answered in one step: they come beside all other work.
+const DEFERRED_PER_STEP: usize = 100;
+/// A node that hears no peer counts itself as cut off only when it has been up for so long: one that has just started
+/// may be the first that is back.
+const ISOLATED_AFTER: Duration = Duration::from_millis(10_000);
+/// How long a read of the leader key counts as current.
+const LEADER_READ_LIFE: Duration = Duration::from_millis(3000);
+
+/// A heartbeat that waits for a leader to become known.
+pub(super) struct DeferredHeartbeat {
+    received_at: MonotonicTime,
+    request: RequestId,
+    heartbeat: Heartbeat,
 }
 
 impl Controller {
@@ -52,65 +42,86 @@
             Err(error) => return self.out.refuse(request, 400, &error.to_string()),
         };
         if !self.is_possible(heartbeat.fencing_token) {
-            tracing::warn!(machine = %heartbeat.machine, fencing_token = %heartbeat.fencing_token, "a report names a fence that nobody can have given");
+            tracing::warn!(
+                machine = %heartbeat.machine,
+                fencing_token = %heartbeat.fencing_token,
+                "a heartbeat has a fencing token that no leader can have"
+            );
             return self.out.refuse(request, 400, "fence: no controller can have given it");
         }
-        self.saw_fencing_token(heartbeat.fencing_token);
+        self.observe_fencing_token(heartbeat.fencing_token);
         if !self.answer_heartbeat(request, &heartbeat) {
             self.worker_turned_away_at = self.now;
-            // Where no peer is heard, it may be this node that is apart: others may reach a leader.
-            let up_for = self.now.since(self.started_at.unwrap_or(self.now));
-            let alone = self.peers.live(self.now).is_empty() && up_for > ALONE_AFTER;
-            let waits = self.known_leader().is_none() && !alone;
-            match waits && self.relay.deferred.len() < MAX_DEFERRED {
-                true => self.relay.deferred.push_back((self.now, request, heartbeat)),
-                false => self.redirect(request),
-            }
+            self.defer_or_redirect(request, heartbeat);
+        }
+    }
+
+    fn defer_or_redirect(&mut self, request: RequestId, heartbeat: Heartbeat) {
+        // If no peer is heard, it may be this node that is cut off: others may reach a leader.
+        let isolated = self.peers.live(self.now).is_empty() && self.uptime() > ISOLATED_AFTER;
+        let may_wait = self.known_leader().is_none() && !isolated;
+        if may_wait && self.deferred_heartbeats.len() < MAX_DEFERRED {
+            let deferred = DeferredHeartbeat { received_at: self.now, request, heartbeat };
+            self.deferred_heartbeats.push_back(deferred);
+        } else {
+            self.redirect(request);
         }
     }
 
-    /// Answers a report as the leader or in its name; false: this node can do neither.
+    /// Answers a heartbeat as the leader or in its name; `false` if this node can do neither.
     fn answer_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
-        let taken = self
+        let answered = self
             .leading()
             .is_some_and(|(leader, mut context)| leader.heartbeat(&mut context, request, heartbeat));
-        if taken && self.election.leads() {
-            // Should it lose the lead and be apart from the next, it says whose leases live by its answers.
-            let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-            self.isolation_reporter.answered(&heartbeat.machine, &heartbeat.zone, lease, self.now);
+        if answered && self.election.leads() {
+            // Should this node lose the leadership and be cut off from the next leader, it has to report whose leases
+            // its answers have renewed.
+            self.note_lease_renewed(heartbeat);
         }
-        taken || self.answer_as_delegate(request, heartbeat)
+        answered || self.answer_as_delegate(request, heartbeat)
     }
 
-    /// Reports that wait are answered once somebody leads, and sent on before their workers give up.
+    /// Remembers for isolation reports that this node's answer renews the worker's lease.
+    fn note_lease_renewed(&mut self, heartbeat: &Heartbeat) {
+        let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
+        self.isolation_reporter.answered(&heartbeat.machine, &heartbeat.zone, lease, self.now);
+    }
+
+    /// Answers deferred heartbeats once there is a leader, and redirects those whose worker would soon give up.
     fn answer_deferred(&mut self) {
-        let leads = self.known_leader().is_some() || self.election.leads();
-        for _ in 0..DEFERRED_AT_ONCE {
-            let Some((at, ..)) = self.relay.deferred.front() else { return };
-            let late = self.now.since(*at) >= DEFER_AT_MOST;
-            if !late && !leads {
+        let has_leader = self.known_leader().is_some() || self.election.leads();
+        for _ in 0..DEFERRED_PER_STEP {
+            let Some(first) = self.deferred_heartbeats.front() else { return };
+            let expired = self.now.since(first.received_at) >= MAX_DEFERRAL;
+            if !expired && !has_leader {
                 return;
             }
-            let Some((_, request, heartbeat)) = self.relay.deferred.pop_front() else { return };
-            if !self.answer_heartbeat(request, &heartbeat) {
-                self.redirect(request);
+            let Some(deferred) = self.deferred_heartbeats.pop_front() else { return };
+            if !self.answer_heartbeat(deferred.request, &deferred.heartbeat) {
+                self.redirect(deferred.request);
             }
         }
     }
 
-    /// Answers in the leader's name, or sends the worker where it belongs; false: this node has no delegation.
+    /// Answers in the leader's name, or redirects the worker to its assigned node; `false` if the leader has not
+    /// delegated heartbeats to this node.
     fn answer_as_delegate(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
-        let Some(fencing_token) = self.delegate.fencing_token().filter(|_| !self.election.leads()) else {
+        if self.election.leads() {
             return false;
+        }
+        let Some(fencing_token) = self.delegate.fencing_token() else { return false };
+        let machine = &heartbeat.machine;
+        let starts_announced = self.cluster_version.reached() >= cluster_version::UNACKNOWLEDGED_STARTS;
+        let may_renew =
+            self.lease_renewal.delegate_may_renew(machine, fencing_token, starts_announced, self.now);
+        let incoming = IncomingHeartbeat {
+            machine,
+            zone: &heartbeat.zone,
+            at: heartbeat.position(),
+            content: heartbeat.content(),
         };
-        let (machine, zone) = (&heartbeat.machine, &heartbeat.zone);
-        let tells = self.cluster_version.reached() >= cluster_version::UNACKNOWLEDGED_STARTS;
-        let (top, may_renew) = (
-            self.highest_fencing_token,
-            self.lease_renewal.delegate_may_renew(machine, fencing_token, tells, self.now),
-        );
-        let ask = IncomingHeartbeat { machine, zone, at: heartbeat.position(), content: heartbeat.content() };
-        match self.delegate.heartbeat_received(ask, top, may_renew, self.now) {
+        let highest = self.highest_fencing_token;
+        match self.delegate.heartbeat_received(incoming, highest, may_renew, self.now) {
             Routing::NoDelegation => return false,
             Routing::Redirect(node) => self.out.answer(request, 421, workers::redirect(Some(&node))),
             Routing::TryAnotherNode => {
@@ -118,34 +129,23 @@
                 self.out.answer(request, 421, workers::redirect(None));
             }
             Routing::Answer(fencing_token) => {
-                self.isolation_reporter.answered(
-                    machine,
-                    zone,
-                    Duration::from_secs_f64(self.settings.workers.lease_s),
-                    self.now,
-                );
-                // No start ever goes this way; what the leader sends on its own goes directly.
-                let mut commands = match self.relay.queued_commands.remove(&heartbeat.machine) {
-                    Some((of, queued_commands)) if of == fencing_token => queued_commands,
-                    _ => Vec::new(),
-                };
-                let job_cache = &self.job_cache;
-                if self.lease_renewal.stops() {
-                    stop_finished(heartbeat, |job| job_cache.terminal_status(job).is_some(), &mut commands);
-                }
+                self.note_lease_renewed(heartbeat);
+                let commands = self.commands_for(heartbeat, fencing_token);
                 self.out.answer(request, 200, workers::answer(fencing_token, &commands));
             }
         }
         true
     }
 
-    /// Who leads, if that is known.
-    fn known_leader(&self) -> Option<&NodeName> {
-        let known = self.leader_hint.as_ref();
-        let known = known.filter(|(f, _, at)| {
-            *f >= self.highest_fencing_token && self.now.since(*at) < Duration::from_millis(3000)
-        });
-        known.map(|(_, leader, _)| leader)
+    /// Commands for a delegate's answer: what the leader has queued, and stops of jobs that this node knows to be
+    /// finished. No start ever goes this way; what the leader sends at once is relayed.
+    fn commands_for(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> Vec<WorkerCommand> {
+        let mut commands = self.relay.take_queued(&heartbeat.machine, fencing_token);
+        if self.lease_renewal.stops() {
+            let job_cache = &self.job_cache;
+            stop_finished(heartbeat, |job| job_cache.terminal_status(job).is_some(), &mut commands);
+        }
+        commands
     }
 
     fn redirect(&mut self, request: RequestId) {
@@ -155,40 +155,18 @@
         }
     }
 
-    /// A worker's answer to something direct: for this node as leader, or to be passed on.
-    pub(super) fn worker(&mut self, request_id: RequestId, status: u16, body: &[u8]) {
-        let at = serde_json::from_slice::<Heartbeat>(body).ok().map(|r| r.position());
-        match self.relay.calls.remove(&request_id) {
-            Some((leader, fencing_token, call)) => {
-                if let Some(at) = at {
-                    self.saw_fencing_token(at.fencing_token);
-                }
-                let calls = vec![RelayResult { call, status, at }];
-                self.out.tell(&leader, PeerMessage::RelayResults { fencing_token, calls });
-            }
-            None => self.worker_answered(request_id, status, at),
-        }
-    }
-
-    fn worker_answered(&mut self, request_id: RequestId, status: u16, at: Option<HeartbeatPosition>) {
-        let seen = self
-            .leading()
-            .and_then(|(leader, context)| leader.worker_reply(request_id, status, at, context.now));
-        if let Some(fencing_token) = seen {
-            self.saw_fencing_token(fencing_token);
-        }
-    }
-
-    /// What nodes say to one another about reports.
+    /// Processes a peer's message about heartbeats or relayed commands.
     pub(super) fn heartbeat_message(&mut self, from: &NodeName, message: PeerMessage) {
         match message {
-            PeerMessage::Delegation(d) if self.heed(d.fencing_token, from) && !self.election.leads() => {
-                self.delegate.delegation_received(from, d, self.now);
+            PeerMessage::Delegation(delegation)
+                if self.accept_leader(delegation.fencing_token, from) && !self.election.leads() =>
+            {
+                self.delegate.delegation_received(from, delegation, self.now);
             }
-            PeerMessage::UnacknowledgedStarts(unacknowledged_starts)
-                if unacknowledged_starts.fencing_token >= self.highest_fencing_token =>
+            PeerMessage::UnacknowledgedStarts(starts)
+                if starts.fencing_token >= self.highest_fencing_token =>
             {
-                self.lease_renewal.unacknowledged_starts_received(unacknowledged_starts, self.now)
+                self.lease_renewal.unacknowledged_starts_received(starts, self.now)
             }
             PeerMessage::ResendHeartbeats { fencing_token, machines }
                 if self.delegate.fencing_token() == Some(fencing_token) =>
@@ -198,11 +176,7 @@
             PeerMessage::QueuedCommands { fencing_token, commands }
                 if fencing_token >= self.highest_fencing_token =>
             {
-                for (machine, commands) in commands {
-                    if self.relay.queued_commands.len() < MAX_QUEUED_COMMANDS {
-                        self.relay.queued_commands.insert(machine, (fencing_token, commands));
-                    }
-                }
+                self.relay.queue(fencing_token, commands);
             }
             PeerMessage::RelayCommands { fencing_token, calls } => {
                 self.relay_commands(from, fencing_token, calls)
@@ -215,101 +189,58 @@
             PeerMessage::RelayResults { fencing_token, calls }
                 if fencing_token == self.election.fencing_token() =>
             {
-                for RelayResult { call, status, at } in calls {
-                    if self.out.relay_answered(RequestId(call)) {
-                        self.worker_answered(RequestId(call), status, at);
-                    }
-                }
+                self.relay_results(calls);
             }
             _ => {}
         }
     }
 
-    /// Passes a leader's direct orders on. One that a cut has held back is as good as one that was late on its
-    /// way to the worker: it names session and fence, and its sender has long counted it as in doubt.
-    fn relay_commands(&mut self, from: &NodeName, fencing_token: FencingToken, calls: Vec<RelayedCommand>) {
-        let mut refused = Vec::new();
-        for RelayedCommand { call, addr, mut body, timeout } in calls {
-            // The leader may not know yet what this node has told a user: that a job is withdrawn.
-            let job_cache = &self.job_cache;
-            let passed = workers::without_starts(&body, |job| job_cache.terminal_status(job).is_some());
-            #[cfg(any(test, feature = "world"))]
-            let passed = if self.relay.passes_all { Filtered::AsItIs } else { passed };
-            let late = fencing_token < self.highest_fencing_token || passed == Filtered::Nothing;
-            if let Filtered::Without(rest) = passed {
-                body = rest;
-            }
-            if late || self.relay.calls.len() >= MAX_RELAYED {
-                refused.push(RelayResult { call, status: if late { NOT_SENT } else { NO_ANSWER }, at: None });
-                continue;
-            }
-            let request_id = self.out.command_worker(addr, body, timeout);
-            self.relay.calls.insert(request_id, (from.clone(), fencing_token, call));
-        }
-        if !refused.is_empty() {
-            self.out.tell(from, PeerMessage::RelayResults { fencing_token, calls: refused });
+    pub(super) fn tick_heartbeats(&mut self) {
+        self.tick_isolation();
+        self.answer_deferred();
+        self.expire_relayed_commands();
+        if !self.election.leads()
+            && let Some((leader, digest)) = self.delegate.digest(self.now)
+        {
+            self.out.send(&leader, PeerMessage::HeartbeatDigest(digest));
         }
+        self.relay.drop_queued_before(self.highest_fencing_token);
     }
 
-    /// A node that reaches the state service but not the leader answers in its name all the same, and says whom
-    /// through the state service: else the workers of a zone whose node is cut off from the leader's die with their
-    /// leases, and a leader on the smaller side never learns of the others.
-    fn apart_tick(&mut self) {
-        let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-        let on = heartbeats_delegated(&self.settings, self.cluster_version.reached())
-            && self.known_leader().is_none();
-        let other_leader = self.election.other_leader(LEADER_READ_HOLDS, self.now).filter(|_| on);
-        let Some((leader, fencing_token)) = other_leader.map(|l| (l.node.clone(), l.fencing_token)) else {
+    /// Acts as delegate of a leader that this node does not hear but knows from the key-value store, and reports
+    /// there whose heartbeats it answers. Otherwise the workers of a zone whose node is cut off from the leader's lose
+    /// their leases, and a leader on the smaller side never learns of the others.
+    fn tick_isolation(&mut self) {
+        let delegated = heartbeats_delegated(&self.settings, self.cluster_version.reached());
+        if !delegated || self.known_leader().is_some() {
             return;
-        };
-        self.saw_fencing_token(fencing_token);
+        }
+        let Some(other) = self.election.other_leader(LEADER_READ_LIFE, self.now) else { return };
+        let leader = other.node.clone();
+        let fencing_token = other.fencing_token;
+        self.observe_fencing_token(fencing_token);
         self.delegate.delegation_inferred(&leader, fencing_token, &self.settings.zone, self.now);
-        let up_for = self.now.since(self.started_at.unwrap_or(self.now));
-        if self.delegate.is_fresh(self.now) || up_for < LEADER_READ_HOLDS {
+        if self.delegate.is_fresh(self.now) || self.uptime() < LEADER_READ_LIFE {
             return;
         }
-        if let Some(isolation_report) = self.isolation_reporter.isolation_report(
+        self.write_isolation_report(fencing_token);
+    }
+
+    fn write_isolation_report(&mut self, fencing_token: FencingToken) {
+        let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
+        let Some(report) = self.isolation_reporter.isolation_report(
             fencing_token,
             self.delegate.heard_at(),
             &self.settings.zone,
             lease,
             self.now,
-        ) {
-            let key = format!("{ISOLATION_PREFIX}{}", self.settings.node);
-            let value = serde_json::to_string(&isolation_report).unwrap_or_default();
-            let changes = vec![Change::Put { key, value, lease: None }];
-            self.out.request_store(StoreRequest::Commit { conditions: Vec::new(), changes }, Pending::Apart);
-        }
-    }
-
-    pub(super) fn heartbeats_tick(&mut self) {
-        self.apart_tick();
-        self.answer_deferred();
-        for request_id in self.out.relays_overdue(self.now) {
-            self.worker_answered(request_id, 0, None);
-        }
-        if !self.election.leads()
-            && let Some((leader, digest)) = self.delegate.digest(self.now)
-        {
-            self.out.tell(&leader, PeerMessage::HeartbeatDigest(digest));
-        }
-        let (top, queued_commands) = (self.highest_fencing_token, &mut self.relay.queued_commands);
-        if queued_commands.values().any(|(fencing_token, _)| *fencing_token < top) {
-            queued_commands.retain(|_, (fencing_token, _)| *fencing_token >= top);
-        }
-    }
-}
-
-/// Guards taken out, for proving that the test world's checker notices.
-#[cfg(any(test, feature = "world"))]
-impl Controller {
-    pub fn sabotage_pass_all(&mut self) {
-        self.relay.passes_all = true;
-    }
-
-    /// Requests are answered from memory, without the read that they wait for.
-    pub fn sabotage_stale(&mut self) {
-        self.pending_requests.read_begins();
-        self.read_ends(true);
+        ) else {
+            return;
+        };
+        let key = format!("{ISOLATION_PREFIX}{}", self.settings.node);
+        let value = serde_json::to_string(&report).unwrap_or_default();
+        let changes = vec![Change::Put { key, value, lease: None }];
+        let request = StoreRequest::Commit { conditions: Vec::new(), changes };
+        self.out.request_store(request, Pending::IsolationReport);
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/node/controller/http_api.rs
@@ -0,0 +1,42 @@
+//! Routes HTTP requests of users, workers and operators to the methods that answer them.
+
+use super::Controller;
+use crate::node::Method;
+use crate::types::RequestId;
+
+impl Controller {
+    pub(super) fn http_request(&mut self, request: RequestId, method: Method, path: &str, body: Vec<u8>) {
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match (method, segments.as_slice()) {
+            (Method::Get, ["up"]) => self.health_check(request),
+            (Method::Post, ["v1", "report"]) => self.heartbeat(request, &body),
+            (Method::Post, ["submissions"]) => self.submit(request, &body),
+            (Method::Get, ["submissions", id]) => self.request_status(request, id),
+            (Method::Post, ["submissions", id, "withdraw"]) => self.request_cancellation(request, id),
+            (Method::Get, ["operator", "metrics"]) => {
+                let text = self.metrics();
+                self.out.answer(request, 200, text);
+            }
+            (Method::Get, ["operator", "waiting"]) => {
+                let text = self.waiting_report();
+                self.out.answer(request, 200, text);
+            }
+            (_, ["up"] | ["submissions"] | ["submissions", _] | ["submissions", _, "withdraw"])
+            | (_, ["v1", "report"] | ["operator", "metrics" | "waiting"]) => {
+                self.out.refuse(request, 405, "wrong method for this path");
+            }
+            _ => self.out.refuse(request, 404, "no such path"),
+        }
+    }
+
+    /// A node is healthy if it reaches the key-value store, or if no node does: then taking it out of the load
+    /// balancer would help nobody, and every answer says when to come back.
+    fn health_check(&mut self, request: RequestId) {
+        let jobs_read = self.job_cache.store_revision().is_some();
+        if jobs_read && (self.store_reachable() || !self.peers.any_reaches_store(self.now)) {
+            self.out.answer(request, 200, "{}".into());
+        } else {
+            self.out.refuse(request, 503, "this node does not reach the state service");
+        }
+    }
+}
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -1,142 +1,212 @@
-//! What every node does: follows the job records, runs for the lead, tells its peers; and hands each
-//! input to the part whose duty it is.
+//! The controller: the state machine that every node runs, leader or not.
+//!
+//! [`Controller::step`] takes one [`Input`] and returns the [`Effect`]s to carry out. Each concern has a
+//! file of its own, with an `impl Controller` of the methods for it:
+//!
+//! - `http_api`: routes requests of users, operators and workers;
+//! - `users`: submissions, status requests and cancellations;
+//! - `heartbeats`: workers' heartbeats, answered as the leader, as its delegate, or redirected;
+//! - `relay`: commands to workers that this node passes on for the leader;
+//! - `store_replies`: answers of the key-value store, and the reads that keep the job cache fresh;
+//! - `leadership`: winning, losing and resigning the leadership;
+//! - `fencing_tokens`: which fencing tokens are believed, and who leads by them;
+//! - `peer_messages`: messages of the other controllers;
+//! - `operator_pages`: metrics and the report of waiting jobs;
+//! - `extensions`: the features beside the core.
 
 mod extensions;
+#[cfg(any(test, feature = "world"))]
+mod fault_injection;
+mod fencing_tokens;
 mod heartbeats;
+mod http_api;
+mod leadership;
+mod operator_pages;
+mod peer_messages;
+mod relay;
+mod store_replies;
 mod users;
 
+#[cfg(any(test, feature = "world"))]
+pub use fault_injection::DisabledCheck;
+
 use super::catalogue::Catalogue;
-use super::leader::{Leader, LeadershipEnd, StepContext, heartbeats_delegated};
-use super::outbox::{LeaderRequest, Outbox, Pending, WatchedPrefix};
+use super::leader::{Leader, StepContext, heartbeats_delegated};
+use super::outbox::{Outbox, Pending, WatchedPrefix};
 use super::peers::Peers;
-use super::prefix_watcher::{PrefixWatcher, Turn as ReadTurn};
-use super::{Effect, Input, Method, Now};
-use crate::cluster_version::{ClusterVersion, NodeVersion};
-use crate::election::{self, Election, ElectionChange};
-use crate::jobs::{self, JobCache, PendingRequests, Served};
-use crate::partitions::{Envelope, PeerMessage};
-use crate::placement::{self, COUNTS_PREFIX, Factors, SuccessCounts};
+use super::prefix_watcher::PrefixWatcher;
+use super::{Effect, Input, Now};
+use crate::cluster_version::ClusterVersion;
+use crate::election::Election;
+use crate::jobs::{self, JobCache, PendingRequests, Served, TaskCounts};
+use crate::peer_messages::BroadcastPosition;
+use crate::placement::SuccessCounts;
 use crate::rate_limit::TokenBucket;
 use crate::settings::Settings;
-use crate::types::{Duration, FencingToken, JobId, MonotonicTime, NodeName, RequestId, Revision, WallTime};
+use crate::types::{Duration, FencingToken, JobId, MonotonicTime, RequestId, WallTime};
 use crate::wire::cloud::CloudReply;
-use crate::wire::state::{Change, StoreReply, StoreRequest};
-use crate::wire::workers::{self, Heartbeat};
-use extensions::Slot;
-use heartbeats::Relay;
-use pearford_heartbeat::{Bounds, Delegate, HeartbeatPosition, IsolationReporter, LeaseRenewal};
+use extensions::ExtensionSlot;
+use fencing_tokens::LeaderHint;
+use heartbeats::DeferredHeartbeat;
+use pearford_heartbeat::{Bounds, Delegate, IsolationReporter, LeaseRenewal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use std::collections::BTreeMap;
+use relay::Relay;
+use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// How often nodes tell one another that they are there.
-const PING_EVERY: Duration = Duration::from_millis(1000);
-const COUNTS_PAGE: u32 = 500;
-/// How long the seat's requests may take: an answer later than that is of no use to it. While nobody leads there is
-/// nothing to hurry for but an answer: asked anew each second, a slow state service gave no leader for 20 s.
-const LEADER_REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
-const CAMPAIGN_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a leader that gave the lead back leaves it to others.
-const RESIGN_BACK_OFF: Duration = Duration::from_millis(20_000);
+/// Upper bound in ms, exclusive, of the random delay before this node campaigns for the leadership.
+const CAMPAIGN_JITTER_MS: u64 = 300;
 
+/// The state machine of one node.
 pub struct Controller {
     settings: Arc<Settings>,
     rng: StdRng,
+    /// Monotonic clock at the current step.
     now: MonotonicTime,
+    /// Wall clock at the current step.
     wall_time: WallTime,
+    /// When the first step was taken.
+    started_at: Option<MonotonicTime>,
     out: Outbox,
+
+    /// This node's copy of the job records.
     job_cache: JobCache,
+    /// Keeps `job_cache` up to date.
     job_watcher: PrefixWatcher,
+    /// Users' requests that wait for a read of the job records.
     pending_requests: PendingRequests,
-    election: Election,
+    /// This node's part of the rate at which users' requests may write.
+    user_writes: TokenBucket,
+    /// Task counts of open jobs, as the leader broadcast them last.
+    job_counts: BTreeMap<JobId, TaskCounts>,
+    /// Which machines and images tasks have succeeded on; steers placement.
+    success_counts: SuccessCounts,
+    /// Whether the stored success counts have been read.
+    success_counts_loaded: bool,
+    /// Position in the leader's status broadcasts up to which this node has applied them all.
+    broadcast_seen: BroadcastPosition,
+    /// What was served to users, counted for the metrics.
+    served: Served,
+
+    /// When the key-value store last answered a request of the core.
     store_answered_at: MonotonicTime,
+    /// Highest revision of the key-value store that this node knows of.
+    latest_revision: u64,
+    /// Highest fencing token seen anywhere.
+    highest_fencing_token: FencingToken,
+    election: Election,
+    /// The leader's state, while this node leads.
+    leader: Option<Leader>,
+    /// The leader that this node heard from last.
+    leader_hint: Option<LeaderHint>,
+
     peers: Peers,
     next_ping: MonotonicTime,
-    /// Last report that this node, not leading, had to turn away.
-    worker_turned_away_at: MonotonicTime,
-    leader_hint: Option<(FencingToken, NodeName, MonotonicTime)>,
-    highest_fencing_token: FencingToken,
-    /// The state service's revision, as far as this node has ever known.
-    latest_revision: u64,
-    catalogue: Catalogue,
-    /// How jobs stand, as the leader told last.
-    job_counts: BTreeMap<JobId, (u32, u32)>,
-    success_counts: SuccessCounts,
-    broadcast_seen: (FencingToken, u64),
-    counts_loaded: bool,
-    user_writes: TokenBucket,
+    /// Messages dropped because their sender is none of the peers.
+    peer_messages_dropped: u64,
+    /// The feature level that every node is known to understand.
     cluster_version: ClusterVersion,
-    leader: Option<Leader>,
+
+    /// Answers heartbeats in the leader's name.
     delegate: Delegate,
+    /// Decides whether an answer to a heartbeat may renew the worker's lease.
     lease_renewal: LeaseRenewal,
-    relay: Relay,
+    /// Reports to the leader, through the key-value store, which workers a node cut off from it answers.
     isolation_reporter: IsolationReporter,
-    served: Served,
-    /// Messages in the name of nodes that are none of its peers.
-    dropped: u64,
-    extensions: Vec<Slot>,
-    started_at: Option<MonotonicTime>,
+    /// Heartbeats that came while no leader was known, in order of arrival.
+    deferred_heartbeats: VecDeque<DeferredHeartbeat>,
+    /// When this node, not leading, last could not answer a worker's heartbeat itself.
+    worker_turned_away_at: MonotonicTime,
+    relay: Relay,
+
+    /// Machine types that the cloud offers.
+    catalogue: Catalogue,
+    extensions: Vec<ExtensionSlot>,
+    /// Faults that the simulation has injected here.
     #[cfg(any(test, feature = "world"))]
-    old: bool,
+    injected_faults: fault_injection::InjectedFaults,
 }
 
 impl Controller {
+    /// A controller that has read nothing yet. `seed` determines all its random draws.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
-        let o = &settings.operator;
+        let operator = &settings.operator;
         let election = Election::new(
             settings.node.clone(),
-            Duration::from_millis(o.leader_grant_ms),
-            Duration::from_millis(o.leader_renew_ms),
+            Duration::from_millis(operator.leader_grant_ms),
+            Duration::from_millis(operator.leader_renew_ms),
         );
-        let nodes = (settings.peers.len() + 1) as f64;
-        // Each node has its part of the rate, but may use a second's worth of all parts at once: the
-        // jobs of a pipeline come over one connection, and all nodes seldom have bursts together.
-        let user_rate = (settings.state.write_rps * o.user_write_share).max(1.0);
-        let user_writes = TokenBucket::bursting((user_rate / nodes).max(1.0), user_rate);
+        let peer_names = settings.peers.iter().map(|peer| peer.name.clone());
+        let cluster_version = ClusterVersion::new(settings.node.clone(), peer_names);
         Self {
             rng: StdRng::seed_from_u64(seed),
             now: MonotonicTime::default(),
             wall_time: WallTime(0),
+            started_at: None,
             out: Outbox::new(settings.node.clone()),
             job_cache: JobCache::default(),
-            job_watcher: PrefixWatcher::new(WatchedPrefix::Jobs, jobs::PREFIX, read_pause(&settings)),
+            job_watcher: PrefixWatcher::new(WatchedPrefix::Jobs, jobs::PREFIX, read_interval(&settings)),
             pending_requests: PendingRequests::default(),
-            election,
-            store_answered_at: MonotonicTime::default(),
-            peers: Peers::new(&settings.peers),
-            next_ping: MonotonicTime::default(),
-            worker_turned_away_at: MonotonicTime::default(),
-            leader_hint: None,
-            highest_fencing_token: FencingToken(0),
-            latest_revision: 0,
-            catalogue: Catalogue::default(),
+            user_writes: user_write_budget(&settings),
             job_counts: BTreeMap::new(),
             success_counts: SuccessCounts::default(),
-            broadcast_seen: (FencingToken(0), 0),
-            counts_loaded: false,
-            user_writes,
-            cluster_version: ClusterVersion::new(
-                settings.node.clone(),
-                settings.peers.iter().map(|p| p.name.clone()),
-            ),
+            success_counts_loaded: false,
+            broadcast_seen: BroadcastPosition::NONE,
+            served: Served::default(),
+            store_answered_at: MonotonicTime::default(),
+            latest_revision: 0,
+            highest_fencing_token: FencingToken(0),
+            election,
             leader: None,
+            leader_hint: None,
+            peers: Peers::new(&settings.peers),
+            next_ping: MonotonicTime::default(),
+            peer_messages_dropped: 0,
+            cluster_version,
             delegate: Delegate::new(settings.node.clone()),
             lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.hold())),
-            relay: Relay::default(),
             isolation_reporter: IsolationReporter::default(),
-            served: Served::default(),
-            dropped: 0,
+            deferred_heartbeats: VecDeque::new(),
+            worker_turned_away_at: MonotonicTime::default(),
+            relay: Relay::default(),
+            catalogue: Catalogue::default(),
             extensions: Vec::new(),
-            started_at: None,
             #[cfg(any(test, feature = "world"))]
-            old: false,
+            injected_faults: fault_injection::InjectedFaults::default(),
             settings,
         }
     }
 
-    /// Takes one input; gives what to do.
+    /// Processes one input and returns the effects to carry out, in their order.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
+        self.start_step(now);
+        // A reply that only brings an extension's records up to date leaves the rest of the node as it was.
+        let extension_only = matches!(
+            &input,
+            Input::Store { request_id, .. } if self.out.is_extension_read(*request_id)
+        );
+        match input {
+            Input::Tick => self.tick(),
+            Input::Http { request, method, path, body } => self.http_request(request, method, &path, body),
+            Input::Store { request_id, reply } => self.store_reply(request_id, reply),
+            Input::Cloud { request_id, reply } => self.cloud_reply(request_id, reply),
+            Input::Worker { request_id, status, body } => self.worker_reply(request_id, status, &body),
+            Input::Peer(envelope) => self.peer_message(envelope),
+            Input::Call { slot, request, call } => self.extension_call(slot, request, call),
+        }
+        self.latest_revision = self.latest_revision.max(self.job_cache.store_revision().unwrap_or(0));
+        self.announce_changed_jobs();
+        if extension_only {
+            self.pump_extensions();
+        } else {
+            self.pump();
+        }
+        let fencing_token = self.election.fencing_token();
+        self.out.take(fencing_token)
+    }
+
+    fn start_step(&mut self, now: Now) {
         self.now = now.steady;
         self.wall_time = now.wall_time;
         if let Some(leader) = &mut self.leader {
@@ -146,40 +216,26 @@
             self.started_at = Some(self.now);
             tracing::info!(node = %self.settings.node, "started");
         }
-        // What only brings a feature's records up to date leaves the rest of the node as it was.
-        let aside = matches!(&input, Input::Store { request_id, .. } if self.out.is_aside(*request_id));
-        match input {
-            Input::Tick => self.tick(),
-            Input::Http { request, method, path, body } => self.http(request, method, &path, body),
-            Input::Store { request_id, reply } => self.state(request_id, reply),
-            Input::Cloud { request_id, reply } => self.cloud(request_id, reply),
-            Input::Worker { request_id, status, body } => self.worker(request_id, status, &body),
-            Input::Peer(envelope) => self.peer(envelope),
-            Input::Call { slot, request, call } => self.call(slot, request, call),
-        }
-        self.latest_revision = self.latest_revision.max(self.job_cache.store_revision().unwrap_or(0));
+    }
+
+    /// Hands the jobs that changed in this step to the extensions and the leader.
+    fn announce_changed_jobs(&mut self) {
         let changed = self.job_cache.take_changed();
-        if !changed.is_empty() {
-            for id in &changed {
-                if self.job_cache.terminal_status(id).is_some() {
-                    self.job_counts.remove(id);
-                }
-            }
-            self.extensions_learn_jobs(&changed);
-            if let Some((leader, context)) = self.leading() {
-                leader.jobs_changed(&context, changed);
+        if changed.is_empty() {
+            return;
+        }
+        for id in &changed {
+            if self.job_cache.terminal_status(id).is_some() {
+                self.job_counts.remove(id);
             }
         }
-        if aside {
-            self.extensions_pump();
-        } else {
-            self.pump();
+        self.announce_jobs_to_extensions(&changed);
+        if let Some((leader, context)) = self.leading() {
+            leader.jobs_changed(&context, changed);
         }
-        let fencing_token = self.election.fencing_token();
-        self.out.take(fencing_token)
     }
 
-    /// The leader's part and what it may use, if this node has it.
+    /// The leader's state, and what of this node it may use in a step; `None` while this node does not lead.
     fn leading(&mut self) -> Option<(&mut Leader, StepContext<'_>)> {
         let leader = self.leader.as_mut()?;
         let context = StepContext {
@@ -199,54 +255,33 @@
         Some((leader, context))
     }
 
-    // ---- time ----
-
+    /// Work that depends on time alone. The order of these steps is part of the behaviour: it decides the order of
+    /// the effects and of the random draws.
     fn tick(&mut self) {
-        let now = self.now;
-        let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
-        for w in self.pending_requests.overdue(now, timeout) {
-            self.out.refuse(w.request, 503, "the state service does not answer; come back");
-        }
-        if now >= self.next_ping {
-            self.next_ping = now + PING_EVERY;
-            let zones = self.peers.zones_heard().iter();
-            let ping = PeerMessage::Ping {
-                store_reachable: self.store_reachable(),
-                fencing_token_seen: self.highest_fencing_token,
-                broadcast_seen: self.broadcast_seen,
-                hears_workers: now.since(self.worker_turned_away_at) < Duration::from_millis(3000),
-                zones_heard: zones.map(|(z, at)| (z.clone(), now.since(*at))).collect(),
-            };
-            for peer in self.peers.names() {
-                self.out.tell(peer, ping.clone());
-            }
-        }
-        let quiet = self.leader_hint.as_ref().is_some_and(|(f, n, at)| {
-            *f >= self.highest_fencing_token
-                && *n != self.settings.node
-                && now.since(*at) < Duration::from_millis(2000)
-        });
-        let jitter = Duration::from_millis(self.rng.random_range(0..300));
-        if let Some(request) =
-            self.election.tick(now, quiet || self.job_cache.store_revision().is_none(), jitter)
-        {
+        self.refuse_overdue_requests();
+        self.ping_peers();
+        self.tick_election();
+        self.catalogue.tick(self.now, &mut self.out);
+        self.load_success_counts();
+        self.tick_cluster_version();
+        self.tick_extensions();
+        self.tick_heartbeats();
+        let leadership_end = self.leading().and_then(|(leader, mut context)| leader.tick(&mut context));
+        self.end_leadership(leadership_end);
+    }
+
+    fn tick_election(&mut self) {
+        let leader_heard = self.leader_heard_lately();
+        let jitter = Duration::from_millis(self.rng.random_range(0..CAMPAIGN_JITTER_MS));
+        let jobs_unread = self.job_cache.store_revision().is_none();
+        if let Some(request) = self.election.tick(self.now, leader_heard || jobs_unread, jitter) {
             self.send_election_request(request);
         }
-        self.catalogue.tick(now, &mut self.out);
-        if !self.counts_loaded && !self.out.waits_for(|p| matches!(p, Pending::SuccessCounts)) {
-            let request = StoreRequest::Range { prefix: COUNTS_PREFIX, after: None, most: COUNTS_PAGE };
-            self.out.request_store(request, Pending::SuccessCounts);
-        }
-        self.levels_tick();
-        self.extensions_tick();
-        self.heartbeats_tick();
-        let end_leadership = self.leading().and_then(|(leader, mut context)| leader.tick(&mut context));
-        self.end_leadership(end_leadership);
     }
 
-    fn levels_tick(&mut self) {
+    fn tick_cluster_version(&mut self) {
         #[cfg(any(test, feature = "world"))]
-        if self.old {
+        if self.injected_faults.previous_version {
             return;
         }
         let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
@@ -255,140 +290,16 @@
         }
     }
 
-    fn send_election_request(&mut self, request: StoreRequest) {
-        let timeout = if self.election.leads() { LEADER_REQUEST_TIMEOUT } else { CAMPAIGN_REQUEST_TIMEOUT };
-        let request_id = self.out.request_store_with_timeout(request, timeout);
-        self.election.sent(request_id);
-    }
-
-    /// Work that any input may have made possible.
+    /// Starts the work that any input may have made possible.
     fn pump(&mut self) {
-        let fresh_at = self.job_watcher.fresh_at();
-        let loading = self.leader.as_ref().is_some_and(|m| m.wants_jobs(fresh_at));
-        let wanted = self.pending_requests.wants_read() || loading || self.extensions_want_read();
-        if self.job_watcher.pump(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
-            self.pending_requests.read_begins();
-        }
-        self.extensions_pump();
+        self.pump_job_watcher();
+        self.pump_extensions();
         if let Some((leader, mut context)) = self.leading() {
             leader.pump(&mut context);
         }
     }
 
-    fn store_reachable(&self) -> bool {
-        self.job_cache.store_revision().is_some()
-            && self.now.since(self.store_answered_at) < Duration::from_millis(2500)
-    }
-
-    // ---- HTTP ----
-
-    fn http(&mut self, request: RequestId, method: Method, path: &str, body: Vec<u8>) {
-        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        match (method, parts.as_slice()) {
-            (Method::Get, ["up"]) => self.up(request),
-            (Method::Post, ["v1", "report"]) => self.heartbeat(request, &body),
-            (Method::Post, ["submissions"]) => self.submit(request, &body),
-            (Method::Get, ["submissions", id]) => self.status(request, id),
-            (Method::Post, ["submissions", id, "withdraw"]) => self.ask_to_withdraw(request, id),
-            (Method::Get, ["operator", "metrics"]) => {
-                let text = self.metrics();
-                self.out.answer(request, 200, text);
-            }
-            (Method::Get, ["operator", "waiting"]) => {
-                let text = self.waiting_report();
-                self.out.answer(request, 200, text);
-            }
-            (_, ["up"] | ["submissions"] | ["submissions", _] | ["submissions", _, "withdraw"])
-            | (_, ["v1", "report"] | ["operator", "metrics" | "waiting"]) => {
-                self.out.refuse(request, 405, "wrong method for this path");
-            }
-            _ => self.out.refuse(request, 404, "no such path"),
-        }
-    }
-
-    /// This node can take requests if it reaches the state service, or if no node does: then
-    /// being passed over would help nobody, and every answer says when to come back.
-    fn up(&mut self, request: RequestId) {
-        let loaded = self.job_cache.store_revision().is_some();
-        if loaded && (self.store_reachable() || !self.peers.any_reaches_store(self.now)) {
-            self.out.answer(request, 200, "{}".into());
-        } else {
-            self.out.refuse(request, 503, "this node does not reach the state service");
-        }
-    }
-
-    // ---- the state service's and the cloud's answers ----
-
-    fn state(&mut self, request_id: RequestId, reply: StoreReply) {
-        let answered = !matches!(reply, StoreReply::Refused | StoreReply::Unknown);
-        if answered && !self.out.is_aside(request_id) {
-            self.store_answered_at = self.now;
-        }
-        if self.election.owns(request_id) {
-            let election_step = self.election.reply(self.now, reply);
-            if let Some(request) = election_step.next_request {
-                self.send_election_request(request);
-            }
-            match election_step.change {
-                ElectionChange::Won(fencing_token) => self.take_over(fencing_token),
-                ElectionChange::Lost => self.step_down("the grant has ended"),
-                ElectionChange::Unchanged => {}
-            }
-            return;
-        }
-        match self.out.answered(request_id) {
-            None => {}
-            Some(Pending::Follow(WatchedPrefix::Extension(slot), read)) => {
-                self.extension_read(slot, read, reply)
-            }
-            Some(Pending::Extension { slot, tag, changes }) => {
-                self.extension_committed(slot, tag, changes, reply)
-            }
-            Some(Pending::Machines { slot, tag }) => self.extension_machines(slot, tag, reply),
-            Some(Pending::Follow(WatchedPrefix::Jobs, read)) => {
-                let turn = self.job_watcher.reply(
-                    self.now,
-                    read,
-                    reply,
-                    &mut self.job_cache,
-                    &mut self.rng,
-                    &mut self.out,
-                );
-                if let ReadTurn::ReadEnds(fresh) = turn {
-                    if fresh {
-                        self.lease_renewal.records_read(self.job_watcher.fresh_at(), self.now);
-                    }
-                    self.read_ends(fresh);
-                }
-            }
-            Some(Pending::Create { waiting, job }) => self.created(waiting, job, reply),
-            Some(Pending::Cancel { waiting }) => self.cancelled(waiting, reply),
-            Some(Pending::ClusterVersion) => self.cluster_version.reply(self.now, reply),
-            Some(Pending::Apart) => {} // said again soon
-            Some(Pending::SuccessCounts) => {
-                if let StoreReply::Pairs { pairs, .. } = reply {
-                    self.counts_loaded = true;
-                    for pair in pairs {
-                        if let Err(error) = self.success_counts.add_part(&pair.value) {
-                            tracing::error!(key = pair.key, %error, "counts can't be read; skipped");
-                        }
-                    }
-                }
-            }
-            Some(Pending::Leader(fencing_token, request_id)) => {
-                let end_leadership = self.leading().and_then(|(leader, mut context)| {
-                    if leader.fencing_token() == fencing_token {
-                        leader.store_reply(&mut context, request_id, reply)
-                    } else {
-                        None
-                    }
-                });
-                self.end_leadership(end_leadership);
-            }
-        }
-    }
-
-    fn cloud(&mut self, request_id: RequestId, reply: CloudReply) {
+    fn cloud_reply(&mut self, request_id: RequestId, reply: CloudReply) {
         if !self.catalogue.owns(request_id) {
             if let Some((leader, mut context)) = self.leading() {
                 leader.cloud_reply(&mut context, request_id, reply);
@@ -402,302 +313,26 @@
         }
     }
 
-    // ---- taking and losing the lead ----
-
-    fn take_over(&mut self, fencing_token: FencingToken) {
-        tracing::info!(%fencing_token, "leads now");
-        self.latest_revision = self.latest_revision.max(fencing_token.0);
-        self.saw_fencing_token(fencing_token);
-        let types = self.catalogue.types().to_vec();
-        let early_heartbeats = self.delegate.became_leader(self.now);
-        self.leader =
-            Some(Leader::new(self.settings.clone(), fencing_token, self.now, types, early_heartbeats));
-        if let Some((leader, mut context)) = self.leading() {
-            leader.load(&mut context);
-        }
-    }
-
-    fn step_down(&mut self, reason: &str) {
-        if let Some(leader) = self.leader.take() {
-            self.served.add(leader.into_served());
-            self.out.forget_relays();
-            tracing::warn!(reason, "leads no longer");
-        }
-    }
-
-    fn end_leadership(&mut self, end_leadership: Option<LeadershipEnd>) {
-        match end_leadership {
-            None => {}
-            Some(LeadershipEnd::Lost(reason)) => {
-                self.election.step_down(self.now);
-                self.step_down(reason.as_str());
-            }
-            Some(LeadershipEnd::Resign(reason)) => {
-                let fencing_token = self.election.fencing_token();
-                let request = StoreRequest::Commit {
-                    conditions: vec![(election::LEADER_KEY.into(), Revision(fencing_token.0))],
-                    changes: vec![Change::Delete { key: election::LEADER_KEY.into() }],
-                };
-                self.out.request_store(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
-                self.election.back_off(self.now, RESIGN_BACK_OFF);
-                self.step_down(reason.as_str());
-            }
-        }
-    }
-
-    // ---- peers ----
-
-    fn peer(&mut self, envelope: Envelope) {
-        let Envelope { from, message, .. } = envelope;
-        if !self.peers.names().contains(&from) {
-            self.dropped += 1;
-            return;
-        }
-        match message {
-            PeerMessage::Ping {
-                store_reachable,
-                fencing_token_seen,
-                broadcast_seen,
-                hears_workers,
-                zones_heard,
-            } => {
-                self.saw_fencing_token(fencing_token_seen);
-                for (zone, age) in zones_heard {
-                    self.peers.heard_zone(&zone, self.now.before(age));
-                }
-                self.peers.pinged(from, store_reachable, broadcast_seen, hears_workers, self.now);
-            }
-            PeerMessage::StatusBroadcast { fencing_token, broadcast, jobs, placement_outcomes } => {
-                if !self.heed(fencing_token, &from) {
-                    return;
-                }
-                // Only an unbroken run of beats is taken in; a gap is mended by a table.
-                if self.broadcast_seen == (fencing_token, broadcast.wrapping_sub(1)) {
-                    self.broadcast_seen.1 = broadcast;
-                    placement_outcomes.iter().for_each(|l| self.success_counts.learn(l));
-                    self.take_job_counts(jobs);
-                } else if self.broadcast_seen != (fencing_token, broadcast) {
-                    self.broadcast_seen = (FencingToken(0), 0);
-                }
-            }
-            PeerMessage::StatusSnapshot { fencing_token, broadcast, jobs, success_counts } => {
-                if self.heed(fencing_token, &from) {
-                    self.success_counts = success_counts;
-                    self.broadcast_seen = (fencing_token, broadcast);
-                    self.job_counts.clear();
-                    self.take_job_counts(jobs);
-                }
-            }
-            PeerMessage::RoundRequest { fencing_token, partition, round, mut machines, requests } => {
-                if !self.heed(fencing_token, &from) {
-                    return;
-                }
-                let proposals = placement::round(
-                    &mut machines,
-                    &requests,
-                    &self.success_counts,
-                    &Factors::of(&self.settings.operator),
-                    &mut self.rng,
-                );
-                self.out
-                    .tell(&from, PeerMessage::RoundProposals { fencing_token, partition, round, proposals });
-            }
-            PeerMessage::RoundProposals { fencing_token, partition, round, proposals } => {
-                if let Some((leader, mut context)) = self.leading() {
-                    leader.proposals(&mut context, &from, fencing_token, partition, round, proposals);
-                }
-            }
-            message => self.heartbeat_message(&from, message),
-        }
-    }
-
-    fn take_job_counts(&mut self, jobs: Vec<(JobId, u32, u32)>) {
-        self.job_counts.extend(jobs.into_iter().map(|(id, done, running)| (id, (done, running))));
-    }
-
-    /// Whether to listen to a leader with `fencing_token`; remembers it for redirects.
-    fn heed(&mut self, fencing_token: FencingToken, from: &NodeName) -> bool {
-        self.saw_fencing_token(fencing_token);
-        if fencing_token < self.highest_fencing_token || !self.is_possible(fencing_token) {
-            return false;
-        }
-        self.leader_hint = Some((fencing_token, from.clone(), self.now));
-        true
-    }
-
-    /// Whether the state service can have given a fence: fences are its revisions, and each change is one at most. One
-    /// report that named 2^64 - 1 would else have every leader step down, for good. A node that has read nothing yet
-    /// can't tell, and notes none.
-    fn is_possible(&self, fencing_token: FencingToken) -> bool {
-        if self.latest_revision == 0 {
-            return true;
-        }
-        let since = self.now.since(self.job_watcher.fresh_at()).as_secs_f64() + 2.0;
-        let more = 2.0 * self.settings.state.write_rps * since;
-        fencing_token.0 <= self.highest_fencing_token.0.max(self.latest_revision).saturating_add(more as u64)
-    }
-
-    /// A higher fence means that somebody else has led since: stop at once. What can't be one says nothing.
-    fn saw_fencing_token(&mut self, fencing_token: FencingToken) {
-        if fencing_token > self.highest_fencing_token
-            && self.latest_revision > 0
-            && self.is_possible(fencing_token)
-        {
-            self.highest_fencing_token = fencing_token;
-            if self.election.leads() && self.election.fencing_token() < fencing_token {
-                self.election.step_down(self.now);
-                self.step_down("a higher fence was seen");
-            }
-        }
-    }
-
-    // ---- for operators ----
-
-    pub(crate) fn metrics(&self) -> String {
-        let mut lines = vec![
-            format!("pearford_leads {}", u8::from(self.election.leads())),
-            format!("pearford_fence {}", self.highest_fencing_token),
-            format!("pearford_jobs_known {}", self.job_cache.len()),
-            format!("pearford_state_requests_open {}", self.out.open()),
-            format!("pearford_peer_messages_dropped {}", self.dropped),
-            format!("pearford_records_unreadable {}", self.job_cache.unreadable()),
-        ];
-        for NodeVersion { node, level, version } in self.cluster_version.nodes() {
-            lines.push(format!("pearford_node_level{{node=\"{node}\",version=\"{version}\"}} {level}"));
-        }
-        lines.push(format!("pearford_level_reached {}", self.cluster_version.reached()));
-        lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting()));
-        let mut served = self.served.clone();
-        if let Some(leader) = &self.leader {
-            leader.metrics(&mut lines);
-            served.add(leader.served().clone());
-        }
-        served.metrics(&mut lines);
-        self.extensions_metrics(&mut lines);
-        lines.join("\n") + "\n"
-    }
-
-    /// Why each job waits; the leader knows.
-    pub(crate) fn waiting_report(&self) -> String {
-        #[derive(serde::Serialize)]
-        struct Line<'a> {
-            id: &'a str,
-            waiting: u32,
-            #[serde(rename = "why")]
-            reason: &'a str,
-            #[serde(skip_serializing_if = "Vec::is_empty")]
-            awaits: Vec<&'a JobId>,
-        }
-        const MOST: usize = 250;
-        let waiting = self.leader.iter().flat_map(Leader::waiting);
-        let mut lines: Vec<Line> = waiting
-            .take(MOST)
-            .map(|(id, waiting, reason)| Line { id: id.as_str(), waiting, reason, awaits: Vec::new() })
-            .collect();
-        // Which jobs wait for others follows from the records: every node knows.
-        let graph = self.job_cache.graph();
-        lines.extend(graph.waiting_ids().take(MOST).map(|id| Line {
-            id: id.as_str(),
-            waiting: self.job_cache.get(id).and_then(|k| k.record.open()).map_or(0, |j| j.spec.tasks),
-            reason: "jobs that it needs are not done",
-            awaits: graph.missing(id).into_iter().take(8).collect(),
-        }));
-        serde_json::to_string(&lines).unwrap_or_default()
+    /// How long this node has been up.
+    fn uptime(&self) -> Duration {
+        self.now.since(self.started_at.unwrap_or(self.now))
     }
 }
 
 /// Least time between reads for users. All requests that wait share one; reads of all nodes together stay
-/// within half of the service's rate, or a rush of users would starve the leader's grant.
-fn read_pause(settings: &Settings) -> Duration {
-    let nodes = (settings.peers.len() + 1) as f64;
-    Duration::from_secs_f64(2.0 * nodes / settings.state.rps)
+/// within half of the store's request rate, or a rush of users would keep the leader from renewing its lease.
+fn read_interval(settings: &Settings) -> Duration {
+    Duration::from_secs_f64(2.0 * node_count(settings) / settings.state.rps)
 }
 
-/// The version before dependencies, for days on which both serve.
-#[cfg(any(test, feature = "world"))]
-impl Controller {
-    /// It announces nothing, ignores `awaits`, and can't read records of dependent jobs.
-    pub fn act_like_the_version_before(&mut self) {
-        self.old = true;
-        self.job_cache.skip_dependent = true;
-    }
-
-    pub fn sabotage_renewal(&mut self, without: pearford_heartbeat::DisabledCheck) {
-        self.lease_renewal.disable(without);
-    }
-
-    pub fn sabotage_level(&mut self) {
-        self.cluster_version.assume_current_level();
-    }
+/// Each node has its part of the users' write rate, but may use a second's worth of all parts at once: the
+/// jobs of a pipeline come over one connection, and all nodes seldom have bursts together.
+fn user_write_budget(settings: &Settings) -> TokenBucket {
+    let user_rate = (settings.state.write_rps * settings.operator.user_write_share).max(1.0);
+    TokenBucket::bursting((user_rate / node_count(settings)).max(1.0), user_rate)
 }
 
-/// Ways to take a guard out, for proving that the test world's checker notices.
-#[cfg(any(test, feature = "world"))]
-impl Controller {
-    pub fn sabotage_forget_silent(&mut self, ms: u64) {
-        let now = self.now;
-        if let Some(leader) = &mut self.leader {
-            leader.inject_forgetting_silent_machines(Duration::from_millis(ms), now);
-        }
-    }
-
-    pub fn sabotage_forget_sent(&mut self) {
-        self.leader.iter_mut().for_each(Leader::inject_forgetting_sent_starts);
-    }
-
-    pub fn sabotage_apart(&mut self) {
-        self.leader.iter_mut().for_each(Leader::disable_isolation_reports);
-    }
-
-    pub fn sabotage_unheard(&mut self) {
-        self.leader.iter_mut().for_each(Leader::inject_loss_of_unheard_machines);
-    }
-
-    pub fn sabotage_done_early(&mut self) {
-        self.leader.iter_mut().for_each(Leader::inject_early_completion);
-    }
-
-    pub fn sabotage_free_cancelled(&mut self) {
-        let now = self.now;
-        self.leader.iter_mut().for_each(|m| m.inject_freeing_of_stopping_tasks(now));
-    }
-
-    pub fn sabotage_start_early(&mut self) {
-        self.leader.iter_mut().for_each(Leader::disable_record_before_start);
-    }
-
-    pub fn sabotage_keep_silent(&mut self) {
-        let now = self.now;
-        self.leader.iter_mut().for_each(|m| m.disable_silence_detection(now));
-    }
-
-    pub fn sabotage_no_stops(&mut self) {
-        self.leader.iter_mut().for_each(Leader::disable_stops);
-    }
-
-    pub fn sabotage_any_serial(&mut self) {
-        self.leader.iter_mut().for_each(Leader::disable_heartbeat_order);
-    }
-
-    pub fn sabotage_any_zone(&mut self) {
-        self.leader.iter_mut().for_each(Leader::disable_zone_binding);
-    }
-
-    pub fn sabotage_graph(&mut self, guard: jobs::graph::Guard) {
-        self.job_cache.take_out(guard);
-    }
-
-    /// Whether this node knows that a job is done or withdrawn.
-    pub fn knows_over(&self, job: &JobId) -> bool {
-        self.job_cache.terminal_status(job).is_some()
-    }
-
-    /// The kept sums against a recount from the ground up.
-    pub fn sums_hold(&self) -> Result<(), String> {
-        self.leader.as_ref().map_or(Ok(()), Leader::check_totals)
-    }
-
-    pub fn validly_leads(&self, at: crate::types::MonotonicTime) -> bool {
-        self.election.valid(at)
-    }
+/// Number of nodes of the service, as floating point for rates.
+fn node_count(settings: &Settings) -> f64 {
+    (settings.peers.len() + 1) as f64
 }
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -1,29 +1,38 @@
-//! Users' requests: submissions, questions, withdrawals.
+//! Users' requests: submissions, status requests and cancellations.
 //!
-//! Whatever is not final is answered only after a read begun since the request came: another node
-//! may have answered something newer.
+//! Whatever is not final is answered only after a read of the job records begun since the request came (a
+//! linearizable read): another node may have answered something newer.
 
-use super::super::outbox::Pending;
 use super::Controller;
 use crate::cluster_version;
-use crate::jobs::{self, Admission, OpenJob, PendingRequest, Phase, Record, UserRequest};
-use crate::types::{JobId, RequestId, Revision};
+use crate::jobs::{
+    self, Admission, JobSpec, OpenJob, PendingRequest, Phase, Record, TaskCounts, UserRequest,
+};
+use crate::node::outbox::Pending;
+use crate::types::{Duration, JobId, RequestId, Revision};
 use crate::wire::state::{Change, StoreReply, StoreRequest};
 use crate::wire::users;
 use std::sync::Arc;
 
+/// How often a submission whose key another one has taken meanwhile is tried again.
+const MAX_SUBMIT_RETRIES: u32 = 3;
+/// How often a cancellation is tried again after the job's record has changed meanwhile.
+const MAX_CANCEL_RETRIES: u32 = 5;
+/// Answer to requests whose write failed or may have failed.
+const WRITE_FAILED: &str = "the state service can't be written now; come back";
+
 impl Controller {
-    pub(super) fn status(&mut self, request: RequestId, id: &str) {
-        self.ask_about(request, id, UserRequest::Status);
+    pub(super) fn request_status(&mut self, request: RequestId, id: &str) {
+        self.request_for_job(request, id, UserRequest::Status);
     }
 
-    pub(super) fn ask_to_withdraw(&mut self, request: RequestId, id: &str) {
-        self.ask_about(request, id, UserRequest::Cancel);
+    pub(super) fn request_cancellation(&mut self, request: RequestId, id: &str) {
+        self.request_for_job(request, id, UserRequest::Cancel);
     }
 
-    fn ask_about(&mut self, request: RequestId, id: &str, ask: UserRequest) {
+    fn request_for_job(&mut self, request: RequestId, id: &str, user_request: UserRequest) {
         match users::job_id(id) {
-            Some(id) => self.look_up(request, id, ask),
+            Some(id) => self.begin_request(request, id, user_request),
             None => self.out.refuse(request, 404, "no such job; ids look like req-000412"),
         }
     }
@@ -33,21 +42,22 @@
             let reason = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
             return self.out.refuse(request, 400, &reason);
         };
-        let read = users::submission(body);
-        #[cfg(any(test, feature = "world"))]
-        let read = read.map(|(id, mut spec)| {
-            if self.old {
-                spec.needs.clear();
-            }
-            (id, spec)
-        });
-        let spec = match read {
+        let spec = match self.parse_submission(body) {
             Err(reason) => Err(jobs::Refusal { status: 400, reason }),
-            Ok((_, spec)) => self.admission().check(&spec).map(|()| Box::new(spec)),
+            Ok(spec) => self.admission().check(&spec).map(|()| Box::new(spec)),
         };
-        self.look_up(request, id, UserRequest::Submit { spec });
+        self.begin_request(request, id, UserRequest::Submit { spec });
+    }
+
+    /// The job that a submission describes; `Err` says what is wrong with it.
+    fn parse_submission(&self, body: &[u8]) -> Result<JobSpec, String> {
+        let (_, spec) = users::submission(body)?;
+        #[cfg(any(test, feature = "world"))]
+        let spec = self.injected_faults.filter_submission(spec);
+        Ok(spec)
     }
 
+    /// What submissions are checked by.
     pub(super) fn admission(&self) -> Admission<'_> {
         Admission {
             settings: &self.settings,
@@ -58,10 +68,11 @@
         }
     }
 
-    /// Starts on a request about job `id`.
-    fn look_up(&mut self, request: RequestId, id: JobId, ask: UserRequest) {
+    /// Begins to process a request about job `id`: answers what is final, writes what needs no read before, and lets
+    /// everything else wait for a read.
+    fn begin_request(&mut self, request: RequestId, id: JobId, user_request: UserRequest) {
         if let Some(phase) = self.job_cache.terminal_status(&id) {
-            return self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
+            return self.answer_status(request, &id, phase, self.counts_of(&id));
         }
         if self.job_cache.store_revision().is_none() {
             return self.out.refuse(request, 503, "job records are not read yet; come back");
@@ -70,9 +81,9 @@
             return self.out.refuse(request, 429, "too many requests wait here; come back");
         }
         let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
-        let waiting = PendingRequest { request, id, ask, since: self.now, tries: 0 };
+        let waiting = PendingRequest { request, id, ask: user_request, since: self.now, tries: 0 };
         match &waiting.ask {
-            // Setting the key if absent decides by itself; no read is needed before. A name that this
+            // Setting the key if absent decides by itself; no read is needed before. A dependency that this
             // node doesn't know may have been accepted by another one a moment ago.
             UserRequest::Submit { spec: Ok(spec) }
                 if !known && self.admission().dependency_error(&waiting.id, spec).is_none() =>
@@ -84,6 +95,7 @@
         }
     }
 
+    /// Writes the record of a new job, on condition that there is none.
     fn create(&mut self, waiting: PendingRequest) {
         let UserRequest::Submit { spec: Ok(spec) } = &waiting.ask else { return };
         if !self.user_writes.take(1.0, self.now) {
@@ -99,8 +111,9 @@
         self.out.request_store(request, Pending::Create { waiting, job });
     }
 
+    /// Replaces the record of an open job by a cancelled one, on condition that it has not changed.
     fn cancel(&mut self, waiting: PendingRequest) {
-        let Some(revision) = self.job_cache.get(&waiting.id).map(|k| k.revision) else { return };
+        let Some(revision) = self.job_cache.get(&waiting.id).map(|job| job.revision) else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(waiting.request, 429, "too many withdrawals at once; come back");
         }
@@ -112,51 +125,19 @@
         self.out.request_store(request, Pending::Cancel { waiting });
     }
 
-    /// Goes on with a request after a read begun since it came.
-    fn after_read(&mut self, waiting: PendingRequest) {
-        let PendingRequest { request, id, .. } = &waiting;
-        let (request, id) = (*request, id.clone());
-        let known = self.job_cache.get(&id).map(|_| self.job_cache.terminal_status(&id));
-        match (known, &waiting.ask) {
-            (Some(Some(phase)), _) => {
-                self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
-            }
-            // Neither unknown nor anything else.
-            _ if self.job_cache.is_unreadable(&id) => {
-                let reason =
-                    format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
-                self.out.refuse(request, 503, &reason);
-            }
-            (Some(None), UserRequest::Cancel) => {
-                if waiting.tries >= 5 {
-                    return self.out.refuse(request, 503, "the job is changing; come back");
-                }
-                self.cancel(PendingRequest { tries: waiting.tries + 1, ..waiting });
-            }
-            (Some(None), _) => {
-                let counts = self.counts_of(&id);
-                let running = counts.is_some_and(|(_, running)| running > 0);
-                let phase = if running { Phase::Running } else { Phase::Pending };
-                self.out.answer(request, 200, users::status(&id, phase, Some(counts.unwrap_or((0, 0)))));
-            }
-            (None, UserRequest::Submit { spec: Ok(spec) }) => {
-                match self.admission().dependency_error(&id, spec) {
-                    Some(never) => self.out.refuse(request, 422, &never.to_string()),
-                    None => self.create(waiting),
-                }
-            }
-            (None, UserRequest::Submit { spec: Err(refusal) }) => {
-                let (status, reason) = (refusal.status, refusal.reason.clone());
-                self.out.refuse(request, status, &reason);
-            }
-            (None, _) => self.out.refuse(request, 404, "no such job"),
+    /// Refuses requests that have waited too long for a read.
+    pub(super) fn refuse_overdue_requests(&mut self) {
+        let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
+        for overdue in self.pending_requests.overdue(self.now, timeout) {
+            self.out.refuse(overdue.request, 503, "the state service does not answer; come back");
         }
     }
 
-    pub(super) fn read_ends(&mut self, fresh: bool) {
+    /// Goes on with the requests that waited for a read. `fresh`: the read has succeeded.
+    pub(super) fn job_records_read(&mut self, fresh: bool) {
         for waiting in self.pending_requests.read_ends() {
             if fresh {
-                self.after_read(waiting);
+                self.continue_request(waiting);
             } else {
                 let reason = "the state service can't be read now; come back";
                 self.out.refuse(waiting.request, 503, reason);
@@ -164,43 +145,98 @@
         }
     }
 
+    /// Goes on with a request after a read begun since it came.
+    fn continue_request(&mut self, waiting: PendingRequest) {
+        let request = waiting.request;
+        let id = waiting.id.clone();
+        if let Some(phase) = self.job_cache.terminal_status(&id) {
+            return self.answer_status(request, &id, phase, self.counts_of(&id));
+        }
+        // Whether there is such a job, and in which state, can't be told.
+        if self.job_cache.is_unreadable(&id) {
+            let reason =
+                format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
+            return self.out.refuse(request, 503, &reason);
+        }
+        if self.job_cache.get(&id).is_some() {
+            self.continue_for_open_job(waiting);
+        } else {
+            self.continue_for_unknown_job(waiting);
+        }
+    }
+
+    fn continue_for_open_job(&mut self, waiting: PendingRequest) {
+        if !matches!(waiting.ask, UserRequest::Cancel) {
+            let counts = self.counts_of(&waiting.id).unwrap_or_default();
+            let phase = if counts.running > 0 { Phase::Running } else { Phase::Pending };
+            return self.answer_status(waiting.request, &waiting.id, phase, Some(counts));
+        }
+        if waiting.tries >= MAX_CANCEL_RETRIES {
+            return self.out.refuse(waiting.request, 503, "the job is changing; come back");
+        }
+        self.cancel(PendingRequest { tries: waiting.tries + 1, ..waiting });
+    }
+
+    fn continue_for_unknown_job(&mut self, waiting: PendingRequest) {
+        let request = waiting.request;
+        match &waiting.ask {
+            UserRequest::Submit { spec: Ok(spec) } => {
+                match self.admission().dependency_error(&waiting.id, spec) {
+                    Some(error) => self.out.refuse(request, 422, &error.to_string()),
+                    None => self.create(waiting),
+                }
+            }
+            UserRequest::Submit { spec: Err(refusal) } => {
+                self.out.refuse(request, refusal.status, &refusal.reason);
+            }
+            UserRequest::Status | UserRequest::Cancel => self.out.refuse(request, 404, "no such job"),
+        }
+    }
+
+    /// Processes the store's reply to a submission.
     pub(super) fn created(&mut self, waiting: PendingRequest, job: Arc<OpenJob>, reply: StoreReply) {
         match reply {
             StoreReply::Committed { store_revision } => {
-                let id = waiting.id.clone();
+                let id = waiting.id;
                 self.job_cache.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
-                tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "accepted");
+                tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "job accepted");
                 self.served.count(jobs::Stage::Accepted, &job.spec);
-                // Withdrawn at once, if one that it names is.
+                // Cancelled at once, if one of its dependencies is.
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
                 self.out.answer(waiting.request, 201, users::status(&id, phase, None));
             }
-            StoreReply::Conflict { .. } if waiting.tries < 3 => {
+            StoreReply::Conflict { .. } if waiting.tries < MAX_SUBMIT_RETRIES => {
                 self.pending_requests.wait(PendingRequest { tries: waiting.tries + 1, ..waiting });
             }
             // Refused for good, as it would be at every further try.
             StoreReply::Malformed => {
-                tracing::error!(job = %waiting.id, "the state service refuses the job's record");
+                tracing::error!(job = %waiting.id, "the key-value store refuses the job's record");
                 self.out.refuse(waiting.request, 422, "the state service does not take the job's record");
             }
-            _ => self.out.refuse(waiting.request, 503, "the state service can't be written now; come back"),
+            _ => self.out.refuse(waiting.request, 503, WRITE_FAILED),
         }
     }
 
+    /// Processes the store's reply to a cancellation.
     pub(super) fn cancelled(&mut self, waiting: PendingRequest, reply: StoreReply) {
         match reply {
             StoreReply::Committed { store_revision } => {
-                let id = waiting.id.clone();
+                let id = waiting.id;
                 self.job_cache.learn(id.clone(), Revision(store_revision), Record::Cancelled);
-                tracing::info!(job = %id, "withdrawn");
-                self.out.answer(waiting.request, 200, users::status(&id, Phase::Cancelled, None));
+                tracing::info!(job = %id, "job cancelled");
+                self.answer_status(waiting.request, &id, Phase::Cancelled, None);
             }
             StoreReply::Conflict { .. } => self.pending_requests.wait(waiting),
-            _ => self.out.refuse(waiting.request, 503, "the state service can't be written now; come back"),
+            _ => self.out.refuse(waiting.request, 503, WRITE_FAILED),
         }
     }
 
-    fn counts_of(&self, id: &JobId) -> Option<(u32, u32)> {
+    fn answer_status(&mut self, request: RequestId, id: &JobId, phase: Phase, counts: Option<TaskCounts>) {
+        self.out.answer(request, 200, users::status(id, phase, counts));
+    }
+
+    /// Task counts of a job, as far as this node knows.
+    pub(super) fn counts_of(&self, id: &JobId) -> Option<TaskCounts> {
         match &self.leader {
             Some(leader) => leader.counts_of_job(id),
             None => self.job_counts.get(id).copied(),
--- a/crates/scheduler/src/node/leader/broadcast.rs
+++ b/crates/scheduler/src/node/leader/broadcast.rs
@@ -4,7 +4,7 @@
 use super::{Leader, StepContext};
 use crate::election;
 use crate::node::outbox::{LeaderRequest, Pending};
-use crate::partitions::PeerMessage;
+use crate::peer_messages::{BroadcastPosition, JobTaskCounts, PeerMessage};
 use crate::placement::{self, PlacementOutcome};
 use crate::types::{Duration, JobId, MachineId, MonotonicTime, Revision};
 use crate::wire::state::{Change, StoreRequest};
@@ -85,17 +85,13 @@
         if !context.valid {
             return;
         }
-        let Some(broadcast) = self.broadcaster.begin(context.now) else { return };
-        let fencing_token = self.fencing_token;
+        let Some(sequence) = self.broadcaster.begin(context.now) else { return };
+        let position = BroadcastPosition { fencing_token: self.fencing_token, sequence };
         let changed_jobs = std::mem::take(&mut self.broadcaster.changed_jobs);
         let jobs = self.job_counts(changed_jobs.iter());
         // A controller that has missed a broadcast gets everything; an acknowledgement may be on its way.
-        let up_to_date: Vec<bool> = context
-            .peers
-            .names()
-            .iter()
-            .map(|name| context.peers.in_step(name, fencing_token, broadcast))
-            .collect();
+        let up_to_date: Vec<bool> =
+            context.peers.names().iter().map(|name| context.peers.is_up_to_date(name, position)).collect();
         let all_up_to_date = up_to_date.iter().all(|up_to_date| *up_to_date);
         let all_jobs = if all_up_to_date { Vec::new() } else { self.job_counts(self.job_states.keys()) };
         let placement_outcomes = std::mem::take(&mut self.broadcaster.placement_outcomes);
@@ -108,20 +104,18 @@
         for (peer, up_to_date) in context.peers.names().iter().zip(up_to_date) {
             let message = if up_to_date {
                 PeerMessage::StatusBroadcast {
-                    fencing_token,
-                    broadcast,
+                    position,
                     jobs: jobs.clone(),
                     placement_outcomes: placement_outcomes.clone(),
                 }
             } else {
                 PeerMessage::StatusSnapshot {
-                    fencing_token,
-                    broadcast,
+                    position,
                     jobs: all_jobs.clone(),
                     success_counts: context.success_counts.clone(),
                 }
             };
-            context.out.tell(peer, message);
+            context.out.send(peer, message);
         }
         if save_counts {
             self.save_counts(context);
@@ -129,8 +123,8 @@
     }
 
     /// Done and running tasks of each of the jobs, as a broadcast carries them.
-    fn job_counts<'a>(&self, jobs: impl Iterator<Item = &'a JobId>) -> Vec<(JobId, u32, u32)> {
-        let counts = |id: &JobId| self.counts_of_job(id).map(|(done, running)| (id.clone(), done, running));
+    fn job_counts<'a>(&self, jobs: impl Iterator<Item = &'a JobId>) -> Vec<JobTaskCounts> {
+        let counts = |id: &JobId| Some(JobTaskCounts { job: id.clone(), counts: self.counts_of_job(id)? });
         jobs.filter_map(counts).collect()
     }
 
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -4,7 +4,7 @@
 use super::worker_commands::DirectCall;
 use super::{Leader, StepContext};
 use crate::cluster_version::{self, FeatureLevel};
-use crate::partitions::PeerMessage;
+use crate::peer_messages::{MachineCommands, PeerMessage};
 use crate::settings::Settings;
 use crate::types::{FencingToken, MachineId, MonotonicTime, NodeName, TaskId, Zone};
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
@@ -59,12 +59,13 @@
 /// Commands that other nodes are to send with their answers to workers' next heartbeats.
 #[derive(Debug, Default)]
 pub(super) struct QueuedCommands {
-    by_node: BTreeMap<NodeName, Vec<(MachineId, Vec<WorkerCommand>)>>,
+    by_node: BTreeMap<NodeName, Vec<MachineCommands>>,
 }
 
 impl QueuedCommands {
     fn add(&mut self, node: &NodeName, machine: &MachineId, commands: Vec<WorkerCommand>) {
-        self.by_node.entry(node.clone()).or_default().push((machine.clone(), commands));
+        let commands = MachineCommands { machine: machine.clone(), commands };
+        self.by_node.entry(node.clone()).or_default().push(commands);
     }
 }
 
@@ -82,8 +83,8 @@
         let cancellations_unknown = !context.lease_renewal.is_fresh(context.now);
         let unacknowledged = self.unacknowledged_starts(delegation.sequence, cancellations_unknown);
         for peer in context.peers.names() {
-            context.out.tell(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
-            context.out.tell(peer, PeerMessage::Delegation(delegation.clone()));
+            context.out.send(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
+            context.out.send(peer, PeerMessage::Delegation(delegation.clone()));
         }
         if !self.failover_log.all_heard && self.loaded() && self.all_machines_heard() {
             self.failover_log.all_heard(context.now);
@@ -134,7 +135,7 @@
         }
         for (node, machines) in self.coordinator.take_missing() {
             let message = PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines };
-            context.out.tell(&node, message);
+            context.out.send(&node, message);
         }
     }
 
@@ -221,7 +222,7 @@
         for (node, mut commands) in std::mem::take(&mut self.queued_commands.by_node) {
             while !commands.is_empty() {
                 let rest = commands.split_off(commands.len().min(COMMANDS_PER_MESSAGE));
-                context.out.tell(&node, PeerMessage::QueuedCommands { fencing_token, commands });
+                context.out.send(&node, PeerMessage::QueuedCommands { fencing_token, commands });
                 commands = rest;
             }
         }
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -88,7 +88,9 @@
         }
         self.isolation.next_read = context.now + READ_INTERVAL;
         let request = StoreRequest::Range { prefix: PREFIX, after: None, most: MAX_REPORTS };
-        context.out.request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::Apart));
+        context
+            .out
+            .request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::IsolationReports));
     }
 
     /// The reply to a read of isolated nodes' reports.
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -299,7 +299,7 @@
             LeaderRequest::LoadProgress => self.page_loaded(context, RecordKind::Progress, reply),
             LeaderRequest::Commit => return self.commit_reply(context, reply),
             LeaderRequest::Correct { key } => self.reread_reply(context, &key, reply),
-            LeaderRequest::Apart => self.isolation_reports_read(context, reply),
+            LeaderRequest::IsolationReports => self.isolation_reports_read(context, reply),
             LeaderRequest::SaveCounts | LeaderRequest::Resign => {}
         }
         None
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -1,7 +1,7 @@
 //! Scheduling rounds on their way: what goes out to controllers, what comes back, what comes too late.
 
 use super::{Leader, StepContext};
-use crate::partitions::PeerMessage;
+use crate::peer_messages::PeerMessage;
 use crate::placement::{self, Factors, MachineView, PlacementRequest, Proposal};
 use crate::types::{Duration, FencingToken, MonotonicTime, NodeName};
 use pearford_recovery::Pacer;
@@ -143,7 +143,7 @@
             machines: round.machines,
             requests: round.requests,
         };
-        context.out.tell(&round.node, message);
+        context.out.send(&round.node, message);
     }
 
     /// A controller's proposals for a round.
--- a/crates/scheduler/src/node/leader/status.rs
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -2,20 +2,20 @@
 
 use super::Leader;
 use crate::assignments::Assignment;
-use crate::jobs::{JobState, Served};
+use crate::jobs::{JobState, Served, TaskCounts};
 use crate::types::{JobId, MonotonicTime, Resources, TaskId, TeamName};
 use crate::workers::MachineStatus;
 
 impl Leader {
     /// Done and running tasks of a job.
-    pub(in crate::node) fn counts_of_job(&self, id: &JobId) -> Option<(u32, u32)> {
+    pub(in crate::node) fn counts_of_job(&self, id: &JobId) -> Option<TaskCounts> {
         let job_state = self.job_states.get(id)?;
         let running = job_state.placed().iter().filter(|(index, machine)| {
             let task = TaskId { job: id.clone(), index: **index };
             let machine = self.machines.get(machine);
             machine.and_then(|machine| machine.assignments.get(&task)).is_some_and(Assignment::is_running)
         });
-        Some((job_state.done().count(), running.count() as u32))
+        Some(TaskCounts { done: job_state.done().count(), running: running.count() as u32 })
     }
 
     /// How many tasks of a job have no machine yet.
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -1,4 +1,11 @@
-//! A node: the core that joins the slices. The program has the shell that does what it says.
+//! A node of the service: the [`Controller`], a state machine without I/O.
+//!
+//! The program (`pearford`) owns all I/O: it hands each [`Input`] to [`Controller::step`] and carries out the
+//! [`Effect`]s that it returns. The simulation does the same with stand-ins.
+//!
+//! - `controller`: what every node does;
+//! - `leader`: what the leader does on top;
+//! - `outbox`, `peers`, `prefix_watcher`, `catalogue`: parts of the controller that the leader uses too.
 
 mod catalogue;
 mod controller;
@@ -8,9 +15,11 @@
 mod prefix_watcher;
 
 pub use self::controller::Controller;
+#[cfg(any(test, feature = "world"))]
+pub use self::controller::DisabledCheck;
 
 use crate::extension::Call;
-use crate::partitions::Envelope;
+use crate::peer_messages::Envelope;
 use crate::types::{Duration, MonotonicTime, NodeName, RequestId, WallTime};
 use crate::wire::cloud::{CloudReply, CloudRequest};
 use crate::wire::state::{StoreReply, StoreRequest};
@@ -18,81 +27,127 @@
 /// The clocks at a step.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
+    /// The monotonic clock: for timeouts and leases.
     pub steady: MonotonicTime,
+    /// The wall clock: for users only.
     pub wall_time: WallTime,
     /// How long the step before this one took.
     pub took: Duration,
 }
 
+/// HTTP method of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
+    /// `GET`
     Get,
+    /// `POST`
     Post,
+    /// Any other method.
     Other,
 }
 
 /// What happens to a node.
 #[derive(Debug)]
 pub enum Input {
+    /// Time has passed. Comes at short, regular intervals.
     Tick,
+    /// A request of a user, an operator or a worker; an [`Effect::Answer`] with the same id answers it.
     Http {
+        /// Id for the answer, below the ids of the node's own requests.
         request: RequestId,
+        /// The method.
         method: Method,
+        /// The path, without the query.
         path: String,
+        /// The body, empty if there is none.
         body: Vec<u8>,
     },
+    /// The key-value store's reply to an [`Effect::Store`].
     Store {
+        /// Id of the request.
         request_id: RequestId,
+        /// The reply, which may be that there was none.
         reply: StoreReply,
     },
+    /// The cloud's reply to an [`Effect::Cloud`].
     Cloud {
+        /// Id of the request.
         request_id: RequestId,
+        /// The reply, which may be that there was none.
         reply: CloudReply,
     },
-    /// A worker's answer to a direct command; status 0: none came.
+    /// A worker's reply to an [`Effect::Worker`].
     Worker {
+        /// Id of the command.
         request_id: RequestId,
+        /// The HTTP status; 0 if there was no reply.
         status: u16,
+        /// The body, empty if there was no reply.
         body: Vec<u8>,
     },
+    /// A message of another controller.
     Peer(Envelope),
-    /// A request to the listener of the feature in `slot`.
+    /// A request to the listener of the extension in `slot`; an [`Effect::Answer`] with the same id answers it.
     Call {
+        /// The extension's slot.
         slot: usize,
+        /// Id for the answer.
         request: RequestId,
+        /// What the client sent.
         call: Call,
     },
 }
 
-/// What a node does.
+/// What a node wants done.
 #[derive(Debug)]
 pub enum Effect {
+    /// Answer an HTTP request.
     Answer {
+        /// Id of the request.
         request: RequestId,
+        /// The HTTP status.
         status: u16,
+        /// Value of the `Retry-After` header in seconds, if there is to be one.
         retry_after_s: Option<u32>,
-        /// Besides the usual ones; only features have any.
+        /// Headers besides the usual ones; only extensions have any.
         headers: Vec<(&'static str, String)>,
+        /// The body.
         body: String,
     },
+    /// Send a request to the key-value store.
     Store {
+        /// Id for the reply.
         request_id: RequestId,
+        /// The request.
         request: StoreRequest,
+        /// When to give up on it.
         timeout: Duration,
     },
+    /// Send a request to the cloud.
     Cloud {
+        /// Id for the reply.
         request_id: RequestId,
+        /// The request.
         request: CloudRequest,
+        /// When to give up on it.
         timeout: Duration,
     },
+    /// Send a command to a worker.
     Worker {
+        /// Id for the reply.
         request_id: RequestId,
+        /// The worker's address, `host:port`.
         addr: String,
+        /// The command as JSON.
         body: String,
+        /// When to give up on it.
         timeout: Duration,
     },
+    /// Send a message to another controller. It may be lost.
     Peer {
+        /// The controller's node.
         to: NodeName,
+        /// The encoded message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -1,8 +1,10 @@
-//! What a step asks for: its effects in their order, and what each request still out is for.
+//! The outbox: collects the effects of a step in their order, and remembers what each outstanding request is for.
+//!
+//! The controller and the leader write to it; the controller takes the effects at the end of each step.
 
 use super::Effect;
 use crate::jobs::{OpenJob, PendingRequest};
-use crate::partitions::{self, PeerMessage};
+use crate::peer_messages::{self, PeerMessage};
 use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, RequestId};
 use crate::wire::cloud::CloudRequest;
 use crate::wire::state::{Change, StoreRequest};
@@ -11,167 +13,209 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long the shell waits for the state service before it reports no answer.
-const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The same for a page of records, which may hold half a megabyte: asked for anew before it had come in, a loaded node
-/// never had its copy of the jobs, and nobody led (four times the andina fleet, a slow state service).
+/// Timeout of a request to the key-value store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of a read of a page of records, which may hold half a megabyte. With a shorter one, a node under load
+/// requested pages anew before they had come in, never had its copy of the job records, and no node became leader
+/// (measured with four times the machines of the andina scenario and a slow key-value store).
 const PAGE_TIMEOUT: Duration = Duration::from_millis(6000);
+/// Added to the time that a watch may wait for changes, in ms.
+const WATCH_SLACK_MS: u64 = 2500;
+/// Timeout of a request to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_millis(5000);
-/// What the way by another node takes, at most, beside the order itself.
+/// What relaying a command by way of another node may add to its timeout.
 const RELAY_SLACK: Duration = Duration::from_millis(500);
-/// Requests of users are numbered by the shell, from 1.
+/// Ids of the node's own requests start here. Requests of users are numbered by the program, from 1.
 const FIRST_REQUEST_ID: u64 = 1 << 32;
+/// Value of `Retry-After` in answers that ask the client to come back, in seconds.
+const RETRY_AFTER_S: u32 = 1;
 
-/// What an outstanding request to the state service is for.
+/// What an outstanding request to the key-value store is for.
 #[derive(Debug)]
 pub(super) enum Pending {
-    /// Keeping a copy of records up to date.
+    /// A read that keeps a copy of records up to date.
     Follow(WatchedPrefix, Read),
+    /// Creates the record of a submitted job.
     Create {
+        /// The user's request.
         waiting: PendingRequest,
+        /// The job.
         job: Arc<OpenJob>,
     },
+    /// Cancels a job.
     Cancel {
+        /// The user's request.
         waiting: PendingRequest,
     },
+    /// Reads the stored success counts.
     SuccessCounts,
+    /// Reads or writes records of the nodes' feature levels.
     ClusterVersion,
-    /// What this node says of whom it hears, apart from the leader.
-    Apart,
-    /// A feature's commit.
-    Extension {
+    /// Writes which workers this node, cut off from the leader, answers.
+    IsolationReport,
+    /// An extension's commit.
+    ExtensionCommit {
+        /// The extension's slot.
         slot: usize,
+        /// The extension's tag for the commit.
         tag: u64,
+        /// What it changes.
         changes: Vec<Change>,
     },
-    /// Machines that a feature asked for.
-    Machines {
+    /// An extension's read of machines.
+    ExtensionMachines {
+        /// The extension's slot.
         slot: usize,
+        /// The extension's tag for the read.
         tag: u64,
     },
-    /// The leader's own, void when its fence has passed.
+    /// A request of the leader with this fencing token; its reply is ignored once that leadership has ended.
     Leader(FencingToken, LeaderRequest),
 }
 
 /// Whose records a copy is of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchedPrefix {
+    /// The job records.
     Jobs,
+    /// The records of the extension in this slot.
     Extension(usize),
 }
 
-/// A read that follows a prefix.
+/// A read that keeps a copy of the records under a prefix up to date.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Read {
-    /// A page of all keys; changes since the first page's revision are watched for afterwards.
-    Page { first_store_revision: Option<u64> },
+    /// A page of all keys. Changes since the first page's revision are watched for afterwards.
+    Page {
+        /// Revision of the store at the first page; `None` if this is the first.
+        first_store_revision: Option<u64>,
+    },
     /// A watch that waits for changes.
     Watch,
-    /// A watch that returns at once: what it says holds for all that was asked before `began`.
-    Sync { began: MonotonicTime },
+    /// A watch that returns at once: what it returns holds for all requests that came before `began`.
+    Sync {
+        /// When the read was sent.
+        began: MonotonicTime,
+    },
 }
 
+/// A request of the leader to the key-value store.
 #[derive(Debug)]
 pub(super) enum LeaderRequest {
+    /// Reads a page of the assignment records.
     LoadMachines,
+    /// Reads a page of the records of jobs' progress.
     LoadProgress,
+    /// Commits changes of records.
     Commit,
+    /// Reads a record anew after a commit that conflicted with it.
     Correct {
+        /// The record's key.
         key: String,
     },
+    /// Writes the success counts.
     SaveCounts,
+    /// Deletes the leader key.
     Resign,
-    /// What nodes that are apart say.
-    Apart,
+    /// Reads the reports of nodes that are cut off from the leader.
+    IsolationReports,
 }
 
+/// Effects of the step under way, and requests without an answer yet.
 #[derive(Debug)]
 pub(super) struct Outbox {
-    me: NodeName,
+    /// This node.
+    node: NodeName,
     effects: Vec<Effect>,
-    next_request_id: u64,
+    last_request_id: u64,
+    /// Outstanding requests to the key-value store that are not the election's.
     pending: BTreeMap<RequestId, Pending>,
-    /// Direct orders of this step that go by way of other nodes.
+    /// Commands of this step to be relayed, by the node that relays them.
     relays: BTreeMap<NodeName, Vec<RelayedCommand>>,
-    /// Those on their way, and when no answer is waited for any more: the node may be gone.
-    relayed: BTreeMap<RequestId, MonotonicTime>,
+    /// Relayed commands without a result, and until when it is waited for: the node may be gone.
+    relay_deadlines: BTreeMap<RequestId, MonotonicTime>,
 }
 
 impl Outbox {
-    pub fn new(me: NodeName) -> Self {
+    /// An empty outbox of `node`.
+    pub fn new(node: NodeName) -> Self {
         Self {
-            me,
+            node,
             effects: Vec::new(),
-            next_request_id: FIRST_REQUEST_ID,
+            last_request_id: FIRST_REQUEST_ID,
             pending: BTreeMap::new(),
             relays: BTreeMap::new(),
-            relayed: BTreeMap::new(),
+            relay_deadlines: BTreeMap::new(),
         }
     }
 
-    /// The effects of the step that ends. `fencing_token`: of the orders that go by way of other nodes.
+    /// Takes the effects of the step that ends. `fencing_token` is this leader's, for the commands to be relayed.
     pub fn take(&mut self, fencing_token: FencingToken) -> Vec<Effect> {
         for (node, calls) in std::mem::take(&mut self.relays) {
-            self.tell(&node, PeerMessage::RelayCommands { fencing_token, calls });
+            self.send(&node, PeerMessage::RelayCommands { fencing_token, calls });
         }
         std::mem::take(&mut self.effects)
     }
 
-    fn request_id(&mut self) -> RequestId {
-        self.next_request_id += 1;
-        RequestId(self.next_request_id)
+    fn next_request_id(&mut self) -> RequestId {
+        self.last_request_id += 1;
+        RequestId(self.last_request_id)
     }
 
+    /// Sends a request to the key-value store, and remembers what it is for.
     pub fn request_store(&mut self, request: StoreRequest, pending: Pending) {
         let timeout = match &request {
-            StoreRequest::Watch { block_ms, .. } => Duration::from_millis(block_ms + 2500),
+            StoreRequest::Watch { block_ms, .. } => Duration::from_millis(block_ms + WATCH_SLACK_MS),
             StoreRequest::Range { .. } => PAGE_TIMEOUT,
-            _ => STATE_TIMEOUT,
+            _ => STORE_TIMEOUT,
         };
         let request_id = self.request_store_with_timeout(request, timeout);
         self.pending.insert(request_id, pending);
     }
 
-    /// A request whose answer the caller knows by its id.
+    /// Sends a request to the key-value store whose reply the caller recognises by the returned id.
     pub fn request_store_with_timeout(&mut self, request: StoreRequest, timeout: Duration) -> RequestId {
-        let request_id = self.request_id();
+        let request_id = self.next_request_id();
         self.effects.push(Effect::Store { request_id, request, timeout });
         request_id
     }
 
-    /// What an answer is for; each is taken once.
+    /// Takes out what the request with this id was for; `None` if it is unknown or already answered.
     pub fn answered(&mut self, request_id: RequestId) -> Option<Pending> {
         self.pending.remove(&request_id)
     }
 
-    /// Whether it only follows a feature's records.
-    pub fn is_aside(&self, request_id: RequestId) -> bool {
+    /// Whether the request only keeps a copy of an extension's records up to date.
+    pub fn is_extension_read(&self, request_id: RequestId) -> bool {
         matches!(self.pending.get(&request_id), Some(Pending::Follow(WatchedPrefix::Extension(_), _)))
     }
 
-    pub fn waits_for(&self, what: impl Fn(&Pending) -> bool) -> bool {
-        self.pending.values().any(what)
+    /// Whether a request of this kind has no answer yet.
+    pub fn has_pending(&self, is_kind: impl Fn(&Pending) -> bool) -> bool {
+        self.pending.values().any(is_kind)
     }
 
-    /// Requests to the state service without an answer yet.
-    pub fn open(&self) -> usize {
+    /// Requests to the key-value store without an answer yet.
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
+    /// Sends a request to the cloud, and returns its id.
     pub fn request_cloud(&mut self, request: CloudRequest) -> RequestId {
-        let request_id = self.request_id();
+        let request_id = self.next_request_id();
         self.effects.push(Effect::Cloud { request_id, request, timeout: CLOUD_TIMEOUT });
         request_id
     }
 
+    /// Sends a command directly to the worker at `addr`, and returns its id.
     pub fn command_worker(&mut self, addr: String, body: String, timeout: Duration) -> RequestId {
-        let request_id = self.request_id();
+        let request_id = self.next_request_id();
         self.effects.push(Effect::Worker { request_id, addr, body, timeout });
         request_id
     }
 
-    /// As `command_worker`, by way of another node. Whoever passes it on may be gone: without an answer it may
-    /// still run, as without one of the worker's.
+    /// As [`Self::command_worker`], relayed by the node `via`. That node may be gone: a command without a result may
+    /// have been carried out, as one without an answer of the worker may.
     pub fn relay(
         &mut self,
         via: &NodeName,
@@ -180,49 +224,54 @@
         timeout: Duration,
         now: MonotonicTime,
     ) -> RequestId {
-        let request_id = self.request_id();
+        let request_id = self.next_request_id();
         let call = RelayedCommand { call: request_id.0, addr, body, timeout };
         self.relays.entry(via.clone()).or_default().push(call);
-        self.relayed.insert(request_id, now + timeout + RELAY_SLACK);
+        self.relay_deadlines.insert(request_id, now + timeout + RELAY_SLACK);
         request_id
     }
 
-    /// Whether this is an answer to one that is still waited for.
+    /// Whether the result of a relayed command is still waited for; from now on it is not.
     pub fn relay_answered(&mut self, request_id: RequestId) -> bool {
-        self.relayed.remove(&request_id).is_some()
+        self.relay_deadlines.remove(&request_id).is_some()
     }
 
-    /// Those that are not waited for any more.
-    pub fn relays_overdue(&mut self, now: MonotonicTime) -> Vec<RequestId> {
-        let late = self.relayed.iter().filter(|(_, until)| **until <= now).map(|(request_id, _)| *request_id);
-        let late: Vec<RequestId> = late.collect();
-        late.iter().for_each(|request_id| {
-            self.relayed.remove(request_id);
-        });
-        late
+    /// Takes out the relayed commands whose result is not waited for any more.
+    pub fn overdue_relays(&mut self, now: MonotonicTime) -> Vec<RequestId> {
+        let deadlines = &self.relay_deadlines;
+        let overdue = deadlines.iter().filter(|(_, deadline)| **deadline <= now);
+        let overdue: Vec<RequestId> = overdue.map(|(request_id, _)| *request_id).collect();
+        for request_id in &overdue {
+            self.relay_deadlines.remove(request_id);
+        }
+        overdue
     }
 
-    /// The lead is over: nobody waits for its orders.
+    /// The leadership has ended: nobody waits for the results of its commands.
     pub fn forget_relays(&mut self) {
         self.relays.clear();
-        self.relayed.clear();
+        self.relay_deadlines.clear();
     }
 
-    pub fn tell(&mut self, to: &NodeName, message: PeerMessage) {
-        let bytes = partitions::encode(&self.me, message);
+    /// Sends a message to another controller.
+    pub fn send(&mut self, to: &NodeName, message: PeerMessage) {
+        let bytes = peer_messages::encode(&self.node, message);
         self.effects.push(Effect::Peer { to: to.clone(), bytes });
     }
 
+    /// Answers an HTTP request.
     pub fn answer(&mut self, request: RequestId, status: u16, body: String) {
-        let retry_after_s = matches!(status, 429 | 503).then_some(1);
+        let retry_after_s = matches!(status, 429 | 503).then_some(RETRY_AFTER_S);
         self.effects.push(Effect::Answer { request, status, retry_after_s, headers: Vec::new(), body });
     }
 
-    pub fn push(&mut self, effect: Effect) {
-        self.effects.push(effect);
-    }
-
+    /// Answers an HTTP request with an error that says why.
     pub fn refuse(&mut self, request: RequestId, status: u16, reason: &str) {
         self.answer(request, status, users::error(reason));
     }
+
+    /// Adds an effect as it is.
+    pub fn push(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
 }
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -1,86 +1,95 @@
-//! The other controllers, as their pings show them.
+//! The other controllers of the service, as their pings show them. The controller feeds it; the leader asks it who is
+//! alive and who has applied its broadcasts.
 
+use crate::peer_messages::BroadcastPosition;
 use crate::settings::Peer;
-use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, Zone};
+use crate::types::{Duration, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Silence after which a peer counts as away.
+/// A peer without a ping for so long counts as gone.
 const SILENCE: Duration = Duration::from_millis(2500);
-/// Beats that may be under way to a peer that is in step.
+/// Broadcasts that may be under way to a peer that is up to date.
 const BROADCASTS_IN_FLIGHT: u64 = 4;
 
+/// What a peer's last ping said.
 #[derive(Debug)]
-struct State {
-    heard: MonotonicTime,
-    store_reachable: bool,
-    broadcast_seen: (FencingToken, u64),
-    hears_workers: bool,
+pub(super) struct PeerState {
+    /// When the ping came.
+    pub heard_at: MonotonicTime,
+    /// Whether the peer reaches the key-value store.
+    pub store_reachable: bool,
+    /// Up to which status broadcast the peer has applied all.
+    pub broadcast_seen: BroadcastPosition,
+    /// Whether workers that found no leader have lately turned to the peer.
+    pub hears_workers: bool,
 }
 
+/// All peers of this node.
 #[derive(Debug)]
 pub(super) struct Peers {
     names: Vec<NodeName>,
-    states: BTreeMap<NodeName, State>,
-    /// When a leader last heard a worker of each zone: a new one must not take a zone that was cut
-    /// off before its time for one that has just fallen silent.
+    /// Of those that have sent a ping.
+    states: BTreeMap<NodeName, PeerState>,
+    /// When a leader last heard a worker of each zone. A new leader must not take a zone that was cut off before its
+    /// time for one that has just fallen silent.
     zones_heard: BTreeMap<Zone, MonotonicTime>,
 }
 
 impl Peers {
+    /// The peers that the settings name, none heard yet.
     pub fn new(peers: &[Peer]) -> Self {
-        let names = peers.iter().map(|p| p.name.clone()).collect();
+        let names = peers.iter().map(|peer| peer.name.clone()).collect();
         Self { names, states: BTreeMap::new(), zones_heard: BTreeMap::new() }
     }
 
-    /// All that the settings name, there or not.
+    /// All peers that the settings name, alive or not.
     pub fn names(&self) -> &[NodeName] {
         &self.names
     }
 
-    pub fn pinged(
-        &mut self,
-        from: NodeName,
-        store_reachable: bool,
-        broadcast_seen: (FencingToken, u64),
-        hears_workers: bool,
-        now: MonotonicTime,
-    ) {
-        self.states.insert(from, State { heard: now, store_reachable, broadcast_seen, hears_workers });
+    /// Notes a peer's ping.
+    pub fn pinged(&mut self, from: NodeName, state: PeerState) {
+        self.states.insert(from, state);
     }
 
-    fn there(&self, now: MonotonicTime) -> impl Iterator<Item = (&NodeName, &State)> {
-        self.states.iter().filter(move |(_, p)| now.since(p.heard) < SILENCE)
+    fn live_states(&self, now: MonotonicTime) -> impl Iterator<Item = (&NodeName, &PeerState)> {
+        self.states.iter().filter(move |(_, peer)| now.since(peer.heard_at) < SILENCE)
     }
 
+    /// The peers that are alive.
     pub fn live(&self, now: MonotonicTime) -> BTreeSet<NodeName> {
-        self.there(now).map(|(name, _)| name.clone()).collect()
+        self.live_states(now).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether one reaches the state service.
+    /// Whether a live peer reaches the key-value store.
     pub fn any_reaches_store(&self, now: MonotonicTime) -> bool {
-        self.there(now).any(|(_, p)| p.store_reachable)
+        self.live_states(now).any(|(_, peer)| peer.store_reachable)
     }
 
-    /// Whether workers that find no leader have turned to one lately.
+    /// Whether workers that found no leader have lately turned to a live peer.
     pub fn hear_workers(&self, now: MonotonicTime) -> bool {
-        self.there(now).any(|(_, p)| p.hears_workers)
+        self.live_states(now).any(|(_, peer)| peer.hears_workers)
     }
 
-    /// Whether `name` has taken in the beats of `fencing_token` up to about `broadcast`.
-    pub fn in_step(&self, name: &NodeName, fencing_token: FencingToken, broadcast: u64) -> bool {
-        self.states.get(name).is_some_and(|p| {
-            p.broadcast_seen.0 == fencing_token && p.broadcast_seen.1 + BROADCASTS_IN_FLIGHT >= broadcast
+    /// Whether the peer `name` has applied the broadcasts of a leader up to `latest`, but for those that may still
+    /// be under way.
+    pub fn is_up_to_date(&self, name: &NodeName, latest: BroadcastPosition) -> bool {
+        self.states.get(name).is_some_and(|peer| {
+            let seen = peer.broadcast_seen;
+            seen.fencing_token == latest.fencing_token
+                && seen.sequence + BROADCASTS_IN_FLIGHT >= latest.sequence
         })
     }
 
+    /// When a leader last heard a worker of each zone.
     pub fn zones_heard(&self) -> &BTreeMap<Zone, MonotonicTime> {
         &self.zones_heard
     }
 
-    /// A worker of `zone` was heard at `at`, here or by an earlier leader.
+    /// Notes that a worker of `zone` was heard at `at`, here or by an earlier leader.
     pub fn heard_zone(&mut self, zone: &Zone, at: MonotonicTime) {
         match self.zones_heard.get_mut(zone) {
-            Some(heard) => *heard = at.max(*heard),
+            Some(heard_at) => *heard_at = at.max(*heard_at),
             None => {
                 self.zones_heard.insert(zone.clone(), at);
             }
--- a/crates/scheduler/src/partitions/golden.rs
+++ b/crates/scheduler/src/peer_messages/golden.rs
@@ -141,15 +141,17 @@
 }
 
 fn messages() -> Vec<(&'static str, PeerMessage)> {
-    let (fencing_token, broadcast) = (FENCE, 10);
-    let jobs = vec![("req-000412".into(), 3, 13)];
+    let fencing_token = FENCE;
+    let position = BroadcastPosition { fencing_token, sequence: 10 };
+    let counts = TaskCounts { done: 3, running: 13 };
+    let jobs = vec![JobTaskCounts { job: "req-000412".into(), counts }];
     let proposal = Proposal { job: "req-000412".into(), task: 300, machine: "m-000231".into() };
     let ping = PeerMessage::Ping {
         store_reachable: true,
         fencing_token_seen: fencing_token,
-        broadcast_seen: (FencingToken(411), 9),
+        broadcast_seen: BroadcastPosition { fencing_token: FencingToken(411), sequence: 9 },
         hears_workers: false,
-        zones_heard: vec![("z0".into(), Duration::from_millis(1200))],
+        zones_heard: vec![ZoneHeard { zone: "z0".into(), age: Duration::from_millis(1200) }],
     };
     let doubt = |machines| {
         PeerMessage::UnacknowledgedStarts(UnacknowledgedStarts {
@@ -164,16 +166,12 @@
         (
             "beat",
             PeerMessage::StatusBroadcast {
-                fencing_token,
-                broadcast,
+                position,
                 jobs: jobs.clone(),
                 placement_outcomes: placement_outcomes(),
             },
         ),
-        (
-            "table",
-            PeerMessage::StatusSnapshot { fencing_token, broadcast, jobs, success_counts: success_counts() },
-        ),
+        ("table", PeerMessage::StatusSnapshot { position, jobs, success_counts: success_counts() }),
         ("offer", offer()),
         (
             "proposals",
@@ -186,7 +184,10 @@
         ("relayed", relayed()),
         (
             "errands",
-            PeerMessage::QueuedCommands { fencing_token, commands: vec![("m-3".into(), commands())] },
+            PeerMessage::QueuedCommands {
+                fencing_token,
+                commands: vec![MachineCommands { machine: "m-3".into(), commands: commands() }],
+            },
         ),
         ("doubt", doubt(Some(vec!["m-3".into(), "m-4".into()]))),
         ("doubt, too many machines", doubt(None)),
--- /dev/null
+++ b/crates/scheduler/src/peer_messages/tests.rs
@@ -0,0 +1,19 @@
+use super::*;
+
+#[test]
+fn messages_survive_encoding_and_garbage_is_not_decoded() {
+    let bytes = encode(
+        &"n0".into(),
+        PeerMessage::Ping {
+            store_reachable: true,
+            fencing_token_seen: FencingToken(4),
+            broadcast_seen: BroadcastPosition { fencing_token: FencingToken(4), sequence: 9 },
+            hears_workers: false,
+            zones_heard: vec![ZoneHeard { zone: "z".into(), age: Duration::from_millis(1200) }],
+        },
+    );
+    let decoded = decode(&bytes).expect("readable");
+    assert!(matches!(decoded.message, PeerMessage::Ping { fencing_token_seen: FencingToken(4), .. }));
+    assert!(decode(&bytes[..3]).is_none());
+    assert!(decode(&[0xff; 40]).is_none());
+}
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -1,6 +1,6 @@
 //! Users -> controller nodes.
 
-use crate::jobs::{JobSpec, JobType, Phase, Priority};
+use crate::jobs::{JobSpec, JobType, Phase, Priority, TaskCounts};
 use crate::types::{Duration, JobId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -212,14 +212,15 @@
     running: Option<u32>,
 }
 
-pub fn status(id: &JobId, phase: Phase, counts: Option<(u32, u32)>) -> String {
+pub fn status(id: &JobId, phase: Phase, counts: Option<TaskCounts>) -> String {
     let phase = match phase {
         Phase::Pending => "pending",
         Phase::Running => "running",
         Phase::Done => "done",
         Phase::Cancelled => "withdrawn",
     };
-    let status = Status { id: id.as_str(), phase, done: counts.map(|c| c.0), running: counts.map(|c| c.1) };
+    let status =
+        Status { id: id.as_str(), phase, done: counts.map(|c| c.done), running: counts.map(|c| c.running) };
     serde_json::to_string(&status).unwrap_or_default()
 }
 
--- a/crates/scheduler/src/wire/users/golden.rs
+++ b/crates/scheduler/src/wire/users/golden.rs
@@ -69,7 +69,7 @@
         ("done", Phase::Done),
         ("withdrawn", Phase::Cancelled),
     ] {
-        group.writes(name, status(&"req-000412".into(), phase, Some((3, 13))));
+        group.writes(name, status(&"req-000412".into(), phase, Some(TaskCounts { done: 3, running: 13 })));
     }
     group.writes("accepted", status(&"req-000412".into(), Phase::Pending, None));
     group.writes("error", error("owner: there is no team `blue`"));
--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/world/bad_records.rs
@@ -9,7 +9,7 @@
 use super::tests::run;
 use super::{Event, NODES};
 use crate::node::Input;
-use crate::partitions::{self, PeerMessage};
+use crate::peer_messages::{self, BroadcastPosition, PeerMessage};
 use crate::types::FencingToken;
 
 #[test]
@@ -46,19 +46,18 @@
     let leader = w.leader().expect("somebody leads");
     for (n, from) in ["n9", "", "stranger"].into_iter().enumerate() {
         let message = PeerMessage::StatusSnapshot {
-            fencing_token: FencingToken(u64::MAX - n as u64),
-            broadcast: 1,
+            position: BroadcastPosition { fencing_token: FencingToken(u64::MAX - n as u64), sequence: 1 },
             jobs: Vec::new(),
             success_counts: Default::default(),
         };
-        let bytes = partitions::encode(&from.into(), message);
-        let envelope = partitions::decode(&bytes).expect("well formed");
+        let bytes = peer_messages::encode(&from.into(), message);
+        let envelope = peer_messages::decode(&bytes).expect("well formed");
         for i in 0..NODES {
             let life = w.nodes[i].life;
             w.at(w.now, Event::Input(i, life, Input::Peer(envelope.clone())));
         }
     }
-    assert!(partitions::decode(b"no envelope").is_none() && partitions::decode(&[]).is_none());
+    assert!(peer_messages::decode(b"no envelope").is_none() && peer_messages::decode(&[]).is_none());
     w.run_until(11_000);
     assert_eq!(w.leader(), Some(leader));
     let metrics = w.nodes[leader].controller.as_ref().map(|c| c.metrics()).unwrap_or_default();
--- a/crates/scheduler/src/world/days/directed.rs
+++ b/crates/scheduler/src/world/days/directed.rs
@@ -2,8 +2,9 @@
 
 use super::ordinary::{cut_zone, day};
 use super::{DAY_ENDS, TROUBLE_ENDS};
-use crate::node::Controller;
+use crate::node::{Controller, DisabledCheck};
 use crate::world::{Event, Fault, Host, Leader, NODES, World, job};
+use pearford_heartbeat::DisabledCheck as LeaseCheck;
 use rand::RngExt;
 
 /// A meeting: its day, what must have taken place, and a guard that its day needs.
@@ -330,7 +331,11 @@
         name: "held words",
         day: held_announcements,
         met: &[("a link held", 10), ("called off now", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_forget_silent(4_000)),
+        without: |w| {
+            sabotage(w, |controller, _| {
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
+            })
+        },
     },
     Row {
         name: "close looks",
@@ -340,7 +345,7 @@
             ("a look after the acceptance", 1),
             ("a repeat after the acceptance", 1),
         ],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_stale()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::ReadBeforeAnswer)),
     },
     Row {
         name: "only the answer of a transaction is lost",
@@ -352,25 +357,25 @@
         name: "every team at its limit",
         day: full_teams,
         met: &[("called off and hung", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_free_cancelled()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks)),
     },
     Row {
         name: "work changes hands",
         day: hand_overs,
         met: &[("a verdict within two seconds of a new leader", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_pass_all()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::RelayFilter)),
     },
     Row {
         name: "new machines at once",
         day: fast_boots,
         met: &[("a start within three seconds of the boot", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_start_early()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::DurableBeforeStart)),
     },
     Row {
         name: "old reports for a new leader",
         day: old_reports,
         met: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_any_serial()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder)),
     },
     Row {
         name: "four jobs a second",
@@ -378,8 +383,8 @@
         met: &[("accepted", 800)],
         without: |w| {
             sabotage(w, |controller, _| {
-                controller.sabotage_renewal(pearford_heartbeat::DisabledCheck::Stops);
-                controller.sabotage_no_stops();
+                controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
+                controller.disable_check(DisabledCheck::StopCommands);
             });
         },
     },
@@ -387,19 +392,23 @@
         name: "called off at the end and now",
         day: called_off,
         met: &[("called off at the end", 1), ("called off now", 1), ("called off and hung", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_keep_silent()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::SilenceDetection)),
     },
     Row {
         name: "mute machines",
         day: mute,
         met: &[("mute", 1), ("a direct start at a mute machine", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_forget_silent(4_000)),
+        without: |w| {
+            sabotage(w, |controller, _| {
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
+            })
+        },
     },
     Row {
         name: "ten leaders",
         day: ten_leaders,
         met: &[("a new leader", 40)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_done_early()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::TaskCompletion)),
     },
     Row {
         name: "more work than room, odd requests",
@@ -409,24 +418,28 @@
             ("a cancellation of what is done", 1),
             ("a repeat after the acceptance", 1),
         ],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_free_cancelled()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks)),
     },
     Row {
         name: "bound to a zone",
         day: bound_to_a_zone,
         met: &[("a machine lost with tasks bound to its zone", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_any_zone()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::ZoneConstraint)),
     },
     Row {
         name: "a zone cut off",
         day: cut_off_zone,
         met: &[("a zone cut off", 1), ("called off now", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_forget_silent(4_000)),
+        without: |w| {
+            sabotage(w, |controller, _| {
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
+            })
+        },
     },
     Row {
         name: "all nodes away",
         day: all_away,
         met: &[("copy for the next leader", 1)],
-        without: |w| sabotage(w, |controller, _| controller.sabotage_any_serial()),
+        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder)),
     },
 ];
--- a/crates/scheduler/src/world/days/kinds.rs
+++ b/crates/scheduler/src/world/days/kinds.rs
@@ -11,10 +11,10 @@
 use super::recovery::{self, Down};
 use super::{DAY_ENDS, troubles};
 use crate::jobs::graph::Guard;
-use crate::node::Controller;
+use crate::node::{Controller, DisabledCheck};
 use crate::types::Duration;
 use crate::world::World;
-use pearford_heartbeat::DisabledCheck;
+use pearford_heartbeat::DisabledCheck as LeaseCheck;
 
 /// How long a day goes on after its last trouble, where that has no set time.
 const CALM_MS: u64 = 120_000;
@@ -158,20 +158,25 @@
     fn pipelines_without(guard: Guard, seed: u64) -> World {
         let mut w = ordinary::pipelined_day(seed);
         w.sabotage = Some(match guard {
-            Guard::Order => |controller: &mut Controller, _| controller.sabotage_graph(Guard::Order),
-            Guard::Cancellation => {
-                |controller: &mut Controller, _| controller.sabotage_graph(Guard::Cancellation)
-            }
+            Guard::Order => |controller: &mut Controller, _| {
+                controller.disable_check(DisabledCheck::JobGraph(Guard::Order))
+            },
+            Guard::Cancellation => |controller: &mut Controller, _| {
+                controller.disable_check(DisabledCheck::JobGraph(Guard::Cancellation))
+            },
         });
         w
     }
-    let apart: fn(&mut Controller, u64) = |controller, _| controller.sabotage_apart();
+    let apart: fn(&mut Controller, u64) =
+        |controller, _| controller.disable_check(DisabledCheck::IsolationReports);
     vec![
         DayKind::spoilt("forget-silent", |w| {
-            w.sabotage = Some(|controller, _| controller.sabotage_forget_silent(4_000))
+            w.sabotage = Some(|controller, _| {
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
+            })
         }),
         DayKind::spoilt("done-early", |w| {
-            w.sabotage = Some(|controller, _| controller.sabotage_done_early())
+            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
         }),
         DayKind::spoilt("lazy-cloud", |w| w.cloud.lazy = true),
         DayKind::spoilt("careless-state", |w| w.state.careless = true),
@@ -181,7 +186,7 @@
         }),
         DayKind::usual("mixed-versions-without-level", 850, |seed| {
             let mut w = ordinary::day_of_a_mixed_version(seed);
-            w.sabotage = Some(|controller, _| controller.sabotage_level());
+            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion));
             w
         }),
         DayKind::usual("parted-zone-without-word", 920, move |seed| {
@@ -191,11 +196,15 @@
 }
 
 fn gap_kinds() -> Vec<DayKind> {
-    let stops: fn(&mut Controller, u64) = |controller, _| controller.sabotage_renewal(DisabledCheck::Stops);
-    let margin: fn(&mut Controller, u64) =
-        |controller, _| controller.sabotage_renewal(DisabledCheck::Margin(Duration::from_millis(15_000)));
-    let doubt: fn(&mut Controller, u64) =
-        |controller, _| controller.sabotage_renewal(DisabledCheck::UnacknowledgedStarts);
+    let stops: fn(&mut Controller, u64) =
+        |controller, _| controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
+    let margin: fn(&mut Controller, u64) = |controller, _| {
+        controller
+            .disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Margin(Duration::from_millis(15_000))))
+    };
+    let doubt: fn(&mut Controller, u64) = |controller, _| {
+        controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts))
+    };
     vec![
         DayKind::gap("gap", 3_000, gap_day, None),
         DayKind::gap("gap-without-stops", 3_238, gap_day, Some(stops)),
@@ -230,13 +239,13 @@
         DayKind::recovery("quick-returns", 2_600, |seed| recovery::day_of_quick_returns(seed, 30)),
         DayKind::recovery("unheard-machines", 2_500, |seed| {
             let mut w = recovery::day(seed, Down::InARow, 30);
-            w.sabotage = Some(|controller, _| controller.sabotage_unheard());
+            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::HeartbeatCollection));
             w
         }),
         DayKind::recovery("forgotten-attempts", 5_000, |seed| {
             let mut w = recovery::day_of_quick_returns(seed, 30);
             w.again = 0.3;
-            w.sabotage = Some(|controller, _| controller.sabotage_forget_sent());
+            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
             w
         }),
     ]
--- a/crates/scheduler/src/world/days/ordinary.rs
+++ b/crates/scheduler/src/world/days/ordinary.rs
@@ -211,7 +211,7 @@
     w.run_until(20_000);
     let leads = |w: &World, i: usize| {
         let at = MonotonicTime::from_millis(1_000_000 + w.now);
-        w.nodes[i].controller.as_ref().is_some_and(|c| c.validly_leads(at))
+        w.nodes[i].controller.as_ref().is_some_and(|c| c.holds_lease(at))
     };
     let old = (0..NODES).find(|i| leads(&w, *i)).expect("somebody leads");
     w.at(20_001, Event::Fault(Fault::Refuse(old, true)));
--- a/crates/scheduler/src/world/gap.rs
+++ b/crates/scheduler/src/world/gap.rs
@@ -6,9 +6,9 @@
 use super::World;
 use super::days::gap::{gap_day, held_day};
 use super::recovery::seeds;
-use crate::node::Controller;
+use crate::node::{Controller, DisabledCheck};
 use crate::types::Duration;
-use pearford_heartbeat::DisabledCheck;
+use pearford_heartbeat::DisabledCheck as LeaseCheck;
 use std::ops::Range;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -63,13 +63,14 @@
 #[test]
 fn the_checker_notices_each_guard_of_the_gap_taken_out() {
     fn stops(controller: &mut Controller, _: u64) {
-        controller.sabotage_renewal(DisabledCheck::Stops);
+        controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
     }
     fn longer(controller: &mut Controller, _: u64) {
-        controller.sabotage_renewal(DisabledCheck::Margin(Duration::from_millis(15_000)));
+        controller
+            .disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Margin(Duration::from_millis(15_000))));
     }
     fn doubt(controller: &mut Controller, _: u64) {
-        controller.sabotage_renewal(DisabledCheck::UnacknowledgedStarts);
+        controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts));
     }
     assert!(
         !of_seeds(3_238..3_250, |seed| broken(gap_day, seed, Some(stops))).is_empty(),
--- a/crates/scheduler/src/world/looks.rs
+++ b/crates/scheduler/src/world/looks.rs
@@ -238,7 +238,7 @@
         for order in starts {
             let task = order["shard"].as_str().unwrap_or_default();
             let job = JobId::from(task.split('/').next().unwrap_or_default());
-            if self.nodes[node].controller.as_ref().is_some_and(|c| c.knows_over(&job)) {
+            if self.nodes[node].controller.as_ref().is_some_and(|c| c.knows_finished(&job)) {
                 wrong.push(task.to_string());
             }
         }
--- a/crates/scheduler/src/world/meetings.rs
+++ b/crates/scheduler/src/world/meetings.rs
@@ -9,7 +9,7 @@
 use super::recovery::seeds;
 use super::tests::run;
 use super::{NODES, World};
-use crate::node::{Controller, Method};
+use crate::node::{Controller, DisabledCheck, Method};
 use serde_json::json;
 
 /// How long no question about a job may go without an answer, once all troubles are over.
@@ -48,10 +48,10 @@
 #[test]
 fn the_checker_notices_in_these_days_too() {
     fn forget_silent(controller: &mut Controller, _: u64) {
-        controller.sabotage_forget_silent(4_000);
+        controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
     }
     fn done_early(controller: &mut Controller, _: u64) {
-        controller.sabotage_done_early();
+        controller.disable_check(DisabledCheck::TaskCompletion);
     }
     let broken = |spoil: &(dyn Fn(&mut World) + Sync)| {
         of_seeds(4_000..4_032, |seed| {
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -538,10 +538,10 @@
                 let mut controller =
                     Controller::new(self.old.get(&i).unwrap_or(&self.settings[i]).clone(), seed);
                 if self.old.contains_key(&i) {
-                    controller.act_like_the_version_before();
+                    controller.act_as_previous_version();
                 }
                 if let Some(feature) = self.feature {
-                    controller = controller.with_feature(feature());
+                    controller = controller.with_extension(feature());
                 }
                 node.controller = Some(controller);
                 node.askers.clear();
@@ -595,7 +595,7 @@
     pub fn leader(&self) -> Option<usize> {
         let leads = |i: &usize| {
             let controller = self.nodes[*i].controller.as_ref();
-            controller.is_some_and(|c| c.validly_leads(self.steady(*i)))
+            controller.is_some_and(|c| c.holds_lease(self.steady(*i)))
         };
         (0..self.nodes.len()).find(leads)
     }
@@ -610,12 +610,12 @@
         let Some(controller) = &mut self.nodes[i].controller else { return };
         let effects = controller.step(now, input);
         if self.old.contains_key(&i) {
-            controller.act_like_the_version_before();
+            controller.act_as_previous_version();
         }
         if let Some(sabotage) = self.sabotage {
             sabotage(controller, self.now);
         }
-        if let Err(what) = controller.sums_hold() {
+        if let Err(what) = controller.check_sums() {
             self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
         }
         for effect in effects {
@@ -672,7 +672,7 @@
             }
             Effect::Peer { to, bytes } => {
                 let Some(j) = self.settings.iter().position(|s| s.node == to) else { return };
-                let Some(envelope) = crate::partitions::decode(&bytes) else { return };
+                let Some(envelope) = crate::peer_messages::decode(&bytes) else { return };
                 let life = self.nodes[j].life;
                 let event = |envelope| Event::Input(j, life, Input::Peer(envelope));
                 self.again(|| event(envelope.clone()));
--- a/crates/scheduler/src/world/recovery.rs
+++ b/crates/scheduler/src/world/recovery.rs
@@ -5,7 +5,7 @@
 
 use super::World;
 use super::days::recovery::{DOWN_MS, Down, ENDS, day, day_of_lost_leases, day_of_quick_returns};
-use crate::node::Controller;
+use crate::node::{Controller, DisabledCheck};
 
 /// What a day must show at its end, besides the rules after each step.
 fn judge(seed: u64, w: &World) {
@@ -135,7 +135,8 @@
 /// still on its way when the next leader reads.
 #[test]
 fn the_checkers_notice_machines_given_up_unheard() {
-    assert!(noticed(2_500, Down::InARow, |controller, _| controller.sabotage_unheard()));
+    assert!(noticed(2_500, Down::InARow, |controller, _| controller
+        .disable_check(DisabledCheck::HeartbeatCollection)));
 }
 
 /// A start that had been carried out came again after the worker had forgotten how it ended: it ran once more, while the
@@ -145,7 +146,7 @@
     let broken = (5_000..5_040).any(|seed| {
         let mut w = day_of_quick_returns(seed, 30);
         w.again = 0.3;
-        w.sabotage = Some(|controller, _| controller.sabotage_forget_sent());
+        w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
         w.run_until(120_000);
         w.rules.broken.iter().any(|b| b.contains("ran_twice"))
     });
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/world/tests.rs
@@ -10,7 +10,7 @@
 use super::recovery::seeds;
 use super::{Event, Fault, NODES, Stage, Submits, World, job};
 use crate::jobs::graph::Guard;
-use crate::node::{Controller, Effect, Input, Method, Now};
+use crate::node::{Controller, DisabledCheck, Effect, Input, Method, Now};
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::{StoreReply, StoreRequest};
 
@@ -166,8 +166,9 @@
 
 #[test]
 fn the_checkers_notice_machines_returned_in_a_parted_zone() {
-    let returned =
-        (920..926).map(|seed| parted_day(seed, Some(|controller, _| controller.sabotage_apart())).1);
+    let returned = (920..926).map(|seed| {
+        parted_day(seed, Some(|controller, _| controller.disable_check(DisabledCheck::IsolationReports))).1
+    });
     assert!(returned.sum::<usize>() > 0);
 }
 
@@ -300,7 +301,10 @@
         early
     };
     assert!(!taken_early(None));
-    assert!(taken_early(Some(|controller, _| controller.sabotage_level())), "the mark is what holds it back");
+    assert!(
+        taken_early(Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion))),
+        "the mark is what holds it back"
+    );
 }
 
 /// Whether some seed of a few breaks a rule under `faults` and a spoilt `world`.
@@ -317,12 +321,12 @@
 fn the_checker_notices_a_guard_taken_out_of_the_core() {
     // Proof by silence: entries of a machine silent for 4 s are dropped as if they were gone.
     fn forget_silent(controller: &mut Controller, _: u64) {
-        controller.sabotage_forget_silent(4_000);
+        controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
     }
     assert!(checker_notices(|w| w.sabotage = Some(forget_silent)));
     // Done as soon as half of the tasks are.
     fn done_early(controller: &mut Controller, _: u64) {
-        controller.sabotage_done_early();
+        controller.disable_check(DisabledCheck::TaskCompletion);
     }
     assert!(checker_notices(|w| w.sabotage = Some(done_early)));
     // Dependent jobs get a run at once; or a cancellation does not carry on to them.
@@ -336,8 +340,10 @@
             !w.rules.broken.is_empty()
         })
     };
-    assert!(with_pipelines(|controller, _| controller.sabotage_graph(Guard::Order)));
-    assert!(with_pipelines(|controller, _| controller.sabotage_graph(Guard::Cancellation)));
+    assert!(with_pipelines(|controller, _| controller.disable_check(DisabledCheck::JobGraph(Guard::Order))));
+    assert!(with_pipelines(
+        |controller, _| controller.disable_check(DisabledCheck::JobGraph(Guard::Cancellation))
+    ));
     assert!(!with_pipelines(|_, _| {}));
 }
 
