--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -9,10 +9,11 @@
 use crate::jobs;
 use crate::node::Effect;
 use crate::node::outbox::{Pending, Read, WatchedPrefix};
-use crate::node::prefix_watcher::PrefixWatcher;
+use crate::node::prefix_watcher::{PrefixWatcher, ReadOutcome};
 use crate::rate_limit::TokenBucket;
 use crate::types::{Duration, JobId, MachineId, MonotonicTime, RequestId, Revision};
 use crate::wire::state::{Change, Pair, StoreReply, StoreRequest};
+use http::StatusCode;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -71,7 +72,7 @@
     /// A client's request to the extension in `slot`.
     pub(super) fn extension_call(&mut self, slot: usize, request: RequestId, call: Call) {
         if slot >= self.extensions.len() {
-            return self.out.refuse(request, 404, "no such path");
+            return self.out.refuse(request, StatusCode::NOT_FOUND, "no such path");
         }
         self.run_extension(slot, Input::Call { request, call });
     }
@@ -128,8 +129,8 @@
             let own = slot.watcher.read_after(read.own_reads_begun);
             let jobs = job_watcher.read_after(read.job_reads_begun);
             let fresh = match (own, jobs) {
-                (Some(true), Some(true)) => true,
-                (Some(false), _) | (_, Some(false)) => false,
+                (Some(ReadOutcome::Succeeded), Some(ReadOutcome::Succeeded)) => true,
+                (Some(ReadOutcome::Failed), _) | (_, Some(ReadOutcome::Failed)) => false,
                 _ => return true,
             };
             finished.push(FinishedRead { tag: read.tag, fresh });
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -4,6 +4,7 @@
 use super::Controller;
 use crate::jobs::{JobSpec, graph};
 use crate::node::leader::Leader;
+use crate::node::prefix_watcher::ReadOutcome;
 use crate::types::{Duration, JobId, MonotonicTime};
 
 /// A check or a step of the protocol that can be disabled.
@@ -75,7 +76,7 @@
             DisabledCheck::RelayFilter => self.injected_faults.relays_all_starts = true,
             DisabledCheck::ReadBeforeAnswer => {
                 self.pending_requests.read_begins();
-                self.job_records_read(true);
+                self.job_records_read(ReadOutcome::Succeeded);
             }
             check => {
                 let now = self.now;
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -10,6 +10,7 @@
 use crate::wire::state::{Change, StoreRequest};
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
 use crate::workers::stop_finished;
+use http::StatusCode;
 use pearford_heartbeat::{IncomingHeartbeat, Routing};
 
 /// Heartbeats that wait here for a leader, at most.
@@ -39,7 +40,7 @@
     pub(super) fn heartbeat(&mut self, request: RequestId, body: &[u8]) {
         let heartbeat: Heartbeat = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
-            Err(error) => return self.out.refuse(request, 400, &error.to_string()),
+            Err(error) => return self.out.refuse(request, StatusCode::BAD_REQUEST, &error.to_string()),
         };
         if !self.is_possible(heartbeat.fencing_token) {
             tracing::warn!(
@@ -47,7 +48,11 @@
                 fencing_token = %heartbeat.fencing_token,
                 "a heartbeat has a fencing token that no leader can have"
             );
-            return self.out.refuse(request, 400, "fence: no controller can have given it");
+            return self.out.refuse(
+                request,
+                StatusCode::BAD_REQUEST,
+                "fence: no controller can have given it",
+            );
         }
         self.observe_fencing_token(heartbeat.fencing_token);
         if !self.answer_heartbeat(request, &heartbeat) {
@@ -123,15 +128,17 @@
         let highest = self.highest_fencing_token;
         match self.delegate.heartbeat_received(incoming, highest, may_renew, self.now) {
             Routing::NoDelegation => return false,
-            Routing::Redirect(node) => self.out.answer(request, 421, workers::redirect(Some(&node))),
+            Routing::Redirect(node) => {
+                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)))
+            }
             Routing::TryAnotherNode => {
                 self.worker_turned_away_at = self.now;
-                self.out.answer(request, 421, workers::redirect(None));
+                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(None));
             }
             Routing::Answer(fencing_token) => {
                 self.note_lease_renewed(heartbeat);
                 let commands = self.commands_for(heartbeat, fencing_token);
-                self.out.answer(request, 200, workers::answer(fencing_token, &commands));
+                self.out.answer(request, StatusCode::OK, workers::answer(fencing_token, &commands));
             }
         }
         true
@@ -150,8 +157,10 @@
 
     fn redirect(&mut self, request: RequestId) {
         match self.known_leader().cloned() {
-            Some(leader) => self.out.answer(request, 421, workers::redirect(Some(&leader))),
-            None => self.out.refuse(request, 503, "no leader is known here"),
+            Some(leader) => {
+                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&leader)))
+            }
+            None => self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "no leader is known here"),
         }
     }
 
--- a/crates/scheduler/src/node/controller/http_api.rs
+++ b/crates/scheduler/src/node/controller/http_api.rs
@@ -3,6 +3,7 @@
 use super::Controller;
 use crate::node::Method;
 use crate::types::RequestId;
+use http::StatusCode;
 
 impl Controller {
     pub(super) fn http_request(&mut self, request: RequestId, method: Method, path: &str, body: Vec<u8>) {
@@ -15,17 +16,17 @@
             (Method::Post, ["submissions", id, "withdraw"]) => self.request_cancellation(request, id),
             (Method::Get, ["operator", "metrics"]) => {
                 let text = self.metrics();
-                self.out.answer(request, 200, text);
+                self.out.answer(request, StatusCode::OK, text);
             }
             (Method::Get, ["operator", "waiting"]) => {
                 let text = self.waiting_report();
-                self.out.answer(request, 200, text);
+                self.out.answer(request, StatusCode::OK, text);
             }
             (_, ["up"] | ["submissions"] | ["submissions", _] | ["submissions", _, "withdraw"])
             | (_, ["v1", "report"] | ["operator", "metrics" | "waiting"]) => {
-                self.out.refuse(request, 405, "wrong method for this path");
+                self.out.refuse(request, StatusCode::METHOD_NOT_ALLOWED, "wrong method for this path");
             }
-            _ => self.out.refuse(request, 404, "no such path"),
+            _ => self.out.refuse(request, StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
@@ -34,9 +35,13 @@
     fn health_check(&mut self, request: RequestId) {
         let jobs_read = self.job_cache.store_revision().is_some();
         if jobs_read && (self.store_reachable() || !self.peers.any_reaches_store(self.now)) {
-            self.out.answer(request, 200, "{}".into());
+            self.out.answer(request, StatusCode::OK, "{}".into());
         } else {
-            self.out.refuse(request, 503, "this node does not reach the state service");
+            self.out.refuse(
+                request,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "this node does not reach the state service",
+            );
         }
     }
 }
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -6,6 +6,7 @@
 use crate::peer_messages::{MachineCommands, PeerMessage};
 use crate::types::{FencingToken, JobId, MachineId, NodeName, RequestId};
 use crate::wire::workers::{self, Filtered, Heartbeat, WorkerCommand};
+use http::StatusCode;
 use pearford_heartbeat::{HeartbeatPosition, RelayResult, RelayedCommand};
 use std::collections::BTreeMap;
 
@@ -27,7 +28,7 @@
     /// The number that stands for it in [`RelayResult::status`].
     fn status(self) -> u16 {
         match self {
-            Self::NotSent => 409,
+            Self::NotSent => StatusCode::CONFLICT.as_u16(),
             Self::NoAnswer => 0,
         }
     }
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::election::ElectionChange;
 use crate::node::outbox::{Pending, Read, WatchedPrefix};
-use crate::node::prefix_watcher::SyncRead;
+use crate::node::prefix_watcher::ReadOutcome;
 use crate::placement::COUNTS_PREFIX;
 use crate::types::{Duration, RequestId};
 use crate::wire::state::{StoreReply, StoreRequest};
@@ -66,16 +66,13 @@
     }
 
     fn job_records_reply(&mut self, read: Read, reply: StoreReply) {
-        let sync_read =
+        let outcome =
             self.job_watcher.reply(self.now, read, reply, &mut self.job_cache, &mut self.rng, &mut self.out);
-        match sync_read {
-            SyncRead::Unaffected => {}
-            SyncRead::Succeeded => {
-                self.lease_renewal.records_read(self.job_watcher.fresh_at(), self.now);
-                self.job_records_read(true);
-            }
-            SyncRead::Failed => self.job_records_read(false),
+        let Some(outcome) = outcome else { return };
+        if outcome == ReadOutcome::Succeeded {
+            self.lease_renewal.records_read(self.job_watcher.fresh_at(), self.now);
         }
+        self.job_records_read(outcome);
     }
 
     /// Starts a read of the job records if one is needed and none is under way.
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -9,9 +9,11 @@
     self, Admission, JobSpec, OpenJob, PendingRequest, Phase, Record, TaskCounts, UserRequest,
 };
 use crate::node::outbox::Pending;
+use crate::node::prefix_watcher::ReadOutcome;
 use crate::types::{Duration, JobId, RequestId, Revision};
 use crate::wire::state::{Change, StoreReply, StoreRequest};
 use crate::wire::users;
+use http::StatusCode;
 use std::sync::Arc;
 
 /// How often a submission whose key another one has taken meanwhile is tried again.
@@ -33,14 +35,14 @@
     fn request_for_job(&mut self, request: RequestId, id: &str, user_request: UserRequest) {
         match users::job_id(id) {
             Some(id) => self.begin_request(request, id, user_request),
-            None => self.out.refuse(request, 404, "no such job; ids look like req-000412"),
+            None => self.out.refuse(request, StatusCode::NOT_FOUND, "no such job; ids look like req-000412"),
         }
     }
 
     pub(super) fn submit(&mut self, request: RequestId, body: &[u8]) {
         let Some(id) = users::submission_id(body) else {
             let reason = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
-            return self.out.refuse(request, 400, &reason);
+            return self.out.refuse(request, StatusCode::BAD_REQUEST, &reason);
         };
         let spec = match self.parse_submission(body) {
             Err(reason) => Err(jobs::Refusal { status: 400, reason }),
@@ -75,10 +77,18 @@
             return self.answer_status(request, &id, phase, self.counts_of(&id));
         }
         if self.job_cache.store_revision().is_none() {
-            return self.out.refuse(request, 503, "job records are not read yet; come back");
+            return self.out.refuse(
+                request,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "job records are not read yet; come back",
+            );
         }
         if self.pending_requests.len() >= self.settings.operator.max_waiting_requests {
-            return self.out.refuse(request, 429, "too many requests wait here; come back");
+            return self.out.refuse(
+                request,
+                StatusCode::TOO_MANY_REQUESTS,
+                "too many requests wait here; come back",
+            );
         }
         let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
         let waiting = PendingRequest { request, id, ask: user_request, since: self.now, tries: 0 };
@@ -99,7 +109,11 @@
     fn create(&mut self, waiting: PendingRequest) {
         let UserRequest::Submit { spec: Ok(spec) } = &waiting.ask else { return };
         if !self.user_writes.take(1.0, self.now) {
-            return self.out.refuse(waiting.request, 429, "too many submissions at once; come back");
+            return self.out.refuse(
+                waiting.request,
+                StatusCode::TOO_MANY_REQUESTS,
+                "too many submissions at once; come back",
+            );
         }
         let job = self.admission().open(spec);
         let key = jobs::key(&waiting.id);
@@ -115,7 +129,11 @@
     fn cancel(&mut self, waiting: PendingRequest) {
         let Some(revision) = self.job_cache.get(&waiting.id).map(|job| job.revision) else { return };
         if !self.user_writes.take(1.0, self.now) {
-            return self.out.refuse(waiting.request, 429, "too many withdrawals at once; come back");
+            return self.out.refuse(
+                waiting.request,
+                StatusCode::TOO_MANY_REQUESTS,
+                "too many withdrawals at once; come back",
+            );
         }
         let key = jobs::key(&waiting.id);
         let request = StoreRequest::Commit {
@@ -129,18 +147,23 @@
     pub(super) fn refuse_overdue_requests(&mut self) {
         let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
         for overdue in self.pending_requests.overdue(self.now, timeout) {
-            self.out.refuse(overdue.request, 503, "the state service does not answer; come back");
+            self.out.refuse(
+                overdue.request,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "the state service does not answer; come back",
+            );
         }
     }
 
-    /// Goes on with the requests that waited for a read. `fresh`: the read has succeeded.
-    pub(super) fn job_records_read(&mut self, fresh: bool) {
+    /// Goes on with the requests that waited for the read that has ended.
+    pub(super) fn job_records_read(&mut self, outcome: ReadOutcome) {
         for waiting in self.pending_requests.read_ends() {
-            if fresh {
-                self.continue_request(waiting);
-            } else {
-                let reason = "the state service can't be read now; come back";
-                self.out.refuse(waiting.request, 503, reason);
+            match outcome {
+                ReadOutcome::Succeeded => self.continue_request(waiting),
+                ReadOutcome::Failed => {
+                    let reason = "the state service can't be read now; come back";
+                    self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, reason);
+                }
             }
         }
     }
@@ -156,7 +179,7 @@
         if self.job_cache.is_unreadable(&id) {
             let reason =
                 format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
-            return self.out.refuse(request, 503, &reason);
+            return self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, &reason);
         }
         if self.job_cache.get(&id).is_some() {
             self.continue_for_open_job(waiting);
@@ -172,7 +195,11 @@
             return self.answer_status(waiting.request, &waiting.id, phase, Some(counts));
         }
         if waiting.tries >= MAX_CANCEL_RETRIES {
-            return self.out.refuse(waiting.request, 503, "the job is changing; come back");
+            return self.out.refuse(
+                waiting.request,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "the job is changing; come back",
+            );
         }
         self.cancel(PendingRequest { tries: waiting.tries + 1, ..waiting });
     }
@@ -182,14 +209,19 @@
         match &waiting.ask {
             UserRequest::Submit { spec: Ok(spec) } => {
                 match self.admission().dependency_error(&waiting.id, spec) {
-                    Some(error) => self.out.refuse(request, 422, &error.to_string()),
+                    Some(error) => {
+                        self.out.refuse(request, StatusCode::UNPROCESSABLE_ENTITY, &error.to_string())
+                    }
                     None => self.create(waiting),
                 }
             }
             UserRequest::Submit { spec: Err(refusal) } => {
-                self.out.refuse(request, refusal.status, &refusal.reason);
+                let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+                self.out.refuse(request, status, &refusal.reason);
+            }
+            UserRequest::Status | UserRequest::Cancel => {
+                self.out.refuse(request, StatusCode::NOT_FOUND, "no such job")
             }
-            UserRequest::Status | UserRequest::Cancel => self.out.refuse(request, 404, "no such job"),
         }
     }
 
@@ -203,7 +235,7 @@
                 self.served.count(jobs::Stage::Accepted, &job.spec);
                 // Cancelled at once, if one of its dependencies is.
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
-                self.out.answer(waiting.request, 201, users::status(&id, phase, None));
+                self.out.answer(waiting.request, StatusCode::CREATED, users::status(&id, phase, None));
             }
             StoreReply::Conflict { .. } if waiting.tries < MAX_SUBMIT_RETRIES => {
                 self.pending_requests.wait(PendingRequest { tries: waiting.tries + 1, ..waiting });
@@ -211,9 +243,13 @@
             // Refused for good, as it would be at every further try.
             StoreReply::Malformed => {
                 tracing::error!(job = %waiting.id, "the key-value store refuses the job's record");
-                self.out.refuse(waiting.request, 422, "the state service does not take the job's record");
+                self.out.refuse(
+                    waiting.request,
+                    StatusCode::UNPROCESSABLE_ENTITY,
+                    "the state service does not take the job's record",
+                );
             }
-            _ => self.out.refuse(waiting.request, 503, WRITE_FAILED),
+            _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
         }
     }
 
@@ -227,12 +263,12 @@
                 self.answer_status(waiting.request, &id, Phase::Cancelled, None);
             }
             StoreReply::Conflict { .. } => self.pending_requests.wait(waiting),
-            _ => self.out.refuse(waiting.request, 503, WRITE_FAILED),
+            _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
         }
     }
 
     fn answer_status(&mut self, request: RequestId, id: &JobId, phase: Phase, counts: Option<TaskCounts>) {
-        self.out.answer(request, 200, users::status(id, phase, counts));
+        self.out.answer(request, StatusCode::OK, users::status(id, phase, counts));
     }
 
     /// Task counts of a job, as far as this node knows.
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -8,14 +8,15 @@
 use crate::wire::cloud::MachineType;
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
 use crate::workers::{HeartbeatOutcome, Machine, MachineStatus, stop_finished};
+use http::StatusCode;
 use pearford_recovery::RecordedState;
 
 /// HTTP status: the heartbeat counts, the worker's lease is renewed, and commands may follow.
-const STATUS_OK: u16 = 200;
+const STATUS_OK: StatusCode = StatusCode::OK;
 /// HTTP status: the worker is to send its heartbeats to another node.
-const STATUS_MISDIRECTED: u16 = 421;
+const STATUS_MISDIRECTED: StatusCode = StatusCode::MISDIRECTED_REQUEST;
 /// HTTP status: nothing is said about the worker's lease.
-const STATUS_UNAVAILABLE: u16 = 503;
+const STATUS_UNAVAILABLE: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 
 /// A gang's task on its machine, as far as its start is concerned.
 struct GangTask {
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -9,6 +9,7 @@
 use crate::wire::cloud::CloudRequest;
 use crate::wire::state::{Change, StoreRequest};
 use crate::wire::users;
+use http::StatusCode;
 use pearford_heartbeat::RelayedCommand;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -260,13 +261,15 @@
     }
 
     /// Answers an HTTP request.
-    pub fn answer(&mut self, request: RequestId, status: u16, body: String) {
-        let retry_after_s = matches!(status, 429 | 503).then_some(RETRY_AFTER_S);
+    pub fn answer(&mut self, request: RequestId, status: StatusCode, body: String) {
+        let come_back = matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE);
+        let retry_after_s = come_back.then_some(RETRY_AFTER_S);
+        let status = status.as_u16();
         self.effects.push(Effect::Answer { request, status, retry_after_s, headers: Vec::new(), body });
     }
 
     /// Answers an HTTP request with an error that says why.
-    pub fn refuse(&mut self, request: RequestId, status: u16, reason: &str) {
+    pub fn refuse(&mut self, request: RequestId, status: StatusCode, reason: &str) {
         self.answer(request, status, users::error(reason));
     }
 
--- a/crates/scheduler/src/node/prefix_watcher.rs
+++ b/crates/scheduler/src/node/prefix_watcher.rs
@@ -40,14 +40,12 @@
     fn learn_events(&mut self, store_revision: u64, events: &[Event]);
 }
 
-/// What a reply means for the sync read under way.
+/// How a sync read has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum SyncRead {
-    /// Nothing: it was the reply to another read.
-    Unaffected,
-    /// It has ended, and the copy is as new as its beginning.
+pub(super) enum ReadOutcome {
+    /// The copy is as new as the beginning of the read.
     Succeeded,
-    /// It has ended without a result.
+    /// There was no result.
     Failed,
 }
 
@@ -107,13 +105,13 @@
         self.reads_begun
     }
 
-    /// Whether a sync read later than the first `reads_begun` has succeeded (`Some(true)`) or failed (`Some(false)`).
-    /// `None` while none has ended.
-    pub fn read_after(&self, reads_begun: u64) -> Option<bool> {
+    /// How sync reads later than the first `reads_begun` have ended: whoever waits for one learns at once that it has
+    /// failed, unless another one has succeeded. `None` while none has ended.
+    pub fn read_after(&self, reads_begun: u64) -> Option<ReadOutcome> {
         if self.last_succeeded > reads_begun {
-            Some(true)
+            Some(ReadOutcome::Succeeded)
         } else if self.last_failed > reads_begun {
-            Some(false)
+            Some(ReadOutcome::Failed)
         } else {
             None
         }
@@ -162,7 +160,7 @@
         out.request_store(request, Pending::Follow(self.watched, Read::Page { first_store_revision }));
     }
 
-    /// Processes the reply to one of its reads.
+    /// Processes the reply to one of its reads. Returns how a sync read has ended, if this was the reply to one.
     pub fn reply(
         &mut self,
         now: MonotonicTime,
@@ -171,17 +169,17 @@
         replica: &mut impl Replica,
         rng: &mut StdRng,
         out: &mut Outbox,
-    ) -> SyncRead {
+    ) -> Option<ReadOutcome> {
         match read {
             Read::Page { first_store_revision } => {
                 self.page_reply(now, first_store_revision, reply, replica, rng, out);
-                SyncRead::Unaffected
+                None
             }
             Read::Watch => {
                 self.watch_reply(now, reply, replica, rng);
-                SyncRead::Unaffected
+                None
             }
-            Read::Sync { began } => self.sync_reply(now, began, reply, replica, rng),
+            Read::Sync { began } => Some(self.sync_reply(now, began, reply, replica, rng)),
         }
     }
 
@@ -230,20 +228,20 @@
         reply: StoreReply,
         replica: &mut impl Replica,
         rng: &mut StdRng,
-    ) -> SyncRead {
+    ) -> ReadOutcome {
         self.syncing = false;
         if let StoreReply::Events { store_revision, events } = reply {
             replica.learn_events(store_revision, &events);
             self.fresh_at = self.fresh_at.max(began);
             self.last_succeeded = self.reads_begun;
-            return SyncRead::Succeeded;
+            return ReadOutcome::Succeeded;
         }
         self.last_failed = self.reads_begun;
         if reply == StoreReply::TooOld {
             replica.forget_store_revision();
         }
         self.next_sync = now + random_pause(SYNC_RETRY_MS, rng);
-        SyncRead::Failed
+        ReadOutcome::Failed
     }
 }
 
