--- a/crates/nomad/src/door/versions.rs
+++ b/crates/nomad/src/door/versions.rs
@@ -101,7 +101,7 @@
     }
     for group in &job.groups {
         if let Err(refusal) = view.admission.check(&group.spec) {
-            return refuse(refusal.status, format!("group `{}`: {}", group.name, refusal.reason));
+            return refuse(refusal.status.as_u16(), format!("group `{}`: {}", group.name, refusal.reason));
         }
     }
     let ops = view.settings.state.txn_ops;
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -40,7 +40,7 @@
         deadline: Some(Duration::from_secs_f64(900.0)),
         needs: Vec::new(),
     };
-    Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), home: "n1".into() })
+    Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), assigned_node: "n1".into() })
 }
 
 fn placement_outcomes() -> Vec<PlacementOutcome> {
--- a/crates/scheduler/src/jobs/golden.rs
+++ b/crates/scheduler/src/jobs/golden.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 use crate::golden_group;
+use crate::types::{Duration, Resources, Revision, WallTime};
+use crate::wire::state::Pair;
+use std::sync::Arc;
 
 /// Every optional field is given.
 fn full_spec(job_type: JobType, priority: Priority) -> JobSpec {
@@ -40,7 +43,11 @@
 }
 
 fn open(spec: JobSpec) -> Record {
-    Record::Open(Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), home: "n1".into() }))
+    Record::Open(Arc::new(OpenJob {
+        spec,
+        submitted: WallTime(1_700_000_000_123),
+        assigned_node: "n1".into(),
+    }))
 }
 
 fn records() -> Vec<(&'static str, Record)> {
@@ -78,8 +85,8 @@
 #[test]
 fn golden_progress_records() {
     let mut done = TaskSet::default();
-    for task in [0, 3, 64, CHUNK - 1, CHUNK + 5] {
-        done.add(task);
+    for task in [0, 3, 64, TASKS_PER_CHUNK - 1, TASKS_PER_CHUNK + 5] {
+        done.insert(task);
     }
     let mut group = golden_group!("progress_records.txt");
     group.writes("prefix", PROGRESS_PREFIX);
--- a/crates/scheduler/src/jobs/graph.rs
+++ b/crates/scheduler/src/jobs/graph.rs
@@ -1,172 +1,194 @@
-//! Dependencies: which jobs wait for which. The only place that owns them.
+//! Dependencies between jobs: which jobs wait for which. The only module that tracks them.
 //!
 //! Everything here follows from the job records alone, so every node comes to the same result at
 //! any moment: a job waits until each one it needs is durably done (an unknown one isn't), and is
-//! withdrawn as soon as one of them is. A pipeline has no cycles, since a job can only name jobs
-//! that were accepted before it. All walks are iterative, and linear in edges.
+//! cancelled as soon as one of them is. The graph has no cycles, since a job can only name jobs
+//! that were accepted before it. All traversals are iterative, and linear in the number of edges.
+//!
+//! The job cache owns the graph and updates it with each record.
 
-use super::{JobSpec, Phase, Priority};
+use super::record::Phase;
+use super::spec::{JobSpec, Priority};
 use crate::types::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// An open job with unfinished dependencies, or one cancelled with a dependency.
 #[derive(Debug)]
-struct Dependent {
-    needs: Vec<JobId>,
-    /// How many of them aren't known to be done.
-    left: usize,
+struct BlockedJob {
+    dependencies: Vec<JobId>,
+    /// How many of the dependencies aren't known to be done.
+    unfinished: usize,
+    /// The job's own priority.
     priority: Priority,
-    /// One of them is withdrawn, and so is this job, whatever its record says yet.
-    doomed: bool,
+    /// One of the dependencies is cancelled, and so is this job, even while its own record is still open.
+    cancelled: bool,
 }
 
+/// The dependencies of all known open jobs.
 #[derive(Debug, Default)]
 pub struct Graph {
-    /// Open jobs that wait for others, and those withdrawn with them whose records don't say so yet.
-    waits: BTreeMap<JobId, Dependent>,
-    /// Who waits for a job, be that known or not.
+    /// Open jobs that wait for others, and those cancelled with a dependency whose records are still open.
+    blocked: BTreeMap<JobId, BlockedJob>,
+    /// The jobs that wait for a job, whether that one is known or not.
     dependents: BTreeMap<JobId, Vec<JobId>>,
-    /// A guard to take out, for proving that the test world's checker notices.
+    /// A check that is disabled, to prove that the simulation's rules notice its absence.
     #[cfg(any(test, feature = "world"))]
-    pub(crate) without: Option<Guard>,
+    pub(crate) disabled_check: Option<DependencyCheck>,
 }
 
+/// A check that a simulation can disable.
 #[cfg(any(test, feature = "world"))]
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Guard {
+pub enum DependencyCheck {
     /// Jobs wait for what they need.
     Order,
-    /// Jobs are withdrawn with what they need.
+    /// Jobs are cancelled with what they need.
     Cancellation,
 }
 
 impl Graph {
-    /// Whether the job waits for others, or is withdrawn with one.
-    pub fn waits(&self, id: &JobId) -> bool {
+    /// Whether the job waits for others, or is cancelled with one.
+    pub fn is_blocked(&self, id: &JobId) -> bool {
         #[cfg(any(test, feature = "world"))]
-        if self.without == Some(Guard::Order) {
+        if self.disabled_check == Some(DependencyCheck::Order) {
             return false;
         }
-        self.waits.contains_key(id)
+        self.blocked.contains_key(id)
     }
 
-    /// Whether the job is withdrawn because one that it needs is.
-    pub fn doomed(&self, id: &JobId) -> bool {
-        self.waits.get(id).is_some_and(|d| d.doomed)
+    /// Whether the job is cancelled because one that it needs is.
+    pub fn is_cancelled(&self, id: &JobId) -> bool {
+        self.blocked.get(id).is_some_and(|job| job.cancelled)
     }
 
-    /// How many jobs wait for others.
-    pub fn waiting(&self) -> usize {
-        self.waits.values().filter(|d| !d.doomed).count()
+    /// Number of jobs that wait for others.
+    pub fn waiting_count(&self) -> usize {
+        self.waiting_ids().count()
     }
 
+    /// The jobs that wait for others, by id.
     pub fn waiting_ids(&self) -> impl Iterator<Item = &JobId> {
-        self.waits.iter().filter(|(_, d)| !d.doomed).map(|(id, _)| id)
+        self.blocked.iter().filter(|(_, job)| !job.cancelled).map(|(id, _)| id)
+    }
+
+    /// The dependencies that the job still waits for.
+    pub fn unfinished_dependencies(&self, id: &JobId) -> Vec<&JobId> {
+        let Some(job) = self.blocked.get(id) else { return Vec::new() };
+        self.unfinished_of(job).collect()
     }
 
-    /// What the job still waits for.
-    pub fn missing(&self, id: &JobId) -> Vec<&JobId> {
-        let open = |need: &&JobId| self.dependents.contains_key(*need);
-        self.waits.get(id).map(|d| d.needs.iter().filter(open).collect()).unwrap_or_default()
+    fn unfinished_of<'a>(&'a self, job: &'a BlockedJob) -> impl Iterator<Item = &'a JobId> {
+        job.dependencies.iter().filter(|dependency| self.dependents.contains_key(*dependency))
     }
 
-    /// An open job has become known. Gives the jobs that this changes something for.
+    /// An open job has become known. Gives the jobs that this affects.
     pub fn opened(
         &mut self,
         id: &JobId,
         spec: &JobSpec,
         terminal_status: impl Fn(&JobId) -> Option<Phase>,
     ) -> Vec<JobId> {
-        if spec.needs.is_empty() || self.waits.contains_key(id) {
+        if spec.needs.is_empty() || self.blocked.contains_key(id) {
             return Vec::new();
         }
-        let (mut left, mut doomed) = (0, false);
-        for need in &spec.needs {
-            match terminal_status(need) {
+        let mut unfinished = 0;
+        let mut cancelled = false;
+        for dependency in &spec.needs {
+            match terminal_status(dependency) {
                 Some(Phase::Done) => {}
-                Some(_) => doomed = true,
+                Some(_) => cancelled = true,
                 None => {
-                    doomed |= self.doomed(need);
-                    left += 1;
-                    self.dependents.entry(need.clone()).or_default().push(id.clone());
+                    cancelled |= self.is_cancelled(dependency);
+                    unfinished += 1;
+                    self.dependents.entry(dependency.clone()).or_default().push(id.clone());
                 }
             }
         }
-        if left == 0 && !doomed {
+        if unfinished == 0 && !cancelled {
             return Vec::new();
         }
-        let needs = spec.needs.clone();
-        self.waits.insert(id.clone(), Dependent { needs, left, priority: spec.priority, doomed: false });
-        // Jobs that need this one may have become known before it.
-        if doomed { self.doom(id) } else { self.needed_by(std::slice::from_ref(id)) }
+        let dependencies = spec.needs.clone();
+        let job = BlockedJob { dependencies, unfinished, priority: spec.priority, cancelled: false };
+        self.blocked.insert(id.clone(), job);
+        if cancelled {
+            // Jobs that need this one may have become known before it.
+            self.cancel(id)
+        } else {
+            self.dependencies_of(std::slice::from_ref(id))
+        }
     }
 
-    /// The job is done or withdrawn, durably. Gives the jobs that this changes something for.
-    pub fn over(&mut self, id: &JobId, phase: Phase) -> Vec<JobId> {
-        let mut changed = Vec::new();
-        if self.waits.contains_key(id) {
-            changed = self.needed_by(std::slice::from_ref(id));
-            self.waits.remove(id);
+    /// The job is durably done or cancelled. Gives the jobs that this affects.
+    pub fn finished(&mut self, id: &JobId, phase: Phase) -> Vec<JobId> {
+        let mut affected = Vec::new();
+        if self.blocked.contains_key(id) {
+            affected = self.dependencies_of(std::slice::from_ref(id));
+            self.blocked.remove(id);
         }
         for dependent in self.dependents.remove(id).unwrap_or_default() {
-            let Some(d) = self.waits.get_mut(&dependent) else { continue };
+            let Some(job) = self.blocked.get_mut(&dependent) else { continue };
             if phase != Phase::Done {
-                changed.extend(self.doom(&dependent));
+                affected.extend(self.cancel(&dependent));
                 continue;
             }
-            d.left -= 1;
-            if d.left == 0 && !d.doomed {
-                self.waits.remove(&dependent);
-                changed.push(dependent);
+            job.unfinished -= 1;
+            if job.unfinished == 0 && !job.cancelled {
+                self.blocked.remove(&dependent);
+                affected.push(dependent);
             }
         }
-        changed
+        affected
     }
 
-    /// Withdraws `id` and all that need it, directly or through others.
-    fn doom(&mut self, id: &JobId) -> Vec<JobId> {
+    /// Cancels `id` and all that need it, directly or through others. Gives these, and the jobs that they need.
+    fn cancel(&mut self, id: &JobId) -> Vec<JobId> {
         #[cfg(any(test, feature = "world"))]
-        if self.without == Some(Guard::Cancellation) {
+        if self.disabled_check == Some(DependencyCheck::Cancellation) {
             return Vec::new();
         }
-        let (mut doomed, mut next) = (Vec::new(), vec![id.clone()]);
-        while let Some(id) = next.pop() {
-            let Some(d) = self.waits.get_mut(&id).filter(|d| !d.doomed) else { continue };
-            d.doomed = true;
-            next.extend(self.dependents.get(&id).into_iter().flatten().cloned());
-            doomed.push(id);
+        let mut affected = Vec::new();
+        let mut queue = vec![id.clone()];
+        while let Some(id) = queue.pop() {
+            let Some(job) = self.blocked.get_mut(&id).filter(|job| !job.cancelled) else { continue };
+            job.cancelled = true;
+            queue.extend(self.dependents.get(&id).into_iter().flatten().cloned());
+            affected.push(id);
         }
-        // What they need need not hurry for them any more.
-        doomed.extend(self.needed_by(&doomed));
-        doomed
+        // The priority of what they need may fall.
+        affected.extend(self.dependencies_of(&affected));
+        affected
     }
 
-    /// What `ids` need, directly or through others, and isn't done.
-    fn needed_by(&self, ids: &[JobId]) -> Vec<JobId> {
-        let (mut seen, mut next) = (BTreeSet::new(), Vec::from_iter(ids));
-        while let Some(id) = next.pop() {
-            let Some(d) = self.waits.get(id) else { continue };
-            for need in d.needs.iter().filter(|n| self.dependents.contains_key(*n)) {
-                if seen.insert(need) {
-                    next.push(need);
+    /// The unfinished jobs that `ids` need, directly or through others.
+    fn dependencies_of(&self, ids: &[JobId]) -> Vec<JobId> {
+        let mut visited = BTreeSet::new();
+        let mut queue = Vec::from_iter(ids);
+        while let Some(id) = queue.pop() {
+            let Some(job) = self.blocked.get(id) else { continue };
+            for dependency in self.unfinished_of(job) {
+                if visited.insert(dependency) {
+                    queue.push(dependency);
                 }
             }
         }
-        seen.into_iter().cloned().collect()
+        visited.into_iter().cloned().collect()
     }
 
-    /// The priority of a job that has `own`: at least that of every job that needs it.
+    /// The priority of a job whose own priority is `own`: at least that of every job that needs it.
     pub fn priority(&self, id: &JobId, own: Priority) -> Priority {
-        let (mut best, mut seen, mut next) = (own, BTreeSet::new(), vec![id]);
-        while let Some(id) = next.pop() {
+        let mut highest = own;
+        let mut visited = BTreeSet::new();
+        let mut queue = vec![id];
+        while let Some(id) = queue.pop() {
             for dependent in self.dependents.get(id).into_iter().flatten() {
-                let Some(d) = self.waits.get(dependent).filter(|d| !d.doomed) else { continue };
-                if seen.insert(dependent) {
-                    best = best.max(d.priority);
-                    next.push(dependent);
+                let Some(job) = self.blocked.get(dependent).filter(|job| !job.cancelled) else { continue };
+                if visited.insert(dependent) {
+                    highest = highest.max(job.priority);
+                    queue.push(dependent);
                 }
             }
         }
-        best
+        highest
     }
 }
 
--- a/crates/scheduler/src/jobs/graph/tests.rs
+++ b/crates/scheduler/src/jobs/graph/tests.rs
@@ -1,4 +1,5 @@
-use super::super::{JobCache, OpenJob, Record};
+use super::super::cache::JobCache;
+use super::super::record::{OpenJob, Record};
 use super::*;
 use crate::types::{Revision, WallTime};
 use rand::rngs::StdRng;
@@ -14,19 +15,19 @@
     let mut spec = crate::jobs::tests::spec();
     spec.needs = needs.iter().map(|n| id(*n)).collect();
     spec.priority = priority;
-    Record::Open(Arc::new(OpenJob { spec, submitted: WallTime(1), home: "n0".into() }))
+    Record::Open(Arc::new(OpenJob { spec, submitted: WallTime(1), assigned_node: "n0".into() }))
 }
 
 /// Records in any order, as listings and watches bring them, lead every node to the same result:
-/// that of a plain look at all records.
+/// that of a plain computation from all records.
 #[test]
-fn what_waits_and_what_is_withdrawn_follows_from_the_records_in_any_order() {
+fn waiting_and_cancelled_jobs_follow_from_the_records_in_any_order() {
     let mut rng = StdRng::seed_from_u64(3);
     for _ in 0..200 {
         let n = rng.random_range(2..14);
         let needs: Vec<Vec<usize>> =
             (0..n).map(|i| (0..i).filter(|_| rng.random_bool(0.3)).collect()).collect();
-        // Verdicts as they can come about: done only after all needs are.
+        // Terminal records as they can come about: done only after all needs are.
         let mut terminal_status: Vec<Option<Phase>> = vec![None; n];
         for i in 0..n {
             let ready = needs[i].iter().all(|j| terminal_status[*j] == Some(Phase::Done));
@@ -38,7 +39,7 @@
         }
         let mut records: Vec<(usize, u64, Record)> = Vec::new();
         for i in 0..n {
-            // A listing may show the verdict alone.
+            // A listing may show the terminal record alone.
             if terminal_status[i].is_none() || rng.random_bool(0.6) {
                 records.push((i, 1, open(&needs[i], Priority::Low)));
             }
@@ -49,9 +50,9 @@
             }
         }
         records.shuffle(&mut rng);
-        let mut m = JobCache::default();
+        let mut cache = JobCache::default();
         for (i, revision, record) in records {
-            m.learn(id(i), Revision(revision), record);
+            cache.learn(id(i), Revision(revision), record);
         }
         let mut expected = terminal_status.clone();
         for i in 0..n {
@@ -60,45 +61,49 @@
             }
         }
         for i in 0..n {
-            assert_eq!(m.terminal_status(&id(i)), expected[i], "job {i} of {needs:?}, {terminal_status:?}");
+            assert_eq!(
+                cache.terminal_status(&id(i)),
+                expected[i],
+                "job {i} of {needs:?}, {terminal_status:?}"
+            );
             let ready = expected[i].is_none() && needs[i].iter().all(|j| expected[*j] == Some(Phase::Done));
-            assert_eq!(m.ready(&id(i)), ready, "job {i} of {needs:?}, {terminal_status:?}");
+            assert_eq!(cache.ready(&id(i)), ready, "job {i} of {needs:?}, {terminal_status:?}");
         }
     }
 }
 
 #[test]
-fn priority_is_lent_along_the_chain_and_taken_back() {
-    let mut m = JobCache::default();
-    m.learn(id(0), Revision(1), open(&[], Priority::Low));
-    m.learn(id(1), Revision(2), open(&[0], Priority::Low));
-    m.learn(id(9), Revision(3), open(&[0], Priority::Normal));
-    assert_eq!(m.priority(&id(0)), Priority::Normal);
-    m.take_changed();
-    m.learn(id(2), Revision(4), open(&[1], Priority::High));
-    assert!(m.take_changed().contains(&id(0)), "the leader must look at it again");
-    assert_eq!((m.priority(&id(0)), m.priority(&id(1))), (Priority::High, Priority::High));
-    m.learn(id(2), Revision(5), Record::Cancelled);
-    assert!(m.take_changed().contains(&id(0)));
-    assert_eq!((m.priority(&id(0)), m.priority(&id(1))), (Priority::Normal, Priority::Low));
+fn priority_is_inherited_along_the_chain_and_taken_back() {
+    let mut cache = JobCache::default();
+    cache.learn(id(0), Revision(1), open(&[], Priority::Low));
+    cache.learn(id(1), Revision(2), open(&[0], Priority::Low));
+    cache.learn(id(9), Revision(3), open(&[0], Priority::Normal));
+    assert_eq!(cache.priority(&id(0)), Priority::Normal);
+    cache.take_changed();
+    cache.learn(id(2), Revision(4), open(&[1], Priority::High));
+    assert!(cache.take_changed().contains(&id(0)), "the leader must consider it again");
+    assert_eq!((cache.priority(&id(0)), cache.priority(&id(1))), (Priority::High, Priority::High));
+    cache.learn(id(2), Revision(5), Record::Cancelled);
+    assert!(cache.take_changed().contains(&id(0)));
+    assert_eq!((cache.priority(&id(0)), cache.priority(&id(1))), (Priority::Normal, Priority::Low));
 }
 
-/// Walks go by edges, not by paths: here there are 2^60 of them.
+/// Traversals follow edges, not paths: here there are 2^60 of them.
 #[test]
-fn long_chains_and_wide_fans_are_walked_in_linear_time() {
-    let mut m = JobCache::default();
-    m.learn(id(0), Revision(1), open(&[], Priority::Low));
-    m.learn(id(1), Revision(1), open(&[], Priority::Low));
+fn long_chains_and_wide_fans_are_traversed_in_linear_time() {
+    let mut cache = JobCache::default();
+    cache.learn(id(0), Revision(1), open(&[], Priority::Low));
+    cache.learn(id(1), Revision(1), open(&[], Priority::Low));
     for level in 1..60 {
         let needs = [2 * level - 2, 2 * level - 1];
-        m.learn(id(2 * level), Revision(1), open(&needs, Priority::Low));
-        m.learn(id(2 * level + 1), Revision(1), open(&needs, Priority::Low));
+        cache.learn(id(2 * level), Revision(1), open(&needs, Priority::Low));
+        cache.learn(id(2 * level + 1), Revision(1), open(&needs, Priority::Low));
     }
     for i in 1000..20_000 {
-        m.learn(id(i), Revision(1), open(&[118], Priority::High));
+        cache.learn(id(i), Revision(1), open(&[118], Priority::High));
     }
-    assert_eq!(m.priority(&id(0)), Priority::High);
-    m.learn(id(0), Revision(2), Record::Cancelled);
-    assert_eq!(m.terminal_status(&id(19_999)), Some(Phase::Cancelled));
-    assert_eq!(m.terminal_status(&id(1)), None);
+    assert_eq!(cache.priority(&id(0)), Priority::High);
+    cache.learn(id(0), Revision(2), Record::Cancelled);
+    assert_eq!(cache.terminal_status(&id(19_999)), Some(Phase::Cancelled));
+    assert_eq!(cache.terminal_status(&id(1)), None);
 }
--- a/crates/scheduler/src/jobs/job_state.rs
+++ b/crates/scheduler/src/jobs/job_state.rs
@@ -1,14 +1,20 @@
 //! A job as its leader sees it: which tasks are done, which are placed, which wait.
 
-use super::{JobType, OpenJob, Priority};
+use super::record::OpenJob;
+use super::spec::{JobType, Priority};
 use crate::types::{Attempt, MachineId, MonotonicTime, NodeName};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::sync::Arc;
 
-/// Tasks kept in one progress key: 64 words of JSON, well below any value limit.
-pub const CHUNK: u32 = 4096;
+/// Tasks recorded in one progress key: 64 words of JSON, well below the store's limit for a value.
+pub const TASKS_PER_CHUNK: u32 = 4096;
 
-/// A set of task indices.
+/// Tasks in one word of a [`TaskSet`].
+const TASKS_PER_WORD: u32 = u64::BITS;
+const WORDS_PER_CHUNK: usize = (TASKS_PER_CHUNK / TASKS_PER_WORD) as usize;
+
+/// A set of task indices, as a bit map.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TaskSet {
     words: Vec<u64>,
@@ -16,166 +22,244 @@
 }
 
 impl TaskSet {
-    pub fn has(&self, i: u32) -> bool {
-        self.words.get(i as usize / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
-    }
-    /// Adds `i`; false if it was there.
-    pub fn add(&mut self, i: u32) -> bool {
-        let word = i as usize / 64;
-        if self.words.len() <= word {
-            self.words.resize(word + 1, 0);
+    /// Whether the set has `task`.
+    pub fn contains(&self, task: u32) -> bool {
+        self.words.get(word_of(task)).is_some_and(|word| word & bit_of(task) != 0)
+    }
+
+    /// Adds `task`; false if it was there.
+    pub fn insert(&mut self, task: u32) -> bool {
+        let index = word_of(task);
+        if self.words.len() <= index {
+            self.words.resize(index + 1, 0);
         }
-        let new = self.words[word] >> (i % 64) & 1 == 0;
-        self.words[word] |= 1 << (i % 64);
-        self.count += u32::from(new);
-        new
+        let word = &mut self.words[index];
+        let added = *word & bit_of(task) == 0;
+        *word |= bit_of(task);
+        self.count += u32::from(added);
+        added
     }
+
+    /// Number of tasks in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
-    /// The words of chunk `n` as a JSON value.
-    pub fn chunk_value(&self, n: u32) -> String {
-        let per = CHUNK as usize / 64;
-        let from = (n as usize * per).min(self.words.len());
-        let to = (from + per).min(self.words.len());
-        serde_json::to_string(&self.words[from..to]).unwrap_or_default()
+
+    /// The words of a chunk as a JSON value; words beyond the last task are left out.
+    pub fn chunk_value(&self, chunk: u32) -> String {
+        let start = (chunk as usize * WORDS_PER_CHUNK).min(self.words.len());
+        let end = (start + WORDS_PER_CHUNK).min(self.words.len());
+        serde_json::to_string(&self.words[start..end]).unwrap_or_default()
     }
-    /// Adds the words of chunk `n`.
-    pub fn add_chunk(&mut self, n: u32, value: &str) -> Result<(), serde_json::Error> {
+
+    /// Adds the words of a chunk.
+    ///
+    /// # Errors
+    /// If `value` is no JSON array of words; then nothing is added.
+    pub fn add_chunk(&mut self, chunk: u32, value: &str) -> Result<(), serde_json::Error> {
         let words: Vec<u64> = serde_json::from_str(value)?;
-        for (w, word) in words.into_iter().enumerate().take(CHUNK as usize / 64) {
-            for bit in (0..64).filter(|b| word >> b & 1 == 1) {
-                self.add(n * CHUNK + w as u32 * 64 + bit);
+        for (index, word) in words.into_iter().take(WORDS_PER_CHUNK).enumerate() {
+            let first_task = chunk * TASKS_PER_CHUNK + index as u32 * TASKS_PER_WORD;
+            for bit in (0..TASKS_PER_WORD).filter(|bit| word >> bit & 1 == 1) {
+                self.insert(first_task + bit);
             }
         }
         Ok(())
     }
 }
 
+fn word_of(task: u32) -> usize {
+    (task / TASKS_PER_WORD) as usize
+}
+
+fn bit_of(task: u32) -> u64 {
+    1 << (task % TASKS_PER_WORD)
+}
+
+/// Why tasks of a job wait, for operators. `Display` gives the text of the waiting report.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum WaitingReason {
+    /// No scheduling pass has come to it yet.
+    New,
+    /// Jobs that it needs are not done.
+    Dependencies,
+    /// Tasks of the gang's last attempt may still run.
+    GangStillPlaced,
+    /// Its team may not use more.
+    TeamAtLimit,
+    /// No machine has enough free resources.
+    NoCapacity,
+    /// Machines are being moved to the partition of its controller.
+    MachinesMove,
+    /// Other tasks are being preempted for it.
+    Preempting,
+}
+
+impl fmt::Display for WaitingReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
+}
+
+impl WaitingReason {
+    /// The text of the waiting report.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            WaitingReason::New => "new",
+            WaitingReason::Dependencies => "jobs that it needs are not done",
+            WaitingReason::GangStillPlaced => "the gang's last attempt is not off its machines yet",
+            WaitingReason::TeamAtLimit => "its team is at its limit",
+            WaitingReason::NoCapacity => "no machine has room for it",
+            WaitingReason::MachinesMove => "machines move to its controller's block",
+            WaitingReason::Preempting => "others are making room for it",
+        }
+    }
+}
+
+/// An open job as its leader sees it.
 #[derive(Debug, Clone)]
 pub struct JobState {
+    /// The job, as recorded.
     pub job: Arc<OpenJob>,
     /// Its own priority, or a higher one of a job that needs it.
     pub priority: Priority,
     done: TaskSet,
-    /// Where the ledger has a task that isn't proved gone.
+    /// The machine of each task that has an assignment, until the task is proved gone.
     placed: BTreeMap<u32, MachineId>,
-    /// Tasks neither done nor placed, kept as a sum: it is asked for at every round.
-    open: u32,
-    /// Tasks in a round now under way.
+    /// Number of tasks neither done nor placed, kept up to date since every round needs it.
+    waiting: u32,
+    /// Number of its tasks in a round now under way.
     pub offered: u32,
-    /// Whose controller places it now.
-    pub home: NodeName,
-    /// Room version at which placing failed last; nothing has changed until it moves on.
-    pub tried: u64,
+    /// The node whose controller places it now.
+    pub assigned_node: NodeName,
+    /// Capacity version at which placing failed last; it isn't tried again until the version moves on.
+    pub failed_capacity_version: u64,
+    /// It isn't placed before then, after repeated failures.
     pub not_before: MonotonicTime,
+    /// The gang's attempt now under way.
     pub attempt: Option<Attempt>,
-    /// Since when this leader knows it.
-    pub seen: MonotonicTime,
-    /// Failures in a row that speak of the job as much as of its machines.
-    pub errors: u32,
-    /// Others have been stopped for it, and should be gone by then.
+    /// When this leader learned of it.
+    pub known_since: MonotonicTime,
+    /// Failures in a row for which the job may be to blame as much as its machines.
+    pub consecutive_failures: u32,
+    /// Tasks of other jobs were preempted for it, and should be gone by then.
     pub preempting_until: Option<MonotonicTime>,
-    /// Replicas that wait for room being made where their image is.
-    pub promised: u32,
+    /// Replicas that wait for tasks to be preempted on machines that have their image.
+    pub awaiting_preemption: u32,
     /// Why it waits, for operators.
-    pub reason: &'static str,
-    /// First time that all tasks were done, while that waits to be written.
+    pub reason: WaitingReason,
+    /// All tasks are done, and that waits to be written.
     pub finishing: bool,
-    /// A task of it has been seen to run under this leader.
+    /// A task of it was seen to run during this leadership.
     pub started: bool,
-    /// Lowest index that may still wait; keeps scans of large arrays short.
-    low: u32,
+    /// No task below this index waits; keeps scans of large arrays short.
+    first_maybe_waiting: u32,
 }
 
 impl JobState {
+    /// The state of a job of which no progress and no assignment is known yet.
     pub fn new(job: Arc<OpenJob>, now: MonotonicTime) -> Self {
         Self {
-            home: job.home.clone(),
-            open: job.spec.tasks,
+            assigned_node: job.assigned_node.clone(),
+            waiting: job.spec.tasks,
             priority: job.spec.priority,
             job,
             done: TaskSet::default(),
             placed: BTreeMap::new(),
             offered: 0,
-            tried: 0,
+            failed_capacity_version: 0,
             not_before: MonotonicTime::default(),
             attempt: None,
-            seen: now,
-            errors: 0,
+            known_since: now,
+            consecutive_failures: 0,
             preempting_until: None,
-            promised: 0,
-            reason: "new",
+            awaiting_preemption: 0,
+            reason: WaitingReason::New,
             finishing: false,
             started: false,
-            low: 0,
+            first_maybe_waiting: 0,
         }
     }
 
+    /// Whether its tasks have to run together.
     pub fn is_gang(&self) -> bool {
         self.job.spec.job_type == JobType::Gang
     }
 
+    /// Whether all tasks are done.
     pub fn all_done(&self) -> bool {
         self.done.count() >= self.job.spec.tasks
     }
 
+    /// The tasks that are done.
     pub fn done(&self) -> &TaskSet {
         &self.done
     }
 
+    /// The machine of each task that has an assignment, by task index.
     pub fn placed(&self) -> &BTreeMap<u32, MachineId> {
         &self.placed
     }
 
+    /// The task has an assignment on `machine`.
     pub fn place(&mut self, index: u32, machine: MachineId) {
-        if self.placed.insert(index, machine).is_none() && !self.done.has(index) {
-            self.open = self.open.saturating_sub(1);
+        if self.placed.insert(index, machine).is_none() && !self.done.contains(index) {
+            self.waiting = self.waiting.saturating_sub(1);
         }
     }
 
-    /// The task is off `machine`, if that is where it was.
+    /// The task has no assignment on `machine` any more; without effect if it is placed elsewhere.
     pub fn unplace(&mut self, index: u32, machine: &MachineId) {
-        if self.placed.get(&index) == Some(machine) {
-            self.placed.remove(&index);
-            if !self.done.has(index) {
-                self.open += 1;
-                self.low = self.low.min(index);
-            }
+        if self.placed.get(&index) != Some(machine) {
+            return;
+        }
+        self.placed.remove(&index);
+        if !self.done.contains(index) {
+            self.waiting += 1;
+            self.first_maybe_waiting = self.first_maybe_waiting.min(index);
         }
     }
 
+    /// The task is done.
     pub fn mark_done(&mut self, index: u32) {
-        if self.done.add(index) && !self.placed.contains_key(&index) {
-            self.open = self.open.saturating_sub(1);
+        if self.done.insert(index) && !self.placed.contains_key(&index) {
+            self.waiting = self.waiting.saturating_sub(1);
         }
     }
 
     /// Takes in progress recorded earlier.
-    pub fn add_chunk(&mut self, n: u32, value: &str) -> Result<(), serde_json::Error> {
-        let read = self.done.add_chunk(n, value);
-        self.open = self.recount();
-        read
+    ///
+    /// # Errors
+    /// If `value` can't be read; then nothing has changed.
+    pub fn add_chunk(&mut self, chunk: u32, value: &str) -> Result<(), serde_json::Error> {
+        let result = self.done.add_chunk(chunk, value);
+        self.waiting = self.recount();
+        result
     }
 
-    /// `waiting_count` from the ground up.
+    /// `waiting_count`, computed from the tasks rather than kept.
     pub fn recount(&self) -> u32 {
-        let placed_undone = self.placed.keys().filter(|i| !self.done.has(**i)).count() as u32;
+        let placed_undone = self.placed.keys().filter(|index| !self.done.contains(**index)).count() as u32;
         self.job.spec.tasks.saturating_sub(self.done.count() + placed_undone)
     }
 
+    /// Number of tasks that are neither done nor placed.
     pub fn waiting_count(&self) -> u32 {
-        self.open
+        self.waiting
     }
 
-    /// Up to `most` tasks that are neither done nor placed.
-    pub fn waiting(&mut self, most: usize) -> Vec<u32> {
+    /// Up to `limit` tasks that are neither done nor placed, lowest index first.
+    pub fn waiting(&mut self, limit: usize) -> Vec<u32> {
         let tasks = self.job.spec.tasks;
-        while self.low < tasks && (self.done.has(self.low) || self.placed.contains_key(&self.low)) {
-            self.low += 1;
+        while self.first_maybe_waiting < tasks && !self.is_waiting(self.first_maybe_waiting) {
+            self.first_maybe_waiting += 1;
         }
-        let most = most.min(self.open as usize);
-        (self.low..tasks).filter(|i| !self.done.has(*i) && !self.placed.contains_key(i)).take(most).collect()
+        let limit = limit.min(self.waiting as usize);
+        (self.first_maybe_waiting..tasks).filter(|index| self.is_waiting(*index)).take(limit).collect()
+    }
+
+    fn is_waiting(&self, index: u32) -> bool {
+        !self.done.contains(index) && !self.placed.contains_key(&index)
     }
 }
 
--- a/crates/scheduler/src/jobs/job_state/tests.rs
+++ b/crates/scheduler/src/jobs/job_state/tests.rs
@@ -1,17 +1,20 @@
 use super::*;
 
 #[test]
-fn progress_of_the_largest_array_survives_its_chunks() {
-    let mut bits = TaskSet::default();
-    for i in (0..100_000).filter(|i| i % 7 != 3) {
-        assert!(bits.add(i));
-        assert!(!bits.add(i));
+fn progress_of_the_largest_array_is_restored_from_its_chunks() {
+    let mut done = TaskSet::default();
+    for task in (0..100_000).filter(|task| task % 7 != 3) {
+        assert!(done.insert(task));
+        assert!(!done.insert(task));
     }
-    let mut back = TaskSet::default();
-    for n in 0..100_000u32.div_ceil(CHUNK) {
-        let value = bits.chunk_value(n);
+    let mut restored = TaskSet::default();
+    for chunk in 0..100_000u32.div_ceil(TASKS_PER_CHUNK) {
+        let value = done.chunk_value(chunk);
         assert!(value.len() < 2048, "fits any value limit, is {}", value.len());
-        back.add_chunk(n, &value).expect("readable");
+        restored.add_chunk(chunk, &value).expect("readable");
     }
-    assert_eq!((back.count(), back.has(3), back.has(99_999)), (bits.count(), false, bits.has(99_999)));
+    assert_eq!(
+        (restored.count(), restored.contains(3), restored.contains(99_999)),
+        (done.count(), false, done.contains(99_999))
+    );
 }
--- a/crates/scheduler/src/jobs/pending_requests.rs
+++ b/crates/scheduler/src/jobs/pending_requests.rs
@@ -1,75 +1,104 @@
-//! The desk: users' requests that wait for the state service.
+//! Users' requests that wait for a read of the key-value store.
+//!
+//! The controller queues a request here, begins a read when one is needed, and goes on with the requests that the
+//! read covers once it has finished.
 
-use super::{AdmissionError, JobSpec};
+use super::spec::{AdmissionError, JobSpec};
 use crate::types::{Duration, JobId, MonotonicTime, RequestId};
+use http::StatusCode;
 
-/// What a user asked for.
+/// What a user asked for about one job.
 #[derive(Debug, Clone)]
 pub enum UserRequest {
-    /// A submission; `Err` says why it can't be taken, should its id prove unknown.
+    /// Accept a job, or give its status if it is known already.
     Submit {
+        /// `Err` says why it can't be accepted, should its id prove unknown.
         spec: Result<Box<JobSpec>, Refusal>,
     },
+    /// Give the job's status.
     Status,
+    /// Cancel the job.
     Cancel,
 }
 
 /// A refusal that stands only if the job isn't known already.
 #[derive(Debug, Clone)]
 pub struct Refusal {
-    pub status: u16,
+    /// Status of the answer.
+    pub status: StatusCode,
+    /// The answer's text.
     pub reason: String,
 }
 
 impl From<AdmissionError> for Refusal {
-    fn from(never: AdmissionError) -> Self {
-        Self { status: 422, reason: never.to_string() }
+    fn from(error: AdmissionError) -> Self {
+        Self { status: StatusCode::UNPROCESSABLE_ENTITY, reason: error.to_string() }
     }
 }
 
+/// A user's request that is not answered yet.
 #[derive(Debug, Clone)]
 pub struct PendingRequest {
+    /// The request to answer.
     pub request: RequestId,
+    /// The job that it is about.
     pub id: JobId,
-    pub ask: UserRequest,
+    /// What to do with the job.
+    pub operation: UserRequest,
+    /// When it arrived.
     pub since: MonotonicTime,
-    pub tries: u32,
+    /// How often it was tried again after a conflicting write.
+    pub retries: u32,
 }
 
-/// Requests that wait for the next read of the state service, and those that the read now under
-/// way will answer. A request never joins a read that began before it: what that read saw may be
+/// Requests that wait for the next read of the key-value store, and those that the read now under
+/// way will answer. A request never joins a read that began before it: what that read returns may be
 /// older than an answer another node has already given.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
+    /// Wait for the next read.
     next: Vec<PendingRequest>,
+    /// Wait for the end of the read under way.
     reading: Vec<PendingRequest>,
 }
 
 impl PendingRequests {
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.next.len() + self.reading.len()
     }
+
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    pub fn wait(&mut self, w: PendingRequest) {
-        self.next.push(w);
+
+    /// Queues a request for the next read.
+    pub fn push(&mut self, request: PendingRequest) {
+        self.next.push(request);
     }
-    pub fn wants_read(&self) -> bool {
+
+    /// Whether a read should begin: requests wait, and none is covered by a read under way.
+    pub fn needs_read(&self) -> bool {
         !self.next.is_empty() && self.reading.is_empty()
     }
-    pub fn read_begins(&mut self) {
+
+    /// A read begins now, which covers all queued requests.
+    pub fn begin_read(&mut self) {
         self.reading = std::mem::take(&mut self.next);
     }
-    pub fn read_ends(&mut self) -> Vec<PendingRequest> {
+
+    /// The read has finished, with or without success. Gives the requests that it covered.
+    pub fn finish_read(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.reading)
     }
-    /// Takes out those that waited too long: they are told at once to come back.
-    pub fn overdue(&mut self, now: MonotonicTime, timeout: Duration) -> Vec<PendingRequest> {
-        let mut out: Vec<PendingRequest> =
-            self.next.extract_if(.., |w| now.since(w.since) >= timeout).collect();
-        out.extend(self.reading.extract_if(.., |w| now.since(w.since) >= timeout));
-        out
+
+    /// Takes out the requests that waited for `timeout` or longer.
+    pub fn take_timed_out(&mut self, now: MonotonicTime, timeout: Duration) -> Vec<PendingRequest> {
+        let timed_out = |request: &mut PendingRequest| now.since(request.since) >= timeout;
+        let mut taken: Vec<PendingRequest> = self.next.extract_if(.., timed_out).collect();
+        taken.extend(self.reading.extract_if(.., timed_out));
+        taken
     }
 }
 
--- a/crates/scheduler/src/jobs/pending_requests/tests.rs
+++ b/crates/scheduler/src/jobs/pending_requests/tests.rs
@@ -3,22 +3,25 @@
 #[test]
 fn a_request_never_joins_a_read_begun_before_it() {
     let mut pending_requests = PendingRequests::default();
-    let w = |n, t| PendingRequest {
-        request: RequestId(n),
+    let request = |number, since_ms| PendingRequest {
+        request: RequestId(number),
         id: "req-1".into(),
-        ask: UserRequest::Status,
-        since: MonotonicTime::from_millis(t),
-        tries: 0,
+        operation: UserRequest::Status,
+        since: MonotonicTime::from_millis(since_ms),
+        retries: 0,
     };
-    pending_requests.wait(w(1, 0));
-    assert!(pending_requests.wants_read());
-    pending_requests.read_begins();
-    pending_requests.wait(w(2, 5));
-    assert!(!pending_requests.wants_read());
-    assert_eq!(pending_requests.read_ends().iter().map(|w| w.request).collect::<Vec<_>>(), [RequestId(1)]);
-    assert!(pending_requests.wants_read());
+    pending_requests.push(request(1, 0));
+    assert!(pending_requests.needs_read());
+    pending_requests.begin_read();
+    pending_requests.push(request(2, 5));
+    assert!(!pending_requests.needs_read());
     assert_eq!(
-        pending_requests.overdue(MonotonicTime::from_millis(1505), Duration::from_millis(1500)).len(),
+        pending_requests.finish_read().iter().map(|pending| pending.request).collect::<Vec<_>>(),
+        [RequestId(1)]
+    );
+    assert!(pending_requests.needs_read());
+    assert_eq!(
+        pending_requests.take_timed_out(MonotonicTime::from_millis(1505), Duration::from_millis(1500)).len(),
         1
     );
     assert!(pending_requests.is_empty());
--- a/crates/scheduler/src/jobs/served.rs
+++ b/crates/scheduler/src/jobs/served.rs
@@ -1,59 +1,109 @@
-//! How many jobs of each class and team were accepted, started and done, for operators: a class or a team that gets
-//! nothing under overload shows here first.
+//! How many jobs of each class and team were accepted, started and done, for operators: a class or a team that is
+//! starved under overload shows here first.
 
-use super::JobSpec;
+use super::spec::JobSpec;
 use crate::types::{Kind, TeamName};
 use std::collections::BTreeMap;
 
-/// Pairs of class and team that are told apart; classes are named by users.
-const MOST: usize = 256;
+/// Most pairs of class and team that are counted separately: users choose the names of classes, and metrics have
+/// to stay bounded.
+const MAX_SERIES: usize = 256;
 
+/// What happened to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
+    /// Its record was stored.
     Accepted,
+    /// Its first task ran.
     Started,
+    /// All its tasks are done.
     Done,
 }
 
-const STAGES: [(Stage, &str); 3] =
-    [(Stage::Accepted, "accepted"), (Stage::Started, "started"), (Stage::Done, "done")];
+impl Stage {
+    const ALL: [Stage; 3] = [Stage::Accepted, Stage::Started, Stage::Done];
 
+    /// Its part of the metric's name.
+    fn metric_name(self) -> &'static str {
+        match self {
+            Stage::Accepted => "accepted",
+            Stage::Started => "started",
+            Stage::Done => "done",
+        }
+    }
+}
+
+/// What is counted separately. Metrics come in this order.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Series {
+    kind: Kind,
+    team: TeamName,
+}
+
+/// Number of jobs that reached each stage.
+#[derive(Debug, Clone, Copy, Default)]
+struct StageCounts([u64; Stage::ALL.len()]);
+
+impl StageCounts {
+    fn get(&self, stage: Stage) -> u64 {
+        self.0[stage as usize]
+    }
+
+    fn increment(&mut self, stage: Stage) {
+        self.0[stage as usize] += 1;
+    }
+
+    fn add(&mut self, other: &StageCounts) {
+        for (count, added) in self.0.iter_mut().zip(other.0) {
+            *count += added;
+        }
+    }
+}
+
+/// Counters of jobs by class, team and stage.
 #[derive(Debug, Clone, Default)]
 pub struct Served {
-    counts: BTreeMap<(Kind, TeamName), [u64; 3]>,
-    /// What came when there were too many to tell apart.
-    others: [u64; 3],
+    counts: BTreeMap<Series, StageCounts>,
+    /// Jobs of the pairs beyond `MAX_SERIES`.
+    others: StageCounts,
 }
 
 impl Served {
+    /// Counts a job that reached `stage`.
     pub fn count(&mut self, stage: Stage, spec: &JobSpec) {
-        self.counts_of((spec.kind.clone(), spec.team.clone()))[stage as usize] += 1;
+        let series = Series { kind: spec.kind.clone(), team: spec.team.clone() };
+        self.counts_of(series).increment(stage);
     }
 
-    fn counts_of(&mut self, key: (Kind, TeamName)) -> &mut [u64; 3] {
-        match self.counts.len() < MOST || self.counts.contains_key(&key) {
-            true => self.counts.entry(key).or_default(),
-            false => &mut self.others,
+    fn counts_of(&mut self, series: Series) -> &mut StageCounts {
+        if self.counts.len() < MAX_SERIES || self.counts.contains_key(&series) {
+            self.counts.entry(series).or_default()
+        } else {
+            &mut self.others
         }
     }
 
-    /// Takes over what was counted under a leadership that is over.
+    /// Adds what was counted during a leadership that has ended.
     pub fn add(&mut self, other: Served) {
-        for (key, n) in other.counts {
-            let counts = self.counts_of(key);
-            (0..3).for_each(|i| counts[i] += n[i]);
+        for (series, counts) in other.counts {
+            self.counts_of(series).add(&counts);
         }
-        (0..3).for_each(|i| self.others[i] += other.others[i]);
+        self.others.add(&other.others);
     }
 
+    /// Appends a line for each counter that isn't 0, in the text format of Prometheus.
     pub fn metrics(&self, lines: &mut Vec<String>) {
-        for (stage, name) in STAGES {
-            let i = stage as usize;
-            for ((class, team), n) in self.counts.iter().filter(|(_, n)| n[i] > 0) {
-                lines.push(format!("pearford_jobs_{name}{{class=\"{class}\",team=\"{team}\"}} {}", n[i]));
+        for stage in Stage::ALL {
+            let name = stage.metric_name();
+            for (Series { kind, team }, counts) in &self.counts {
+                let count = counts.get(stage);
+                if count > 0 {
+                    lines.push(format!("pearford_jobs_{name}{{class=\"{kind}\",team=\"{team}\"}} {count}"));
+                }
             }
-            if self.others[i] > 0 {
-                lines.push(format!("pearford_jobs_{name}{{class=\"\",team=\"\"}} {}", self.others[i]));
+            let count = self.others.get(stage);
+            if count > 0 {
+                lines.push(format!("pearford_jobs_{name}{{class=\"\",team=\"\"}} {count}"));
             }
         }
     }
--- a/crates/scheduler/src/jobs/served/tests.rs
+++ b/crates/scheduler/src/jobs/served/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 
 #[test]
-fn classes_are_bounded_and_nothing_is_left_out() {
-    let (mut served, mut spec) = (Served::default(), crate::jobs::tests::spec());
-    for i in 0..MOST + 40 {
+fn series_are_bounded_and_every_job_is_counted() {
+    let mut served = Served::default();
+    let mut spec = crate::jobs::tests::spec();
+    for i in 0..MAX_SERIES + 40 {
         spec.kind = format!("c{i}").as_str().into();
         served.count(Stage::Accepted, &spec);
     }
@@ -12,7 +13,7 @@
     all.add(served);
     let mut lines = Vec::new();
     all.metrics(&mut lines);
-    assert_eq!(lines.len(), MOST + 1);
+    assert_eq!(lines.len(), MAX_SERIES + 1);
     assert_eq!(lines.last().map(String::as_str), Some("pearford_jobs_accepted{class=\"\",team=\"\"} 80"));
     assert!(lines[0].ends_with(" 2"), "{}", lines[0]);
 }
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::types::{Duration, JobId, Resources, Revision, WallTime};
+use crate::wire::cloud::MachineType;
+use std::sync::Arc;
 
 pub fn spec() -> JobSpec {
     JobSpec {
@@ -24,33 +27,34 @@
 }
 
 #[test]
-fn a_verdict_is_final_in_the_mirror() {
-    let mut m = JobCache::default();
+fn a_terminal_record_is_final_in_the_cache() {
+    let mut cache = JobCache::default();
     let id = JobId::from("req-1");
-    let open = Record::Open(Arc::new(OpenJob { spec: spec(), submitted: WallTime(1), home: "n0".into() }));
-    m.learn(id.clone(), Revision(5), open.clone());
-    m.learn(id.clone(), Revision(7), Record::Done);
-    m.learn(id.clone(), Revision(6), open.clone());
-    m.learn(id.clone(), Revision(9), open);
-    assert_eq!(m.get(&id).map(|k| k.record.terminal()), Some(Some(Phase::Done)));
+    let open =
+        Record::Open(Arc::new(OpenJob { spec: spec(), submitted: WallTime(1), assigned_node: "n0".into() }));
+    cache.learn(id.clone(), Revision(5), open.clone());
+    cache.learn(id.clone(), Revision(7), Record::Done);
+    cache.learn(id.clone(), Revision(6), open.clone());
+    cache.learn(id.clone(), Revision(9), open);
+    assert_eq!(cache.get(&id).map(|known| known.record.terminal()), Some(Some(Phase::Done)));
 }
 
 #[test]
 fn limits_count_one_task_of_an_array_and_all_of_the_rest() {
-    let s = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
+    let settings = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
     let types: Vec<MachineType> = serde_json::from_str(
         r#"[{"name":"t","vcpus":8,"accelerators":2,"memory_gb":8,"hourly":1,"regions":["z0"]}]"#,
     )
     .expect("valid");
-    let mut j = spec();
-    j.tasks = 13;
-    assert_eq!(j.can_run(&s, &types), Ok(()));
-    j.job_type = JobType::Gang;
-    assert_eq!(j.can_run(&s, &types), Err(AdmissionError::OverLimit("red".into())));
-    j.tasks = 12;
-    assert_eq!(j.can_run(&s, &types), Ok(()));
-    j.zone = Some("z1".into());
-    assert_eq!(j.can_run(&s, &types), Err(AdmissionError::FitsNowhere));
-    j.team = "none".into();
-    assert_eq!(j.can_run(&s, &types), Err(AdmissionError::UnknownTeam("none".into())));
+    let mut job = spec();
+    job.tasks = 13;
+    assert_eq!(job.can_run(&settings, &types), Ok(()));
+    job.job_type = JobType::Gang;
+    assert_eq!(job.can_run(&settings, &types), Err(AdmissionError::OverLimit("red".into())));
+    job.tasks = 12;
+    assert_eq!(job.can_run(&settings, &types), Ok(()));
+    job.zone = Some("z1".into());
+    assert_eq!(job.can_run(&settings, &types), Err(AdmissionError::FitsNowhere));
+    job.team = "none".into();
+    assert_eq!(job.can_run(&settings, &types), Err(AdmissionError::UnknownTeam("none".into())));
 }
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -309,7 +309,7 @@
 
     /// Requests are answered from memory, without the read that they wait for.
     pub fn sabotage_stale(&mut self) {
-        self.pending_requests.read_begins();
+        self.pending_requests.begin_read();
         self.read_ends(true);
     }
 }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -204,7 +204,7 @@
     fn tick(&mut self) {
         let now = self.now;
         let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
-        for w in self.pending_requests.overdue(now, timeout) {
+        for w in self.pending_requests.take_timed_out(now, timeout) {
             self.out.refuse(w.request, 503, "the state service does not answer; come back");
         }
         if now >= self.next_ping {
@@ -265,9 +265,9 @@
     fn pump(&mut self) {
         let fresh_at = self.job_watcher.fresh_at();
         let loading = self.leader.as_ref().is_some_and(|m| m.wants_jobs(fresh_at));
-        let wanted = self.pending_requests.wants_read() || loading || self.extensions_want_read();
+        let wanted = self.pending_requests.needs_read() || loading || self.extensions_want_read();
         if self.job_watcher.pump(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
-            self.pending_requests.read_begins();
+            self.pending_requests.begin_read();
         }
         self.extensions_pump();
         if let Some((leader, mut context)) = self.leading() {
@@ -560,13 +560,13 @@
             format!("pearford_jobs_known {}", self.job_cache.len()),
             format!("pearford_state_requests_open {}", self.out.open()),
             format!("pearford_peer_messages_dropped {}", self.dropped),
-            format!("pearford_records_unreadable {}", self.job_cache.unreadable()),
+            format!("pearford_records_unreadable {}", self.job_cache.unreadable_count()),
         ];
         for NodeVersion { node, level, version } in self.cluster_version.nodes() {
             lines.push(format!("pearford_node_level{{node=\"{node}\",version=\"{version}\"}} {level}"));
         }
         lines.push(format!("pearford_level_reached {}", self.cluster_version.reached()));
-        lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting()));
+        lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting_count()));
         let mut served = self.served.clone();
         if let Some(leader) = &self.leader {
             leader.metrics(&mut lines);
@@ -592,15 +592,20 @@
         let waiting = self.leader.iter().flat_map(Leader::waiting);
         let mut lines: Vec<Line> = waiting
             .take(MOST)
-            .map(|(id, waiting, reason)| Line { id: id.as_str(), waiting, reason, awaits: Vec::new() })
+            .map(|(id, waiting, reason)| Line {
+                id: id.as_str(),
+                waiting,
+                reason: reason.as_str(),
+                awaits: Vec::new(),
+            })
             .collect();
         // Which jobs wait for others follows from the records: every node knows.
         let graph = self.job_cache.graph();
         lines.extend(graph.waiting_ids().take(MOST).map(|id| Line {
             id: id.as_str(),
             waiting: self.job_cache.get(id).and_then(|k| k.record.open()).map_or(0, |j| j.spec.tasks),
-            reason: "jobs that it needs are not done",
-            awaits: graph.missing(id).into_iter().take(8).collect(),
+            reason: jobs::WaitingReason::Dependencies.as_str(),
+            awaits: graph.unfinished_dependencies(id).into_iter().take(8).collect(),
         }));
         serde_json::to_string(&lines).unwrap_or_default()
     }
@@ -683,8 +688,8 @@
         self.leader.iter_mut().for_each(Leader::disable_zone_binding);
     }
 
-    pub fn sabotage_graph(&mut self, guard: jobs::graph::Guard) {
-        self.job_cache.take_out(guard);
+    pub fn sabotage_graph(&mut self, guard: jobs::graph::DependencyCheck) {
+        self.job_cache.disable(guard);
     }
 
     /// Whether this node knows that a job is done or withdrawn.
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -42,7 +42,7 @@
             (id, spec)
         });
         let spec = match read {
-            Err(reason) => Err(jobs::Refusal { status: 400, reason }),
+            Err(reason) => Err(jobs::Refusal { status: http::StatusCode::BAD_REQUEST, reason }),
             Ok((_, spec)) => self.admission().check(&spec).map(|()| Box::new(spec)),
         };
         self.look_up(request, id, UserRequest::Submit { spec });
@@ -70,8 +70,8 @@
             return self.out.refuse(request, 429, "too many requests wait here; come back");
         }
         let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
-        let waiting = PendingRequest { request, id, ask, since: self.now, tries: 0 };
-        match &waiting.ask {
+        let waiting = PendingRequest { request, id, operation: ask, since: self.now, retries: 0 };
+        match &waiting.operation {
             // Setting the key if absent decides by itself; no read is needed before. A name that this
             // node doesn't know may have been accepted by another one a moment ago.
             UserRequest::Submit { spec: Ok(spec) }
@@ -80,12 +80,12 @@
                 self.create(waiting);
             }
             UserRequest::Cancel if known => self.cancel(waiting),
-            _ => self.pending_requests.wait(waiting),
+            _ => self.pending_requests.push(waiting),
         }
     }
 
     fn create(&mut self, waiting: PendingRequest) {
-        let UserRequest::Submit { spec: Ok(spec) } = &waiting.ask else { return };
+        let UserRequest::Submit { spec: Ok(spec) } = &waiting.operation else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(waiting.request, 429, "too many submissions at once; come back");
         }
@@ -117,7 +117,7 @@
         let PendingRequest { request, id, .. } = &waiting;
         let (request, id) = (*request, id.clone());
         let known = self.job_cache.get(&id).map(|_| self.job_cache.terminal_status(&id));
-        match (known, &waiting.ask) {
+        match (known, &waiting.operation) {
             (Some(Some(phase)), _) => {
                 self.out.answer(request, 200, users::status(&id, phase, self.counts_of(&id)));
             }
@@ -128,10 +128,10 @@
                 self.out.refuse(request, 503, &reason);
             }
             (Some(None), UserRequest::Cancel) => {
-                if waiting.tries >= 5 {
+                if waiting.retries >= 5 {
                     return self.out.refuse(request, 503, "the job is changing; come back");
                 }
-                self.cancel(PendingRequest { tries: waiting.tries + 1, ..waiting });
+                self.cancel(PendingRequest { retries: waiting.retries + 1, ..waiting });
             }
             (Some(None), _) => {
                 let counts = self.counts_of(&id);
@@ -146,7 +146,7 @@
                 }
             }
             (None, UserRequest::Submit { spec: Err(refusal) }) => {
-                let (status, reason) = (refusal.status, refusal.reason.clone());
+                let (status, reason) = (refusal.status.as_u16(), refusal.reason.clone());
                 self.out.refuse(request, status, &reason);
             }
             (None, _) => self.out.refuse(request, 404, "no such job"),
@@ -154,7 +154,7 @@
     }
 
     pub(super) fn read_ends(&mut self, fresh: bool) {
-        for waiting in self.pending_requests.read_ends() {
+        for waiting in self.pending_requests.finish_read() {
             if fresh {
                 self.after_read(waiting);
             } else {
@@ -175,8 +175,8 @@
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
                 self.out.answer(waiting.request, 201, users::status(&id, phase, None));
             }
-            StoreReply::Conflict { .. } if waiting.tries < 3 => {
-                self.pending_requests.wait(PendingRequest { tries: waiting.tries + 1, ..waiting });
+            StoreReply::Conflict { .. } if waiting.retries < 3 => {
+                self.pending_requests.push(PendingRequest { retries: waiting.retries + 1, ..waiting });
             }
             // Refused for good, as it would be at every further try.
             StoreReply::Malformed => {
@@ -195,7 +195,7 @@
                 tracing::info!(job = %id, "withdrawn");
                 self.out.answer(waiting.request, 200, users::status(&id, Phase::Cancelled, None));
             }
-            StoreReply::Conflict { .. } => self.pending_requests.wait(waiting),
+            StoreReply::Conflict { .. } => self.pending_requests.push(waiting),
             _ => self.out.refuse(waiting.request, 503, "the state service can't be written now; come back"),
         }
     }
--- a/crates/scheduler/src/node/leader/adoption.rs
+++ b/crates/scheduler/src/node/leader/adoption.rs
@@ -159,7 +159,7 @@
     fn adopt_assignment(&mut self, inherited: Inherited, superseded: bool, now: MonotonicTime) {
         let Inherited { machine, task, state, attempt } = inherited;
         let job_state = self.job_states.get_mut(&task.job);
-        let task_done = job_state.as_ref().is_some_and(|job_state| job_state.done().has(task.index));
+        let task_done = job_state.as_ref().is_some_and(|job_state| job_state.done().contains(task.index));
         match (adopt(job_state.is_some(), task_done, superseded), job_state) {
             (Adoption::Superseded, _) => self.remove_assignment(&machine, &task, now),
             (Adoption::Keep, Some(job_state)) => {
--- a/crates/scheduler/src/node/leader/adoption/tests.rs
+++ b/crates/scheduler/src/node/leader/adoption/tests.rs
@@ -32,7 +32,8 @@
         leader.inherit("m-1".into(), record(first), now);
         leader.inherit("m-2".into(), record(second), now);
         let mut job_cache = JobCache::default();
-        let job = OpenJob { spec: crate::jobs::tests::spec(), submitted: WallTime(1), home: "n0".into() };
+        let job =
+            OpenJob { spec: crate::jobs::tests::spec(), submitted: WallTime(1), assigned_node: "n0".into() };
         job_cache.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
         leader.build_job_states(&job_cache, now);
         let dead = if live == "m-1" { "m-2" } else { "m-1" };
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -227,7 +227,7 @@
             if let Some(id) = self.settle(&key, version, now) {
                 job_cache.learn(id, Revision(store_revision), Record::Done);
             } else if let Some(id) = key.strip_prefix(jobs::PREFIX).map(JobId::from)
-                && job_cache.graph().doomed(&id)
+                && job_cache.graph().is_cancelled(&id)
             {
                 job_cache.learn(id, Revision(store_revision), Record::Cancelled);
             }
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -150,7 +150,7 @@
     fn is_restartable(&self, machine: &Machine, task: &TaskId) -> bool {
         let Some(job_state) = self.job_states.get(&task.job) else { return false };
         // A gang's tasks find one another by their attempt: it begins anew as a whole.
-        if job_state.is_gang() || job_state.finishing || job_state.done().has(task.index) {
+        if job_state.is_gang() || job_state.finishing || job_state.done().contains(task.index) {
             return false;
         }
         let spec = &job_state.job.spec;
--- a/crates/scheduler/src/node/leader/heartbeats/tests.rs
+++ b/crates/scheduler/src/node/leader/heartbeats/tests.rs
@@ -13,7 +13,7 @@
     let mut spec = crate::jobs::tests::spec();
     spec.job_type = JobType::Gang;
     spec.tasks = 2;
-    let job = Arc::new(OpenJob { spec, submitted: WallTime(1), home: "n0".into() });
+    let job = Arc::new(OpenJob { spec, submitted: WallTime(1), assigned_node: "n0".into() });
     leader.job_states.insert("req-1".into(), JobState::new(job, now));
     for (index, after_fetches) in [(0, true), (1, false)] {
         let id = format!("m-{index}");
--- a/crates/scheduler/src/node/leader/job_changes.rs
+++ b/crates/scheduler/src/node/leader/job_changes.rs
@@ -60,7 +60,7 @@
         let priority = job_cache.priority(id);
         if job_state.priority != priority {
             job_state.priority = priority;
-            job_state.tried = 0; // others may make way for it now
+            job_state.failed_capacity_version = 0; // others may make way for it now
         }
         self.adopt_unreadable_job(id, now);
     }
@@ -82,7 +82,7 @@
     }
 
     fn delete_progress(&mut self, id: &JobId, tasks: u32) {
-        for chunk in 0..tasks.div_ceil(jobs::CHUNK) {
+        for chunk in 0..tasks.div_ceil(jobs::TASKS_PER_CHUNK) {
             let key = progress_key(id, chunk);
             self.commits.forget_outcomes(&key);
             if self.commits.is_stored(&key) {
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -39,7 +39,6 @@
 mod task_outcomes;
 #[cfg(test)]
 mod test_support;
-mod waiting_reason;
 mod worker_commands;
 mod write_budget;
 mod zones;
--- a/crates/scheduler/src/node/leader/partition_moves.rs
+++ b/crates/scheduler/src/node/leader/partition_moves.rs
@@ -2,8 +2,8 @@
 
 use super::Leader;
 use super::candidates::Candidates;
-use super::waiting_reason::WaitingReason;
 use crate::jobs::JobType;
+use crate::jobs::WaitingReason;
 use crate::placement::{MachineView, PlacementRequest};
 use crate::types::{NodeName, Zone};
 use std::collections::BTreeMap;
@@ -53,12 +53,12 @@
             if usable_slots(&fit.all, request) < needed {
                 // Of a part of the machines nothing follows for the rest.
                 if candidates.complete {
-                    job_state.tried = self.capacity_version;
+                    job_state.failed_capacity_version = self.capacity_version;
                 }
-                job_state.reason = WaitingReason::NoCapacity.as_str();
+                job_state.reason = WaitingReason::NoCapacity;
                 return false;
             }
-            job_state.reason = WaitingReason::MachinesMove.as_str();
+            job_state.reason = WaitingReason::MachinesMove;
             let best = || fit.all.iter().max_by_key(|(_, slots)| **slots).map(|(zone, _)| (*zone).clone());
             let only_zone = if gang && request.together { best() } else { None };
             slots += self.move_machines(node, request, candidates, claims, fit.movable, only_zone.as_ref());
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -140,8 +140,8 @@
         let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
         job_state.place(task.index, machine_id.clone());
         job_state.attempt = Some(attempt);
-        job_state.promised = job_state.promised.saturating_sub(1);
-        if job_state.promised == 0 {
+        job_state.awaiting_preemption = job_state.awaiting_preemption.saturating_sub(1);
+        if job_state.awaiting_preemption == 0 {
             job_state.preempting_until = None;
         }
     }
@@ -158,7 +158,7 @@
         let Some(job_state) = self.job_states.get(&task.job) else { return false };
         let Some(machine) = self.machines.get(machine) else { return false };
         let task_waits = !job_state.finishing
-            && !job_state.done().has(task.index)
+            && !job_state.done().contains(task.index)
             && !job_state.placed().contains_key(&task.index)
             && !machine.assignments.contains_key(task)
             && !self.machines.any_reports_unknown(task);
--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -2,9 +2,9 @@
 
 use super::Leader;
 use super::reservations::allows_machine;
-use super::waiting_reason::WaitingReason;
 use crate::assignments::Assignment;
 use crate::gangs;
+use crate::jobs::WaitingReason;
 use crate::jobs::{JobSpec, JobState, JobType, Priority};
 use crate::placement::PlacementRequest;
 use crate::preemption::{Candidate, Clearing, Victim, Wanted, choose};
@@ -76,7 +76,7 @@
         // Resources that come free by themselves cost nothing. Replicas don't wait for them.
         let objective = self.settings.wait_objective(&spec.kind, within_guarantee);
         let wait = Duration::from_secs_f64(objective.map_or(0.0, |objective_s| objective_s * PREEMPT_AFTER));
-        if spec.job_type != JobType::Service && now.since(job_state.seen) < wait {
+        if spec.job_type != JobType::Service && now.since(job_state.known_since) < wait {
             return false;
         }
         job_state.preempting_until = Some(now + PREEMPT_RETRY);
@@ -138,7 +138,7 @@
         self.hold_cleared(&request.job, &clearings, hold_all, until);
         if let Some(job_state) = self.job_states.get_mut(&request.job) {
             job_state.preempting_until = Some(until);
-            job_state.reason = WaitingReason::Preempting.as_str();
+            job_state.reason = WaitingReason::Preempting;
         }
         clearings.len() as u32
     }
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -111,9 +111,9 @@
         let ready = slots_with_image(request, views);
         let Some(job_state) = self.job_states.get_mut(&request.job) else { return 0 };
         if job_state.preempting_until.is_none_or(|until| now >= until) {
-            job_state.promised = 0;
+            job_state.awaiting_preemption = 0;
         }
-        let nothing_under_way = job_state.promised == 0 && job_state.preempting_until.is_none();
+        let nothing_under_way = job_state.awaiting_preemption == 0 && job_state.preempting_until.is_none();
         if nothing_under_way
             && ready < tasks
             && *searches_left > 0
@@ -123,7 +123,7 @@
             *searches_left -= 1;
             self.preempt_where_image_is(request, tasks - ready, now);
         }
-        let promised = self.job_states.get(&request.job).map_or(0, |job_state| job_state.promised);
+        let promised = self.job_states.get(&request.job).map_or(0, |job_state| job_state.awaiting_preemption);
         promised.saturating_sub(ready).min(tasks)
     }
 
@@ -141,7 +141,7 @@
         missing_request.tasks.truncate(missing as usize);
         let promised = self.free_by_preemption(&missing_request, &spec, Preemption::WithImage, now);
         if let Some(job_state) = self.job_states.get_mut(&request.job) {
-            job_state.promised = promised;
+            job_state.awaiting_preemption = promised;
             if promised == 0 {
                 job_state.preempting_until = Some(now + PREEMPT_RETRY);
             }
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -5,8 +5,8 @@
 use super::candidates::Candidates;
 use super::partition_moves::Claim;
 use super::scheduling_rounds::Round;
-use super::waiting_reason::WaitingReason;
 use crate::assignments;
+use crate::jobs::WaitingReason;
 use crate::jobs::{JobSpec, JobType};
 use crate::placement::{MachineView, PlacementRequest};
 use crate::types::{Attempt, Duration, JobId, MachineId, MonotonicTime, NodeName, Resources, TaskId};
@@ -69,7 +69,7 @@
         }
         let mut work: BTreeMap<NodeName, u32> = live.iter().map(|node| (node.clone(), 0)).collect();
         for job_state in self.job_states.values() {
-            let node = if live.contains(&job_state.home) { &job_state.home } else { me };
+            let node = if live.contains(&job_state.assigned_node) { &job_state.assigned_node } else { me };
             *work.entry(node.clone()).or_default() += job_state.waiting_count().min(MAX_WAITING_COUNTED);
         }
         let up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up);
@@ -86,7 +86,7 @@
             .filter(|(_, job_state)| {
                 job_state.offered == 0 && !job_state.finishing && job_state.not_before <= now
             })
-            .filter(|(_, job_state)| job_state.tried < self.capacity_version)
+            .filter(|(_, job_state)| job_state.failed_capacity_version < self.capacity_version)
             .filter(|(_, job_state)| job_state.waiting_count() > 0)
             .map(|(id, _)| id.clone())
             .collect();
@@ -135,7 +135,7 @@
         let job_state = self.job_states.get_mut(id)?;
         let gang = job_state.is_gang();
         if gang && !job_state.placed().is_empty() {
-            job_state.reason = WaitingReason::GangStillPlaced.as_str();
+            job_state.reason = WaitingReason::GangStillPlaced;
             return None;
         }
         let mut tasks = job_state.waiting(if gang { usize::MAX } else { max_tasks });
@@ -143,8 +143,8 @@
         let sum = used.entry(spec.team.clone()).or_default();
         let fitting = (assignments::tasks_within_limit(team, sum, &spec.resources) as usize).min(tasks.len());
         if fitting == 0 || (gang && fitting < tasks.len()) {
-            job_state.reason = WaitingReason::TeamAtLimit.as_str();
-            job_state.tried = self.capacity_version;
+            job_state.reason = WaitingReason::TeamAtLimit;
+            job_state.failed_capacity_version = self.capacity_version;
             return None;
         }
         tasks.truncate(fitting);
@@ -159,10 +159,10 @@
         mut request: PlacementRequest,
     ) -> Option<(NodeName, PlacementRequest)> {
         let job_state = self.job_states.get_mut(&request.job)?;
-        if !pass.live.contains(&job_state.home) {
-            job_state.home = pass.me.clone();
+        if !pass.live.contains(&job_state.assigned_node) {
+            job_state.assigned_node = pass.me.clone();
         }
-        let node = job_state.home.clone();
+        let node = job_state.assigned_node.clone();
         if self.rounds.is_pending_at(&node) {
             return None;
         }
--- a/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
@@ -40,7 +40,7 @@
         spec.zone = None;
         spec.resources = Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
         spec.team = self.leader.settings.teams.keys().next().expect("a team").clone();
-        let job = OpenJob { spec, submitted: WallTime(1), home: node.into() };
+        let job = OpenJob { spec, submitted: WallTime(1), assigned_node: node.into() };
         self.leader.job_states.insert(id.into(), JobState::new(Arc::new(job), self.now));
     }
 
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -175,7 +175,7 @@
                 if let Some(job_state) = self.job_states.get_mut(&request.job) {
                     // Lost with the answer: it must be offered anew, here.
                     job_state.offered = 0;
-                    job_state.home = self.settings.node.clone();
+                    job_state.assigned_node = self.settings.node.clone();
                 }
             }
         }
--- a/crates/scheduler/src/node/leader/status.rs
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -68,7 +68,7 @@
     }
 
     /// Jobs with waiting tasks, how many wait, and the reason.
-    pub(in crate::node) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, &'static str)> {
+    pub(in crate::node) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, crate::jobs::WaitingReason)> {
         let waiting = self.job_states.iter().filter(|(_, job_state)| job_state.waiting_count() > 0);
         waiting.map(|(id, job_state)| (id, job_state.waiting_count(), job_state.reason))
     }
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -44,7 +44,7 @@
             job_state.unplace(task.index, id);
             return self.remove_assignment(id, task, now);
         }
-        job_state.errors = 0;
+        job_state.consecutive_failures = 0;
         let kind = job_state.job.spec.kind.clone();
         if job_state.is_gang() {
             // They complete together: if one is done, all are.
@@ -66,7 +66,7 @@
     /// Writes which tasks of the job are done. Not urgent: until it is written the worker goes on
     /// reporting the task as done.
     fn record_progress(&mut self, task: &TaskId) -> QueuedRecord {
-        let chunk = task.index / jobs::CHUNK;
+        let chunk = task.index / jobs::TASKS_PER_CHUNK;
         let key = progress_key(&task.job, chunk);
         let job_state = self.job_states.get(&task.job);
         let value = job_state.map(|job_state| job_state.done().chunk_value(chunk));
@@ -129,10 +129,10 @@
         let mut failures = None;
         match outcome {
             Outcome::Ended(TaskExit::Failed) => {
-                job_state.errors += 1;
-                job_state.not_before = now + failure_pause(job_state.errors);
-                failures = Some(job_state.errors);
-                if job_state.errors < JOB_AT_FAULT {
+                job_state.consecutive_failures += 1;
+                job_state.not_before = now + failure_pause(job_state.consecutive_failures);
+                failures = Some(job_state.consecutive_failures);
+                if job_state.consecutive_failures < JOB_AT_FAULT {
                     let kind = job_state.job.spec.kind.clone();
                     let outcome = PlacementOutcome { machine: id.clone(), kind, success: false };
                     self.broadcaster.add_outcome(outcome);
--- a/crates/scheduler/src/node/leader/write_budget/tests.rs
+++ b/crates/scheduler/src/node/leader/write_budget/tests.rs
@@ -33,7 +33,7 @@
     spec.zone = None;
     spec.resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     spec.team = leader.settings.teams.keys().next().expect("a team").clone();
-    let job = OpenJob { spec, submitted: WallTime(1), home: "n0".into() };
+    let job = OpenJob { spec, submitted: WallTime(1), assigned_node: "n0".into() };
     leader.job_states.insert(id.into(), JobState::new(Arc::new(job), NOW));
 }
 
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -1,12 +1,11 @@
 //! Users -> controller nodes.
 
-use crate::jobs::{JobSpec, JobType, Phase, Priority};
+use crate::jobs::{JobSpec, JobType, MAX_TASKS, Phase, Priority};
 use crate::types::{Duration, JobId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 const ID_PREFIX: &str = "req-";
-pub const MAX_TASKS: u64 = 100_000;
 /// Larger amounts than any machine has; bounds what arithmetic on them can reach.
 const MAX_AMOUNT: f64 = 1e9;
 const MAX_NAME: usize = 128;
--- a/crates/scheduler/src/world/days/kinds.rs
+++ b/crates/scheduler/src/world/days/kinds.rs
@@ -10,7 +10,7 @@
 use super::ordinary;
 use super::recovery::{self, Down};
 use super::{DAY_ENDS, troubles};
-use crate::jobs::graph::Guard;
+use crate::jobs::graph::DependencyCheck;
 use crate::node::Controller;
 use crate::types::Duration;
 use crate::world::World;
@@ -155,12 +155,14 @@
 
 /// Days with a guard out of the core, or a stand-in that breaks its word.
 fn spoilt_kinds() -> Vec<DayKind> {
-    fn pipelines_without(guard: Guard, seed: u64) -> World {
+    fn pipelines_without(guard: DependencyCheck, seed: u64) -> World {
         let mut w = ordinary::pipelined_day(seed);
         w.sabotage = Some(match guard {
-            Guard::Order => |controller: &mut Controller, _| controller.sabotage_graph(Guard::Order),
-            Guard::Cancellation => {
-                |controller: &mut Controller, _| controller.sabotage_graph(Guard::Cancellation)
+            DependencyCheck::Order => {
+                |controller: &mut Controller, _| controller.sabotage_graph(DependencyCheck::Order)
+            }
+            DependencyCheck::Cancellation => {
+                |controller: &mut Controller, _| controller.sabotage_graph(DependencyCheck::Cancellation)
             }
         });
         w
@@ -175,9 +177,11 @@
         }),
         DayKind::spoilt("lazy-cloud", |w| w.cloud.lazy = true),
         DayKind::spoilt("careless-state", |w| w.state.careless = true),
-        DayKind::usual("pipelines-without-order", 700, |seed| pipelines_without(Guard::Order, seed)),
+        DayKind::usual("pipelines-without-order", 700, |seed| {
+            pipelines_without(DependencyCheck::Order, seed)
+        }),
         DayKind::usual("pipelines-without-cancellation", 700, |seed| {
-            pipelines_without(Guard::Cancellation, seed)
+            pipelines_without(DependencyCheck::Cancellation, seed)
         }),
         DayKind::usual("mixed-versions-without-level", 850, |seed| {
             let mut w = ordinary::day_of_a_mixed_version(seed);
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/world/tests.rs
@@ -9,7 +9,7 @@
 use super::days::{DAY_ENDS, troubles};
 use super::recovery::seeds;
 use super::{Event, Fault, NODES, Stage, Submits, World, job};
-use crate::jobs::graph::Guard;
+use crate::jobs::graph::DependencyCheck;
 use crate::node::{Controller, Effect, Input, Method, Now};
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::{StoreReply, StoreRequest};
@@ -336,8 +336,8 @@
             !w.rules.broken.is_empty()
         })
     };
-    assert!(with_pipelines(|controller, _| controller.sabotage_graph(Guard::Order)));
-    assert!(with_pipelines(|controller, _| controller.sabotage_graph(Guard::Cancellation)));
+    assert!(with_pipelines(|controller, _| controller.sabotage_graph(DependencyCheck::Order)));
+    assert!(with_pipelines(|controller, _| controller.sabotage_graph(DependencyCheck::Cancellation)));
     assert!(!with_pipelines(|_, _| {}));
 }
 
