--- a/crates/pearford/src/files.rs
+++ b/crates/pearford/src/files.rs
@@ -1,7 +1,7 @@
 //! Settings files: the platform's TOML, and the operators' YAML with a section for each feature.
 
 use pearford_nomad::operator::NomadSettings;
-use pearford_scheduler::settings::{self, Settings};
+use pearford_scheduler::settings::{self, Settings, SourceFile};
 use serde_yaml_ng::{Mapping, Value};
 use std::path::Path;
 
@@ -52,8 +52,8 @@
             (Some((path.display().to_string(), controller)), nomad)
         }
     };
-    let controller = controller.as_ref().map(|(name, text)| (name.clone(), text.as_str()));
-    let settings = settings::parse((&platform.display().to_string(), &text), controller)
+    let controller = controller.as_ref().map(|(name, text)| SourceFile::new(name, text));
+    let settings = settings::parse(SourceFile::new(&platform.display().to_string(), &text), controller)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
     Ok(Loaded { settings, nomad })
 }
--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -97,7 +97,7 @@
     let (tx, mut inputs) = mpsc::channel::<Input>(QUEUE);
     let (requests, mut asked) = mpsc::channel::<Asked>(REQUESTS);
 
-    let mut left = settings.limits.max_connections - settings.limits.outward();
+    let mut left = settings.limits.max_connections - settings.limits.reserved_connections();
     let mut controller = Controller::new(settings.clone(), rand::random());
     for (slot, door) in doors.into_iter().enumerate() {
         let listener = TcpListener::bind(door.listen).await?;
@@ -126,7 +126,7 @@
         services: client(8),
         // Kept without use, thousands of them held half of all sockets.
         workers: client(0),
-        orders: Arc::new(Semaphore::new(settings.limits.commands())),
+        orders: Arc::new(Semaphore::new(settings.limits.max_concurrent_commands())),
         settings: settings.clone(),
         tx,
     };
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -41,7 +41,9 @@
 
 #[test]
 fn limits_count_one_task_of_an_array_and_all_of_the_rest() {
-    let settings = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
+    let settings =
+        crate::settings::parse(crate::settings::SourceFile::new("p", crate::settings::SAMPLE), None)
+            .expect("valid");
     let types: Vec<MachineType> = serde_json::from_str(
         r#"[{"name":"t","vcpus":8,"accelerators":2,"memory_gb":8,"hourly":1,"regions":["z0"]}]"#,
     )
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -122,7 +122,7 @@
             ),
             leader: None,
             delegate: Delegate::new(settings.node.clone()),
-            lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.hold())),
+            lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.answer_window())),
             relay: Relay::default(),
             isolation_reporter: IsolationReporter::default(),
             served: Served::default(),
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -73,7 +73,7 @@
     /// How long what is cancelled may go without a proof that it is stopped: with a lease to run out
     /// after it, should the cloud not answer either.
     fn unstopped_limit(&self) -> Duration {
-        let hold = self.settings.workers.hold();
+        let hold = self.settings.workers.answer_window();
         self.heartbeat_interval().times(UNSTOPPED_INTERVALS).min(hold.times(UNSTOPPED_HOLD_SHARE))
     }
 
--- a/crates/scheduler/src/node/leader/test_support.rs
+++ b/crates/scheduler/src/node/leader/test_support.rs
@@ -16,6 +16,8 @@
 
 /// A leader by the sample settings, without instance types.
 pub fn leader() -> Leader {
-    let settings = crate::settings::parse(("p", crate::settings::SAMPLE), None).expect("valid");
+    let settings =
+        crate::settings::parse(crate::settings::SourceFile::new("p", crate::settings::SAMPLE), None)
+            .expect("valid");
     Leader::new(Arc::new(settings), FencingToken(9), MonotonicTime::from_millis(1), Vec::new(), Vec::new())
 }
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -186,7 +186,7 @@
     /// Sends commands that needn't wait for a worker's next heartbeat.
     pub(super) fn send_direct_commands(&mut self, context: &mut StepContext) {
         let may_start = self.may_start(context);
-        let max_calls = MAX_DIRECT_CALLS.min(self.settings.limits.commands());
+        let max_calls = MAX_DIRECT_CALLS.min(self.settings.limits.max_concurrent_commands());
         while let Some(id) = self.worker_calls.next_direct_call(max_calls) {
             let Some(machine) = self.machines.get_mut(&id) else { continue };
             if !machine.reachable(self.fencing_token) {
--- a/crates/scheduler/src/settings/golden.rs
+++ b/crates/scheduler/src/settings/golden.rs
@@ -6,7 +6,7 @@
 const OPERATOR: &str = include_str!("../../tests/golden/operator.yaml");
 
 fn settings() -> Settings {
-    parse(("platform.toml", PLATFORM), Some(("operator.yaml".into(), OPERATOR)))
+    parse(SourceFile::new("platform.toml", PLATFORM), Some(SourceFile::new("operator.yaml", OPERATOR)))
         .expect("both files are valid")
 }
 
@@ -61,7 +61,7 @@
     let (before, rest) = PLATFORM.split_once("[facts.state.next]").expect("there are next limits");
     let (_, after) = rest.split_once("[facts.cloud]").expect("the cloud follows");
     let present = format!("{before}[facts.cloud]{after}");
-    let present = parse(("platform.toml", &present), None).expect("valid").state;
+    let present = parse(SourceFile::new("platform.toml", &present), None).expect("valid").state;
     assert_eq!(present, StoreLimits { rps: 250.5, write_rps: 100.5, value_bytes: 16_000, txn_ops: 12 });
 }
 
--- a/crates/scheduler/src/settings/tests.rs
+++ b/crates/scheduler/src/settings/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 fn keys(platform: &str, operator: Option<&str>) -> Vec<String> {
-    match parse(("p", platform), operator.map(|t| ("o".into(), t))) {
+    match parse(SourceFile::new("p", platform), operator.map(|text| SourceFile::new("o", text))) {
         Ok(_) => Vec::new(),
-        Err(faults) => faults.into_iter().map(|f| f.key).collect(),
+        Err(faults) => faults.into_iter().map(|fault| fault.key).collect(),
     }
 }
 
 #[test]
 fn sample_is_accepted_and_unknown_platform_fields_are_ignored() {
-    let s = parse(("p", SAMPLE), None).expect("the sample is valid");
-    assert_eq!(s.peers.len(), 2);
-    assert_eq!(s.teams[&TeamName::from("red")].max_gpus, Some(12.0));
-    assert_eq!(s.teams[&TeamName::from("red")].max_cpus, None);
+    let settings = parse(SourceFile::new("p", SAMPLE), None).expect("the sample is valid");
+    assert_eq!(settings.peers.len(), 2);
+    assert_eq!(settings.teams[&TeamName::from("red")].max_gpus, Some(12.0));
+    assert_eq!(settings.teams[&TeamName::from("red")].max_cpus, None);
 }
 
 #[test]
@@ -35,7 +35,11 @@
         keys(&with("value_kb = 0\nwrite_rps = -1.0\ntxn_ops = 1"), None),
         ["facts.state.next.write_rps", "facts.state.next.value_kb", "facts.state.next.txn_ops"]
     );
-    let s = parse(("p", &with("value_kb = 2.0\ntxn_ops = 40\nlater = 1")), None).expect("valid");
+    let text = with("value_kb = 2.0\ntxn_ops = 40\nlater = 1");
+    let settings = parse(SourceFile::new("p", &text), None).expect("valid");
     // The stricter of each pair holds.
-    assert_eq!((s.state.value_bytes, s.state.txn_ops, s.state.write_rps), (2000, 12, 100.0));
+    assert_eq!(
+        (settings.state.value_bytes, settings.state.txn_ops, settings.state.write_rps),
+        (2000, 12, 100.0)
+    );
 }
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/world/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::extension::{Call, Extension};
 use crate::node::{Controller, Effect, Input, Method, Now};
-use crate::settings::{Settings, parse};
+use crate::settings::{Settings, SourceFile, parse};
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::StoreRequest;
 use rand::rngs::StdRng;
@@ -1003,7 +1003,8 @@
     let text = text.replace("[facts.cloud]", &format!("{next}[facts.cloud]"));
     let text = text.replace("gpus_max = 12.0", &format!("gpus_max = {gpus}.0"));
     let operator = "idle_return_s: 20\nrefusal_pause_s: 3\n";
-    parse(("test", &text), Some(("operator".into(), operator))).expect("the test settings are valid")
+    parse(SourceFile::new("test", &text), Some(SourceFile::new("operator", operator)))
+        .expect("the test settings are valid")
 }
 
 /// A submission; the caller changes what it needs.
