--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -11,8 +11,8 @@
 use pearford_scheduler::node::{Controller, Effect, Input, Method, Now};
 use pearford_scheduler::settings::{Peer, Settings};
 use pearford_scheduler::types::{self, MonotonicTime, NodeName, RequestId, WallTime};
-use pearford_scheduler::wire::MAX_BODY;
 use pearford_scheduler::wire::state::StoreReply;
+use pearford_scheduler::wire::{HttpRequest, MAX_BODY};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -216,7 +216,7 @@
         let (client, settings) = (&self.services, &self.settings);
         Some(match effect {
             Effect::Store { request_id, request, timeout } => {
-                let (method, path, body) = request.http();
+                let HttpRequest { method, path, body } = request.http();
                 let got = fetch(client, settings.state_addr, method, &path, body, timeout).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
@@ -226,7 +226,7 @@
                 Input::Store { request_id, reply }
             }
             Effect::Cloud { request_id, request, timeout } => {
-                let (method, path, body) = request.http();
+                let HttpRequest { method, path, body } = request.http();
                 let got = fetch(client, settings.cloud_addr, method, &path, body, timeout).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
--- a/crates/scheduler/src/golden.rs
+++ b/crates/scheduler/src/golden.rs
@@ -11,6 +11,7 @@
 //! Continuous integration never sets the variable. Files named `..._read.txt` hold what others send; they are written by
 //! hand and never recorded.
 
+use crate::wire::HttpRequest;
 use std::collections::BTreeSet;
 
 /// Makes the program write the files instead of comparing with them.
@@ -118,6 +119,7 @@
 }
 
 /// A request as one line: method, path and body.
-pub fn request_line((method, path, body): (http::Method, String, Vec<u8>)) -> String {
+pub fn request_line(request: HttpRequest) -> String {
+    let HttpRequest { method, path, body } = request;
     format!("{method} {path} {}", String::from_utf8_lossy(&body)).trim_end().to_string()
 }
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -234,9 +234,9 @@
             let job_cache = &self.job_cache;
             let passed = workers::without_starts(&body, |job| job_cache.terminal_status(job).is_some());
             #[cfg(any(test, feature = "world"))]
-            let passed = if self.relay.passes_all { Filtered::AsItIs } else { passed };
-            let late = fencing_token < self.highest_fencing_token || passed == Filtered::Nothing;
-            if let Filtered::Without(rest) = passed {
+            let passed = if self.relay.passes_all { Filtered::Unchanged } else { passed };
+            let late = fencing_token < self.highest_fencing_token || passed == Filtered::Empty;
+            if let Filtered::Reduced(rest) = passed {
                 body = rest;
             }
             if late || self.relay.calls.len() >= MAX_RELAYED {
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -30,7 +30,8 @@
 
     pub(super) fn submit(&mut self, request: RequestId, body: &[u8]) {
         let Some(id) = users::submission_id(body) else {
-            let reason = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
+            let error = users::submission(body).err();
+            let reason = error.map_or_else(|| "id: invalid".into(), |error| error.to_string());
             return self.out.refuse(request, 400, &reason);
         };
         let read = users::submission(body);
@@ -42,7 +43,9 @@
             (id, spec)
         });
         let spec = match read {
-            Err(reason) => Err(jobs::Refusal { status: http::StatusCode::BAD_REQUEST, reason }),
+            Err(error) => {
+                Err(jobs::Refusal { status: http::StatusCode::BAD_REQUEST, reason: error.to_string() })
+            }
             Ok((_, spec)) => self.admission().check(&spec).map(|()| Box::new(spec)),
         };
         self.look_up(request, id, UserRequest::Submit { spec });
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -169,7 +169,7 @@
         // A heartbeat is worth the same whoever has heard it: it carries the epoch, the serial and
         // the fencing token that the worker had seen.
         let Some(known) = self.coordinator.known(id) else { return };
-        let Some(heartbeat) = Heartbeat::of(id, heard.at, &known.content) else {
+        let Some(heartbeat) = Heartbeat::from_content(id, heard.at, &known.content) else {
             tracing::error!(machine = %id, node = %from, "a heartbeat heard by another node can't be read");
             return;
         };
--- a/crates/scheduler/src/wire/cloud.rs
+++ b/crates/scheduler/src/wire/cloud.rs
@@ -1,89 +1,154 @@
-//! Controller nodes -> cloud.
+//! Controller nodes -> cloud: machine types, rentals, returns and the list of machines.
 
+use super::{HttpRequest, read, write};
 use crate::types::{Duration, MachineId, Resources, TypeName, Zone};
+use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
+/// The error text of a refused rental, when no machine of the type is left in the zone.
+const NO_CAPACITY: &str = "no capacity";
+
 /// A machine type.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineType {
+    /// The type's name, unique.
     pub name: TypeName,
+    /// CPUs of a machine.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
+    /// GPUs of a machine.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
+    /// Memory of a machine in GB.
     pub memory_gb: f64,
+    /// Local space for images in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images, in GB a second.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
+    /// Price of an on-demand machine an hour.
     #[serde(rename = "hourly")]
     pub price: f64,
+    /// Price of a spot machine an hour.
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
+    /// Nominal time, in seconds, from a rental until the machine is ready.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
+    /// Zones where it is offered.
     #[serde(rename = "regions", default)]
     pub zones: Vec<Zone>,
 }
 
 impl MachineType {
+    /// The resources of an empty machine.
     pub fn resources(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
+
+    /// Nominal time from a rental until the machine is ready.
     pub fn boot(&self) -> Duration {
         Duration::from_secs_f64(self.boot_s)
     }
+
+    /// The price an hour; that of an on-demand machine if spot machines have no price of their own.
     pub fn hourly(&self, spot: bool) -> f64 {
         if spot { self.spot_price.unwrap_or(self.price) } else { self.price }
     }
 }
 
+/// A machine in the cloud's list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
+    /// The machine's id.
     pub id: MachineId,
+    /// Where its worker listens, once that is known.
     #[serde(default)]
     pub addr: Option<String>,
+    /// The machine's type.
     #[serde(rename = "flavor")]
     pub type_name: TypeName,
+    /// The zone that it is in.
     #[serde(rename = "region")]
     pub zone: Zone,
+    /// Whether it is a spot machine.
     #[serde(rename = "preemptible", default)]
     pub spot: bool,
+    /// Where it is in its life.
     pub phase: MachinePhase,
+    /// Seconds since it was rented.
     #[serde(default)]
     pub age_s: f64,
 }
 
+/// Where a machine is in its life, as the cloud sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachinePhase {
+    /// Not ready yet.
     #[serde(rename = "starting")]
     Booting,
+    /// Ready.
     Running,
+    /// Broken down, or not come up.
     Failed,
+    /// A phase that this version does not know.
     #[serde(other)]
     Other,
 }
 
+/// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
+    /// List the machine types.
     Types,
-    Rent { claim: String, type_name: TypeName, zone: Zone, spot: bool, number: u32 },
-    Release { machines: Vec<MachineId> },
-    List { after: Option<MachineId>, most: u32 },
+    /// Rent machines.
+    Rent {
+        /// Makes the request idempotent: a repeated claim gives the machines of the first.
+        claim: String,
+        /// Type of the machines.
+        type_name: TypeName,
+        /// Zone of the machines.
+        zone: Zone,
+        /// Whether to rent spot machines.
+        spot: bool,
+        /// How many machines.
+        number: u32,
+    },
+    /// Return machines.
+    Release {
+        /// The machines to return.
+        machines: Vec<MachineId>,
+    },
+    /// List rented machines.
+    List {
+        /// Only machines after this one.
+        after: Option<MachineId>,
+        /// Most machines in the answer.
+        most: u32,
+    },
 }
 
+/// The cloud's answer.
 #[derive(Debug, Clone)]
 pub enum CloudReply {
+    /// All machine types.
     Types(Vec<MachineType>),
+    /// The rented machines.
     Rented(Vec<MachineId>),
+    /// No machine of the type is left in the zone.
     NoCapacity,
+    /// The machines are returned.
     Released,
+    /// A page of the list of machines.
     Listed {
+        /// The machines.
         machines: Vec<ListedMachine>,
+        /// Whether machines after these are left out.
         more: bool,
     },
-    /// Not executed, or not understood; ask again later.
+    /// Not executed, or not understood; to be tried again later.
     Refused,
     /// No answer: may have been executed or be executed later.
     Unknown,
@@ -103,71 +168,79 @@
     hosts: &'a [MachineId],
 }
 
+#[derive(Deserialize)]
+struct TypesBody {
+    flavors: Vec<MachineType>,
+}
+
+#[derive(Deserialize)]
+struct RentedBody {
+    hosts: Vec<MachineId>,
+}
+
+#[derive(Deserialize)]
+struct ListBody {
+    hosts: Vec<ListedMachine>,
+    #[serde(default)]
+    more: bool,
+}
+
+#[derive(Default, Deserialize)]
+struct ErrorBody {
+    #[serde(default)]
+    error: String,
+}
+
 impl CloudRequest {
-    /// Method, path and body.
-    pub fn http(&self) -> (http::Method, String, Vec<u8>) {
+    /// The request as it is sent.
+    pub fn http(&self) -> HttpRequest {
         match self {
-            CloudRequest::Types => (http::Method::GET, "/flavors".into(), Vec::new()),
+            CloudRequest::Types => HttpRequest::get("/flavors".into()),
             CloudRequest::Rent { claim, type_name, zone, spot, number } => {
                 let body =
                     RentBody { claim, flavor: type_name, region: zone, preemptible: *spot, number: *number };
-                (http::Method::POST, "/machines".into(), serde_json::to_vec(&body).unwrap_or_default())
+                HttpRequest::post("/machines", write(&body))
             }
             CloudRequest::Release { machines } => {
-                let body = serde_json::to_vec(&ReleaseBody { hosts: machines }).unwrap_or_default();
-                (http::Method::POST, "/machines/release".into(), body)
+                HttpRequest::post("/machines/release", write(&ReleaseBody { hosts: machines }))
             }
             CloudRequest::List { after, most } => {
                 let path = match after {
                     Some(id) => format!("/machines?from={id}&most={most}"),
                     None => format!("/machines?most={most}"),
                 };
-                (http::Method::GET, path, Vec::new())
+                HttpRequest::get(path)
             }
         }
     }
 
     /// Reads the answer.
     pub fn reply(&self, status: u16, body: &[u8]) -> CloudReply {
-        #[derive(Deserialize)]
-        struct Types {
-            flavors: Vec<MachineType>,
-        }
-        #[derive(Deserialize)]
-        struct Hosts {
-            hosts: Vec<MachineId>,
-        }
-        #[derive(Deserialize)]
-        struct List {
-            hosts: Vec<ListedMachine>,
-            #[serde(default)]
-            more: bool,
-        }
-        #[derive(Deserialize)]
-        struct Error {
-            #[serde(default)]
-            error: String,
-        }
-        if status != 200 {
-            let error = serde_json::from_slice::<Error>(body).map(|e| e.error).unwrap_or_default();
-            return match self {
-                CloudRequest::Rent { .. } if status == 503 && error == "no capacity" => {
-                    CloudReply::NoCapacity
-                }
-                _ => CloudReply::Refused,
-            };
+        if status != StatusCode::OK {
+            return self.failure(status, body);
         }
         match self {
-            CloudRequest::Types => serde_json::from_slice(body)
-                .map(|t: Types| CloudReply::Types(t.flavors))
-                .unwrap_or(CloudReply::Refused),
-            CloudRequest::Rent { .. } => serde_json::from_slice(body)
-                .map(|h: Hosts| CloudReply::Rented(h.hosts))
-                .unwrap_or(CloudReply::Unknown),
+            CloudRequest::Types => {
+                read(body).map_or(CloudReply::Refused, |types: TypesBody| CloudReply::Types(types.flavors))
+            }
+            // What can't be read may name machines that are paid for.
+            CloudRequest::Rent { .. } => {
+                read(body).map_or(CloudReply::Unknown, |rented: RentedBody| CloudReply::Rented(rented.hosts))
+            }
             CloudRequest::Release { .. } => CloudReply::Released,
-            CloudRequest::List { .. } => serde_json::from_slice(body)
-                .map(|l: List| CloudReply::Listed { machines: l.hosts, more: l.more })
-                .unwrap_or(CloudReply::Refused),
+            CloudRequest::List { .. } => read(body).map_or(CloudReply::Refused, |list: ListBody| {
+                CloudReply::Listed { machines: list.hosts, more: list.more }
+            }),
+        }
+    }
+
+    fn failure(&self, status: u16, body: &[u8]) -> CloudReply {
+        let error: ErrorBody = read(body).unwrap_or_default();
+        let no_capacity = status == StatusCode::SERVICE_UNAVAILABLE && error.error == NO_CAPACITY;
+        if no_capacity && matches!(self, CloudRequest::Rent { .. }) {
+            CloudReply::NoCapacity
+        } else {
+            CloudReply::Refused
         }
     }
 }
--- a/crates/scheduler/src/wire/mod.rs
+++ b/crates/scheduler/src/wire/mod.rs
@@ -1,10 +1,48 @@
-//! The outside protocols' own words. Nothing beyond this slice speaks of shards, tenures,
-//! flavors or stamps: inside it is tasks, sessions, types and versions.
+//! The outside protocols: how requests and answers are written and read.
+//!
+//! The protocols' own words (shards, tenures, flavors, stamps, grants) stand only here; the rest of the code speaks
+//! of tasks, worker epochs, machine types, revisions and leases. Nodes build requests and read answers through these
+//! types; the program's runtime sends them.
 
 pub mod cloud;
 pub mod state;
 pub mod users;
 pub mod workers;
 
-/// What a request body may hold at most.
+use http::Method;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+/// Largest body of a request that is read, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
+
+/// A request as it is sent.
+#[derive(Debug, Clone, PartialEq)]
+pub struct HttpRequest {
+    /// The method.
+    pub method: Method,
+    /// The path, with its query.
+    pub path: String,
+    /// The body, a JSON text or empty.
+    pub body: Vec<u8>,
+}
+
+impl HttpRequest {
+    fn get(path: String) -> Self {
+        Self { method: Method::GET, path, body: Vec::new() }
+    }
+
+    fn post(path: impl Into<String>, body: Vec<u8>) -> Self {
+        Self { method: Method::POST, path: path.into(), body }
+    }
+}
+
+/// Reads a body; `None` if it isn't what was expected.
+fn read<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
+    serde_json::from_slice(body).ok()
+}
+
+/// Writes a body. The types written here can't fail.
+fn write<T: Serialize>(body: &T) -> Vec<u8> {
+    serde_json::to_vec(body).unwrap_or_default()
+}
--- a/crates/scheduler/src/wire/state.rs
+++ b/crates/scheduler/src/wire/state.rs
@@ -1,82 +1,170 @@
-//! Controller nodes -> state service.
+//! Controller nodes -> key-value store: reads, transactions, leases and watches.
 
+use super::{HttpRequest, read, write};
 use crate::types::{LeaseId, Revision};
+use http::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
 /// A stored value, kept as the JSON text it is.
 pub type Value = String;
 
+/// Upper estimate of the bytes around the key and value of a put in a transaction.
+const PUT_OVERHEAD: usize = 64;
+/// Upper estimate of the bytes around the key of a delete in a transaction.
+const DELETE_OVERHEAD: usize = 32;
+/// In the error text of a transaction that names an expired lease.
+const EXPIRED_LEASE: &[u8] = b"no such lease";
+
+/// A change of one key in a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    Put { key: String, value: Value, lease: Option<LeaseId> },
-    Delete { key: String },
+    /// Sets the key.
+    Put {
+        /// The key.
+        key: String,
+        /// Its value, a JSON text.
+        value: Value,
+        /// The lease that the key ends with, if any.
+        lease: Option<LeaseId>,
+    },
+    /// Deletes the key.
+    Delete {
+        /// The key.
+        key: String,
+    },
 }
 
 impl Change {
+    /// The key that changes.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
         }
     }
+
+    /// Upper estimate of the bytes that it takes in a transaction's body.
     pub fn size(&self) -> usize {
         match self {
-            Change::Put { key, value, .. } => key.len() + value.len() + 64,
-            Change::Delete { key } => key.len() + 32,
+            Change::Put { key, value, .. } => key.len() + value.len() + PUT_OVERHEAD,
+            Change::Delete { key } => key.len() + DELETE_OVERHEAD,
         }
     }
 }
 
+/// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
-    Get { key: String },
-    Range { prefix: &'static str, after: Option<String>, most: u32 },
-    Commit { conditions: Vec<(String, Revision)>, changes: Vec<Change> },
-    GrantLease { life_ms: u64 },
-    RenewLease { lease: LeaseId },
-    Watch { prefix: &'static str, from: u64, block_ms: u64 },
+    /// Read a key.
+    Get {
+        /// The key.
+        key: String,
+    },
+    /// Read keys that have a prefix, in order.
+    Range {
+        /// The prefix.
+        prefix: &'static str,
+        /// Only keys after this one.
+        after: Option<String>,
+        /// Most keys in the answer.
+        most: u32,
+    },
+    /// Make all changes if all conditions hold, else none.
+    Commit {
+        /// Keys, and the revision that each must have; revision 0 means that the key must be absent.
+        conditions: Vec<(String, Revision)>,
+        /// The changes.
+        changes: Vec<Change>,
+    },
+    /// Make a lease.
+    GrantLease {
+        /// How many ms it lives unless it is renewed.
+        life_ms: u64,
+    },
+    /// Start a lease's life anew.
+    RenewLease {
+        /// The lease.
+        lease: LeaseId,
+    },
+    /// Read the changes of keys that have a prefix, or wait for one.
+    Watch {
+        /// The prefix.
+        prefix: &'static str,
+        /// Only changes after this revision of the store.
+        from: u64,
+        /// How many ms to wait for a change.
+        block_ms: u64,
+    },
 }
 
+/// A key with its value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pair {
+    /// The key.
     pub key: String,
+    /// Its value, a JSON text.
     pub value: Value,
+    /// The revision at which the value was stored.
     pub revision: Revision,
 }
 
+/// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
+    /// The key was set.
     Put(Pair),
-    Delete { key: String, revision: Revision },
+    /// The key was deleted, or ended with its lease.
+    Delete {
+        /// The key.
+        key: String,
+        /// The revision at which it was deleted.
+        revision: Revision,
+    },
 }
 
+/// The store's answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
+    /// The key's value.
     Found(Pair),
+    /// The key is absent.
     Missing {
+        /// Revision of the store at the read.
         store_revision: u64,
     },
+    /// A page of keys.
     Pairs {
+        /// The keys, in order.
         pairs: Vec<Pair>,
+        /// Whether keys after these are left out.
         more: bool,
+        /// Revision of the store at the read.
         store_revision: u64,
     },
+    /// The transaction's changes are made.
     Committed {
+        /// The revision that the changed keys have now.
         store_revision: u64,
     },
     /// The conditions on these keys did not hold; nothing was changed.
     Conflict {
+        /// The keys.
         failed: Vec<String>,
     },
+    /// The new lease.
     LeaseGranted(LeaseId),
+    /// The lease's life has started anew.
     LeaseRenewed,
-    /// The grant has ended.
+    /// The lease has expired.
     LeaseExpired,
+    /// Changes, oldest first; none if the wait ended without one.
     Events {
+        /// All changes up to this revision are reported.
         store_revision: u64,
+        /// The changes.
         events: Vec<Event>,
     },
-    /// The watch's start is too old: read the keys again.
+    /// The watch's start is too old: the keys have to be read again.
     TooOld,
     /// Not executed: over a rate limit, or the service is away.
     Refused,
@@ -114,162 +202,186 @@
     apply: Vec<Apply<'a>>,
 }
 
+#[derive(Deserialize)]
+struct PairBody<'a> {
+    k: String,
+    #[serde(borrow)]
+    v: &'a RawValue,
+    #[serde(rename = "stamp")]
+    revision: Revision,
+}
+
+#[derive(Deserialize)]
+struct PairsBody<'a> {
+    #[serde(borrow)]
+    pairs: Vec<PairBody<'a>>,
+    #[serde(default)]
+    more: bool,
+    #[serde(rename = "epoch")]
+    store_revision: u64,
+}
+
+#[derive(Deserialize)]
+struct RevisionBody {
+    #[serde(rename = "epoch")]
+    store_revision: u64,
+}
+
+#[derive(Deserialize)]
+struct ConflictBody {
+    #[serde(default)]
+    failed: Vec<String>,
+}
+
+#[derive(Deserialize)]
+struct LeaseBody {
+    #[serde(rename = "permit")]
+    lease: LeaseId,
+}
+
+#[derive(Deserialize)]
+struct EventBody<'a> {
+    #[serde(default)]
+    set: Option<String>,
+    #[serde(default, borrow)]
+    v: Option<&'a RawValue>,
+    #[serde(default)]
+    drop: Option<String>,
+    #[serde(rename = "stamp")]
+    revision: Revision,
+}
+
+#[derive(Deserialize)]
+struct EventsBody<'a> {
+    #[serde(rename = "epoch")]
+    store_revision: u64,
+    #[serde(default, borrow)]
+    news: Vec<EventBody<'a>>,
+}
+
 impl StoreRequest {
-    /// Method, path and body.
-    pub fn http(&self) -> (http::Method, String, Vec<u8>) {
-        use http::Method;
+    /// The request as it is sent.
+    pub fn http(&self) -> HttpRequest {
         match self {
-            StoreRequest::Get { key } => (Method::GET, format!("/kv/{key}"), Vec::new()),
+            StoreRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
             StoreRequest::Range { prefix, after, most } => {
-                let after = after.as_ref().map(|a| format!("&from={a}")).unwrap_or_default();
-                (Method::GET, format!("/kv?under={prefix}{after}&most={most}"), Vec::new())
+                let after = after.as_ref().map(|after| format!("&from={after}")).unwrap_or_default();
+                HttpRequest::get(format!("/kv?under={prefix}{after}&most={most}"))
             }
             StoreRequest::Commit { conditions, changes } => {
-                let mut raw = Vec::with_capacity(changes.len());
-                for change in changes {
-                    raw.push(match change {
-                        Change::Put { value, .. } => serde_json::from_str::<&RawValue>(value).ok(),
-                        Change::Delete { .. } => None,
-                    });
-                }
-                let apply = changes
-                    .iter()
-                    .zip(&raw)
-                    .map(|(change, raw)| match (change, raw) {
-                        (Change::Put { key, lease, .. }, Some(v)) => {
-                            Apply::Set { set: key, v, lease: *lease }
-                        }
-                        _ => Apply::Drop { drop: change.key() },
-                    })
-                    .collect();
-                let conditions = conditions.iter().map(|(k, s)| Condition { k, revision: *s }).collect();
-                let body = serde_json::to_vec(&Multi { conditions, apply }).unwrap_or_default();
-                (Method::POST, "/multi".into(), body)
+                HttpRequest::post("/multi", commit_body(conditions, changes))
             }
             StoreRequest::GrantLease { life_ms } => {
-                (Method::POST, "/grants".into(), format!("{{\"life_ms\":{life_ms}}}").into_bytes())
+                HttpRequest::post("/grants", format!("{{\"life_ms\":{life_ms}}}").into_bytes())
             }
             StoreRequest::RenewLease { lease } => {
-                (Method::POST, format!("/grants/{lease}/renew"), b"{}".to_vec())
+                HttpRequest::post(format!("/grants/{lease}/renew"), b"{}".to_vec())
             }
             StoreRequest::Watch { prefix, from, block_ms } => {
-                (Method::GET, format!("/watch?under={prefix}&from={from}&block_ms={block_ms}"), Vec::new())
+                HttpRequest::get(format!("/watch?under={prefix}&from={from}&block_ms={block_ms}"))
             }
         }
     }
 
     /// Reads the answer.
     pub fn reply(&self, status: u16, body: &[u8]) -> StoreReply {
-        #[derive(Deserialize)]
-        struct WirePair<'a> {
-            k: String,
-            #[serde(borrow)]
-            v: &'a RawValue,
-            #[serde(rename = "stamp")]
-            revision: Revision,
-        }
-        #[derive(Deserialize)]
-        struct Pairs<'a> {
-            #[serde(borrow)]
-            pairs: Vec<WirePair<'a>>,
-            #[serde(default)]
-            more: bool,
-            #[serde(rename = "epoch")]
-            store_revision: u64,
-        }
-        #[derive(Deserialize)]
-        struct StoreRevision {
-            #[serde(rename = "epoch")]
-            store_revision: u64,
-        }
-        #[derive(Deserialize)]
-        struct Failed {
-            #[serde(default)]
-            failed: Vec<String>,
-        }
-        #[derive(Deserialize)]
-        struct LeaseGranted {
-            #[serde(rename = "permit")]
-            lease: LeaseId,
-        }
-        #[derive(Deserialize)]
-        struct WireEvent<'a> {
-            #[serde(default)]
-            set: Option<String>,
-            #[serde(default, borrow)]
-            v: Option<&'a RawValue>,
-            #[serde(default)]
-            drop: Option<String>,
-            #[serde(rename = "stamp")]
-            revision: Revision,
-        }
-        #[derive(Deserialize)]
-        struct Events<'a> {
-            #[serde(rename = "epoch")]
-            store_revision: u64,
-            #[serde(default, borrow)]
-            news: Vec<WireEvent<'a>>,
+        // A body that can't be read leaves open what happened.
+        self.read_reply(status, body).unwrap_or(StoreReply::Unknown)
+    }
+
+    fn read_reply(&self, status: u16, body: &[u8]) -> Option<StoreReply> {
+        let Ok(status) = StatusCode::from_u16(status) else { return None };
+        match (self, status) {
+            (StoreRequest::Get { .. }, StatusCode::OK) => found(body),
+            (StoreRequest::Get { .. }, StatusCode::NOT_FOUND) => missing(body),
+            (StoreRequest::Range { .. }, StatusCode::OK) => pairs(body),
+            (StoreRequest::Commit { .. }, StatusCode::OK) => committed(body),
+            (StoreRequest::Commit { .. }, StatusCode::CONFLICT) => conflict(body),
+            (StoreRequest::Commit { .. }, StatusCode::BAD_REQUEST) if contains(body, EXPIRED_LEASE) => {
+                Some(StoreReply::LeaseExpired)
+            }
+            (StoreRequest::GrantLease { .. }, StatusCode::OK) => lease_granted(body),
+            (StoreRequest::RenewLease { .. }, StatusCode::OK) => Some(StoreReply::LeaseRenewed),
+            (StoreRequest::RenewLease { .. }, StatusCode::NOT_FOUND) => Some(StoreReply::LeaseExpired),
+            (StoreRequest::Watch { .. }, StatusCode::OK) => events(body),
+            (_, StatusCode::GONE) => Some(StoreReply::TooOld),
+            (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => Some(StoreReply::Refused),
+            (_, StatusCode::BAD_REQUEST) => Some(StoreReply::Malformed),
+            _ => None,
         }
-        fn pair(p: WirePair) -> Pair {
-            Pair { key: p.k, value: p.v.get().to_string(), revision: p.revision }
+    }
+}
+
+fn commit_body(conditions: &[(String, Revision)], changes: &[Change]) -> Vec<u8> {
+    let conditions = conditions.iter().map(|(key, revision)| Condition { k: key, revision: *revision });
+    let multi = Multi { conditions: conditions.collect(), apply: changes.iter().map(apply).collect() };
+    write(&multi)
+}
+
+/// A value that isn't JSON is written as a delete.
+fn apply(change: &Change) -> Apply<'_> {
+    if let Change::Put { key, value, lease } = change
+        && let Ok(value) = serde_json::from_str(value)
+    {
+        return Apply::Set { set: key, v: value, lease: *lease };
+    }
+    Apply::Drop { drop: change.key() }
+}
+
+fn found(body: &[u8]) -> Option<StoreReply> {
+    let pair: PairBody = serde_json::from_slice(body).ok()?;
+    Some(StoreReply::Found(pair.into()))
+}
+
+fn missing(body: &[u8]) -> Option<StoreReply> {
+    let RevisionBody { store_revision } = read(body)?;
+    Some(StoreReply::Missing { store_revision })
+}
+
+fn pairs(body: &[u8]) -> Option<StoreReply> {
+    let PairsBody { pairs, more, store_revision } = serde_json::from_slice(body).ok()?;
+    Some(StoreReply::Pairs { pairs: pairs.into_iter().map(Pair::from).collect(), more, store_revision })
+}
+
+fn committed(body: &[u8]) -> Option<StoreReply> {
+    let RevisionBody { store_revision } = read(body)?;
+    Some(StoreReply::Committed { store_revision })
+}
+
+fn conflict(body: &[u8]) -> Option<StoreReply> {
+    let ConflictBody { failed } = read(body)?;
+    Some(StoreReply::Conflict { failed })
+}
+
+fn lease_granted(body: &[u8]) -> Option<StoreReply> {
+    let LeaseBody { lease } = read(body)?;
+    Some(StoreReply::LeaseGranted(lease))
+}
+
+fn events(body: &[u8]) -> Option<StoreReply> {
+    let EventsBody { store_revision, news } = serde_json::from_slice(body).ok()?;
+    Some(StoreReply::Events { store_revision, events: news.into_iter().filter_map(event).collect() })
+}
+
+/// `None` for a kind of event that this version doesn't know.
+fn event(body: EventBody) -> Option<Event> {
+    match (body.set, body.v, body.drop) {
+        (Some(key), Some(value), _) => {
+            Some(Event::Put(Pair { key, value: value.get().to_string(), revision: body.revision }))
         }
-        // A body that can't be read leaves open what happened.
-        let read = || -> Option<StoreReply> {
-            Some(match (self, status) {
-                (StoreRequest::Get { .. }, 200) => {
-                    StoreReply::Found(pair(serde_json::from_slice(body).ok()?))
-                }
-                (StoreRequest::Get { .. }, 404) => StoreReply::Missing {
-                    store_revision: serde_json::from_slice::<StoreRevision>(body).ok()?.store_revision,
-                },
-                (StoreRequest::Range { .. }, 200) => {
-                    let p: Pairs = serde_json::from_slice(body).ok()?;
-                    let pairs = p.pairs.into_iter().map(pair).collect();
-                    StoreReply::Pairs { pairs, more: p.more, store_revision: p.store_revision }
-                }
-                (StoreRequest::Commit { .. }, 200) => StoreReply::Committed {
-                    store_revision: serde_json::from_slice::<StoreRevision>(body).ok()?.store_revision,
-                },
-                (StoreRequest::Commit { .. }, 409) => {
-                    StoreReply::Conflict { failed: serde_json::from_slice::<Failed>(body).ok()?.failed }
-                }
-                (StoreRequest::Commit { .. }, 400) if memmem(body, b"no such lease") => {
-                    StoreReply::LeaseExpired
-                }
-                (StoreRequest::GrantLease { .. }, 200) => {
-                    StoreReply::LeaseGranted(serde_json::from_slice::<LeaseGranted>(body).ok()?.lease)
-                }
-                (StoreRequest::RenewLease { .. }, 200) => StoreReply::LeaseRenewed,
-                (StoreRequest::RenewLease { .. }, 404) => StoreReply::LeaseExpired,
-                (StoreRequest::Watch { .. }, 200) => {
-                    let e: Events = serde_json::from_slice(body).ok()?;
-                    let events = e
-                        .news
-                        .into_iter()
-                        .filter_map(|n| match (n.set, n.v, n.drop) {
-                            (Some(key), Some(v), _) => Some(Event::Put(Pair {
-                                key,
-                                value: v.get().to_string(),
-                                revision: n.revision,
-                            })),
-                            (_, _, Some(key)) => Some(Event::Delete { key, revision: n.revision }),
-                            _ => None,
-                        })
-                        .collect();
-                    StoreReply::Events { store_revision: e.store_revision, events }
-                }
-                (_, 410) => StoreReply::TooOld,
-                (_, 429 | 503) => StoreReply::Refused,
-                (_, 400) => StoreReply::Malformed,
-                _ => return None,
-            })
-        };
-        read().unwrap_or(StoreReply::Unknown)
+        (_, _, Some(key)) => Some(Event::Delete { key, revision: body.revision }),
+        _ => None,
+    }
+}
+
+impl From<PairBody<'_>> for Pair {
+    fn from(body: PairBody<'_>) -> Self {
+        Self { key: body.k, value: body.v.get().to_string(), revision: body.revision }
     }
 }
 
-fn memmem(hay: &[u8], needle: &[u8]) -> bool {
-    hay.windows(needle.len()).any(|w| w == needle)
+fn contains(text: &[u8], part: &[u8]) -> bool {
+    text.windows(part.len()).any(|window| window == part)
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -1,14 +1,20 @@
-//! Users -> controller nodes.
+//! Users -> controller nodes: submissions, job status and errors.
 
+use super::read;
 use crate::jobs::{JobSpec, JobType, MAX_TASKS, Phase, Priority};
 use crate::types::{Duration, JobId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
+/// What job ids begin with; up to `MAX_ID_DIGITS` digits follow.
 const ID_PREFIX: &str = "req-";
+const MAX_ID_DIGITS: usize = 32;
 /// Larger amounts than any machine has; bounds what arithmetic on them can reach.
 const MAX_AMOUNT: f64 = 1e9;
+/// Longest name, in bytes.
 const MAX_NAME: usize = 128;
+/// Most machine types that a submission may list.
+const MAX_TYPES: usize = 64;
 
 #[derive(Serialize, Deserialize)]
 struct Submission {
@@ -57,10 +63,53 @@
     Idle,
 }
 
-/// Whether `id` has the form that all job ids have.
+impl From<WireShape> for JobType {
+    fn from(shape: WireShape) -> Self {
+        match shape {
+            WireShape::Array => JobType::Array,
+            WireShape::Ensemble => JobType::Gang,
+            WireShape::Daemon => JobType::Service,
+        }
+    }
+}
+
+impl From<JobType> for WireShape {
+    fn from(job_type: JobType) -> Self {
+        match job_type {
+            JobType::Array => WireShape::Array,
+            JobType::Gang => WireShape::Ensemble,
+            JobType::Service => WireShape::Daemon,
+        }
+    }
+}
+
+impl From<WireUrgency> for Priority {
+    fn from(urgency: WireUrgency) -> Self {
+        match urgency {
+            WireUrgency::Production => Priority::Production,
+            WireUrgency::Urgent => Priority::High,
+            WireUrgency::Normal => Priority::Normal,
+            WireUrgency::Idle => Priority::Low,
+        }
+    }
+}
+
+impl From<Priority> for WireUrgency {
+    fn from(priority: Priority) -> Self {
+        match priority {
+            Priority::Production => WireUrgency::Production,
+            Priority::High => WireUrgency::Urgent,
+            Priority::Normal => WireUrgency::Normal,
+            Priority::Low => WireUrgency::Idle,
+        }
+    }
+}
+
+/// The job id, if `id` has the form that all job ids have.
 pub fn job_id(id: &str) -> Option<JobId> {
     let digits = id.strip_prefix(ID_PREFIX)?;
-    ((1..=32).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())).then(|| id.into())
+    ((1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit()))
+        .then(|| id.into())
 }
 
 /// The id of a submission whose other fields may be anything: a repeat of an accepted job gets
@@ -70,95 +119,148 @@
     struct IdOnly {
         id: String,
     }
-    serde_json::from_slice::<IdOnly>(body).ok().and_then(|s| job_id(&s.id))
-}
-
-/// Reads a submission; the error says what is wrong with it.
-pub fn submission(body: &[u8]) -> Result<(JobId, JobSpec), String> {
-    let s: Submission = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let id = job_id(&s.id).ok_or("id: must look like req-000412")?;
-    let amount = |key: &str, v: f64, least: f64| {
-        if v.is_finite() && v >= least && v <= MAX_AMOUNT {
-            Ok(v)
-        } else {
-            Err(format!("{key}: must be a number from {least} to {MAX_AMOUNT}, is {v}"))
-        }
-    };
-    let name = |key: &str, v: &str| {
-        if v.is_empty() || v.len() > MAX_NAME {
-            Err(format!("{key}: must have 1 to {MAX_NAME} characters"))
-        } else {
-            Ok(())
-        }
-    };
-    name("job_class", &s.job_class)?;
-    name("owner", &s.owner)?;
-    name("bundle", &s.bundle)?;
-    if let Some(region) = &s.region {
-        name("region", region)?;
+    let submission: IdOnly = read(body)?;
+    job_id(&submission.id)
+}
+
+/// What is wrong with a submission. Its text, which begins with the field, is the answer to the user.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum SubmissionError {
+    /// The body is not JSON, or a field is missing or of the wrong type.
+    #[error("{0}")]
+    Body(String),
+    /// The id doesn't have the form of job ids.
+    #[error("id: must look like req-000412")]
+    Id,
+    /// A name is empty or too long.
+    #[error("{field}: must have 1 to {max} characters", max = MAX_NAME)]
+    Name {
+        /// The field with the name.
+        field: &'static str,
+    },
+    /// An amount is negative, too large or not finite.
+    #[error("{field}: must be a number from 0 to {max}, is {amount}", max = MAX_AMOUNT)]
+    Amount {
+        /// The field with the amount.
+        field: &'static str,
+        /// The amount.
+        amount: f64,
+    },
+    /// Too many machine types are listed.
+    #[error("flavors: at most {max}", max = MAX_TYPES)]
+    TypeCount,
+    /// The number of tasks is out of range.
+    #[error("shards: must be from 1 to {max}, is {0}", max = MAX_TASKS)]
+    TaskCount(u64),
+    /// A task needs no CPU.
+    #[error("vcpus: must be above 0, is {0}")]
+    NoCpus(f64),
+    /// The deadline lies before the submission.
+    #[error("due_s: must be above 0 or null")]
+    Deadline,
+    /// The dependencies are not a list of job ids.
+    #[error("awaits: must be a list of job ids like req-000412, or null")]
+    Dependencies,
+}
+
+/// Reads a submission.
+///
+/// # Errors
+/// The first thing that is wrong with it.
+pub fn submission(body: &[u8]) -> Result<(JobId, JobSpec), SubmissionError> {
+    let submission: Submission =
+        serde_json::from_slice(body).map_err(|error| SubmissionError::Body(error.to_string()))?;
+    let id = job_id(&submission.id).ok_or(SubmissionError::Id)?;
+    check_names(&submission)?;
+    check_ranges(&submission)?;
+    let needs = dependencies(&submission.awaits)?;
+    Ok((id, spec(submission, needs)?))
+}
+
+fn check_names(submission: &Submission) -> Result<(), SubmissionError> {
+    check_name("job_class", &submission.job_class)?;
+    check_name("owner", &submission.owner)?;
+    check_name("bundle", &submission.bundle)?;
+    if let Some(region) = &submission.region {
+        check_name("region", region)?;
     }
-    for flavor in s.flavors.iter().flatten() {
-        name("flavors", flavor)?;
+    for flavor in submission.flavors.iter().flatten() {
+        check_name("flavors", flavor)?;
     }
-    if s.flavors.as_ref().is_some_and(|f| f.len() > 64) {
-        return Err("flavors: at most 64".into());
+    Ok(())
+}
+
+fn check_name(field: &'static str, name: &str) -> Result<(), SubmissionError> {
+    let valid = (1..=MAX_NAME).contains(&name.len());
+    if valid { Ok(()) } else { Err(SubmissionError::Name { field }) }
+}
+
+fn check_ranges(submission: &Submission) -> Result<(), SubmissionError> {
+    if submission.flavors.as_ref().is_some_and(|flavors| flavors.len() > MAX_TYPES) {
+        return Err(SubmissionError::TypeCount);
     }
-    if s.shards == 0 || s.shards > MAX_TASKS {
-        return Err(format!("shards: must be from 1 to {MAX_TASKS}, is {}", s.shards));
+    if !(1..=MAX_TASKS).contains(&submission.shards) {
+        return Err(SubmissionError::TaskCount(submission.shards));
     }
-    if s.vcpus <= 0.0 {
-        return Err(format!("vcpus: must be above 0, is {}", s.vcpus));
+    if submission.vcpus <= 0.0 {
+        return Err(SubmissionError::NoCpus(submission.vcpus));
     }
-    if s.due_s.is_some_and(|d| d <= 0.0) {
-        return Err("due_s: must be above 0 or null".into());
+    if submission.due_s.is_some_and(|due_s| due_s <= 0.0) {
+        return Err(SubmissionError::Deadline);
     }
-    const NOT_IDS: &str = "awaits: must be a list of job ids like req-000412, or null";
-    let listed = match &s.awaits {
-        serde_json::Value::Null => &[][..],
-        value => value.as_array().ok_or(NOT_IDS)?,
-    };
-    let (mut needs, mut named) = (Vec::new(), BTreeSet::new());
-    for need in listed {
-        let need = need.as_str().and_then(job_id).ok_or(NOT_IDS)?;
-        if named.insert(need.clone()) {
-            needs.push(need);
+    Ok(())
+}
+
+/// The listed job ids, each once, in the order of the list.
+fn dependencies(awaits: &serde_json::Value) -> Result<Vec<JobId>, SubmissionError> {
+    if awaits.is_null() {
+        return Ok(Vec::new());
+    }
+    let mut dependencies = Vec::new();
+    let mut known = BTreeSet::new();
+    for id in awaits.as_array().ok_or(SubmissionError::Dependencies)? {
+        let id = id.as_str().and_then(job_id).ok_or(SubmissionError::Dependencies)?;
+        if known.insert(id.clone()) {
+            dependencies.push(id);
         }
     }
-    let span = |key: &str, v: f64| amount(key, v, 0.0).map(Duration::from_secs_f64);
-    let spec = JobSpec {
-        kind: s.job_class.as_str().into(),
-        team: s.owner.as_str().into(),
-        job_type: match s.shape {
-            WireShape::Array => JobType::Array,
-            WireShape::Ensemble => JobType::Gang,
-            WireShape::Daemon => JobType::Service,
-        },
-        priority: match s.urgency {
-            WireUrgency::Production => Priority::Production,
-            WireUrgency::Urgent => Priority::High,
-            WireUrgency::Normal => Priority::Normal,
-            WireUrgency::Idle => Priority::Low,
-        },
-        tasks: s.shards as u32,
+    Ok(dependencies)
+}
+
+fn spec(submission: Submission, needs: Vec<JobId>) -> Result<JobSpec, SubmissionError> {
+    Ok(JobSpec {
+        kind: submission.job_class.as_str().into(),
+        team: submission.owner.as_str().into(),
+        job_type: submission.shape.into(),
+        priority: submission.urgency.into(),
+        tasks: submission.shards as u32,
         resources: Resources {
-            cpus: amount("vcpus", s.vcpus, 0.0)?,
-            gpus: amount("accelerators", s.accelerators, 0.0)?,
-            memory_gb: amount("memory_gb", s.memory_gb, 0.0)?,
+            cpus: amount("vcpus", submission.vcpus)?,
+            gpus: amount("accelerators", submission.accelerators)?,
+            memory_gb: amount("memory_gb", submission.memory_gb)?,
         },
-        image: s.bundle.as_str().into(),
-        image_gb: amount("image_gb", s.image_gb, 0.0)?,
-        types: s.flavors.map(|f| f.iter().map(|t| t.as_str().into()).collect()),
-        zone: s.region.map(|z| z.as_str().into()),
-        together: s.together,
-        spread: s.spread,
-        spot: s.preemptible,
-        estimate: span("expected_s", s.expected_s)?,
-        checkpoint: span("snapshot_every_s", s.snapshot_every_s)?,
-        save: span("snapshot_s", s.snapshot_s)?,
-        deadline: s.due_s.map(|d| span("due_s", d)).transpose()?,
+        image: submission.bundle.as_str().into(),
+        image_gb: amount("image_gb", submission.image_gb)?,
+        types: submission.flavors.map(|flavors| flavors.iter().map(|name| name.as_str().into()).collect()),
+        zone: submission.region.map(|region| region.as_str().into()),
+        together: submission.together,
+        spread: submission.spread,
+        spot: submission.preemptible,
+        estimate: duration("expected_s", submission.expected_s)?,
+        checkpoint: duration("snapshot_every_s", submission.snapshot_every_s)?,
+        save: duration("snapshot_s", submission.snapshot_s)?,
+        deadline: submission.due_s.map(|due_s| duration("due_s", due_s)).transpose()?,
         needs,
-    };
-    Ok((id, spec))
+    })
+}
+
+fn amount(field: &'static str, amount: f64) -> Result<f64, SubmissionError> {
+    let valid = (0.0..=MAX_AMOUNT).contains(&amount);
+    if valid { Ok(amount) } else { Err(SubmissionError::Amount { field, amount }) }
+}
+
+fn duration(field: &'static str, seconds: f64) -> Result<Duration, SubmissionError> {
+    amount(field, seconds).map(Duration::from_secs_f64)
 }
 
 /// A submission as its user would send it, on one line.
@@ -167,17 +269,8 @@
         id: id.to_string(),
         job_class: spec.kind.to_string(),
         owner: spec.team.to_string(),
-        shape: match spec.job_type {
-            JobType::Array => WireShape::Array,
-            JobType::Gang => WireShape::Ensemble,
-            JobType::Service => WireShape::Daemon,
-        },
-        urgency: match spec.priority {
-            Priority::Production => WireUrgency::Production,
-            Priority::High => WireUrgency::Urgent,
-            Priority::Normal => WireUrgency::Normal,
-            Priority::Low => WireUrgency::Idle,
-        },
+        shape: spec.job_type.into(),
+        urgency: spec.priority.into(),
         shards: u64::from(spec.tasks),
         vcpus: spec.resources.cpus,
         accelerators: spec.resources.gpus,
@@ -195,7 +288,7 @@
         due_s: spec.deadline.map(Duration::as_secs_f64),
         awaits: match spec.needs.as_slice() {
             [] => serde_json::Value::Null,
-            needs => needs.iter().map(|n| n.as_str()).collect(),
+            needs => needs.iter().map(JobId::as_str).collect(),
         },
     };
     serde_json::to_string(&submission).unwrap_or_default()
@@ -211,23 +304,33 @@
     running: Option<u32>,
 }
 
+/// A job's status; `counts` are its tasks that are done and that run, where they are known.
 pub fn status(id: &JobId, phase: Phase, counts: Option<(u32, u32)>) -> String {
-    let phase = match phase {
+    let status = Status {
+        id: id.as_str(),
+        phase: phase_name(phase),
+        done: counts.map(|(done, _)| done),
+        running: counts.map(|(_, running)| running),
+    };
+    serde_json::to_string(&status).unwrap_or_default()
+}
+
+fn phase_name(phase: Phase) -> &'static str {
+    match phase {
         Phase::Pending => "pending",
         Phase::Running => "running",
         Phase::Done => "done",
         Phase::Cancelled => "withdrawn",
-    };
-    let status = Status { id: id.as_str(), phase, done: counts.map(|c| c.0), running: counts.map(|c| c.1) };
-    serde_json::to_string(&status).unwrap_or_default()
+    }
 }
 
-pub fn error(what: &str) -> String {
+/// An error's answer.
+pub fn error(message: &str) -> String {
     #[derive(Serialize)]
     struct Error<'a> {
         error: &'a str,
     }
-    serde_json::to_string(&Error { error: what }).unwrap_or_default()
+    serde_json::to_string(&Error { error: message }).unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -1,33 +1,49 @@
-//! Workers <-> controller nodes.
+//! Workers <-> controller nodes: heartbeats, their answers, and commands sent directly.
 
 use crate::types::{Attempt, FencingToken, JobId, MachineId, NodeName, TaskId, TypeName, WorkerEpoch, Zone};
 use pearford_heartbeat::HeartbeatPosition;
 use pearford_recovery::{ReportedState, TaskExit};
 use serde::{Deserialize, Serialize};
 
+/// The verb of a start command.
+const START: &str = "start";
+
+/// A worker's heartbeat, with the status of its machine and tasks.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Heartbeat {
+    /// The worker's machine.
     #[serde(rename = "host")]
     pub machine: MachineId,
+    /// Where the worker listens.
     pub addr: String,
+    /// The machine's type.
     #[serde(rename = "flavor")]
     pub type_name: TypeName,
+    /// The zone that the machine is in.
     #[serde(rename = "region")]
     pub zone: Zone,
+    /// Whether it is a spot machine.
     #[serde(rename = "preemptible", default)]
     pub spot: bool,
+    /// Which start of the worker this is.
     #[serde(rename = "tenure")]
     pub worker_epoch: WorkerEpoch,
+    /// Number of the heartbeat within the worker's epoch.
     pub serial: u64,
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "fence", default)]
     pub fencing_token: FencingToken,
+    /// Seconds until the cloud takes the machine back, once it has announced that.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
+    /// The tasks that the worker has, or had and was not yet told to forget.
     #[serde(rename = "shards", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// What a report says beside who made it and when in its life: what nodes tell one another of it.
+/// A heartbeat without the worker's identity and position: what nodes relay to each other.
+///
+/// Encoded with postcard: the order of the fields is part of the format.
 #[derive(Serialize, Deserialize)]
 struct Content {
     addr: String,
@@ -39,6 +55,7 @@
 }
 
 impl Heartbeat {
+    /// Where it stands in the order of all heartbeats of its machine.
     pub fn position(&self) -> HeartbeatPosition {
         HeartbeatPosition {
             worker_epoch: self.worker_epoch,
@@ -47,7 +64,7 @@
         }
     }
 
-    /// Its content, as nodes tell it one another.
+    /// Its content, as nodes relay it to each other.
     pub fn content(&self) -> Vec<u8> {
         let content = Content {
             addr: self.addr.clone(),
@@ -60,69 +77,85 @@
         postcard::to_stdvec(&content).unwrap_or_default()
     }
 
-    /// The report that had this content; none if it can't be read.
-    pub fn of(machine: &MachineId, at: HeartbeatPosition, content: &[u8]) -> Option<Self> {
-        let c: Content = postcard::from_bytes(content).ok()?;
+    /// The heartbeat of `machine` at `position` that had this content; `None` if the content can't be read.
+    pub fn from_content(machine: &MachineId, position: HeartbeatPosition, content: &[u8]) -> Option<Self> {
+        let content: Content = postcard::from_bytes(content).ok()?;
         Some(Self {
             machine: machine.clone(),
-            addr: c.addr,
-            type_name: c.type_name,
-            zone: c.zone,
-            spot: c.spot,
-            worker_epoch: at.worker_epoch,
-            serial: at.serial,
-            fencing_token: at.fencing_token,
-            notice_s: c.notice_s,
-            tasks: c.tasks,
+            addr: content.addr,
+            type_name: content.type_name,
+            zone: content.zone,
+            spot: content.spot,
+            worker_epoch: position.worker_epoch,
+            serial: position.serial,
+            fencing_token: position.fencing_token,
+            notice_s: content.notice_s,
+            tasks: content.tasks,
         })
     }
 }
 
+/// A task as its worker reports it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReportedTask {
     #[serde(rename = "shard")]
     task: String,
+    /// The attempt that it was started for.
     #[serde(rename = "try")]
     pub attempt: Attempt,
+    /// What it is doing.
     pub phase: TaskPhase,
+    /// Why it exited, if it has.
     #[serde(default)]
     pub cause: Option<Cause>,
+    /// Whether its last checkpoint was written before it was stopped.
     #[serde(rename = "kept", default)]
     pub saved: bool,
 }
 
 impl ReportedTask {
+    /// The task's id; `None` if it isn't one.
     pub fn task(&self) -> Option<TaskId> {
         TaskId::parse(&self.task)
     }
 
-    /// What it says of the task.
+    /// Its state, in the terms of reconciliation.
     pub fn reported_state(&self) -> ReportedState {
         match self.phase {
             TaskPhase::Fetching | TaskPhase::Other => ReportedState::Fetching,
             TaskPhase::Waiting => ReportedState::Waiting,
             TaskPhase::Running => ReportedState::Running,
             TaskPhase::Saving => ReportedState::Saving,
-            TaskPhase::Exited => ReportedState::Ended(match self.cause {
-                Some(Cause::Done) => TaskExit::Done,
-                Some(Cause::Error) => TaskExit::Failed,
-                Some(Cause::Stopped) => TaskExit::Stopped { saved: self.saved },
-                Some(Cause::Peers | Cause::Alone) => TaskExit::GangBroke,
-                Some(Cause::NoRoom) => TaskExit::NoRoom,
-                Some(Cause::Busy | Cause::Unknown | Cause::Other) | None => TaskExit::Refused,
-            }),
+            TaskPhase::Exited => ReportedState::Ended(self.exit()),
+        }
+    }
+
+    fn exit(&self) -> TaskExit {
+        match self.cause {
+            Some(Cause::Done) => TaskExit::Done,
+            Some(Cause::Error) => TaskExit::Failed,
+            Some(Cause::Stopped) => TaskExit::Stopped { saved: self.saved },
+            Some(Cause::Peers | Cause::Alone) => TaskExit::GangBroke,
+            Some(Cause::NoRoom) => TaskExit::NoRoom,
+            Some(Cause::Busy | Cause::Unknown | Cause::Other) | None => TaskExit::Refused,
         }
     }
 }
 
+/// What a task is doing on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
+    /// Its image is being fetched.
     Fetching,
+    /// It waits for the other tasks of its gang.
     Waiting,
+    /// It runs.
     Running,
+    /// It was told to stop, and writes a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
+    /// It has exited.
     #[serde(rename = "ended")]
     Exited,
     /// A phase this version does not know: counted as present.
@@ -130,28 +163,58 @@
     Other,
 }
 
+/// Why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
+    /// It finished its work.
     Done,
+    /// It was told to stop.
     Stopped,
+    /// It lost another task of its gang.
     Peers,
+    /// The other tasks of its gang did not start in time.
     #[serde(rename = "incomplete")]
     Alone,
+    /// It failed.
     Error,
+    /// The machine's free resources don't suffice for it.
     NoRoom,
+    /// The worker could not take it.
     Busy,
+    /// The worker does not know the task.
     Unknown,
-    /// A cause this version does not know: says nothing about the machine.
+    /// A cause this version does not know: does not count for or against the machine.
     #[serde(other)]
     Other,
 }
 
+/// A command to a worker about one attempt of a task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum WorkerCommand {
-    Start { task: TaskId, attempt: Attempt },
-    Stop { task: TaskId, attempt: Attempt, grace_s: f64 },
-    Forget { task: TaskId, attempt: Attempt },
+    /// Run the task.
+    Start {
+        /// The task.
+        task: TaskId,
+        /// The new attempt.
+        attempt: Attempt,
+    },
+    /// Stop the task.
+    Stop {
+        /// The task.
+        task: TaskId,
+        /// The attempt to stop.
+        attempt: Attempt,
+        /// How many seconds it may take to write a checkpoint.
+        grace_s: f64,
+    },
+    /// Leave an exited task out of heartbeats from now on.
+    Forget {
+        /// The task.
+        task: TaskId,
+        /// The attempt to forget.
+        attempt: Attempt,
+    },
 }
 
 #[derive(Serialize)]
@@ -164,18 +227,25 @@
     drain_s: Option<f64>,
 }
 
-impl WorkerCommand {
-    fn to_wire(&self) -> WireCommand {
-        let (verb, task, attempt, drain_s) = match self {
-            WorkerCommand::Start { task, attempt } => ("start", task, attempt, None),
-            WorkerCommand::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
-            WorkerCommand::Forget { task, attempt } => ("forget", task, attempt, None),
-        };
-        WireCommand { verb, shard: task.to_string(), attempt: *attempt, drain_s }
+impl WireCommand {
+    fn new(verb: &'static str, task: &TaskId, attempt: Attempt, drain_s: Option<f64>) -> Self {
+        Self { verb, shard: task.to_string(), attempt, drain_s }
+    }
+}
+
+impl From<&WorkerCommand> for WireCommand {
+    fn from(command: &WorkerCommand) -> Self {
+        match command {
+            WorkerCommand::Start { task, attempt } => Self::new(START, task, *attempt, None),
+            WorkerCommand::Stop { task, attempt, grace_s } => {
+                Self::new("stop", task, *attempt, Some(*grace_s))
+            }
+            WorkerCommand::Forget { task, attempt } => Self::new("forget", task, *attempt, None),
+        }
     }
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat, with the leader's fencing token.
 pub fn answer(fencing_token: FencingToken, commands: &[WorkerCommand]) -> String {
     #[derive(Serialize)]
     struct Answer {
@@ -184,59 +254,68 @@
         #[serde(rename = "orders")]
         commands: Vec<WireCommand>,
     }
-    let commands = commands.iter().map(WorkerCommand::to_wire).collect();
+    let commands = commands.iter().map(WireCommand::from).collect();
     serde_json::to_string(&Answer { fencing_token, commands }).unwrap_or_default()
 }
 
-/// A direct command.
+/// The body of commands sent directly to a worker. It ignores them in another epoch, or with a lower fencing token
+/// than it has seen.
 pub fn command(fencing_token: FencingToken, worker_epoch: WorkerEpoch, commands: &[WorkerCommand]) -> String {
     #[derive(Serialize)]
     struct Command {
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
-        tenure: WorkerEpoch,
+        #[serde(rename = "tenure")]
+        worker_epoch: WorkerEpoch,
         #[serde(rename = "orders")]
         commands: Vec<WireCommand>,
     }
-    let commands = commands.iter().map(WorkerCommand::to_wire).collect();
-    serde_json::to_string(&Command { fencing_token, tenure: worker_epoch, commands }).unwrap_or_default()
+    let commands = commands.iter().map(WireCommand::from).collect();
+    serde_json::to_string(&Command { fencing_token, worker_epoch, commands }).unwrap_or_default()
 }
 
-/// What is left of a direct command without the starts of jobs that are over.
+/// What is left of a direct command's body without the starts of finished jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Filtered {
-    AsItIs,
-    Without(String),
-    Nothing,
+    /// There was nothing to leave out.
+    Unchanged,
+    /// The body without these starts.
+    Reduced(String),
+    /// No command is left.
+    Empty,
 }
 
-/// Takes out of a direct command the starts of jobs that `over` names.
-pub fn without_starts(body: &str, over: impl Fn(&JobId) -> bool) -> Filtered {
+/// Leaves out of a direct command's body the starts of jobs that are `finished`.
+pub fn without_starts(body: &str, finished: impl Fn(&JobId) -> bool) -> Filtered {
+    // Most bodies start nothing, and are not parsed.
     if !body.contains("\"start\"") {
-        return Filtered::AsItIs;
+        return Filtered::Unchanged;
     }
-    let Ok(mut command) = serde_json::from_str::<serde_json::Value>(body) else { return Filtered::AsItIs };
-    let Some(commands) = command["orders"].as_array_mut() else { return Filtered::AsItIs };
-    let all = commands.len();
+    let Ok(mut command) = serde_json::from_str::<serde_json::Value>(body) else {
+        return Filtered::Unchanged;
+    };
+    let Some(commands) = command["orders"].as_array_mut() else { return Filtered::Unchanged };
+    let before = commands.len();
     commands.retain(|command| {
         let task = command["shard"].as_str().and_then(TaskId::parse);
-        command["verb"] != "start" || !task.is_some_and(|task| over(&task.job))
+        command["verb"] != START || !task.is_some_and(|task| finished(&task.job))
     });
     match commands.len() {
-        0 if all > 0 => Filtered::Nothing,
-        left if left < all => Filtered::Without(command.to_string()),
-        _ => Filtered::AsItIs,
+        0 if before > 0 => Filtered::Empty,
+        left if left < before => Filtered::Reduced(command.to_string()),
+        _ => Filtered::Unchanged,
     }
 }
 
-/// Sends a worker to the node that leads.
-pub fn redirect(master: Option<&NodeName>) -> String {
+/// Sends a worker to the leader, or to the node that it is to send its heartbeats to; without one it has to try
+/// another node.
+pub fn redirect(node: Option<&NodeName>) -> String {
     #[derive(Serialize)]
     struct Redirect<'a> {
-        #[serde(skip_serializing_if = "Option::is_none")]
-        master: Option<&'a str>,
+        #[serde(rename = "master", skip_serializing_if = "Option::is_none")]
+        node: Option<&'a str>,
     }
-    serde_json::to_string(&Redirect { master: master.map(NodeName::as_str) }).unwrap_or_default()
+    serde_json::to_string(&Redirect { node: node.map(NodeName::as_str) }).unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/wire/workers/golden.rs
+++ b/crates/scheduler/src/wire/workers/golden.rs
@@ -65,7 +65,8 @@
     for name in ["every field", "required fields", "phases", "causes"] {
         let heartbeat = heartbeat(name);
         group.both_ways(name, to_hex(&heartbeat.content()), |digits| {
-            let again = Heartbeat::of(&heartbeat.machine, heartbeat.position(), &from_hex(digits)?)?;
+            let again =
+                Heartbeat::from_content(&heartbeat.machine, heartbeat.position(), &from_hex(digits)?)?;
             assert_eq!(again.position(), heartbeat.position());
             assert_eq!(again.machine, heartbeat.machine);
             Some(to_hex(&again.content()))
@@ -86,7 +87,7 @@
     let mut group = golden_group!("answers_to_workers.txt");
     group.writes("answer to a report", answer(FencingToken(412), &commands));
     group.writes("answer to a report, no orders", answer(FencingToken(412), &[]));
-    let Filtered::Without(rest) = without_starts(&command, |job| *job == "req-000412".into()) else {
+    let Filtered::Reduced(rest) = without_starts(&command, |job| *job == "req-000412".into()) else {
         panic!("the start is taken out")
     };
     group.writes("direct command", command);
--- a/crates/scheduler/src/wire/workers/tests.rs
+++ b/crates/scheduler/src/wire/workers/tests.rs
@@ -1,21 +1,25 @@
 use super::*;
 
 #[test]
-fn reports_and_orders_match_the_protocol() {
-    let r: Heartbeat = serde_json::from_str(
+fn heartbeats_and_commands_match_the_protocol() {
+    let heartbeat: Heartbeat = serde_json::from_str(
             r#"{"host":"m-000231","addr":"10.1.0.232:9000","flavor":"g8","region":"a","preemptible":true,
             "tenure":1,"serial":88,"fence":41,"warning_s":null,"new_field":{},
             "shards":[{"shard":"req-000412/3","try":2,"phase":"running"},{"shard":"req-000398/0","try":1,"phase":"ended","cause":"done"},
             {"shard":"req-000399/0","try":1,"phase":"ended","cause":"no_room"},{"shard":"req-1/0","try":1,"phase":"dreaming"}]}"#,
         )
         .expect("valid");
-    assert_eq!(r.tasks[0].task(), TaskId::parse("req-000412/3"));
-    assert_eq!(r.tasks[1].cause, Some(Cause::Done));
-    assert_eq!(r.tasks[2].cause, Some(Cause::NoRoom));
-    assert_eq!(r.tasks[3].phase, TaskPhase::Other);
-    let told = Heartbeat::of(&r.machine, r.position(), &r.content()).expect("readable");
-    assert_eq!(format!("{told:?}"), format!("{r:?}"), "nodes tell one another all of it");
-    assert!(Heartbeat::of(&r.machine, r.position(), &r.content()[1..]).is_none_or(|t| t.tasks.len() != 4));
+    assert_eq!(heartbeat.tasks[0].task(), TaskId::parse("req-000412/3"));
+    assert_eq!(heartbeat.tasks[1].cause, Some(Cause::Done));
+    assert_eq!(heartbeat.tasks[2].cause, Some(Cause::NoRoom));
+    assert_eq!(heartbeat.tasks[3].phase, TaskPhase::Other);
+    let machine = &heartbeat.machine;
+    let position = heartbeat.position();
+    let content = heartbeat.content();
+    let relayed = Heartbeat::from_content(machine, position, &content).expect("readable");
+    assert_eq!(format!("{relayed:?}"), format!("{heartbeat:?}"), "nodes relay all of it");
+    let damaged = Heartbeat::from_content(machine, position, &content[1..]);
+    assert!(damaged.is_none_or(|heartbeat| heartbeat.tasks.len() != 4));
     let task = TaskId::parse("req-000412/4").expect("valid");
     let commands = [
         WorkerCommand::Start { task: task.clone(), attempt: Attempt(2) },
--- a/crates/scheduler/src/world/digest.rs
+++ b/crates/scheduler/src/world/digest.rs
@@ -79,13 +79,8 @@
         self.hasher.digest()
     }
 
-    fn request(
-        &mut self,
-        request_id: RequestId,
-        request: &(http::Method, String, Vec<u8>),
-        timeout: Duration,
-    ) {
-        let (method, path, body) = request;
+    fn request(&mut self, request_id: RequestId, request: &crate::wire::HttpRequest, timeout: Duration) {
+        let crate::wire::HttpRequest { method, path, body } = request;
         self.number(request_id.0);
         self.bytes(method.as_str().as_bytes());
         self.bytes(path.as_bytes());
