--- a/crates/pearford/src/shell.rs
+++ b/crates/pearford/src/shell.rs
@@ -11,8 +11,8 @@
 use pearford_scheduler::node::{Controller, Effect, Input, Method, Now};
 use pearford_scheduler::settings::{Peer, Settings};
 use pearford_scheduler::types::{self, MonotonicTime, NodeName, RequestId, WallTime};
-use pearford_scheduler::wire::MAX_BODY;
 use pearford_scheduler::wire::state::StoreReply;
+use pearford_scheduler::wire::{HttpRequest, MAX_BODY};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -97,7 +97,7 @@
     let (tx, mut inputs) = mpsc::channel::<Input>(QUEUE);
     let (requests, mut asked) = mpsc::channel::<Asked>(REQUESTS);
 
-    let mut left = settings.limits.max_connections - settings.limits.outward();
+    let mut left = settings.limits.max_connections - settings.limits.reserved_connections();
     let mut controller = Controller::new(settings.clone(), rand::random());
     for (slot, api) in nomad_apis.into_iter().enumerate() {
         let listener = TcpListener::bind(api.listen).await?;
@@ -126,7 +126,7 @@
         services: client(8),
         // Kept without use, thousands of them held half of all sockets.
         workers: client(0),
-        orders: Arc::new(Semaphore::new(settings.limits.commands())),
+        orders: Arc::new(Semaphore::new(settings.limits.max_concurrent_commands())),
         settings: settings.clone(),
         tx,
     };
@@ -216,7 +216,7 @@
         let (client, settings) = (&self.services, &self.settings);
         Some(match effect {
             Effect::Store { request_id, request, timeout } => {
-                let (method, path, body) = request.http();
+                let HttpRequest { method, path, body } = request.http();
                 let got = fetch(client, settings.state_addr, method, &path, body, timeout).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
@@ -226,7 +226,7 @@
                 Input::Store { request_id, reply }
             }
             Effect::Cloud { request_id, request, timeout } => {
-                let (method, path, body) = request.http();
+                let HttpRequest { method, path, body } = request.http();
                 let got = fetch(client, settings.cloud_addr, method, &path, body, timeout).await;
                 let reply = match got {
                     Some((status, body)) => request.reply(status, &body),
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -40,7 +40,7 @@
         deadline: Some(Duration::from_secs_f64(900.0)),
         needs: Vec::new(),
     };
-    Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), home: "n1".into() })
+    Arc::new(OpenJob { spec, submitted: WallTime(1_700_000_000_123), assigned_node: "n1".into() })
 }
 
 fn placement_outcomes() -> Vec<PlacementOutcome> {
@@ -171,7 +171,7 @@
     for text in golden("counts") {
         table.add_part(text.split_once(' ').expect("part and value").1).expect("read");
     }
-    let pair = |c: &SuccessCounts, l: &PlacementOutcome| c.pair(&l.machine, &l.kind);
+    let pair = |c: &SuccessCounts, l: &PlacementOutcome| c.get(&l.machine, &l.kind);
     assert!(placement_outcomes().iter().all(|l| pair(&table, l) == pair(&success_counts(), l)));
 }
 
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -36,7 +36,7 @@
     /// Jobs bound to a zone run in that zone.
     ZoneConstraint,
     /// A part of the handling of job dependencies.
-    JobGraph(graph::Guard),
+    JobGraph(graph::DependencyCheck),
     /// A part of the rules by which leases are renewed.
     LeaseRenewal(pearford_heartbeat::DisabledCheck),
     /// A feature is used only when every node understands it.
@@ -70,12 +70,12 @@
     /// Disables one check of this controller.
     pub fn disable_check(&mut self, check: DisabledCheck) {
         match check {
-            DisabledCheck::JobGraph(guard) => self.job_cache.take_out(guard),
+            DisabledCheck::JobGraph(check) => self.job_cache.disable(check),
             DisabledCheck::LeaseRenewal(check) => self.lease_renewal.disable(check),
             DisabledCheck::ClusterVersion => self.cluster_version.assume_current_level(),
             DisabledCheck::RelayFilter => self.injected_faults.relays_all_starts = true,
             DisabledCheck::ReadBeforeAnswer => {
-                self.pending_requests.read_begins();
+                self.pending_requests.begin_read();
                 self.job_records_read(ReadOutcome::Succeeded);
             }
             check => {
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -165,7 +165,7 @@
             peer_messages_dropped: 0,
             cluster_version,
             delegate: Delegate::new(settings.node.clone()),
-            lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.hold())),
+            lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.answer_window())),
             isolation_reporter: IsolationReporter::default(),
             deferred_heartbeats: VecDeque::new(),
             worker_turned_away_at: MonotonicTime::default(),
--- a/crates/scheduler/src/node/controller/operator_pages.rs
+++ b/crates/scheduler/src/node/controller/operator_pages.rs
@@ -2,6 +2,7 @@
 
 use super::Controller;
 use crate::cluster_version::NodeVersion;
+use crate::jobs::WaitingReason;
 use crate::node::leader::Leader;
 use crate::types::JobId;
 use serde::Serialize;
@@ -33,13 +34,13 @@
             format!("pearford_jobs_known {}", self.job_cache.len()),
             format!("pearford_state_requests_open {}", self.out.pending_count()),
             format!("pearford_peer_messages_dropped {}", self.peer_messages_dropped),
-            format!("pearford_records_unreadable {}", self.job_cache.unreadable()),
+            format!("pearford_records_unreadable {}", self.job_cache.unreadable_count()),
         ];
         for NodeVersion { node, level, version } in self.cluster_version.nodes() {
             lines.push(format!("pearford_node_level{{node=\"{node}\",version=\"{version}\"}} {level}"));
         }
         lines.push(format!("pearford_level_reached {}", self.cluster_version.reached()));
-        lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting()));
+        lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting_count()));
         let mut served = self.served.clone();
         if let Some(leader) = &self.leader {
             leader.metrics(&mut lines);
@@ -63,7 +64,7 @@
         waiting.take(MAX_WAITING_JOBS).map(|(id, waiting, reason)| WaitingJob {
             id: id.as_str(),
             waiting,
-            reason,
+            reason: reason.as_str(),
             awaits: Vec::new(),
         })
     }
@@ -75,8 +76,8 @@
             WaitingJob {
                 id: id.as_str(),
                 waiting: job.map_or(0, |job| job.spec.tasks),
-                reason: "jobs that it needs are not done",
-                awaits: graph.missing(id).into_iter().take(MAX_DEPENDENCIES_SHOWN).collect(),
+                reason: WaitingReason::Dependencies.as_str(),
+                awaits: graph.unfinished_dependencies(id).into_iter().take(MAX_DEPENDENCIES_SHOWN).collect(),
             }
         })
     }
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -120,15 +120,15 @@
     /// What is to be sent of a relayed command.
     fn filter_relayed(&self, fencing_token: FencingToken, body: String) -> Result<String, CommandFailure> {
         let filtered = self.without_finished_starts(&body);
-        if fencing_token < self.highest_fencing_token || filtered == Filtered::Nothing {
+        if fencing_token < self.highest_fencing_token || filtered == Filtered::Empty {
             return Err(CommandFailure::NotSent);
         }
         if self.relay.calls.len() >= MAX_RELAYED {
             return Err(CommandFailure::NoAnswer);
         }
         match filtered {
-            Filtered::Without(rest) => Ok(rest),
-            Filtered::AsItIs | Filtered::Nothing => Ok(body),
+            Filtered::Reduced(rest) => Ok(rest),
+            Filtered::Unchanged | Filtered::Empty => Ok(body),
         }
     }
 
@@ -137,7 +137,7 @@
     fn without_finished_starts(&self, body: &str) -> Filtered {
         #[cfg(any(test, feature = "world"))]
         if self.injected_faults.relays_all_starts {
-            return Filtered::AsItIs;
+            return Filtered::Unchanged;
         }
         workers::without_starts(body, |job: &JobId| self.job_cache.terminal_status(job).is_some())
     }
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -41,18 +41,19 @@
 
     pub(super) fn submit(&mut self, request: RequestId, body: &[u8]) {
         let Some(id) = users::submission_id(body) else {
-            let reason = users::submission(body).err().unwrap_or_else(|| "id: invalid".into());
+            let error = users::submission(body).err();
+            let reason = error.map_or_else(|| "id: invalid".into(), |error| error.to_string());
             return self.out.refuse(request, StatusCode::BAD_REQUEST, &reason);
         };
         let spec = match self.parse_submission(body) {
-            Err(reason) => Err(jobs::Refusal { status: 400, reason }),
+            Err(error) => Err(jobs::Refusal { status: StatusCode::BAD_REQUEST, reason: error.to_string() }),
             Ok(spec) => self.admission().check(&spec).map(|()| Box::new(spec)),
         };
         self.begin_request(request, id, UserRequest::Submit { spec });
     }
 
     /// The job that a submission describes; `Err` says what is wrong with it.
-    fn parse_submission(&self, body: &[u8]) -> Result<JobSpec, String> {
+    fn parse_submission(&self, body: &[u8]) -> Result<JobSpec, users::SubmissionError> {
         let (_, spec) = users::submission(body)?;
         #[cfg(any(test, feature = "world"))]
         let spec = self.injected_faults.filter_submission(spec);
@@ -91,8 +92,8 @@
             );
         }
         let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
-        let waiting = PendingRequest { request, id, ask: user_request, since: self.now, tries: 0 };
-        match &waiting.ask {
+        let waiting = PendingRequest { request, id, operation: user_request, since: self.now, retries: 0 };
+        match &waiting.operation {
             // Setting the key if absent decides by itself; no read is needed before. A dependency that this
             // node doesn't know may have been accepted by another one a moment ago.
             UserRequest::Submit { spec: Ok(spec) }
@@ -101,13 +102,13 @@
                 self.create(waiting);
             }
             UserRequest::Cancel if known => self.cancel(waiting),
-            _ => self.pending_requests.wait(waiting),
+            _ => self.pending_requests.push(waiting),
         }
     }
 
     /// Writes the record of a new job, on condition that there is none.
     fn create(&mut self, waiting: PendingRequest) {
-        let UserRequest::Submit { spec: Ok(spec) } = &waiting.ask else { return };
+        let UserRequest::Submit { spec: Ok(spec) } = &waiting.operation else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(
                 waiting.request,
@@ -146,7 +147,7 @@
     /// Refuses requests that have waited too long for a read.
     pub(super) fn refuse_overdue_requests(&mut self) {
         let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
-        for overdue in self.pending_requests.overdue(self.now, timeout) {
+        for overdue in self.pending_requests.take_timed_out(self.now, timeout) {
             self.out.refuse(
                 overdue.request,
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -157,7 +158,7 @@
 
     /// Goes on with the requests that waited for the read that has ended.
     pub(super) fn job_records_read(&mut self, outcome: ReadOutcome) {
-        for waiting in self.pending_requests.read_ends() {
+        for waiting in self.pending_requests.finish_read() {
             match outcome {
                 ReadOutcome::Succeeded => self.continue_request(waiting),
                 ReadOutcome::Failed => {
@@ -189,24 +190,24 @@
     }
 
     fn continue_for_open_job(&mut self, waiting: PendingRequest) {
-        if !matches!(waiting.ask, UserRequest::Cancel) {
+        if !matches!(waiting.operation, UserRequest::Cancel) {
             let counts = self.counts_of(&waiting.id).unwrap_or_default();
             let phase = if counts.running > 0 { Phase::Running } else { Phase::Pending };
             return self.answer_status(waiting.request, &waiting.id, phase, Some(counts));
         }
-        if waiting.tries >= MAX_CANCEL_RETRIES {
+        if waiting.retries >= MAX_CANCEL_RETRIES {
             return self.out.refuse(
                 waiting.request,
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the job is changing; come back",
             );
         }
-        self.cancel(PendingRequest { tries: waiting.tries + 1, ..waiting });
+        self.cancel(PendingRequest { retries: waiting.retries + 1, ..waiting });
     }
 
     fn continue_for_unknown_job(&mut self, waiting: PendingRequest) {
         let request = waiting.request;
-        match &waiting.ask {
+        match &waiting.operation {
             UserRequest::Submit { spec: Ok(spec) } => {
                 match self.admission().dependency_error(&waiting.id, spec) {
                     Some(error) => {
@@ -216,7 +217,7 @@
                 }
             }
             UserRequest::Submit { spec: Err(refusal) } => {
-                let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+                let status = refusal.status;
                 self.out.refuse(request, status, &refusal.reason);
             }
             UserRequest::Status | UserRequest::Cancel => {
@@ -237,8 +238,8 @@
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
                 self.out.answer(waiting.request, StatusCode::CREATED, users::status(&id, phase, None));
             }
-            StoreReply::Conflict { .. } if waiting.tries < MAX_SUBMIT_RETRIES => {
-                self.pending_requests.wait(PendingRequest { tries: waiting.tries + 1, ..waiting });
+            StoreReply::Conflict { .. } if waiting.retries < MAX_SUBMIT_RETRIES => {
+                self.pending_requests.push(PendingRequest { retries: waiting.retries + 1, ..waiting });
             }
             // Refused for good, as it would be at every further try.
             StoreReply::Malformed => {
@@ -262,7 +263,7 @@
                 tracing::info!(job = %id, "job cancelled");
                 self.answer_status(waiting.request, &id, Phase::Cancelled, None);
             }
-            StoreReply::Conflict { .. } => self.pending_requests.wait(waiting),
+            StoreReply::Conflict { .. } => self.pending_requests.push(waiting),
             _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
         }
     }
