--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -72,7 +72,7 @@
         let record_limit = self.settings.state.value_bytes;
         let mut open = Vec::new();
         for machine in self.machines.iter() {
-            // Commands to a zone that is cut off arrive when the cut is over, or never.
+            // Commands to a zone that is cut off arrive when the cut has ended, or never.
             if machine.status != MachineStatus::Up || self.isolation.is_cut(&machine.zone) {
                 continue;
             }
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -99,19 +99,19 @@
         machines: impl Iterator<Item = MachineId>,
         now: MonotonicTime,
     ) -> Option<PlannedCall> {
-        let due: Vec<MachineId> =
+        let to_release: Vec<MachineId> =
             machines.filter(|id| !self.releasing.contains(id)).take(RELEASES_PER_CALL).collect();
-        if due.is_empty() || !self.take_call(now) {
+        if to_release.is_empty() || !self.take_call(now) {
             return None;
         }
-        self.releasing.extend(due.iter().cloned());
+        self.releasing.extend(to_release.iter().cloned());
         Some(PlannedCall {
-            request: CloudRequest::Release { machines: due.clone() },
-            call: CloudCall::Release { machines: due },
+            request: CloudRequest::Release { machines: to_release.clone() },
+            call: CloudCall::Release { machines: to_release },
         })
     }
 
-    /// The return of the machine is over, done or failed.
+    /// The return of the machine has ended, done or failed.
     pub fn release_ended(&mut self, id: &MachineId) {
         self.releasing.remove(id);
     }
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -48,7 +48,7 @@
 impl CommitState {
     /// Nothing to write yet. Transactions hold the condition that the leader key has `fencing_token`.
     pub fn new(fencing_token: FencingToken, settings: &Settings, now: MonotonicTime) -> Self {
-        // Users seldom use their share, so the two overlap a little; what is over the limit is
+        // Users seldom use their share, so the two overlap a little; what exceeds the limit is
         // refused by the store and comes again.
         let own_share = 1.0 - settings.operator.user_write_share / 2.0;
         Self {
@@ -213,7 +213,11 @@
             StoreReply::Malformed => {
                 self.commits.not_before = retry_at;
                 if let Some(RefusedWrite { key, bytes }) = self.commits.pipeline.refused() {
-                    tracing::error!(key, bytes, "the state service refuses this value; left as it is stored");
+                    tracing::error!(
+                        key,
+                        bytes,
+                        "the key-value store refuses this value; left as it is stored"
+                    );
                     self.record_refused(&key, now);
                 }
             }
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -34,7 +34,7 @@
     /// A command goes straight to a worker.
     pub fn command_sent(&mut self, now: MonotonicTime) {
         if !std::mem::replace(&mut self.command_sent, true) {
-            self.log("first order", now);
+            self.log("first command", now);
         }
     }
 
@@ -52,7 +52,7 @@
 
     fn log(&self, phase: &str, now: MonotonicTime) {
         let after_ms = now.since(self.since).0;
-        tracing::info!(fencing_token = %self.fencing_token, after_ms, phase, "take-over");
+        tracing::info!(fencing_token = %self.fencing_token, after_ms, phase, "failover");
     }
 }
 
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -19,6 +19,7 @@
 mod heartbeats;
 mod isolation;
 mod job_changes;
+mod leadership_end;
 mod machine_health;
 mod machine_records;
 mod machines;
@@ -46,6 +47,7 @@
 
 pub(super) use delegation::is_enabled as heartbeats_delegated;
 pub(super) use isolation::PREFIX as ISOLATION_PREFIX;
+pub(super) use leadership_end::{LeadershipEnd, LeadershipLost, ResignReason};
 
 use super::catalogue::Catalogue;
 use super::outbox::{LeaderRequest, Outbox};
@@ -73,7 +75,6 @@
 use scheduling_rounds::SchedulingRounds;
 use state_loading::{RecordKind, RecordLoading};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::sync::Arc;
 use worker_commands::WorkerCalls;
 use write_budget::ArrayTurns;
@@ -111,62 +112,6 @@
     pub out: &'a mut Outbox,
 }
 
-/// How a leadership ends.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum LeadershipEnd {
-    /// It is lost already.
-    Lost(LeadershipLost),
-    /// The leader gives it back: another node may do better.
-    Resign(ResignReason),
-}
-
-/// How a leader learned that it leads no longer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum LeadershipLost {
-    /// A transaction failed by its condition on the leader key.
-    LeaderKeyChanged,
-}
-
-impl LeadershipLost {
-    /// The reason as operators read it.
-    pub const fn as_str(self) -> &'static str {
-        match self {
-            Self::LeaderKeyChanged => "the leader key has changed",
-        }
-    }
-}
-
-impl fmt::Display for LeadershipLost {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.as_str())
-    }
-}
-
-/// Why a leader gives its leadership back.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ResignReason {
-    /// It hears few workers while a peer hears some.
-    WorkersSilent,
-    /// Isolated nodes hear many more workers.
-    Outnumbered,
-}
-
-impl ResignReason {
-    /// The reason as operators read it.
-    pub const fn as_str(self) -> &'static str {
-        match self {
-            Self::WorkersSilent => "most workers are silent: the fault may be here",
-            Self::Outnumbered => "nodes that are apart from this one hear more workers",
-        }
-    }
-}
-
-impl fmt::Display for ResignReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.as_str())
-    }
-}
-
 /// Something to do again later.
 #[derive(Debug)]
 struct Delayed<T> {
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -186,7 +186,7 @@
         }
         if let Some(phase) = self.heartbeat_collection.heard(heard, all, now) {
             let after_ms = now.since(self.since).0;
-            tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "take-over");
+            tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "failover");
             self.capacity_version += 1;
         }
     }
