--- a/crates/pearford/src/main.rs
+++ b/crates/pearford/src/main.rs
@@ -1,21 +1,26 @@
+//! The `pearford` program: its command line, and the start of a node. The settings files are read by [`files`], the
+//! node runs in [`runtime`], and `pearford nomad` is [`nomad`].
 #![forbid(unsafe_code)]
 
 mod files;
 #[cfg(test)]
 mod golden;
 mod nomad;
-mod shell;
+mod runtime;
 
 use clap::{Args, Parser, Subcommand};
 use files::Loaded;
 use pearford_nomad::api::NomadApi;
 use pearford_nomad::operator::NomadSettings;
+use runtime::ExtensionListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How much longer than the longest query an answer of a door may take.
-const ANSWER_SLACK_S: f64 = 10.0;
+/// Exit code for settings that are not valid.
+const INVALID_SETTINGS: u8 = 2;
+/// How much longer than the longest blocking query an answer of the Nomad API may take, in seconds.
+const ANSWER_MARGIN_S: f64 = 10.0;
 
 /// A cluster scheduler: takes jobs from users, rents machines, and runs the jobs' tasks on them.
 ///
@@ -53,41 +58,39 @@
 }
 
 impl Files {
+    /// Reads and checks the files; the faults go to standard error.
     fn load(&self) -> Result<Loaded, ExitCode> {
-        files::load(&self.config, self.operator.as_deref()).map_err(|faults| {
-            faults.iter().for_each(|fault| eprintln!("pearford: {fault}"));
-            ExitCode::from(2)
-        })
+        files::load(&self.config, self.operator.as_deref()).map_err(|faults| invalid_settings("", &faults))
     }
 }
 
-fn main() -> ExitCode {
-    match Cli::parse().command {
-        Command::Check(files) => match files.load() {
-            Ok(Loaded { settings, .. }) => {
-                println!("settings are valid: node {}, {} peers", settings.node, settings.peers.len());
-                ExitCode::SUCCESS
-            }
-            Err(code) => code,
-        },
-        Command::Nomad(command) => nomad::run(command),
-        Command::Serve(files) => match files.load() {
-            Ok(loaded) => serve(loaded),
-            Err(code) => code,
-        },
+/// Prints the faults of the settings, each after `prefix`, and gives the exit code.
+fn invalid_settings(prefix: &str, faults: &[String]) -> ExitCode {
+    for fault in faults {
+        eprintln!("pearford: {prefix}{fault}");
     }
+    ExitCode::from(INVALID_SETTINGS)
+}
+
+fn main() -> ExitCode {
+    let outcome = match Cli::parse().command {
+        Command::Check(files) => files.load().map(|loaded| check(&loaded)),
+        Command::Nomad(command) => Ok(nomad::run(command)),
+        Command::Serve(files) => files.load().map(serve),
+    };
+    outcome.unwrap_or_else(|code| code)
+}
+
+/// `pearford check`, once the files have been found valid.
+fn check(loaded: &Loaded) -> ExitCode {
+    let settings = &loaded.settings;
+    println!("settings are valid: node {}, {} peers", settings.node, settings.peers.len());
+    ExitCode::SUCCESS
 }
 
+/// `pearford serve`: runs a node until its process is killed.
 fn serve(loaded: Loaded) -> ExitCode {
-    let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
-    let filter = tracing_subscriber::EnvFilter::try_new(format!("off,pearford={level}"))
-        .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("off,pearford=info"));
-    tracing_subscriber::fmt()
-        .with_env_filter(filter)
-        .with_writer(std::io::stderr)
-        .with_ansi(false)
-        .with_target(false)
-        .init();
+    start_logging();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -95,14 +98,12 @@
             return ExitCode::FAILURE;
         }
     };
-    let nomad_apis = match loaded.nomad.map(nomad_api).transpose() {
-        Ok(api) => api.flatten().into_iter().collect(),
-        Err(faults) => {
-            faults.iter().for_each(|fault| eprintln!("pearford: nomad.{fault}"));
-            return ExitCode::from(2);
-        }
+    let nomad_listener = match loaded.nomad.map(nomad_listener).transpose() {
+        Ok(listener) => listener.flatten(),
+        Err(faults) => return invalid_settings("nomad.", &faults),
     };
-    match runtime.block_on(shell::run(loaded.settings, nomad_apis)) {
+    let extension_listeners = nomad_listener.into_iter().collect();
+    match runtime.block_on(runtime::run(loaded.settings, extension_listeners)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!(
@@ -113,13 +114,26 @@
     }
 }
 
-/// Nomad's door, if it is to listen anywhere.
-fn nomad_api(settings: NomadSettings) -> Result<Option<shell::NomadApi>, Vec<String>> {
+/// Logs the workspace's own events to standard error, at the level of the environment's `LOG_LEVEL`.
+fn start_logging() {
+    let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
+    let filter = tracing_subscriber::EnvFilter::try_new(format!("off,pearford={level}"))
+        .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("off,pearford=info"));
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false)
+        .init();
+}
+
+/// The listener of the Nomad API, if the settings give it an address.
+fn nomad_listener(settings: NomadSettings) -> Result<Option<ExtensionListener>, Vec<String>> {
     let Some(listen) = settings.listen else { return Ok(None) };
-    Ok(Some(shell::NomadApi {
+    Ok(Some(ExtensionListener {
         listen,
-        connections: settings.max_connections,
-        timeout: Duration::from_secs_f64(settings.max_wait_s + ANSWER_SLACK_S),
-        feature: Box::new(NomadApi::new(settings)?),
+        max_connections: settings.max_connections,
+        answer_timeout: Duration::from_secs_f64(settings.max_wait_s + ANSWER_MARGIN_S),
+        extension: Box::new(NomadApi::new(settings)?),
     }))
 }
--- /dev/null
+++ b/crates/pearford/src/runtime/peer_links.rs
@@ -0,0 +1,121 @@
+//! Connections between nodes: length-delimited frames over TCP, one connection for each direction.
+//!
+//! Delivery isn't guaranteed. What can't be sent is dropped: every message is repeated by its sender, or void soon.
+
+use super::{ACCEPT_RETRY_DELAY, CONNECT_TIMEOUT};
+use bytes::Bytes;
+use futures_util::{SinkExt, StreamExt};
+use pearford_scheduler::node::Input;
+use pearford_scheduler::partitions;
+use pearford_scheduler::settings::Peer;
+use pearford_scheduler::types::NodeName;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Semaphore, mpsc};
+use tokio_util::codec::{Framed, LengthDelimitedCodec};
+
+/// Messages that may wait for one peer; later ones are dropped.
+const QUEUE_LENGTH: usize = 64;
+/// The longest message, in bytes.
+const MAX_FRAME_BYTES: usize = 1024 * 1024;
+/// Peers send every second: a connection that is silent for this long is dead.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long sending one message may take before the connection is given up.
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two attempts to connect to a peer.
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
+
+type PeerConnection = Framed<TcpStream, LengthDelimitedCodec>;
+
+/// The outgoing connections to all peers.
+pub(super) struct PeerLinks {
+    queues: HashMap<NodeName, mpsc::Sender<Vec<u8>>>,
+}
+
+impl PeerLinks {
+    /// Starts a task for each peer that keeps a connection to it.
+    pub(super) fn open(peers: &[Peer]) -> Self {
+        let queues = peers.iter().map(|peer| (peer.name.clone(), open_link(peer.clone()))).collect();
+        Self { queues }
+    }
+
+    /// Queues a message for a peer, or drops it if too many wait. Messages to unknown nodes are dropped too.
+    pub(super) fn send(&self, to: &NodeName, message: Vec<u8>) {
+        if let Some(queue) = self.queues.get(to)
+            && queue.try_send(message).is_err()
+        {
+            tracing::debug!(peer = %to, "message dropped: too many wait");
+        }
+    }
+}
+
+fn open_link(peer: Peer) -> mpsc::Sender<Vec<u8>> {
+    let (sender, queue) = mpsc::channel(QUEUE_LENGTH);
+    tokio::spawn(keep_connected(peer, queue));
+    sender
+}
+
+/// Keeps one connection to a peer, until nobody can queue messages for it any more.
+async fn keep_connected(peer: Peer, mut queue: mpsc::Receiver<Vec<u8>>) {
+    loop {
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer.addr)).await;
+        if let Ok(Ok(stream)) = connected {
+            // Without it messages are only delayed.
+            let _ = stream.set_nodelay(true);
+            send_queued(framed(stream), &mut queue).await;
+        }
+        // What was queued while there was no connection is out of date.
+        while queue.try_recv().is_ok() {}
+        if queue.is_closed() {
+            return;
+        }
+        tokio::time::sleep(RECONNECT_DELAY).await;
+    }
+}
+
+/// Sends messages until one can't be sent in time, or the queue is closed.
+async fn send_queued(mut connection: PeerConnection, queue: &mut mpsc::Receiver<Vec<u8>>) {
+    while let Some(message) = queue.recv().await {
+        let sent = tokio::time::timeout(SEND_TIMEOUT, connection.send(Bytes::from(message))).await;
+        if !matches!(sent, Ok(Ok(()))) {
+            return;
+        }
+    }
+}
+
+/// Accepts peers' connections, at most `max_connections` at a time, and hands their messages to `inputs`.
+pub(super) async fn serve(listener: TcpListener, max_connections: usize, inputs: mpsc::Sender<Input>) {
+    let connections = Arc::new(Semaphore::new(max_connections));
+    loop {
+        let Ok(permit) = connections.clone().acquire_owned().await else { return };
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        let inputs = inputs.clone();
+        tokio::spawn(async move {
+            receive(framed(stream), inputs).await;
+            drop(permit);
+        });
+    }
+}
+
+/// Receives messages until the connection ends, fails or is idle for too long.
+async fn receive(mut connection: PeerConnection, inputs: mpsc::Sender<Input>) {
+    while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE_TIMEOUT, connection.next()).await {
+        let Some(envelope) = partitions::decode(&frame) else {
+            tracing::debug!("a peer's message was not understood");
+            continue;
+        };
+        if inputs.send(Input::Peer(envelope)).await.is_err() {
+            return;
+        }
+    }
+}
+
+fn framed(stream: TcpStream) -> PeerConnection {
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+    Framed::new(stream, codec)
+}
--- /dev/null
+++ b/crates/pearford/src/runtime/store_client.rs
@@ -0,0 +1,28 @@
+//! Calls to the key-value store.
+
+use super::http_client::HttpClient;
+use pearford_scheduler::types::Duration;
+use pearford_scheduler::wire::state::{StoreReply, StoreRequest};
+use std::net::SocketAddr;
+
+/// Sends requests to the key-value store.
+#[derive(Clone)]
+pub(super) struct StoreClient {
+    /// Connections, shared with the cloud's client.
+    pub(super) http: HttpClient,
+    /// The store's address.
+    pub(super) addr: SocketAddr,
+}
+
+impl StoreClient {
+    /// Makes one request. Without a response in time the reply is [`StoreReply::Unknown`]: a write may have happened.
+    pub(super) async fn call(&self, request: &StoreRequest, timeout: Duration) -> StoreReply {
+        let (method, path, body) = request.http();
+        let reply = match self.http.send(self.addr, method, &path, body, timeout).await {
+            Some(response) => request.reply(response.status, &response.body),
+            None => StoreReply::Unknown,
+        };
+        tracing::debug!(?request, ?reply, "state");
+        reply
+    }
+}
