--- a/crates/scheduler/src/world/days/directed.rs
+++ b/crates/scheduler/src/world/days/directed.rs
@@ -1,4 +1,4 @@
-//! Days that bring about one meeting of troubles each. `docs/design/meetings.md` has the rows.
+//! Days that bring about one meeting of troubles each. `docs/design/combined_failures.md` has the rows.
 
 use super::ordinary::{cut_zone, day};
 use super::{DAY_ENDS, TROUBLE_ENDS};
--- a/crates/scheduler/src/world/days/meetings.rs
+++ b/crates/scheduler/src/world/days/meetings.rs
@@ -5,7 +5,7 @@
 use crate::world::{Event, Fault, Host, Leader, NODES, World, job};
 use rand::RngExt;
 
-/// The rows of `docs/design/meetings.md`.
+/// The rows of `docs/design/combined_failures.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trouble {
     HeldOrders,
--- a/crates/scheduler/src/world/directed.rs
+++ b/crates/scheduler/src/world/directed.rs
@@ -1,5 +1,5 @@
 //! Each meeting of troubles by itself: a day that brings it about, a count that shows that it took place, and the guard
-//! whose removal the day notices. `docs/design/meetings.md` has the rows.
+//! whose removal the day notices. `docs/design/combined_failures.md` has the rows.
 
 #![cfg(test)]
 
