--- a/crates/nomad/src/api/tests/golden.rs
+++ b/crates/nomad/src/api/tests/golden.rs
@@ -5,7 +5,7 @@
 use super::{api, call, job};
 use pearford_scheduler::extension::{Call, Verb};
 use pearford_scheduler::golden_group;
-use pearford_scheduler::world::World;
+use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
 /// Names by which the caller's own words appear in answers as members: not part of the shape.
@@ -29,7 +29,7 @@
 }
 
 /// The body of the answer to `call`, which must have this status.
-fn answer(w: &mut World, call: Call, status: u16) -> String {
+fn answer(w: &mut Simulation, call: Call, status: u16) -> String {
     w.answers.clear();
     let what = call.path.clone();
     w.call(0, 9, call);
@@ -40,14 +40,14 @@
     answer.body.clone()
 }
 
-fn read(w: &mut World, path: &str) -> Value {
+fn read(w: &mut Simulation, path: &str) -> Value {
     let body = answer(w, call(Verb::Get, path, "namespace=red", &Value::Null), 200);
     serde_json::from_str(&body).expect("JSON")
 }
 
 /// A world in which a service of two replicas runs.
-fn with_a_service() -> World {
-    let mut w = World::new(5).with_feature(api);
+fn with_a_service() -> Simulation {
+    let mut w = Simulation::new(5).with_feature(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
     answer(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &service), 200);
--- a/crates/nomad/src/api/tests/histories.rs
+++ b/crates/nomad/src/api/tests/histories.rs
@@ -7,8 +7,8 @@
 use crate::api::names::{Head, NAMES, NameHash};
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::jobs::Record;
-use pearford_scheduler::world::days::{DAY_ENDS, troubles};
-use pearford_scheduler::world::{Answered, Event, Fault, NODES, World};
+use pearford_scheduler::simulation::days::{DAY_ENDS, troubles};
+use pearford_scheduler::simulation::{Answered, Event, Fault, NODES, Simulation};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -47,7 +47,7 @@
 }
 
 struct Play {
-    w: World,
+    w: Simulation,
     rng: StdRng,
     users: Vec<User>,
     tag: u64,
@@ -104,8 +104,8 @@
 }
 
 impl Play {
-    fn new(seed: u64, faults: impl FnOnce(&mut World)) -> Self {
-        let mut w = World::new(seed).with_feature(api);
+    fn new(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Self {
+        let mut w = Simulation::new(seed).with_feature(api);
         faults(&mut w);
         let mut rng = StdRng::seed_from_u64(seed);
         let users = users(&mut rng);
@@ -339,14 +339,14 @@
     }
 }
 
-fn day(seed: u64, faults: impl FnOnce(&mut World)) -> Play {
+fn day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Play {
     let mut play = Play::new(seed, faults);
     play.run(DAY_ENDS);
     play.check_end();
     play
 }
 
-fn holds(seed: u64, faults: impl FnOnce(&mut World)) -> Play {
+fn holds(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Play {
     let play = day(seed, faults);
     assert!(play.w.rules.broken.is_empty(), "seed {seed}: {:?}", play.w.rules.broken);
     assert!(play.broken.is_empty(), "seed {seed}: {}", play.broken.join("\n"));
--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -3,12 +3,12 @@
 use super::{api, call, job};
 use arbtest::arbtest;
 use pearford_scheduler::extension::{Call, Verb};
-use pearford_scheduler::world::World;
+use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
 /// A world with a leader, a job, and no more that happens by itself.
-fn world() -> World {
-    let mut w = World::new(77).with_feature(api);
+fn world() -> Simulation {
+    let mut w = Simulation::new(77).with_feature(api);
     w.run_until(6_000);
     w.call(
         0,
@@ -21,7 +21,7 @@
 }
 
 /// Sends a call and gives its status.
-fn answered(w: &mut World, call: Call) -> u16 {
+fn answered(w: &mut Simulation, call: Call) -> u16 {
     w.answers.clear();
     w.call(0, 2, call);
     let until = w.now + 4_000;
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -5,10 +5,10 @@
 use crate::api::requests::{Ask, Page, Query};
 use pearford_scheduler::assignments::MachineRecord;
 use pearford_scheduler::extension::{MachinePage, RecordedMachine, Verb};
-use pearford_scheduler::world::World;
+use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
-fn ask(w: &mut World, node: usize, path: &str, query: &str) -> (u16, Value, Option<u32>) {
+fn ask(w: &mut Simulation, node: usize, path: &str, query: &str) -> (u16, Value, Option<u32>) {
     w.answers.clear();
     w.call(node, 9, call(Verb::Get, path, query, &Value::Null));
     let until = w.now + 900;
@@ -19,7 +19,7 @@
 
 #[test]
 fn every_node_lists_the_machines_that_hold_tasks_and_what_they_hold() {
-    let mut w = World::new(5).with_feature(api);
+    let mut w = Simulation::new(5).with_feature(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
     w.call(0, 1, call(Verb::Post, "/v1/jobs", "namespace=red", &service));
@@ -59,7 +59,7 @@
 /// Each read may bring half a megabyte of records to a small node.
 #[test]
 fn machines_are_read_a_few_times_a_second_at_most() {
-    let mut w = World::new(5).with_feature(api);
+    let mut w = Simulation::new(5).with_feature(api);
     w.run_until(6_000);
     for tag in 0..50 {
         w.call(0, tag, call(Verb::Get, "/v1/nodes", "", &Value::Null));
--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -7,10 +7,10 @@
 use crate::translate::Context;
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::node::Method;
+use pearford_scheduler::simulation::days::{DAY_ENDS, troubles};
+use pearford_scheduler::simulation::{NODES, Simulation};
 use pearford_scheduler::types::MachineId;
 use pearford_scheduler::wire::users;
-use pearford_scheduler::world::days::{DAY_ENDS, troubles};
-use pearford_scheduler::world::{NODES, World};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -78,7 +78,7 @@
     troubled: bool,
     spoil: fn(&mut Value),
 ) -> Vec<(u64, String, MachineId)> {
-    let mut w = World::new(seed).with_feature(api);
+    let mut w = Simulation::new(seed).with_feature(api);
     if troubled {
         troubles(&mut w);
     }
--- a/crates/nomad/src/api/tests/rollouts.rs
+++ b/crates/nomad/src/api/tests/rollouts.rs
@@ -4,12 +4,12 @@
 use crate::api::guards::{Guard, without};
 use crate::api::names::{Ended, Head, NameHash};
 use pearford_scheduler::extension::Verb;
-use pearford_scheduler::world::{Event, Fault, World};
+use pearford_scheduler::simulation::{Event, Fault, Simulation};
 use serde_json::{Value, json};
 
 /// A service under way from file 0 to file 1.
 struct Rollout {
-    w: World,
+    w: Simulation,
     name: &'static str,
     /// Fewest and most replicas that were up at once since the roll began.
     fewest: usize,
@@ -38,7 +38,8 @@
     }
 
     fn begin(seed: u64, count: u32, edit: impl Fn(&mut Value)) -> Self {
-        let mut roll = Rollout { w: World::new(seed).with_feature(api), name: "quotes", fewest: 0, most: 0 };
+        let mut roll =
+            Rollout { w: Simulation::new(seed).with_feature(api), name: "quotes", fewest: 0, most: 0 };
         roll.w.run_until(6_000);
         let job = roll.file(count, 0, &edit);
         assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
--- a/crates/scheduler/examples/simulation_digest.rs
+++ b/crates/scheduler/examples/simulation_digest.rs
@@ -2,13 +2,13 @@
 //! A change that is to leave the scheduler's behaviour as it is leaves the output as it is.
 //!
 //! ```text
-//! cargo run --release -p pearford-scheduler --features world --example simulation_digest -- [SEEDS] [THREADS] [slow]
+//! cargo run --release -p pearford-scheduler --features simulation --example simulation_digest -- [SEEDS] [THREADS] [slow]
 //! ```
 //!
 //! `SEEDS` is how many days of each kind are played (3; a third of that where days take seconds), `THREADS` on how many threads (4);
 //! with `slow`, kinds of which a day takes minutes are played too.
 
-use pearford_scheduler::world::days::kinds::{self, DayKind};
+use pearford_scheduler::simulation::days::kinds::{self, DayKind};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/scheduler/src/cluster_version/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -231,7 +231,7 @@
     }
 
     /// Fault injection: takes the current level as reached although not every node announced it.
-    #[cfg(any(test, feature = "world"))]
+    #[cfg(any(test, feature = "simulation"))]
     pub(crate) fn assume_current_level(&mut self) {
         self.reached = CURRENT;
     }
--- a/crates/scheduler/src/jobs/cache.rs
+++ b/crates/scheduler/src/jobs/cache.rs
@@ -35,7 +35,7 @@
     /// Jobs whose record can't be read, and its revision.
     unreadable: BTreeMap<JobId, Revision>,
     /// Ignores records of jobs with dependencies, as the version before dependencies does.
-    #[cfg(any(test, feature = "world"))]
+    #[cfg(any(test, feature = "simulation"))]
     pub(crate) skip_dependent: bool,
 }
 
@@ -70,7 +70,7 @@
     }
 
     /// Disables a check, to prove that the simulation's rules notice its absence.
-    #[cfg(any(test, feature = "world"))]
+    #[cfg(any(test, feature = "simulation"))]
     pub(crate) fn disable(&mut self, check: graph::DependencyCheck) {
         self.graph.disabled_check = Some(check);
     }
@@ -148,7 +148,7 @@
     /// Takes in a stored pair, if its key is that of a job record.
     pub fn learn_pair(&mut self, pair: &Pair) {
         let Some(id) = pair.key.strip_prefix(PREFIX) else { return };
-        #[cfg(any(test, feature = "world"))]
+        #[cfg(any(test, feature = "simulation"))]
         if self.skip_dependent && pair.value.starts_with("{\"dependent\"") {
             return;
         }
--- a/crates/scheduler/src/jobs/graph.rs
+++ b/crates/scheduler/src/jobs/graph.rs
@@ -32,12 +32,12 @@
     /// The jobs that wait for a job, whether that one is known or not.
     dependents: BTreeMap<JobId, Vec<JobId>>,
     /// A check that is disabled, to prove that the simulation's rules notice its absence.
-    #[cfg(any(test, feature = "world"))]
+    #[cfg(any(test, feature = "simulation"))]
     pub(crate) disabled_check: Option<DependencyCheck>,
 }
 
 /// A check that a simulation can disable.
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DependencyCheck {
     /// Jobs wait for what they need.
@@ -49,7 +49,7 @@
 impl Graph {
     /// Whether the job waits for others, or is cancelled with one.
     pub fn is_blocked(&self, id: &JobId) -> bool {
-        #[cfg(any(test, feature = "world"))]
+        #[cfg(any(test, feature = "simulation"))]
         if self.disabled_check == Some(DependencyCheck::Order) {
             return false;
         }
@@ -142,7 +142,7 @@
 
     /// Cancels `id` and all that need it, directly or through others. Gives these, and the jobs that they need.
     fn cancel(&mut self, id: &JobId) -> Vec<JobId> {
-        #[cfg(any(test, feature = "world"))]
+        #[cfg(any(test, feature = "simulation"))]
         if self.disabled_check == Some(DependencyCheck::Cancellation) {
             return Vec::new();
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod election;
 pub mod extension;
 pub mod gangs;
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 pub mod golden;
 pub mod jobs;
 pub mod node;
@@ -19,7 +19,7 @@
 pub mod preemption;
 pub mod rate_limit;
 pub mod settings;
+#[cfg(any(test, feature = "simulation"))]
+pub mod simulation;
 pub mod wire;
 pub mod workers;
-#[cfg(any(test, feature = "world"))]
-pub mod world;
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -15,7 +15,7 @@
 //! - `extensions`: the features beside the core.
 
 mod extensions;
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 mod fault_injection;
 mod fencing_tokens;
 mod heartbeats;
@@ -27,7 +27,7 @@
 mod store_replies;
 mod users;
 
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 pub use fault_injection::DisabledCheck;
 
 use super::catalogue::Catalogue;
@@ -124,7 +124,7 @@
     catalogue: Catalogue,
     extensions: Vec<ExtensionSlot>,
     /// Faults that the simulation has injected here.
-    #[cfg(any(test, feature = "world"))]
+    #[cfg(any(test, feature = "simulation"))]
     injected_faults: fault_injection::InjectedFaults,
 }
 
@@ -172,7 +172,7 @@
             relay: Relay::default(),
             catalogue: Catalogue::default(),
             extensions: Vec::new(),
-            #[cfg(any(test, feature = "world"))]
+            #[cfg(any(test, feature = "simulation"))]
             injected_faults: fault_injection::InjectedFaults::default(),
             settings,
         }
@@ -280,7 +280,7 @@
     }
 
     fn tick_cluster_version(&mut self) {
-        #[cfg(any(test, feature = "world"))]
+        #[cfg(any(test, feature = "simulation"))]
         if self.injected_faults.previous_version {
             return;
         }
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -135,7 +135,7 @@
     /// A command without the starts of finished jobs: this node may have answered a user that a job is cancelled
     /// before the leader has learned of it.
     fn without_finished_starts(&self, body: &str) -> Filtered {
-        #[cfg(any(test, feature = "world"))]
+        #[cfg(any(test, feature = "simulation"))]
         if self.injected_faults.relays_all_starts {
             return Filtered::Unchanged;
         }
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -55,7 +55,7 @@
     /// The job that a submission describes; `Err` says what is wrong with it.
     fn parse_submission(&self, body: &[u8]) -> Result<JobSpec, users::SubmissionError> {
         let (_, spec) = users::submission(body)?;
-        #[cfg(any(test, feature = "world"))]
+        #[cfg(any(test, feature = "simulation"))]
         let spec = self.injected_faults.filter_submission(spec);
         Ok(spec)
     }
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -72,7 +72,7 @@
     }
 
     /// Forgets all reports, for the simulation.
-    #[cfg(any(test, feature = "world"))]
+    #[cfg(any(test, feature = "simulation"))]
     pub fn forget_reports(&mut self) {
         self.reports = IsolationReports::default();
     }
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -14,7 +14,7 @@
 mod cloud_calls;
 mod commits;
 mod delegation;
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 mod fault_injection;
 mod heartbeats;
 mod isolation;
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -15,7 +15,7 @@
 mod prefix_watcher;
 
 pub use self::controller::Controller;
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 pub use self::controller::DisabledCheck;
 
 use crate::extension::Call;
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -128,7 +128,7 @@
 }
 
 /// A valid platform file, for tests.
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 pub(crate) const SAMPLE: &str = include_str!("sample.toml");
 
 #[cfg(test)]
--- a/crates/scheduler/src/world/bad_records.rs
+++ b/crates/scheduler/src/simulation/bad_records.rs
@@ -17,7 +17,7 @@
     for (n, bad) in BAD.iter().enumerate() {
         let seed = 9_200 + n as u64;
         let w = run(seed, unreadable_job_record(seed, bad));
-        assert_eq!(w.rules.verdict("req-000000"), Some("done"), "{bad}");
+        assert_eq!(w.rules.terminal_status("req-000000"), Some("done"), "{bad}");
     }
 }
 
--- a/crates/scheduler/src/world/looks.rs
+++ b/crates/scheduler/src/simulation/close_reads.rs
@@ -1,20 +1,20 @@
 //! Users who look closely: at all nodes within milliseconds, with repeats and cancellations; and who ask oddly.
 
-use super::{Asker, Event, Host, Method, Stage, World, job};
+use super::{Asker, Event, Host, Method, Simulation, Stage, job};
 use crate::types::JobId;
 use rand::RngExt;
 use serde_json::{Value, json};
 
 /// A request beside a user's own, at one node.
 #[derive(Debug, Clone)]
-pub struct Look {
+pub struct CloseRead {
     pub node: usize,
     pub id: String,
-    pub ask: LookAsk,
+    pub ask: CloseReadRequest,
 }
 
 #[derive(Debug, Clone)]
-pub enum LookAsk {
+pub enum CloseReadRequest {
     Status,
     /// The submission again, as it was or with a fault in it.
     Repeat(String),
@@ -23,7 +23,7 @@
     AdmissionError(Option<String>),
 }
 
-impl World {
+impl Simulation {
     pub fn count(&mut self, meeting: &'static str) {
         *self.met.entry(meeting).or_default() += 1;
     }
@@ -46,26 +46,33 @@
     }
 
     /// Sends a request; one that finds nobody is not sent again.
-    pub fn look(&mut self, look: Look) {
-        let before = self.rules.known(&look.id);
-        let (method, path, body) = match &look.ask {
-            LookAsk::Status | LookAsk::AdmissionError(None) => {
-                (Method::Get, format!("/submissions/{}", look.id), String::new())
+    pub fn close_read(&mut self, close_read: CloseRead) {
+        let before = self.rules.known(&close_read.id);
+        let (method, path, body) = match &close_read.ask {
+            CloseReadRequest::Status | CloseReadRequest::AdmissionError(None) => {
+                (Method::Get, format!("/submissions/{}", close_read.id), String::new())
             }
-            LookAsk::Repeat(body) | LookAsk::AdmissionError(Some(body)) => {
+            CloseReadRequest::Repeat(body) | CloseReadRequest::AdmissionError(Some(body)) => {
                 (Method::Post, "/submissions".to_string(), body.clone())
             }
-            LookAsk::Cancel => {
-                self.rules.asked_to_withdraw(&look.id);
-                (Method::Post, format!("/submissions/{}/withdraw", look.id), String::new())
+            CloseReadRequest::Cancel => {
+                self.rules.asked_to_cancel(&close_read.id);
+                (Method::Post, format!("/submissions/{}/withdraw", close_read.id), String::new())
             }
         };
-        self.request(look.node, Asker::Look { look, before }, Host::User, method, path, body);
+        self.request(
+            close_read.node,
+            Asker::CloseRead { close_read, before },
+            Host::User,
+            method,
+            path,
+            body,
+        );
     }
 
-    pub fn look_answer(
+    pub fn close_read_answer(
         &mut self,
-        look: Look,
+        close_read: CloseRead,
         before: &super::rules::Known,
         node: usize,
         status: u16,
@@ -73,47 +80,47 @@
     ) {
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let phase = value["phase"].as_str().unwrap_or_default();
-        if let LookAsk::AdmissionError(asked) = &look.ask {
+        if let CloseReadRequest::AdmissionError(asked) = &close_read.ask {
             if !matches!(status, 400 | 404 | 422 | 429 | 503) {
                 let what = asked.as_ref().map_or("asked about", |_| "submitted");
-                self.rules.fail(self.now, format!("accepted: {} was {what} and got {status}", look.id));
+                self.rules.fail(self.now, format!("accepted: {} was {what} and got {status}", close_read.id));
             }
             return;
         }
-        self.count(match (before.accepted, &before.verdict, &look.ask) {
+        self.count(match (before.accepted, &before.terminal_status, &close_read.ask) {
             (_, Some(_), _) => "a look after the verdict",
-            (true, None, LookAsk::Repeat(_)) => "a repeat after the acceptance",
+            (true, None, CloseReadRequest::Repeat(_)) => "a repeat after the acceptance",
             (true, None, _) => "a look after the acceptance",
             _ => "a look before any answer",
         });
         let was = self.rules.broken.len();
-        let repeat = matches!(look.ask, LookAsk::Repeat(_));
-        self.rules.answered(self.now, &look.id, before, repeat, status, phase);
+        let repeat = matches!(close_read.ask, CloseReadRequest::Repeat(_));
+        self.rules.answered(self.now, &close_read.id, before, repeat, status, phase);
         if self.rules.broken.len() > was {
             let now = self.now;
-            self.rules.fail(now, format!("(that was a look: {look:?}, answered by node {node})"));
+            self.rules.fail(now, format!("(that was a look: {close_read:?}, answered by node {node})"));
         }
     }
 
     /// Asks about a user's job at every node, twice, within milliseconds.
-    pub fn look_closely(&mut self, user: usize, _why: &str) {
+    pub fn read_closely(&mut self, user: usize, _why: &str) {
         let (id, body) = (self.users[user].id.clone(), self.users[user].body.clone());
         for node in 0..self.nodes.len() {
             for _ in 0..2 {
                 let ask = match self.rng.random_range(0..10) {
-                    0..3 => LookAsk::Repeat(body.to_string()),
-                    3 => LookAsk::Repeat(self.spoil(&body)),
-                    4 if self.rng.random_bool(0.2) => LookAsk::Cancel,
-                    _ => LookAsk::Status,
+                    0..3 => CloseReadRequest::Repeat(body.to_string()),
+                    3 => CloseReadRequest::Repeat(self.corrupt(&body)),
+                    4 if self.rng.random_bool(0.2) => CloseReadRequest::Cancel,
+                    _ => CloseReadRequest::Status,
                 };
                 let ms = self.rng_ms(0, 30);
-                self.after(ms, Event::Look(Look { node, id: id.clone(), ask }));
+                self.after(ms, Event::CloseRead(CloseRead { node, id: id.clone(), ask }));
             }
         }
     }
 
     /// The same submission with a fault in it: a repeat gets the job's state whatever it says.
-    fn spoil(&mut self, body: &Value) -> String {
+    fn corrupt(&mut self, body: &Value) -> String {
         let mut body = body.clone();
         match self.rng.random_range(0..5) {
             0 => body["shards"] = json!(-1),
@@ -134,8 +141,8 @@
             return;
         }
         let Some(user) = self.users.iter().position(|u| u.id == id) else { return };
-        if self.close_looks {
-            self.look_closely(user, "ended");
+        if self.close_reads {
+            self.read_closely(user, "ended");
         }
         if self.cancel_at_end > 0.0
             && self.users[user].stage == Stage::Polling
@@ -148,7 +155,7 @@
 
     fn call_off(&mut self, user: usize, within: u64) {
         let at = self.now + self.rng_ms(0, within);
-        self.users[user].withdraw_at = Some(at);
+        self.users[user].cancel_at = Some(at);
         self.at(at, Event::User(user));
     }
 
@@ -158,7 +165,7 @@
             self.workers.iter().position(at)
         };
         let running: Vec<(usize, usize)> = (0..self.users.len())
-            .filter(|u| self.users[*u].stage == Stage::Polling && self.users[*u].withdraw_at.is_none())
+            .filter(|u| self.users[*u].stage == Stage::Polling && self.users[*u].cancel_at.is_none())
             .filter_map(|u| Some((u, runs(&self.users[u].id)?)))
             .take(count)
             .collect();
@@ -187,13 +194,13 @@
         match (self.rng.random_range(0..3), any) {
             (0, Some(u)) => {
                 let (id, body) = (self.users[u].id.clone(), self.users[u].body.clone());
-                let ask = LookAsk::Repeat(self.spoil(&body));
-                self.look(Look { node, id, ask });
+                let ask = CloseReadRequest::Repeat(self.corrupt(&body));
+                self.close_read(CloseRead { node, id, ask });
             }
-            (1, Some(u)) if self.rules.verdict(&self.users[u].id) == Some("done") => {
+            (1, Some(u)) if self.rules.terminal_status(&self.users[u].id) == Some("done") => {
                 let id = self.users[u].id.clone();
                 self.count("a cancellation of what is done");
-                self.look(Look { node, id, ask: LookAsk::Cancel });
+                self.close_read(CloseRead { node, id, ask: CloseReadRequest::Cancel });
             }
             _ => {
                 self.odd_ids += 1;
@@ -202,7 +209,7 @@
                 let id = body["id"].as_str().unwrap_or_default().to_string();
                 let asked = match self.odd_ids % 6 {
                     0 => None,
-                    1 => Some(self.spoil(&body)).filter(|b| !b.contains("padding")),
+                    1 => Some(self.corrupt(&body)).filter(|b| !b.contains("padding")),
                     2 => {
                         body["accelerators"] = json!(64.0);
                         Some(body.to_string())
@@ -222,7 +229,7 @@
                     }
                 };
                 self.count("an impossible request");
-                self.look(Look { node, id, ask: LookAsk::AdmissionError(asked) });
+                self.close_read(CloseRead { node, id, ask: CloseReadRequest::AdmissionError(asked) });
             }
         }
     }
--- a/crates/scheduler/src/world/cloud.rs
+++ b/crates/scheduler/src/simulation/cloud.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the cloud.
 
-use super::{Event, Host, Input, World};
+use super::{Event, Host, Input, Simulation};
 use crate::types::{MachineId, RequestId};
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine, MachinePhase, MachineType};
 use rand::RngExt;
@@ -48,7 +48,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn cloud_request(&mut self, from: usize, life: u64, request_id: RequestId, request: CloudRequest) {
         let reply = if self.cloud.outage { CloudReply::Refused } else { self.cloud_answer(request) };
         self.send(
--- a/crates/scheduler/src/world/meetings.rs
+++ b/crates/scheduler/src/simulation/combined_faults.rs
@@ -2,13 +2,13 @@
 
 #![cfg(test)]
 
-use super::days::meetings::meeting_day;
+use super::days::combined_faults::meeting_day;
 use super::days::ordinary::day;
 use super::days::{DAY_ENDS, TROUBLE_ENDS};
-use super::gap::of_seeds;
+use super::isolated_leader::of_seeds;
 use super::recovery::seeds;
 use super::tests::run;
-use super::{NODES, World};
+use super::{NODES, Simulation};
 use crate::node::{Controller, DisabledCheck, Method};
 use serde_json::json;
 
@@ -16,7 +16,7 @@
 const UNANSWERED: u64 = 75_000;
 
 /// Every job that was accepted is answered for, and its record is there.
-pub(super) fn nobody_forgotten(w: &World) -> Option<String> {
+pub(super) fn nobody_forgotten(w: &Simulation) -> Option<String> {
     let accepted = w.users.iter().filter(|u| w.rules.accepted(&u.id));
     let mut wrong = accepted.filter_map(|u| {
         let silent = DAY_ENDS.saturating_sub(u.answered_at.max(TROUBLE_ENDS));
@@ -53,16 +53,16 @@
     fn done_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::TaskCompletion);
     }
-    let broken = |spoil: &(dyn Fn(&mut World) + Sync)| {
+    let broken = |corrupt: &(dyn Fn(&mut Simulation) + Sync)| {
         of_seeds(4_000..4_032, |seed| {
             let (mut w, _) = meeting_day(seed);
-            spoil(&mut w);
+            corrupt(&mut w);
             w.run_until(DAY_ENDS);
             w.rules.broken.first().cloned()
         })
     };
-    assert!(!broken(&|w| w.sabotage = Some(forget_silent)).is_empty(), "silence taken for proof");
-    assert!(!broken(&|w| w.sabotage = Some(done_early)).is_empty(), "done told early");
+    assert!(!broken(&|w| w.injected_fault = Some(forget_silent)).is_empty(), "silence taken for proof");
+    assert!(!broken(&|w| w.injected_fault = Some(done_early)).is_empty(), "done told early");
     assert!(!broken(&|w| w.state.careless = true).is_empty(), "late transactions without conditions");
 }
 
--- a/crates/scheduler/src/world/days/bad_records.rs
+++ b/crates/scheduler/src/simulation/days/bad_records.rs
@@ -2,14 +2,14 @@
 
 use super::ordinary::day;
 use crate::node::Method;
-use crate::world::{Event, Fault, NODES, World, job};
+use crate::simulation::{Event, Fault, NODES, Simulation, job};
 use serde_json::{Value, json};
 
 pub const BAD: [&str; 5] = ["{\"open\":{\"spec\":7}}", "torn {", "{\"later\":{\"form\":2}}", "", "[]"];
 
 /// A long job's record becomes unreadable while it runs, all nodes begin anew, and the record is put back later.
-pub fn unreadable_job_record(seed: u64, bad: &str) -> World {
-    let mut w = World::new(seed);
+pub fn unreadable_job_record(seed: u64, bad: &str) -> Simulation {
+    let mut w = Simulation::new(seed);
     let mut body = job(0, "array", 2);
     body["expected_s"] = 30.0.into();
     w.add_user(1_000, body, None);
@@ -38,8 +38,8 @@
 }
 
 /// Two machines' records become unreadable while they work and reach nobody, and all nodes begin anew.
-pub fn unreadable_machine_records(seed: u64, bad: &str) -> World {
-    let mut w = World::new(seed);
+pub fn unreadable_machine_records(seed: u64, bad: &str) -> Simulation {
+    let mut w = Simulation::new(seed);
     w.keeps_images = true;
     for k in 0..6 {
         let mut body = job(k, "array", 2);
@@ -67,7 +67,7 @@
 }
 
 /// Records that are whole JSON and say what nobody can have stored; all nodes begin anew and are asked for them.
-pub fn impossible_job_records(seed: u64) -> World {
+pub fn impossible_job_records(seed: u64) -> Simulation {
     let mut w = day(seed, |w| w.add_user(1_000, job(50, "array", 2), None));
     w.run_until(10_000);
     let good: Value = serde_json::from_str(w.state.key("j/req-000050").expect("accepted")).expect("whole");
@@ -94,7 +94,7 @@
 }
 
 /// A report with the same task twice, one of a job nobody submitted, and names that are none.
-pub fn contradicting_reports(seed: u64) -> World {
+pub fn contradicting_reports(seed: u64) -> Simulation {
     let mut w = day(seed, |_| {});
     w.run_until(12_000);
     let leader = w.leader().expect("somebody leads");
--- a/crates/scheduler/src/world/days/meetings.rs
+++ b/crates/scheduler/src/simulation/days/combined_faults.rs
@@ -2,7 +2,7 @@
 
 use super::TROUBLE_ENDS;
 use super::ordinary::day;
-use crate::world::{Event, Fault, Host, Leader, NODES, World, job};
+use crate::simulation::{Event, Fault, Host, Leader, NODES, Simulation, job};
 use rand::RngExt;
 
 /// The rows of `docs/design/combined_failures.md`.
@@ -22,7 +22,7 @@
     CalledOffAtEnd,
     Mute,
     OddRequests,
-    CloseLooks,
+    CloseReads,
     LostAnswers,
     CopiesForNext,
     FastBoots,
@@ -43,14 +43,14 @@
     Trouble::CalledOffAtEnd,
     Trouble::Mute,
     Trouble::OddRequests,
-    Trouble::CloseLooks,
+    Trouble::CloseReads,
     Trouble::LostAnswers,
     Trouble::CopiesForNext,
     Trouble::FastBoots,
 ];
 
 /// Brings a trouble about from `from` to `to` at the latest.
-fn bring(w: &mut World, trouble: Trouble, from: u64, to: u64) {
+fn bring(w: &mut Simulation, trouble: Trouble, from: u64, to: u64) {
     let fault = Event::Fault;
     match trouble {
         Trouble::HeldOrders => {
@@ -128,9 +128,9 @@
             w.at(from, fault(Fault::OddRequests(true)));
             w.at(to, fault(Fault::OddRequests(false)));
         }
-        Trouble::CloseLooks => {
-            w.at(from, fault(Fault::CloseLooks(true)));
-            w.at(to, fault(Fault::CloseLooks(false)));
+        Trouble::CloseReads => {
+            w.at(from, fault(Fault::CloseReads(true)));
+            w.at(to, fault(Fault::CloseReads(false)));
         }
         Trouble::LostAnswers => {
             let share = w.rng.random_range(0.1..0.5);
@@ -156,7 +156,7 @@
 }
 
 /// A day on which two troubles overlap, twice, while at least three machines fail.
-pub fn meeting_day(seed: u64) -> (World, Vec<Trouble>) {
+pub fn meeting_day(seed: u64) -> (Simulation, Vec<Trouble>) {
     let mut met = Vec::new();
     let w = day(seed, |w| {
         w.keeps_images = true;
--- a/crates/scheduler/src/world/days/directed.rs
+++ b/crates/scheduler/src/simulation/days/directed.rs
@@ -3,30 +3,30 @@
 use super::ordinary::{cut_zone, day};
 use super::{DAY_ENDS, TROUBLE_ENDS};
 use crate::node::{Controller, DisabledCheck};
-use crate::world::{Event, Fault, Host, Leader, NODES, World, job};
+use crate::simulation::{Event, Fault, Host, Leader, NODES, Simulation, job};
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
 use rand::RngExt;
 
 /// A meeting: its day, what must have taken place, and a guard that its day needs.
 pub struct Row {
     pub name: &'static str,
-    pub day: fn(u64) -> World,
+    pub day: fn(u64) -> Simulation,
     /// What must have taken place, and how often at least over the seeds.
     pub met: &'static [(&'static str, u64)],
-    pub without: fn(&mut World),
+    pub without: fn(&mut Simulation),
 }
 
-fn at(w: &mut World, ms: u64, fault: Fault) {
+fn at(w: &mut Simulation, ms: u64, fault: Fault) {
     w.at(ms, Event::Fault(fault));
 }
 
-fn from_to(w: &mut World, from: u64, to: u64, on: Fault, off: Fault) {
+fn from_to(w: &mut Simulation, from: u64, to: u64, on: Fault, off: Fault) {
     at(w, from, on);
     at(w, to, off);
 }
 
 /// Leaders end every so often, and are back within a fraction of a second on every second seed.
-fn leaders_end(w: &mut World, seed: u64, from: u64, to: u64, every: u64) {
+fn leaders_end(w: &mut Simulation, seed: u64, from: u64, to: u64, every: u64) {
     w.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     let mut ms = from;
     while ms < to {
@@ -36,7 +36,7 @@
 }
 
 /// Several machines fail, in different ways.
-fn machines_fail(w: &mut World, n: usize) {
+fn machines_fail(w: &mut Simulation, n: usize) {
     for k in 0..n {
         let (ms, long) = (w.rng_ms(8_000, 75_000), w.rng.random_range(3_000..30_000).min(14_000));
         let fault = [Fault::MachineDies, Fault::MachineHangs(long), Fault::MachineDeaf(long)][k % 3].clone();
@@ -45,7 +45,7 @@
 }
 
 /// Jobs of one or two tasks that come all along, some of which are called off.
-fn stream(w: &mut World, first: usize, jobs: usize, to: u64, called_off: f64) {
+fn stream(w: &mut Simulation, first: usize, jobs: usize, to: u64, called_off: f64) {
     for n in first..first + jobs {
         let tasks = w.rng.random_range(1..3);
         let mut body = job(n, "array", tasks);
@@ -57,33 +57,33 @@
     }
 }
 
-fn close_looks(seed: u64) -> World {
+fn close_reads(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 40, 70_000, 0.3);
         leaders_end(w, seed, 20_000, 80_000, 20_000);
         machines_fail(w, 3);
     });
-    from_to(&mut w, 1_000, TROUBLE_ENDS, Fault::CloseLooks(true), Fault::CloseLooks(false));
+    from_to(&mut w, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
     from_to(&mut w, 10_000, 50_000, Fault::StateSlow(900), Fault::StateSlow(0));
     from_to(&mut w, 55_000, 80_000, Fault::LateWrites(0.3), Fault::LateWrites(0.0));
     w
 }
 
-fn lost_answers(seed: u64) -> World {
+fn lost_answers(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 30, 70_000, 0.4);
         leaders_end(w, seed, 15_000, 80_000, 15_000);
         machines_fail(w, 3);
     });
-    from_to(&mut w, 1_000, TROUBLE_ENDS, Fault::CloseLooks(true), Fault::CloseLooks(false));
+    from_to(&mut w, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
     from_to(&mut w, 4_000, 85_000, Fault::LostAnswers(0.4), Fault::LostAnswers(0.0));
     from_to(&mut w, 30_000, 60_000, Fault::LateWrites(0.2), Fault::LateWrites(0.0));
     w
 }
 
 /// Every team is at its limit; many jobs are called off while their machines hang or can't be asked, and the leader ends.
-fn full_teams(seed: u64) -> World {
-    let mut w = World::of(seed, NODES, 6);
+fn full_teams(seed: u64) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, 6);
     w.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     for n in 0..40 {
         let mut body = job(n, "array", 1);
@@ -103,7 +103,7 @@
 }
 
 /// Cancellations fall into the seconds in which nodes take work over from one another.
-fn hand_overs(seed: u64) -> World {
+fn hand_overs(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         for n in 20..110 {
             let mut body = job(n, "array", 1);
@@ -122,7 +122,7 @@
 }
 
 /// New machines are up at once and get work while writes lag, and the leader ends.
-fn fast_boots(seed: u64) -> World {
+fn fast_boots(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 50, 75_000, 0.2);
         leaders_end(w, seed, 8_000, 80_000, 9_000);
@@ -135,7 +135,7 @@
     w
 }
 
-fn old_reports(seed: u64) -> World {
+fn old_reports(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 40, 75_000, 0.3);
         leaders_end(w, seed, 12_000, 85_000, 9_000);
@@ -148,8 +148,8 @@
 }
 
 /// One-task jobs, four a second for over a minute, a quarter of them called off.
-fn small_jobs(seed: u64) -> World {
-    let mut w = World::of(seed, NODES, 60);
+fn small_jobs(seed: u64) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, 60);
     w.cloud.generous = 12;
     for n in 0..280 {
         let mut body = job(n, "array", 1);
@@ -169,7 +169,7 @@
 }
 
 /// Called off at the very end, or while running with a hang: with no other trouble on every second seed.
-fn called_off(seed: u64) -> World {
+fn called_off(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 50, 75_000, 0.0);
         for n in 70..90 {
@@ -190,7 +190,7 @@
 }
 
 /// All machines reach no node for a while, some for longer; direct orders reach them.
-fn mute(seed: u64) -> World {
+fn mute(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 30, 75_000, 0.3);
         machines_fail(w, 3);
@@ -205,7 +205,7 @@
 }
 
 /// Ten leaders in two minutes, some of them in an outage; jobs of two or three tasks that end far apart.
-fn ten_leaders(seed: u64) -> World {
+fn ten_leaders(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         for n in 20..40 {
             let mut body = job(n, ["array", "ensemble"][n % 2], 2 + n as u32 % 2);
@@ -226,8 +226,8 @@
 }
 
 /// Far more work than room, urgent and not, over slow links; and odd requests all along.
-fn overload(seed: u64) -> World {
-    let mut w = World::of(seed, NODES, 8);
+fn overload(seed: u64) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, 8);
     w.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     for n in 0..80 {
         let mut body = job(n, ["array", "ensemble", "array"][n % 3], 1 + n as u32 % 4);
@@ -244,8 +244,8 @@
 }
 
 /// Jobs bound to one zone, arrays too, lose machines there.
-fn bound_to_a_zone(seed: u64) -> World {
-    let mut w = World::of(seed, NODES, 40);
+fn bound_to_a_zone(seed: u64) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, 40);
     for n in 0..20 {
         let mut body = job(n, ["array", "daemon", "ensemble"][n % 3], 3);
         body["region"] = ["z0", "z1"][n % 2].into();
@@ -266,7 +266,7 @@
 }
 
 /// A zone with workers and a node is cut off for longer than a lease, while jobs are called off.
-fn cut_off_zone(seed: u64) -> World {
+fn cut_off_zone(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 40, 80_000, 0.5);
         machines_fail(w, 3);
@@ -282,7 +282,7 @@
 }
 
 /// All nodes are away for longer than a lease, and come back one after the other.
-fn all_away(seed: u64) -> World {
+fn all_away(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 30, 70_000, 0.3);
         machines_fail(w, 3);
@@ -297,7 +297,7 @@
 }
 
 /// Orders, their answers and nodes' words to one another are held up; one node is apart while the cloud does not answer.
-fn held_announcements(seed: u64) -> World {
+fn held_announcements(seed: u64) -> Simulation {
     let mut w = day(seed, |w| {
         stream(w, 20, 60, 75_000, 0.5);
         machines_fail(w, 3);
@@ -322,8 +322,8 @@
     w
 }
 
-fn sabotage(w: &mut World, out: fn(&mut Controller, u64)) {
-    w.sabotage = Some(out);
+fn injected_fault(w: &mut Simulation, out: fn(&mut Controller, u64)) {
+    w.injected_fault = Some(out);
 }
 
 pub static ROWS: [Row; 15] = [
@@ -332,20 +332,22 @@
         day: held_announcements,
         met: &[("a link held", 10), ("called off now", 1)],
         without: |w| {
-            sabotage(w, |controller, _| {
+            injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
             })
         },
     },
     Row {
         name: "close looks",
-        day: close_looks,
+        day: close_reads,
         met: &[
             ("a look after the verdict", 1),
             ("a look after the acceptance", 1),
             ("a repeat after the acceptance", 1),
         ],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::ReadBeforeAnswer)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::ReadBeforeAnswer))
+        },
     },
     Row {
         name: "only the answer of a transaction is lost",
@@ -357,32 +359,38 @@
         name: "every team at its limit",
         day: full_teams,
         met: &[("called off and hung", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks))
+        },
     },
     Row {
         name: "work changes hands",
         day: hand_overs,
         met: &[("a verdict within two seconds of a new leader", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::RelayFilter)),
+        without: |w| injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::RelayFilter)),
     },
     Row {
         name: "new machines at once",
         day: fast_boots,
         met: &[("a start within three seconds of the boot", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::DurableBeforeStart)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::DurableBeforeStart))
+        },
     },
     Row {
         name: "old reports for a new leader",
         day: old_reports,
         met: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder))
+        },
     },
     Row {
         name: "four jobs a second",
         day: small_jobs,
         met: &[("accepted", 800)],
         without: |w| {
-            sabotage(w, |controller, _| {
+            injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
                 controller.disable_check(DisabledCheck::StopCommands);
             });
@@ -392,14 +400,16 @@
         name: "called off at the end and now",
         day: called_off,
         met: &[("called off at the end", 1), ("called off now", 1), ("called off and hung", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::SilenceDetection)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::SilenceDetection))
+        },
     },
     Row {
         name: "mute machines",
         day: mute,
         met: &[("mute", 1), ("a direct start at a mute machine", 1)],
         without: |w| {
-            sabotage(w, |controller, _| {
+            injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
             })
         },
@@ -408,7 +418,9 @@
         name: "ten leaders",
         day: ten_leaders,
         met: &[("a new leader", 40)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::TaskCompletion)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
+        },
     },
     Row {
         name: "more work than room, odd requests",
@@ -418,20 +430,24 @@
             ("a cancellation of what is done", 1),
             ("a repeat after the acceptance", 1),
         ],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks))
+        },
     },
     Row {
         name: "bound to a zone",
         day: bound_to_a_zone,
         met: &[("a machine lost with tasks bound to its zone", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::ZoneConstraint)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::ZoneConstraint))
+        },
     },
     Row {
         name: "a zone cut off",
         day: cut_off_zone,
         met: &[("a zone cut off", 1), ("called off now", 1)],
         without: |w| {
-            sabotage(w, |controller, _| {
+            injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
             })
         },
@@ -440,6 +456,8 @@
         name: "all nodes away",
         day: all_away,
         met: &[("copy for the next leader", 1)],
-        without: |w| sabotage(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder)),
+        without: |w| {
+            injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder))
+        },
     },
 ];
--- a/crates/scheduler/src/world/days/fields.rs
+++ b/crates/scheduler/src/simulation/days/fields.rs
@@ -1,11 +1,11 @@
 //! Submissions with each field wrong in turn.
 
 use crate::node::Method;
-use crate::world::{Event, Fault, NODES, World, job};
+use crate::simulation::{Event, Fault, NODES, Simulation, job};
 use serde_json::{Value, json};
 
 /// Asks node `i`; the answer's status.
-pub fn ask(w: &mut World, i: usize, method: Method, path: &str, body: &str) -> u16 {
+pub fn ask(w: &mut Simulation, i: usize, method: Method, path: &str, body: &str) -> u16 {
     let tag = w.answers.len() as u64 + 1_000;
     assert!(w.ask(i, tag, method, path, body));
     for _ in 0..40 {
@@ -17,7 +17,7 @@
     0
 }
 
-pub fn submit(w: &mut World, i: usize, body: &str) -> u16 {
+pub fn submit(w: &mut Simulation, i: usize, body: &str) -> u16 {
     ask(w, i, Method::Post, "/submissions", body)
 }
 
@@ -132,14 +132,14 @@
 }
 
 /// All nodes restart while the cloud is away.
-pub fn restart_without_machine_types(w: &mut World) {
+pub fn restart_without_machine_types(w: &mut Simulation) {
     w.run_until(5_000);
     w.at(5_000, Event::Fault(Fault::CloudOutage(true)));
     (0..NODES).for_each(|i| w.at(5_001 + i as u64, Event::Fault(Fault::Crash(i))));
     w.run_until(14_000);
 }
 
-fn submit_refused(w: &mut World) {
+fn submit_refused(w: &mut Simulation) {
     for (body, _) in refused() {
         for i in 0..NODES {
             submit(w, i, &body);
@@ -148,16 +148,16 @@
 }
 
 /// All refused submissions at all nodes.
-pub fn day_of_refused_submissions(seed: u64) -> World {
-    let mut w = World::new(seed);
+pub fn day_of_refused_submissions(seed: u64) -> Simulation {
+    let mut w = Simulation::new(seed);
     w.run_until(5_000);
     submit_refused(&mut w);
     w
 }
 
 /// The same at nodes that do not know the machine types.
-pub fn day_without_machine_types(seed: u64) -> World {
-    let mut w = World::new(seed);
+pub fn day_without_machine_types(seed: u64) -> Simulation {
+    let mut w = Simulation::new(seed);
     restart_without_machine_types(&mut w);
     submit_refused(&mut w);
     w
--- a/crates/scheduler/src/world/days/gap.rs
+++ b/crates/scheduler/src/simulation/days/isolated_leader.rs
@@ -1,14 +1,14 @@
 //! Days on which the state service refuses the leader alone, and is then down for everybody.
 
-use crate::world::{Event, Fault, Host, Leader, NODES, World, job};
+use crate::simulation::{Event, Fault, Host, Leader, NODES, Simulation, job};
 use rand::RngExt;
 
 /// When the troubles begin.
 const T: u64 = 30_000;
 
 /// Clocks at the ends of their drift, and images that stay where they are.
-fn world(seed: u64, gpus: u32) -> World {
-    let mut w = World::of(seed, NODES, gpus);
+fn world(seed: u64, gpus: u32) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, gpus);
     w.cloud.generous = 30;
     w.keeps_images = true;
     w.drift_ppm = (0..NODES as u64).map(|i| if (seed >> i) & 1 == 0 { -500 } else { 500 }).collect();
@@ -16,7 +16,7 @@
 }
 
 /// Long jobs of all shapes, most of them cancelled around the refusal. Gives when the last trouble is over.
-pub fn gap_day(seed: u64) -> (World, u64) {
+pub fn gap_day(seed: u64) -> (Simulation, u64) {
     let mut w = world(seed, 60);
     for n in 0..36 {
         let job_type = ["daemon", "array", "ensemble", "daemon"][n % 4];
@@ -98,7 +98,7 @@
 /// Starts are held up on their way from the leader, longer than their jobs' cancellations may take, while their workers
 /// are answered by other nodes; and the cloud does not answer the leader that would return those machines, before the
 /// state service goes away too.
-pub fn held_day(seed: u64) -> (World, u64) {
+pub fn held_day(seed: u64) -> (Simulation, u64) {
     let mut w = world(seed, 200);
     // These leave room behind on machines that all nodes have heard.
     for n in 0..24 {
--- a/crates/scheduler/src/world/days/kinds.rs
+++ b/crates/scheduler/src/simulation/days/kinds.rs
@@ -3,17 +3,17 @@
 use super::bad_records::{
     BAD, contradicting_reports, impossible_job_records, unreadable_job_record, unreadable_machine_records,
 };
+use super::combined_faults::meeting_day;
 use super::directed::ROWS;
 use super::fields::{day_of_refused_submissions, day_without_machine_types};
-use super::gap::{gap_day, held_day};
-use super::meetings::meeting_day;
+use super::isolated_leader::{gap_day, held_day};
 use super::ordinary;
 use super::recovery::{self, Down};
 use super::{DAY_ENDS, troubles};
 use crate::jobs::graph::DependencyCheck;
 use crate::node::{Controller, DisabledCheck};
+use crate::simulation::Simulation;
 use crate::types::Duration;
-use crate::world::World;
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
 
 /// How long a day goes on after its last trouble, where that has no set time.
@@ -38,14 +38,14 @@
     one_in: u64,
     /// A day takes minutes.
     pub is_slow: bool,
-    play: Box<dyn Fn(u64) -> World + Send + Sync>,
+    play: Box<dyn Fn(u64) -> Simulation + Send + Sync>,
 }
 
 impl DayKind {
     fn new(
         name: impl Into<String>,
         first_seed: u64,
-        play: impl Fn(u64) -> World + Send + Sync + 'static,
+        play: impl Fn(u64) -> Simulation + Send + Sync + 'static,
     ) -> Self {
         Self {
             name: name.into(),
@@ -61,20 +61,24 @@
     fn usual(
         name: impl Into<String>,
         first_seed: u64,
-        build: impl Fn(u64) -> World + Send + Sync + 'static,
+        build: impl Fn(u64) -> Simulation + Send + Sync + 'static,
     ) -> Self {
         Self::new(name, first_seed, move |seed| until(build(seed), DAY_ENDS))
     }
 
-    fn recovery(name: &str, first_seed: u64, build: impl Fn(u64) -> World + Send + Sync + 'static) -> Self {
+    fn recovery(
+        name: &str,
+        first_seed: u64,
+        build: impl Fn(u64) -> Simulation + Send + Sync + 'static,
+    ) -> Self {
         Self::new(name, first_seed, move |seed| until(build(seed), recovery::ENDS))
     }
 
-    /// An ordinary day with troubles, in a world that `spoil` changes.
-    fn spoilt(name: &str, spoil: fn(&mut World)) -> Self {
+    /// An ordinary day with troubles, in a world that `corrupt` changes.
+    fn with_fault_injected(name: &str, corrupt: fn(&mut Simulation)) -> Self {
         Self::usual(name, 300, move |seed| {
             let mut w = ordinary::day(seed, troubles);
-            spoil(&mut w);
+            corrupt(&mut w);
             w
         })
     }
@@ -83,12 +87,12 @@
     fn gap(
         name: &str,
         first_seed: u64,
-        day: fn(u64) -> (World, u64),
-        sabotage: Option<fn(&mut Controller, u64)>,
+        day: fn(u64) -> (Simulation, u64),
+        injected_fault: Option<fn(&mut Controller, u64)>,
     ) -> Self {
         Self::new(name, first_seed, move |seed| {
             let (mut w, over) = day(seed);
-            w.sabotage = sabotage;
+            w.injected_fault = injected_fault;
             until(w, over + CALM_MS)
         })
     }
@@ -111,12 +115,12 @@
     }
 
     /// Plays a seed's day to its end, or until a rule breaks.
-    pub fn play(&self, seed: u64) -> World {
+    pub fn play(&self, seed: u64) -> Simulation {
         (self.play)(seed)
     }
 }
 
-fn until(mut w: World, end_ms: u64) -> World {
+fn until(mut w: Simulation, end_ms: u64) -> Simulation {
     w.run_until(end_ms);
     w
 }
@@ -125,7 +129,7 @@
 pub fn all() -> Vec<DayKind> {
     let mut kinds = recovery_kinds();
     kinds.extend(ordinary_kinds());
-    kinds.extend(spoilt_kinds());
+    kinds.extend(kinds_with_faults_injected());
     kinds.extend(gap_kinds());
     kinds.extend(bad_input_kinds());
     kinds.extend(directed_kinds());
@@ -154,10 +158,10 @@
 }
 
 /// Days with a guard out of the core, or a stand-in that breaks its word.
-fn spoilt_kinds() -> Vec<DayKind> {
-    fn pipelines_without(check: DependencyCheck, seed: u64) -> World {
+fn kinds_with_faults_injected() -> Vec<DayKind> {
+    fn pipelines_without(check: DependencyCheck, seed: u64) -> Simulation {
         let mut w = ordinary::pipelined_day(seed);
-        w.sabotage = Some(match check {
+        w.injected_fault = Some(match check {
             DependencyCheck::Order => |controller: &mut Controller, _| {
                 controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Order))
             },
@@ -170,16 +174,16 @@
     let apart: fn(&mut Controller, u64) =
         |controller, _| controller.disable_check(DisabledCheck::IsolationReports);
     vec![
-        DayKind::spoilt("forget-silent", |w| {
-            w.sabotage = Some(|controller, _| {
+        DayKind::with_fault_injected("forget-silent", |w| {
+            w.injected_fault = Some(|controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
             })
         }),
-        DayKind::spoilt("done-early", |w| {
-            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
+        DayKind::with_fault_injected("done-early", |w| {
+            w.injected_fault = Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
         }),
-        DayKind::spoilt("lazy-cloud", |w| w.cloud.lazy = true),
-        DayKind::spoilt("careless-state", |w| w.state.careless = true),
+        DayKind::with_fault_injected("lazy-cloud", |w| w.cloud.lazy = true),
+        DayKind::with_fault_injected("careless-state", |w| w.state.careless = true),
         DayKind::usual("pipelines-without-order", 700, |seed| {
             pipelines_without(DependencyCheck::Order, seed)
         }),
@@ -188,7 +192,7 @@
         }),
         DayKind::usual("mixed-versions-without-level", 850, |seed| {
             let mut w = ordinary::day_of_a_mixed_version(seed);
-            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion));
+            w.injected_fault = Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion));
             w
         }),
         DayKind::usual("parted-zone-without-word", 920, move |seed| {
@@ -216,7 +220,7 @@
     ]
 }
 
-fn day_of_300_machines(seed: u64) -> World {
+fn day_of_300_machines(seed: u64) -> Simulation {
     recovery::day(seed, Down::InARow, LARGE_RECOVERY_JOBS)
 }
 
@@ -241,13 +245,15 @@
         DayKind::recovery("quick-returns", 2_600, |seed| recovery::day_of_quick_returns(seed, 30)),
         DayKind::recovery("unheard-machines", 2_500, |seed| {
             let mut w = recovery::day(seed, Down::InARow, 30);
-            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::HeartbeatCollection));
+            w.injected_fault =
+                Some(|controller, _| controller.disable_check(DisabledCheck::HeartbeatCollection));
             w
         }),
         DayKind::recovery("forgotten-attempts", 5_000, |seed| {
             let mut w = recovery::day_of_quick_returns(seed, 30);
             w.again = 0.3;
-            w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
+            w.injected_fault =
+                Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
             w
         }),
     ]
--- a/crates/scheduler/src/world/days/mod.rs
+++ b/crates/scheduler/src/simulation/days/mod.rs
@@ -1,21 +1,21 @@
 //! Seeded days by kind, and troubles for them.
 
 pub mod bad_records;
+pub mod combined_faults;
 pub mod directed;
 pub mod fields;
-pub mod gap;
+pub mod isolated_leader;
 pub mod kinds;
-pub mod meetings;
 pub mod ordinary;
 pub mod recovery;
 
-use super::{Event, Fault, Host, NODES, World};
+use super::{Event, Fault, Host, NODES, Simulation};
 use rand::RngExt;
 
 pub const TROUBLE_ENDS: u64 = 90_000;
 pub const DAY_ENDS: u64 = 190_000;
 
-fn for_a_while(w: &mut World, most: u64, on: Fault, off: Fault) {
+fn for_a_while(w: &mut Simulation, most: u64, on: Fault, off: Fault) {
     let from = w.rng_ms(5_000, 70_000);
     let to = (from + w.rng.random_range(1_000..most)).min(TROUBLE_ENDS);
     w.at(from, Event::Fault(on));
@@ -23,7 +23,7 @@
 }
 
 /// Troubles of all kinds at random times, the last over by `TROUBLE_ENDS`.
-pub fn troubles(w: &mut World) {
+pub fn troubles(w: &mut Simulation) {
     for _ in 0..w.rng.random_range(3..9) {
         let i = w.rng.random_range(0..NODES);
         let j = (i + w.rng.random_range(1..NODES)) % NODES;
--- a/crates/scheduler/src/world/days/ordinary.rs
+++ b/crates/scheduler/src/simulation/days/ordinary.rs
@@ -2,13 +2,13 @@
 
 use super::troubles;
 use crate::node::Controller;
+use crate::simulation::{Event, Fault, Host, NODES, Simulation, Submits, job};
 use crate::types::MonotonicTime;
-use crate::world::{Event, Fault, Host, NODES, Submits, World, job};
 use rand::RngExt;
 
 /// A day with jobs of all shapes; `faults` adds its troubles.
-pub fn day(seed: u64, faults: impl FnOnce(&mut World)) -> World {
-    let mut w = World::new(seed);
+pub fn day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Simulation {
+    let mut w = Simulation::new(seed);
     for n in 0..14 {
         let job_type = ["array", "ensemble", "daemon"][n % 3];
         let tasks = w.rng.random_range(1..5);
@@ -26,14 +26,14 @@
 }
 
 /// Cuts (or mends) a zone off from everything else.
-pub fn cut_zone(w: &mut World, zone: usize, on: bool) {
+pub fn cut_zone(w: &mut Simulation, zone: usize, on: bool) {
     divide(w, zone, &[Host::State, Host::Cloud, Host::User], on, false);
 }
 
 /// Cuts (or mends) the links between a zone's node and machines and those of the other zones and `others`.
-fn divide(w: &mut World, zone: usize, others: &[Host], on: bool, late: bool) {
+fn divide(w: &mut Simulation, zone: usize, others: &[Host], on: bool, late: bool) {
     let name = format!("z{zone}");
-    let inside = |w: &World, h: Host| match h {
+    let inside = |w: &Simulation, h: Host| match h {
         Host::Node(i) => i == zone,
         Host::Machine(m) => w.workers[m].zone == name,
         _ => false,
@@ -52,12 +52,12 @@
 
 /// Cuts a zone's node and machines off from the other zones' (or mends that), while the state service, the cloud and
 /// users are reached from both sides.
-fn part_zone(w: &mut World, zone: usize, on: bool, late: bool) {
+fn part_zone(w: &mut Simulation, zone: usize, on: bool, late: bool) {
     divide(w, zone, &[], on, late);
 }
 
 /// Machines of a zone that are up and run a replica.
-fn at_work(w: &World, zone: usize) -> Vec<usize> {
+fn at_work(w: &Simulation, zone: usize) -> Vec<usize> {
     let name = format!("z{zone}");
     let is_service = |job: &str| w.users.iter().any(|u| u.id == job && u.body["shape"] == "daemon");
     let works = |m: &usize| {
@@ -70,9 +70,9 @@
 /// A day with services in all zones, one of which can't reach the others for longer than a lease; the node there, or
 /// the leader on the other side, crashes in the midst, and machines hang. Gives the living machines at work in the zone
 /// that were returned meanwhile.
-pub fn parted_day(seed: u64, sabotage: Option<fn(&mut Controller, u64)>) -> (World, usize) {
-    let mut w = World::of(seed, NODES, 40);
-    w.sabotage = sabotage;
+pub fn parted_day(seed: u64, injected_fault: Option<fn(&mut Controller, u64)>) -> (Simulation, usize) {
+    let mut w = Simulation::of(seed, NODES, 40);
+    w.injected_fault = injected_fault;
     for n in 0..16 {
         let mut body = job(n, ["daemon", "array"][n % 2], 4);
         body["spread"] = (n % 2 == 0).into();
@@ -108,7 +108,7 @@
 
 /// Pipelines of all forms: arrays, a gang between them, fan-out and fan-in, on earlier jobs, the last
 /// stage late, and some withdrawn on the way.
-pub fn pipelines(w: &mut World, from: u64, to: u64) {
+pub fn pipelines(w: &mut Simulation, from: u64, to: u64) {
     for p in 0..6 {
         let first = 100 + 10 * p;
         let id = |n: usize| format!("req-{:06}", first + n);
@@ -127,8 +127,8 @@
             body["urgency"] = if n == 4 { "urgent" } else { "idle" }.into();
             body["expected_s"] = w.rng.random_range(1.0..6.0).into();
             body["awaits"] = serde_json::json!(needs);
-            let withdraw_at = gone.filter(|(which, _)| *which == n).map(|(_, at)| at);
-            w.add_user(at + n as u64, body, withdraw_at);
+            let cancel_at = gone.filter(|(which, _)| *which == n).map(|(_, at)| at);
+            w.add_user(at + n as u64, body, cancel_at);
             if let Some(user) = w.users.last_mut().filter(|_| n == 4 && p % 3 == 0) {
                 user.submits = Submits::OnceOver;
             }
@@ -138,13 +138,13 @@
 
 /// The version before dependencies serves at first; its processes are replaced one by one while
 /// troubles come, some days all at once in between; then the state service lowers its limits.
-pub fn upgrade_day(seed: u64, hard: bool) -> World {
-    let mut w = World::new(seed);
+pub fn upgrade_day(seed: u64, hard: bool) -> Simulation {
+    let mut w = Simulation::new(seed);
     w.begin_old();
     let ordinary = day(seed, |_| {});
     for u in ordinary.users {
         let at = w.rng_ms(500, 50_000);
-        w.add_user(at, u.body, u.withdraw_at);
+        w.add_user(at, u.body, u.cancel_at);
     }
     let mut at = w.rng_ms(8_000, 20_000);
     for i in 0..NODES {
@@ -165,7 +165,7 @@
 }
 
 /// All nodes end during an outage of the state service.
-pub fn crash_of_all_in_an_outage(seed: u64) -> World {
+pub fn crash_of_all_in_an_outage(seed: u64) -> Simulation {
     day(seed, |w| {
         w.at(20_000, Event::Fault(Fault::StateOutage(true)));
         (0..NODES).for_each(|i| w.at(30_000 + 40 * i as u64, Event::Fault(Fault::Crash(i))));
@@ -174,7 +174,7 @@
 }
 
 /// Most machines die at once, and a node ends.
-pub fn dead_majority(seed: u64) -> World {
+pub fn dead_majority(seed: u64) -> Simulation {
     day(seed, |w| {
         troubles(w);
         (0..9).for_each(|i| w.at(60_000 + i, Event::Fault(Fault::MachineDies)));
@@ -183,7 +183,7 @@
 }
 
 /// Short jobs that are withdrawn at about the time of their end.
-pub fn withdrawals(seed: u64) -> World {
+pub fn withdrawals(seed: u64) -> Simulation {
     day(seed, |w| {
         troubles(w);
         for n in 20..40 {
@@ -197,7 +197,7 @@
 }
 
 /// Ordinary jobs, pipelines and troubles of all kinds.
-pub fn pipelined_day(seed: u64) -> World {
+pub fn pipelined_day(seed: u64) -> Simulation {
     day(seed, |w| {
         w.run_until(1_000);
         pipelines(w, 6_000, 60_000);
@@ -206,10 +206,10 @@
 }
 
 /// The state service refuses the leader for 40 s; another node takes over.
-pub fn day_of_a_refused_leader(seed: u64) -> World {
+pub fn day_of_a_refused_leader(seed: u64) -> Simulation {
     let mut w = day(seed, |_| {});
     w.run_until(20_000);
-    let leads = |w: &World, i: usize| {
+    let leads = |w: &Simulation, i: usize| {
         let at = MonotonicTime::from_millis(1_000_000 + w.now);
         w.nodes[i].controller.as_ref().is_some_and(|c| c.holds_lease(at))
     };
@@ -222,7 +222,7 @@
 }
 
 /// A zone is cut off from everything else for 75 s.
-pub fn cut_off_zone(seed: u64) -> World {
+pub fn cut_off_zone(seed: u64) -> Simulation {
     let mut w = day(seed, |_| {});
     w.run_until(25_000);
     cut_zone(&mut w, seed as usize % NODES, true);
@@ -232,8 +232,8 @@
 }
 
 /// Five nodes, more than a hundred machines, and a crash of all nodes during an outage.
-pub fn day_of_a_large_fleet(seed: u64) -> World {
-    let mut w = World::of(seed, 5, 300);
+pub fn day_of_a_large_fleet(seed: u64) -> Simulation {
+    let mut w = Simulation::of(seed, 5, 300);
     w.cloud.generous = 50;
     for n in 0..60 {
         let job_type = ["array", "ensemble", "daemon"][n % 3];
@@ -252,8 +252,8 @@
 }
 
 /// Two of three nodes are upgraded, and a job that depends on another is submitted to one of them.
-pub fn day_of_a_mixed_version(seed: u64) -> World {
-    let mut w = World::new(seed);
+pub fn day_of_a_mixed_version(seed: u64) -> Simulation {
+    let mut w = Simulation::new(seed);
     w.begin_old();
     w.at(3_000, Event::Fault(Fault::Upgrade(0)));
     w.at(6_000, Event::Fault(Fault::Upgrade(1)));
--- a/crates/scheduler/src/world/days/recovery.rs
+++ b/crates/scheduler/src/simulation/days/recovery.rs
@@ -1,6 +1,6 @@
 //! Days on which all controllers of a larger fleet go down while several machines fail.
 
-use crate::world::{Event, Fault, Host, World, job};
+use crate::simulation::{Event, Fault, Host, Simulation, job};
 use rand::RngExt;
 
 pub const NODES: usize = 5;
@@ -19,7 +19,7 @@
     Midst,
 }
 
-pub fn crash_all(w: &mut World, at: u64) {
+pub fn crash_all(w: &mut Simulation, at: u64) {
     for i in 0..NODES {
         let after = w.rng_ms(0, 400);
         w.at(at + after, Event::Fault(Fault::Crash(i)));
@@ -27,8 +27,8 @@
 }
 
 /// Jobs of all shapes and both teams, and the day's crashes and troubles.
-pub fn day(seed: u64, down: Down, jobs: usize) -> World {
-    let mut w = World::of(seed, NODES, 400);
+pub fn day(seed: u64, down: Down, jobs: usize) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, 400);
     w.cloud.generous = 50;
     for n in 0..jobs {
         let job_type = ["array", "ensemble", "daemon", "array", "daemon"][n % 5];
@@ -100,7 +100,7 @@
 
 /// Nodes are back within a fraction of a second, alone, all at once and several times in a row, while the old run's
 /// sockets, grant and transactions live on; what was sent comes again up to 20 s later.
-pub fn day_of_quick_returns(seed: u64, jobs: usize) -> World {
+pub fn day_of_quick_returns(seed: u64, jobs: usize) -> Simulation {
     let mut w = day(seed, Down::Once, jobs);
     w.away_ms = if seed.is_multiple_of(3) { 20..5_000 } else { 20..300 };
     w.again = if seed.is_multiple_of(2) { 0.05 } else { 0.3 };
@@ -121,8 +121,8 @@
 pub const DOWN_MS: u64 = 30_000;
 
 /// Services only; all leases run out while nobody leads.
-pub fn day_of_lost_leases(seed: u64) -> World {
-    let mut w = World::of(seed, NODES, 400);
+pub fn day_of_lost_leases(seed: u64) -> Simulation {
+    let mut w = Simulation::of(seed, NODES, 400);
     w.cloud.generous = 50;
     for n in 0..20 {
         let mut body = job(n, "daemon", 4);
--- a/crates/scheduler/src/world/directed.rs
+++ b/crates/scheduler/src/simulation/directed.rs
@@ -3,17 +3,17 @@
 
 #![cfg(test)]
 
-use super::World;
+use super::Simulation;
+use super::combined_faults::nobody_forgotten;
 use super::days::directed::{ROWS, Row};
 use super::days::{DAY_ENDS, TROUBLE_ENDS};
-use super::gap::of_seeds;
-use super::meetings::nobody_forgotten;
+use super::isolated_leader::of_seeds;
 use super::recovery::seeds;
 use super::tests::judged;
 use super::waiting::Waiting;
 
 /// Plays a row's day; what is wrong with it, and how often each meeting took place.
-fn play(row: &Row, seed: u64, without: bool) -> (Option<String>, World) {
+fn play(row: &Row, seed: u64, without: bool) -> (Option<String>, Simulation) {
     let mut w = (row.day)(seed);
     if without {
         (row.without)(&mut w);
@@ -23,7 +23,7 @@
     while w.now < DAY_ENDS && w.rules.broken.is_empty() {
         let next = w.now + 1_000;
         w.run_until(next);
-        if let Some(what) = waiting.look(&w) {
+        if let Some(what) = waiting.close_read(&w) {
             return (Some(what), w);
         }
     }
--- a/crates/scheduler/src/world/fields.rs
+++ b/crates/scheduler/src/simulation/fields.rs
@@ -3,18 +3,18 @@
 #![cfg(test)]
 
 use super::days::fields::{MAY_BE_NULL, ask, refused, restart_without_machine_types, submit};
-use super::{Event, Fault, NODES, World, job};
+use super::{Event, Fault, NODES, Simulation, job};
 use crate::node::Method;
 use serde_json::Value;
 
 #[test]
 fn nothing_that_cannot_run_or_lacks_a_field_is_accepted_by_any_node() {
-    let mut w = World::new(9_100);
+    let mut w = Simulation::new(9_100);
     w.run_until(5_000);
     for (body, status) in refused() {
         for i in 0..NODES {
-            let told = submit(&mut w, i, &body);
-            assert_eq!(told, status, "node {i}: {body:.400}");
+            let announced = submit(&mut w, i, &body);
+            assert_eq!(announced, status, "node {i}: {body:.400}");
         }
     }
     assert!(w.state.key("j/req-000001").is_none());
@@ -36,7 +36,7 @@
 /// A repeat gets its job's state whatever is wrong with it now, at every node.
 #[test]
 fn a_repeat_of_a_known_job_is_never_refused_whatever_it_says() {
-    let mut w = World::new(9_101);
+    let mut w = Simulation::new(9_101);
     w.run_until(5_000);
     assert_eq!(submit(&mut w, 0, &job(1, "array", 2).to_string()), 201);
     for (body, _) in
@@ -55,14 +55,14 @@
 /// depends on them, and accepts nothing.
 #[test]
 fn a_node_without_the_machine_types_accepts_nothing() {
-    let mut w = World::new(9_102);
+    let mut w = Simulation::new(9_102);
     restart_without_machine_types(&mut w);
     for i in 0..NODES {
         assert_eq!(submit(&mut w, i, &job(1, "array", 2).to_string()), 503);
         for (body, status) in refused() {
-            let told = submit(&mut w, i, &body);
-            let undecided = status == 422 && told == 503;
-            assert!(told == status || undecided, "node {i}: {told} for {body:.300}");
+            let announced = submit(&mut w, i, &body);
+            let undecided = status == 422 && announced == 503;
+            assert!(announced == status || undecided, "node {i}: {announced} for {body:.300}");
         }
     }
     assert!(w.state.key("j/req-000001").is_none());
@@ -73,10 +73,10 @@
 
 #[test]
 fn questions_about_unknown_jobs_get_404_and_what_is_done_stays_done() {
-    let mut w = World::new(9_103);
+    let mut w = Simulation::new(9_103);
     w.add_user(2_000, job(1, "array", 1), None);
     w.run_until(30_000);
-    assert_eq!(w.rules.verdict("req-000001"), Some("done"));
+    assert_eq!(w.rules.terminal_status("req-000001"), Some("done"));
     for i in 0..NODES {
         for path in [
             "/submissions/req-777",
--- a/crates/scheduler/src/world/golden.rs
+++ b/crates/scheduler/src/simulation/golden.rs
@@ -4,7 +4,7 @@
 
 #![cfg(test)]
 
-use super::{World, job};
+use super::{Simulation, job};
 use crate::golden_group;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -13,8 +13,8 @@
 const MANY: u32 = 40;
 
 /// A world in which one job waits for room and another for that one.
-fn with_waiting_jobs() -> World {
-    let mut w = World::new(3);
+fn with_waiting_jobs() -> Simulation {
+    let mut w = Simulation::new(3);
     w.add_user(500, job(0, "array", MANY), None);
     let mut dependent = job(1, "array", 1);
     dependent["awaits"] = serde_json::json!([dependent_on(&w)]);
@@ -23,11 +23,11 @@
     w
 }
 
-fn dependent_on(w: &World) -> String {
+fn dependent_on(w: &Simulation) -> String {
     w.users[0].id.clone()
 }
 
-fn leading(w: &World) -> &crate::node::Controller {
+fn leading(w: &Simulation) -> &crate::node::Controller {
     let leader = w.leader().expect("a node leads");
     w.nodes[leader].controller.as_ref().expect("it runs")
 }
--- a/crates/scheduler/src/world/gap.rs
+++ b/crates/scheduler/src/simulation/isolated_leader.rs
@@ -3,8 +3,8 @@
 
 #![cfg(test)]
 
-use super::World;
-use super::days::gap::{gap_day, held_day};
+use super::Simulation;
+use super::days::isolated_leader::{gap_day, held_day};
 use super::recovery::seeds;
 use crate::node::{Controller, DisabledCheck};
 use crate::types::Duration;
@@ -37,12 +37,12 @@
 
 /// Plays a day, until two minutes after its last trouble.
 fn broken(
-    day: fn(u64) -> (World, u64),
+    day: fn(u64) -> (Simulation, u64),
     seed: u64,
-    sabotage: Option<fn(&mut Controller, u64)>,
+    injected_fault: Option<fn(&mut Controller, u64)>,
 ) -> Option<String> {
     let (mut w, over) = day(seed);
-    w.sabotage = sabotage;
+    w.injected_fault = injected_fault;
     w.run_until(over + 120_000);
     w.rules.broken.first().cloned()
 }
--- a/crates/scheduler/src/world/mod.rs
+++ b/crates/scheduler/src/simulation/mod.rs
@@ -3,18 +3,18 @@
 //! rule after each step, from what the stand-ins see and never from the cores' own books.
 
 mod bad_records;
+mod close_reads;
 mod cloud;
+mod combined_faults;
 pub mod days;
 mod digest;
 mod directed;
 mod fields;
-mod gap;
 mod golden;
-mod looks;
-mod meetings;
+mod isolated_leader;
 mod recovery;
 mod rules;
-mod state;
+mod store;
 mod tests;
 mod waiting;
 mod workers;
@@ -100,9 +100,9 @@
         heartbeat: u64,
     },
     /// A user that looks closely, or oddly, sends its request.
-    Look(looks::Look),
-    LookAnswer {
-        look: looks::Look,
+    CloseRead(close_reads::CloseRead),
+    CloseReadAnswer {
+        close_read: close_reads::CloseRead,
         before: rules::Known,
         node: usize,
         status: u16,
@@ -175,7 +175,7 @@
     /// That share of the jobs that end is called off at the moment of the end.
     CancelAtEnd(f64),
     /// Users ask at all nodes within milliseconds after a job was accepted, ended or called off.
-    CloseLooks(bool),
+    CloseReads(bool),
     /// Users repeat submissions with faults in them, call off what is done, and send what can't run.
     OddRequests(bool),
     /// It reaches no node, while direct orders reach it.
@@ -221,8 +221,8 @@
         sent: u64,
         heartbeat: u64,
     },
-    Look {
-        look: looks::Look,
+    CloseRead {
+        close_read: close_reads::CloseRead,
         before: rules::Known,
     },
     /// Nobody any more: a report that came again.
@@ -257,7 +257,7 @@
 pub struct User {
     pub id: String,
     pub body: Value,
-    pub withdraw_at: Option<u64>,
+    pub cancel_at: Option<u64>,
     pub submits: Submits,
     /// The only node it asks, where not any.
     pub node: Option<usize>,
@@ -266,7 +266,7 @@
     /// What users had been told of the job as the request under way was sent.
     before: rules::Known,
     /// The last answer's status and body.
-    pub told: (u16, String),
+    pub announced: (u16, String),
     /// When a question of its was answered last.
     pub answered_at: u64,
 }
@@ -288,7 +288,7 @@
     Over,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub rng: StdRng,
     seq: u64,
@@ -298,7 +298,7 @@
     /// Nodes that still run the version before dependencies, and the settings it read.
     pub old: BTreeMap<usize, Arc<Settings>>,
     pub nodes: Vec<Node>,
-    pub state: state::Service,
+    pub state: store::Service,
     pub cloud: cloud::Cloud,
     pub workers: Vec<workers::Worker>,
     pub users: Vec<User>,
@@ -319,7 +319,7 @@
     kept_copies: Vec<(Option<crate::types::Revision>, Event)>,
     fast_boots: bool,
     cancel_at_end: f64,
-    close_looks: bool,
+    close_reads: bool,
     odd: bool,
     odd_ids: u64,
     /// How often each meeting took place.
@@ -344,10 +344,10 @@
     /// Part of all that nodes send which comes again, up to `AGAIN_MS` later.
     pub again: f64,
     /// Takes a guard out of a core after each of its steps.
-    pub sabotage: Option<fn(&mut Controller, u64)>,
+    pub injected_fault: Option<fn(&mut Controller, u64)>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
         Self::of(seed, NODES, 12)
     }
@@ -363,7 +363,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             nodes: Vec::new(),
-            state: state::Service::new(settings[0].state.clone()),
+            state: store::Service::new(settings[0].state.clone()),
             cloud: cloud::Cloud::default(),
             workers: Vec::new(),
             users: Vec::new(),
@@ -379,7 +379,7 @@
             kept_copies: Vec::new(),
             fast_boots: false,
             cancel_at_end: 0.0,
-            close_looks: false,
+            close_reads: false,
             odd: false,
             odd_ids: 0,
             met: BTreeMap::new(),
@@ -394,7 +394,7 @@
             answers: Vec::new(),
             away_ms: 1_000..4_000,
             again: 0.0,
-            sabotage: None,
+            injected_fault: None,
             old: BTreeMap::new(),
             settings,
         };
@@ -550,9 +550,9 @@
                 self.after(1, Event::Tick(i, life));
             }
             Event::Worker(m) => self.worker_turn(m),
-            Event::Look(look) => self.look(look),
-            Event::LookAnswer { look, before, node, status, body } => {
-                self.look_answer(look, &before, node, status, &body);
+            Event::CloseRead(close_read) => self.close_read(close_read),
+            Event::CloseReadAnswer { close_read, before, node, status, body } => {
+                self.close_read_answer(close_read, &before, node, status, &body);
             }
             Event::Odd => self.odd_turn(),
             Event::ReportAgain { machine, node, body } => {
@@ -612,8 +612,8 @@
         if self.old.contains_key(&i) {
             controller.act_as_previous_version();
         }
-        if let Some(sabotage) = self.sabotage {
-            sabotage(controller, self.now);
+        if let Some(injected_fault) = self.injected_fault {
+            injected_fault(controller, self.now);
         }
         if let Err(what) = controller.check_sums() {
             self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
@@ -659,8 +659,8 @@
                             },
                         )
                     }
-                    Some(Asker::Look { look, before }) => {
-                        (Host::User, Event::LookAnswer { look, before, node: i, status, body })
+                    Some(Asker::CloseRead { close_read, before }) => {
+                        (Host::User, Event::CloseReadAnswer { close_read, before, node: i, status, body })
                     }
                     Some(Asker::Test { tag }) => {
                         let answer = Answered { tag, node: i, status, retry_after_s, headers, body };
@@ -755,18 +755,18 @@
 
     // ---- users ----
 
-    pub fn add_user(&mut self, at: u64, body: Value, withdraw_at: Option<u64>) {
+    pub fn add_user(&mut self, at: u64, body: Value, cancel_at: Option<u64>) {
         let id = body["id"].as_str().unwrap_or_default().to_string();
         self.users.push(User {
             id,
             body,
-            withdraw_at,
+            cancel_at,
             submits: Submits::OnceAccepted,
             node: None,
             ask: 0,
             stage: Stage::Submitting,
             before: Default::default(),
-            told: Default::default(),
+            announced: Default::default(),
             answered_at: 0,
         });
         self.at(at, Event::User(self.users.len() - 1));
@@ -775,16 +775,16 @@
     fn user_turn(&mut self, u: usize) {
         let now = self.now;
         let user = &mut self.users[u];
-        if user.stage == Stage::Polling && user.withdraw_at.is_some_and(|t| t <= now) {
+        if user.stage == Stage::Polling && user.cancel_at.is_some_and(|t| t <= now) {
             user.stage = Stage::Withdrawing;
-            self.rules.asked_to_withdraw(&self.users[u].id);
+            self.rules.asked_to_cancel(&self.users[u].id);
         }
         let ready = |need: &Value| {
             let need = need.as_str().unwrap_or_default();
             match self.users[u].submits {
                 Submits::Rashly => true,
                 Submits::OnceAccepted => self.rules.accepted(need),
-                Submits::OnceOver => self.rules.verdict(need).is_some(),
+                Submits::OnceOver => self.rules.terminal_status(need).is_some(),
             }
         };
         if self.users[u].stage == Stage::Submitting
@@ -822,7 +822,7 @@
         }
         self.users[u].ask += 1;
         let user = &mut self.users[u];
-        user.told = (status, body.to_string());
+        user.announced = (status, body.to_string());
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let phase = value["phase"].as_str().unwrap_or_default().to_string();
         let submitting = user.stage == Stage::Submitting;
@@ -838,12 +838,12 @@
             };
         }
         let (was_told, over) = (matches!(status, 200 | 201), user.stage == Stage::Over);
-        let news = was_told && (!user.before.accepted || over && user.before.verdict.is_none());
+        let news = was_told && (!user.before.accepted || over && user.before.terminal_status.is_none());
         if news {
             self.note_news(over);
         }
-        if news && self.close_looks {
-            self.look_closely(u, "told");
+        if news && self.close_reads {
+            self.read_closely(u, "told");
         }
         let user = &self.users[u];
         let pause = match user.stage {
@@ -927,7 +927,7 @@
             Fault::CopiesForNext(share) => self.copies_for_next = share,
             Fault::FastBoots(on) => self.fast_boots = on,
             Fault::CancelAtEnd(share) => self.cancel_at_end = share,
-            Fault::CloseLooks(on) => self.close_looks = on,
+            Fault::CloseReads(on) => self.close_reads = on,
             Fault::OddRequests(on) => {
                 self.odd = on;
                 self.after(1, Event::Odd);
--- a/crates/scheduler/src/world/recovery.rs
+++ b/crates/scheduler/src/simulation/recovery.rs
@@ -3,12 +3,12 @@
 
 #![cfg(test)]
 
-use super::World;
+use super::Simulation;
 use super::days::recovery::{DOWN_MS, Down, ENDS, day, day_of_lost_leases, day_of_quick_returns};
 use crate::node::{Controller, DisabledCheck};
 
 /// What a day must show at its end, besides the rules after each step.
-fn judge(seed: u64, w: &World) {
+fn judge(seed: u64, w: &Simulation) {
     assert!(w.rules.broken.is_empty(), "seed {seed}: {:?}", w.rules.broken);
     // A return that a report on its way proves wrong.
     assert!(w.needless.is_empty(), "seed {seed}: needless: {:?}", w.needless);
@@ -21,15 +21,15 @@
 }
 
 /// At least half of what a class or a team was promised, and here, with room for all, everything.
-fn served(seed: u64, w: &World, what: &str, of: impl Fn(&super::User) -> bool) {
+fn served(seed: u64, w: &Simulation, what: &str, of: impl Fn(&super::User) -> bool) {
     let all: Vec<&super::User> =
-        w.users.iter().filter(|u| of(u) && u.withdraw_at.is_none() && w.rules.accepted(&u.id)).collect();
+        w.users.iter().filter(|u| of(u) && u.cancel_at.is_none() && w.rules.accepted(&u.id)).collect();
     let served = all.iter().filter(|u| match u.body["shape"] == "daemon" {
         true => {
             let up = w.workers.iter().flat_map(|w| &w.tasks).filter(|t| t.job() == u.id && t.present());
             up.count() as u64 == u.body["shards"].as_u64().unwrap_or(0)
         }
-        false => w.rules.verdict(&u.id) == Some("done"),
+        false => w.rules.terminal_status(&u.id) == Some("done"),
     });
     let served = served.count();
     assert!(!all.is_empty() && served == all.len(), "seed {seed}: {what}: {served} of {} served", all.len());
@@ -88,7 +88,7 @@
     let mut w = day_of_lost_leases(2_400);
     let down = DOWN_MS;
     w.run_until(down);
-    let places = |w: &World| -> Vec<(String, String)> {
+    let places = |w: &Simulation| -> Vec<(String, String)> {
         let of = |m: &super::workers::Worker| {
             let id = m.id.to_string();
             m.tasks
@@ -122,10 +122,10 @@
 }
 
 /// Whether some seed of a few breaks a rule, or does something needless, with a guard out.
-fn noticed(from: u64, down: Down, sabotage: fn(&mut Controller, u64)) -> bool {
+fn noticed(from: u64, down: Down, injected_fault: fn(&mut Controller, u64)) -> bool {
     (from..from + 12).any(|seed| {
         let mut w = day(seed, down, 30);
-        w.sabotage = Some(sabotage);
+        w.injected_fault = Some(injected_fault);
         w.run_until(120_000);
         !w.rules.broken.is_empty() || !w.needless.is_empty()
     })
@@ -146,7 +146,8 @@
     let broken = (5_000..5_040).any(|seed| {
         let mut w = day_of_quick_returns(seed, 30);
         w.again = 0.3;
-        w.sabotage = Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
+        w.injected_fault =
+            Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
         w.run_until(120_000);
         w.rules.broken.iter().any(|b| b.contains("ran_twice"))
     });
--- a/crates/scheduler/src/world/rules.rs
+++ b/crates/scheduler/src/simulation/rules.rs
@@ -1,6 +1,6 @@
 //! Every rule of the protocol, checked from what stand-ins see.
 
-use super::World;
+use super::Simulation;
 use super::workers::Worker;
 use crate::settings::Team;
 use crate::types::{MachineId, TeamName};
@@ -11,15 +11,15 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Known {
     pub accepted: bool,
-    pub verdict: Option<String>,
+    pub terminal_status: Option<String>,
 }
 
 #[derive(Debug, Default)]
 struct Told {
     accepted: bool,
-    verdict: Option<String>,
-    withdrawn_at: Option<u64>,
-    withdraw_asked: bool,
+    terminal_status: Option<String>,
+    cancelled_at: Option<u64>,
+    cancel_requested: bool,
 }
 
 pub struct Rules {
@@ -28,7 +28,7 @@
     limits: BTreeMap<String, f64>,
     bodies: BTreeMap<String, Value>,
     done: BTreeMap<String, BTreeSet<u64>>,
-    told: BTreeMap<String, Told>,
+    announced: BTreeMap<String, Told>,
     pub started: u64,
     /// Every start: when, task, machine.
     pub starts: Vec<(u64, String, MachineId)>,
@@ -47,7 +47,7 @@
             limits: teams.iter().map(|(n, t)| (n.to_string(), t.max_gpus.unwrap_or(f64::MAX))).collect(),
             bodies: BTreeMap::new(),
             done: BTreeMap::new(),
-            told: BTreeMap::new(),
+            announced: BTreeMap::new(),
             started: 0,
             starts: Vec::new(),
         }
@@ -59,8 +59,8 @@
     pub fn submitted(&mut self, id: &str, body: &Value) {
         self.bodies.insert(id.into(), body.clone());
     }
-    pub fn asked_to_withdraw(&mut self, id: &str) {
-        self.told.entry(id.into()).or_default().withdraw_asked = true;
+    pub fn asked_to_cancel(&mut self, id: &str) {
+        self.announced.entry(id.into()).or_default().cancel_requested = true;
     }
     pub fn task_done(&self, task: &str) -> bool {
         let (job, index) = split(task);
@@ -146,7 +146,7 @@
         if !allowed || !spread_ok || !together_ok {
             self.fail(now, format!("wrong_place: {task} on {machine} ({type_name}, {zone}, spot {spot})"));
         }
-        if let Some(at) = self.told.get(job).and_then(|t| t.withdrawn_at)
+        if let Some(at) = self.announced.get(job).and_then(|t| t.cancelled_at)
             && now > at + self.cancel_ms
         {
             self.fail(now, format!("ran_cancelled: {task} starts"));
@@ -154,8 +154,11 @@
     }
 
     pub fn known(&self, id: &str) -> Known {
-        let told = self.told.get(id);
-        told.map_or(Known::default(), |t| Known { accepted: t.accepted, verdict: t.verdict.clone() })
+        let announced = self.announced.get(id);
+        announced.map_or(Known::default(), |t| Known {
+            accepted: t.accepted,
+            terminal_status: t.terminal_status.clone(),
+        })
     }
 
     /// An answer reached its user. `before`: what users had been told as the request was sent; of two answers to
@@ -170,13 +173,13 @@
         phase: &str,
     ) {
         let all_done = self.all_done(id);
-        let line: Vec<&Told> = self.line(id).iter().filter_map(|j| self.told.get(j)).collect();
-        let withdraw_asked = line.iter().any(|t| t.withdraw_asked);
-        let orphan = line.iter().filter_map(|t| t.withdrawn_at).any(|at| now > at + self.cancel_ms);
+        let line: Vec<&Told> = self.line(id).iter().filter_map(|j| self.announced.get(j)).collect();
+        let cancel_requested = line.iter().any(|t| t.cancel_requested);
+        let orphan = line.iter().filter_map(|t| t.cancelled_at).any(|at| now > at + self.cancel_ms);
         let named = self.needs(id);
         let service = |n: &String| self.bodies.get(n).is_some_and(|b| b["shape"] == "daemon");
         let known = named.iter().all(|n| self.accepted(n) && !service(n) && n != id);
-        let t = self.told.entry(id.into()).or_default();
+        let t = self.announced.entry(id.into()).or_default();
         let mut bad = Vec::new();
         match status {
             422 if submitting && !named.is_empty() && known => {
@@ -185,7 +188,7 @@
             200 | 201 => {
                 t.accepted = true;
                 let last = matches!(phase, "done" | "withdrawn");
-                if let Some(v) = if last { &t.verdict } else { &before.verdict }
+                if let Some(v) = if last { &t.terminal_status } else { &before.terminal_status }
                     && v != phase
                 {
                     bad.push(format!("went_back: {id} was {v}, is now {phase}"));
@@ -193,16 +196,16 @@
                 if phase == "done" && !all_done {
                     bad.push(format!("not_done: {id}"));
                 }
-                if phase == "withdrawn" && !withdraw_asked {
+                if phase == "withdrawn" && !cancel_requested {
                     bad.push(format!("went_back: nobody withdrew {id}, nor what it needs"));
                 }
                 if orphan && phase != "withdrawn" {
                     bad.push(format!("orphaned: {id} is called {phase}"));
                 }
                 if matches!(phase, "done" | "withdrawn") {
-                    t.verdict = Some(phase.into());
+                    t.terminal_status = Some(phase.into());
                     if phase == "withdrawn" {
-                        t.withdrawn_at.get_or_insert(now);
+                        t.cancelled_at.get_or_insert(now);
                     }
                 }
             }
@@ -213,19 +216,19 @@
         bad.into_iter().for_each(|b| self.fail(now, b));
     }
 
-    pub fn verdict(&self, id: &str) -> Option<&str> {
-        self.told.get(id).and_then(|t| t.verdict.as_deref())
+    pub fn terminal_status(&self, id: &str) -> Option<&str> {
+        self.announced.get(id).and_then(|t| t.terminal_status.as_deref())
     }
     /// Accelerators that a team may take.
     pub fn limit(&self, team: &str) -> f64 {
         self.limits.get(team).copied().unwrap_or(0.0)
     }
     pub fn accepted(&self, id: &str) -> bool {
-        self.told.get(id).is_some_and(|t| t.accepted)
+        self.announced.get(id).is_some_and(|t| t.accepted)
     }
 }
 
-impl World {
+impl Simulation {
     /// Quota and withdrawal, over all tasks that are on a machine now.
     pub fn check_present(&mut self) {
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
@@ -236,8 +239,8 @@
             let Some(body) = self.rules.bodies.get(t.job()) else { continue };
             let owner = body["owner"].as_str().unwrap_or_default().to_string();
             *used.entry(owner).or_default() += body["accelerators"].as_f64().unwrap_or(0.0);
-            let told = self.rules.told.get(t.job()).and_then(|t| t.withdrawn_at);
-            if told.is_some_and(|at| self.now > at + self.rules.cancel_ms) {
+            let announced = self.rules.announced.get(t.job()).and_then(|t| t.cancelled_at);
+            if announced.is_some_and(|at| self.now > at + self.rules.cancel_ms) {
                 late.push(format!("ran_cancelled: {} on {}", t.name, w.id));
             }
         }
--- a/crates/scheduler/src/world/state.rs
+++ b/crates/scheduler/src/simulation/store.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the state service.
 
-use super::{Event, Host, Input, World};
+use super::{Event, Host, Input, Simulation};
 use crate::jobs::{self, Record};
 use crate::rate_limit::StoreLimits;
 use crate::types::{LeaseId, RequestId, Revision};
@@ -211,7 +211,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn reply(&mut self, node: usize, life: u64, request_id: RequestId, reply: StoreReply, aside: bool) {
         let input = Event::Input(node, life, Input::Store { request_id, reply });
         if self.state_slow > 0 {
--- a/crates/scheduler/src/world/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -8,13 +8,13 @@
 };
 use super::days::{DAY_ENDS, troubles};
 use super::recovery::seeds;
-use super::{Event, Fault, NODES, Stage, Submits, World, job};
+use super::{Event, Fault, NODES, Simulation, Stage, Submits, job};
 use crate::jobs::graph::DependencyCheck;
 use crate::node::{Controller, DisabledCheck, Effect, Input, Method, Now};
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::{StoreReply, StoreRequest};
 
-pub(super) fn run(seed: u64, mut w: World) -> World {
+pub(super) fn run(seed: u64, mut w: Simulation) -> Simulation {
     w.run_until(DAY_ENDS);
     assert!(w.rules.broken.is_empty(), "seed {seed}: {:?}", w.rules.broken);
     assert!(w.rules.started > 0, "seed {seed}: nothing ran");
@@ -28,12 +28,12 @@
 }
 
 /// What is wrong at a day's end: jobs that are not done, services that lack replicas.
-pub(super) fn judged(w: &World) -> Option<String> {
+pub(super) fn judged(w: &Simulation) -> Option<String> {
     let open: Vec<&str> = w
         .users
         .iter()
         .filter(|u| u.body["shape"] != "daemon" && w.rules.accepted(&u.id))
-        .filter(|u| w.rules.verdict(&u.id).is_none())
+        .filter(|u| w.rules.terminal_status(&u.id).is_none())
         .map(|u| u.id.as_str())
         .collect();
     if !open.is_empty() {
@@ -56,7 +56,7 @@
             w.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::metrics).collect();
         let counts = metrics.lines().filter(|l| l.starts_with("pearford_jobs_done{"));
         let counted: usize = counts.filter_map(|l| l.rsplit(' ').next()?.parse::<usize>().ok()).sum();
-        let done = w.users.iter().filter(|u| w.rules.verdict(&u.id) == Some("done")).count();
+        let done = w.users.iter().filter(|u| w.rules.terminal_status(&u.id) == Some("done")).count();
         assert_eq!(counted, done, "seed {seed}");
     }
 }
@@ -113,7 +113,7 @@
 /// A follower that nobody asked anything took its own idleness for a lost state service.
 #[test]
 fn idle_nodes_stay_fit_for_requests() {
-    let mut w = World::new(7);
+    let mut w = Simulation::new(7);
     for second in 10..30 {
         w.run_until(second * 1000);
         for i in 0..NODES {
@@ -226,7 +226,7 @@
     assert!(up > 100, "{up} machines");
     w.run_until(110_000);
     assert!(w.rules.broken.is_empty(), "{:?}", w.rules.broken);
-    let open = |u: &&super::User| u.body["shape"] != "daemon" && w.rules.verdict(&u.id).is_none();
+    let open = |u: &&super::User| u.body["shape"] != "daemon" && w.rules.terminal_status(&u.id).is_none();
     let open: Vec<&str> = w.users.iter().filter(open).map(|u| u.id.as_str()).collect();
     assert!(open.is_empty(), "not done: {open:?}");
 }
@@ -241,7 +241,7 @@
 /// What a job names decides only if its id is unknown; the answer says what is wrong with which name.
 #[test]
 fn a_submission_is_told_what_is_wrong_with_what_it_names() {
-    let mut w = World::new(760);
+    let mut w = Simulation::new(760);
     w.add_user(2_000, job(0, "array", 1), None);
     w.add_user(2_000, job(1, "daemon", 1), None);
     w.add_user(2_000, job(3, "array", 1), Some(4_000));
@@ -253,7 +253,7 @@
         w.add_user(at, body, None);
         w.users.last_mut().expect("just added").submits = Submits::Rashly;
         w.run_until(at + 1_000);
-        w.users.last().expect("just added").told.clone()
+        w.users.last().expect("just added").announced.clone()
     };
     let list = |names: &[&str]| serde_json::json!(names);
     let many: Vec<String> = (0..2000).map(|n| format!("req-{n:06}")).collect();
@@ -265,12 +265,12 @@
         (serde_json::json!("req-000000"), 400, "awaits"),
         (serde_json::json!(many), 422, "state service stores"),
     ] {
-        let (told, why) = ask(20, awaits.clone());
-        assert!(told == status && why.contains(says), "{awaits:.60}: {told} {why}");
+        let (announced, why) = ask(20, awaits.clone());
+        assert!(announced == status && why.contains(says), "{awaits:.60}: {announced} {why}");
     }
     assert_eq!(ask(21, serde_json::Value::Null).0, 201, "null is an ordinary job");
-    let (told, phase) = ask(22, list(&["req-000003", "req-000000"]));
-    assert!(told == 200 || told == 201, "a withdrawn job may be named: {told}");
+    let (announced, phase) = ask(22, list(&["req-000003", "req-000000"]));
+    assert!(announced == 200 || announced == 201, "a withdrawn job may be named: {announced}");
     assert!(phase.contains("withdrawn"), "{phase}");
     assert_eq!(ask(22, list(&["req-000777"])).0, 200, "a retry gets its state whatever it names");
 }
@@ -288,16 +288,16 @@
 /// nothing else.
 #[test]
 fn dependent_jobs_are_taken_only_once_every_node_is_new() {
-    let taken_early = |sabotage: Option<fn(&mut Controller, u64)>| {
+    let taken_early = |injected_fault: Option<fn(&mut Controller, u64)>| {
         let mut w = day_of_a_mixed_version(850);
-        w.sabotage = sabotage;
+        w.injected_fault = injected_fault;
         w.run_until(60_000);
         let early = w.rules.accepted("req-000002");
         assert_eq!(early, w.state.key("j/req-000002").is_some());
-        assert_eq!(w.rules.verdict("req-000000"), Some("done"), "what both understand is served");
+        assert_eq!(w.rules.terminal_status("req-000000"), Some("done"), "what both understand is served");
         w.at(60_000, Event::Fault(Fault::Upgrade(2)));
         w.run_until(100_000);
-        assert_eq!(w.rules.verdict("req-000002"), Some("done"), "then it is taken");
+        assert_eq!(w.rules.terminal_status("req-000002"), Some("done"), "then it is taken");
         early
     };
     assert!(!taken_early(None));
@@ -308,10 +308,10 @@
 }
 
 /// Whether some seed of a few breaks a rule under `faults` and a spoilt `world`.
-fn checker_notices(spoil: impl Fn(&mut World)) -> bool {
+fn checker_notices(corrupt: impl Fn(&mut Simulation)) -> bool {
     (300..420).any(|seed| {
         let mut w = day(seed, troubles);
-        spoil(&mut w);
+        corrupt(&mut w);
         w.run_until(DAY_ENDS);
         !w.rules.broken.is_empty()
     })
@@ -323,19 +323,19 @@
     fn forget_silent(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
     }
-    assert!(checker_notices(|w| w.sabotage = Some(forget_silent)));
+    assert!(checker_notices(|w| w.injected_fault = Some(forget_silent)));
     // Done as soon as half of the tasks are.
     fn done_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::TaskCompletion);
     }
-    assert!(checker_notices(|w| w.sabotage = Some(done_early)));
+    assert!(checker_notices(|w| w.injected_fault = Some(done_early)));
     // Dependent jobs get a run at once; or a cancellation does not carry on to them.
-    let with_pipelines = |spoil: fn(&mut Controller, u64)| {
+    let with_pipelines = |corrupt: fn(&mut Controller, u64)| {
         (300..340).any(|seed| {
-            let mut w = World::new(seed);
+            let mut w = Simulation::new(seed);
             pipelines(&mut w, 2_000, 30_000);
             (0..5).for_each(|n| w.add_user(500, job(n, "array", 3), (n == 0).then_some(4_000)));
-            w.sabotage = Some(spoil);
+            w.injected_fault = Some(corrupt);
             w.run_until(DAY_ENDS);
             !w.rules.broken.is_empty()
         })
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn the_checker_notices_a_world_that_breaks_its_word() {
+fn the_checker_notices_stand_ins_that_break_the_protocol() {
     assert!(checker_notices(|w| w.cloud.lazy = true), "released machines that go on");
     assert!(checker_notices(|w| w.state.careless = true), "transactions without conditions");
 }
--- a/crates/scheduler/src/world/waiting.rs
+++ b/crates/scheduler/src/simulation/waiting.rs
@@ -4,7 +4,7 @@
 #![cfg(test)]
 
 use super::workers::{State, Worker};
-use super::{Stage, User, World};
+use super::{Simulation, Stage, User};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 
 impl Waiting {
     /// Looks again; a job that has waited for too long.
-    pub fn look(&mut self, w: &World) -> Option<String> {
+    pub fn close_read(&mut self, w: &Simulation) -> Option<String> {
         let fits = |u: &&User| u.stage != Stage::Over && w.rules.accepted(&u.id) && w.could_start(u);
         let now: Vec<&str> = w.users.iter().filter(fits).map(|u| u.id.as_str()).collect();
         self.since.retain(|id, _| now.contains(&id.as_str()));
@@ -37,13 +37,13 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Whether a task of the job that is nowhere could start now: a whole gang's, if it is one.
     fn could_start(&self, user: &User) -> bool {
         let (id, body) = (&user.id, &user.body);
         let needs = body["awaits"].as_array().into_iter().flatten().filter_map(Value::as_str);
-        if self.rules.verdict(id).is_some()
-            || needs.into_iter().any(|n| self.rules.verdict(n) != Some("done"))
+        if self.rules.terminal_status(id).is_some()
+            || needs.into_iter().any(|n| self.rules.terminal_status(n) != Some("done"))
         {
             return false;
         }
--- a/crates/scheduler/src/world/workers.rs
+++ b/crates/scheduler/src/simulation/workers.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the workers, written from the protocol alone: it reads and writes JSON.
 
-use super::{Asker, Event, Host, Input, Method, World};
+use super::{Asker, Event, Host, Input, Method, Simulation};
 use crate::types::{MachineId, RequestId};
 use crate::wire::cloud::ListedMachine;
 use rand::RngExt;
@@ -112,7 +112,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn add_worker(&mut self, listed: &ListedMachine) {
         let never = self.rng.random_bool(0.03);
         let boots_at = self.now + if never { 10_000_000 } else { self.boots_in() };
@@ -164,7 +164,7 @@
     pub fn is_at_work(&self, m: usize) -> bool {
         let w = &self.workers[m];
         let apart = (0..self.nodes.len()).any(|i| self.cuts.contains_key(&(Host::Node(i), Host::Machine(m))));
-        let wanted = |t: &Task| t.present() && self.rules.verdict(t.job()).is_none();
+        let wanted = |t: &Task| t.present() && self.rules.terminal_status(t.job()).is_none();
         w.up && !apart
             && w.taken_at.is_none()
             && self.now >= w.hung_until + HANGOVER
@@ -416,7 +416,7 @@
         let fetch = if has { 0 } else { fetch };
         let state = match refuse {
             Some(cause) => State::Exited { cause, kept: false },
-            None if self.rules.known(&job).verdict.as_deref() == Some("withdrawn") => {
+            None if self.rules.known(&job).terminal_status.as_deref() == Some("withdrawn") => {
                 *self.met.entry("start after a confirmed cancellation").or_default() += 1;
                 State::Fetching { until: now + fetch }
             }
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -517,7 +517,7 @@
     }
 }
 
-#[cfg(any(test, feature = "world"))]
+#[cfg(any(test, feature = "simulation"))]
 impl Machine {
     pub fn sabotage_forget_sent(&mut self) {
         self.sent.clear();
