--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -126,7 +126,7 @@
             zones: &request.zones,
         };
         let clearings = choose(candidates, &wanted);
-        let stopped: usize = clearings.iter().map(|(_, tasks)| tasks.len()).sum();
+        let stopped: usize = clearings.iter().map(|clearing| clearing.victims.len()).sum();
         if stopped == 0 {
             return 0;
         }
@@ -199,8 +199,8 @@
     /// Stops the tasks that are to leave; gives the longest time that one of them has to save, in seconds.
     fn stop_victims(&mut self, clearings: &[Clearing], preemption: Preemption, now: MonotonicTime) -> f64 {
         let mut longest_grace_s = 0.0f64;
-        for (machine, tasks) in clearings {
-            for task in tasks {
+        for Clearing { machine, victims } in clearings {
+            for task in victims {
                 let Some(job_state) = self.job_states.get(&task.job) else { continue };
                 let grace_s = preemption.grace_s(&job_state.job.spec);
                 longest_grace_s = longest_grace_s.max(grace_s);
@@ -218,8 +218,8 @@
     /// comes piece by piece, and small tasks would take each piece. A single place may go to
     /// whichever job is served first.
     fn hold_cleared(&mut self, job: &JobId, clearings: &[Clearing], hold_all: bool, until: MonotonicTime) {
-        for (machine, tasks) in clearings {
-            if (hold_all || tasks.len() > 1)
+        for Clearing { machine, victims } in clearings {
+            if (hold_all || victims.len() > 1)
                 && let Some(machine) = self.machines.get_mut(machine)
             {
                 machine.held = Some((job.clone(), until));
--- a/crates/scheduler/src/preemption/mod.rs
+++ b/crates/scheduler/src/preemption/mod.rs
@@ -1,122 +1,166 @@
-//! Preemption: which running work makes room for more urgent work.
+//! Preemption: which running work makes way for more urgent work.
 //!
 //! Work makes way for a job of higher priority, and work beyond its own team's guarantee makes
 //! way for another team's job within its guarantee. Replicas of services never do.
+//!
+//! The leader gathers the candidates, [`choose`] picks those that lose least, and the leader stops the victims.
 
 use crate::types::{MachineId, Resources, TaskId, Zone};
 
-/// A task that may be stopped, and what that loses in seconds of work.
+/// A task that may be stopped.
 #[derive(Debug, Clone)]
 pub struct Victim {
+    /// The task.
     pub task: TaskId,
+    /// What it takes of its machine.
     pub resources: Resources,
+    /// What stopping it loses, in seconds of work.
     pub loss_s: f64,
 }
 
 /// A machine that could hold a waiting task if some victims left.
 #[derive(Debug, Clone)]
 pub struct Candidate {
+    /// The machine.
     pub machine: MachineId,
+    /// The zone that it is in.
     pub zone: Zone,
+    /// Resources that are free, or will be without a preemption.
     pub free: Resources,
+    /// The tasks that may be stopped there.
     pub victims: Vec<Victim>,
-    /// What the waiting task would still wait for there.
+    /// How many seconds the waiting task would still take to fetch its image there.
     pub fetch_s: f64,
 }
 
-/// Work that waits for room.
+/// Tasks that wait for resources.
 #[derive(Debug, Clone)]
 pub struct Wanted<'a> {
+    /// What each task takes of its machine.
     pub resources: &'a Resources,
+    /// How many tasks wait.
     pub tasks: u32,
     /// All tasks at once or none.
     pub gang: bool,
+    /// All tasks in one zone.
     pub together: bool,
     /// Zones and how many of the tasks each may take.
     pub zones: &'a [(Zone, u32)],
 }
 
-/// A machine where room is made, and who has to leave it.
-pub type Clearing = (MachineId, Vec<TaskId>);
+/// A machine to be used, and the tasks that have to leave it; none if its free resources suffice.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Clearing {
+    /// The machine.
+    pub machine: MachineId,
+    /// The tasks to stop there.
+    pub victims: Vec<TaskId>,
+}
 
+/// One machine that may be cleared.
 struct Choice {
+    /// Seconds of work and of fetching that it loses.
     cost: f64,
     zone: Zone,
+    /// How many waiting tasks it would hold.
     slots: u32,
     clearing: Clearing,
 }
 
-/// Where making room loses least. For a gang that is room for all its tasks, machines with room
-/// already among them; else as many as there are.
+/// Machines that hold the wanted tasks together.
+struct Plan {
+    cost: f64,
+    clearings: Vec<Clearing>,
+}
+
+/// Tasks that leave one machine.
+struct Eviction {
+    loss_s: f64,
+    victims: Vec<TaskId>,
+}
+
+/// The machines where freeing resources loses least. For a gang they hold all its tasks, machines with enough
+/// free resources among them; for other jobs as many tasks as possible.
 pub fn choose(candidates: Vec<Candidate>, wanted: &Wanted) -> Vec<Clearing> {
-    let mut options: Vec<Choice> = Vec::new();
-    for c in candidates {
-        let slots = c.free.count_of(wanted.resources);
-        if slots > 0 {
-            // Work other than gangs is placed there by rounds.
-            if wanted.gang {
-                let clearing = (c.machine, Vec::new());
-                options.push(Choice { cost: c.fetch_s, zone: c.zone, slots, clearing });
-            }
-        } else if let Some((loss, leave)) = least_loss(&c, wanted.resources) {
-            let clearing = (c.machine, leave);
-            options.push(Choice { cost: loss + c.fetch_s, zone: c.zone, slots: 1, clearing });
-        }
-    }
-    options.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-    if !(wanted.gang && wanted.together) {
-        return take(&options, wanted, wanted.zones).map(|(_, c)| c).unwrap_or_default();
+    let mut choices: Vec<Choice> =
+        candidates.into_iter().filter_map(|candidate| choice(candidate, wanted)).collect();
+    choices.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+    let plan = if wanted.gang && wanted.together {
+        let plans = wanted.zones.iter().filter_map(|zone| plan(&choices, wanted, std::slice::from_ref(zone)));
+        plans.min_by(|a, b| a.cost.total_cmp(&b.cost))
+    } else {
+        plan(&choices, wanted, wanted.zones)
+    };
+    plan.map(|plan| plan.clearings).unwrap_or_default()
+}
+
+/// What the machine offers to the wanted tasks, if anything.
+fn choice(candidate: Candidate, wanted: &Wanted) -> Option<Choice> {
+    let slots = candidate.free.count_of(wanted.resources);
+    if slots == 0 {
+        let Eviction { loss_s, victims } = least_loss(&candidate, wanted.resources)?;
+        let clearing = Clearing { machine: candidate.machine, victims };
+        return Some(Choice { cost: loss_s + candidate.fetch_s, zone: candidate.zone, slots: 1, clearing });
     }
-    let by_zone = wanted.zones.iter().filter_map(|zone| take(&options, wanted, std::slice::from_ref(zone)));
-    by_zone.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, c)| c).unwrap_or_default()
+    // Scheduling rounds place all other work on free resources.
+    wanted.gang.then(|| Choice {
+        cost: candidate.fetch_s,
+        zone: candidate.zone,
+        slots,
+        clearing: Clearing { machine: candidate.machine, victims: Vec::new() },
+    })
 }
 
-/// The cheapest options for `wanted` in `zones`, and what they cost.
-fn take(options: &[Choice], wanted: &Wanted, zones: &[(Zone, u32)]) -> Option<(f64, Vec<Clearing>)> {
-    let (mut zones, mut left, mut cost, mut out) = (zones.to_vec(), wanted.tasks, 0.0, Vec::new());
-    for o in options {
-        let Some((_, allowed)) = zones.iter_mut().find(|(z, n)| *z == o.zone && *n > 0) else { continue };
-        let slots = o.slots.min(*allowed).min(left);
+/// The cheapest choices for the wanted tasks in `zones`. `choices` are sorted by cost.
+fn plan(choices: &[Choice], wanted: &Wanted, zones: &[(Zone, u32)]) -> Option<Plan> {
+    let mut zones = zones.to_vec();
+    let mut remaining = wanted.tasks;
+    let mut plan = Plan { cost: 0.0, clearings: Vec::new() };
+    for choice in choices {
+        let zone = zones.iter_mut().find(|(zone, allowed)| *zone == choice.zone && *allowed > 0);
+        let Some((_, allowed)) = zone else { continue };
+        let slots = choice.slots.min(*allowed).min(remaining);
         *allowed -= slots;
-        left -= slots;
-        cost += o.cost;
-        out.push(o.clearing.clone());
-        if left == 0 {
+        remaining -= slots;
+        plan.cost += choice.cost;
+        plan.clearings.push(choice.clearing.clone());
+        if remaining == 0 {
             break;
         }
     }
-    (left == 0 || !wanted.gang).then_some((cost, out))
+    (remaining == 0 || !wanted.gang).then_some(plan)
 }
 
-/// Who leaves the machine so that `need` fits, and what that loses.
-fn least_loss(c: &Candidate, need: &Resources) -> Option<(f64, Vec<TaskId>)> {
-    let mut victims: Vec<&Victim> = c.victims.iter().collect();
-    victims.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
-    let (mut free, mut cost, mut leave) = (c.free, 0.0, Vec::new());
-    for v in victims {
+/// The tasks that leave the machine so that `need` fits; `None` if it doesn't fit even without all victims.
+fn least_loss(candidate: &Candidate, need: &Resources) -> Option<Eviction> {
+    let mut by_loss: Vec<&Victim> = candidate.victims.iter().collect();
+    by_loss.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
+    let mut free = candidate.free;
+    let mut loss_s = 0.0;
+    let mut leaving: Vec<&Victim> = Vec::new();
+    for victim in by_loss {
         if need.fits_in(&free) {
             break;
         }
-        free = free.plus(&v.resources);
-        cost += v.loss_s;
-        leave.push(v);
+        free = free.plus(&victim.resources);
+        loss_s += victim.loss_s;
+        leaving.push(victim);
     }
-    if !need.fits_in(&free) || leave.is_empty() {
+    if !need.fits_in(&free) {
         return None;
     }
     // Some taken first may prove unnecessary once larger ones are in.
-    let mut i = 0;
-    while i < leave.len() {
-        let without = free.minus(&leave[i].resources);
-        if need.fits_in(&without) {
+    leaving.retain(|victim| {
+        let without = free.minus(&victim.resources);
+        let unnecessary = need.fits_in(&without);
+        if unnecessary {
             free = without;
-            cost -= leave[i].loss_s;
-            leave.remove(i);
-        } else {
-            i += 1;
+            loss_s -= victim.loss_s;
         }
-    }
-    (!leave.is_empty()).then(|| (cost, leave.into_iter().map(|v| v.task.clone()).collect()))
+        !unnecessary
+    });
+    let victims: Vec<TaskId> = leaving.into_iter().map(|victim| victim.task.clone()).collect();
+    (!victims.is_empty()).then_some(Eviction { loss_s, victims })
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/preemption/tests.rs
+++ b/crates/scheduler/src/preemption/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_least_loss_is_chosen_and_nobody_leaves_in_vain() {
+fn the_least_loss_is_chosen_and_no_task_is_stopped_in_vain() {
     let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
     let all = vec![
         candidate("a", 0.0, &[(1.0, 9.0), (1.0, 9.0)], 0.0),
@@ -31,21 +31,23 @@
     let zones = [("x".into(), 9), ("y".into(), 9)];
     let wanted = |tasks, gang, together| Wanted { resources: &need, tasks, gang, together, zones: &zones };
     let one = choose(all.clone(), &wanted(1, false, false));
-    assert_eq!((one.len(), one[0].0.as_str(), one[0].1.len(), one[0].1[0].index), (1, "b", 1, 1));
+    assert_eq!(one.len(), 1);
+    assert_eq!((one[0].machine.as_str(), one[0].victims.len(), one[0].victims[0].index), ("b", 1, 1));
     assert_eq!(choose(all.clone(), &wanted(9, false, false)).len(), 3, "as many as there are");
     assert!(choose(all.clone(), &wanted(4, true, false)).is_empty(), "a gang: all or none");
     let gang = choose(all, &wanted(2, true, true));
-    let machines: Vec<&str> = gang.iter().map(|(m, _)| m.as_str()).collect();
-    assert_eq!(machines, ["b", "a"], "room for all of it, in one zone");
+    let machines: Vec<&str> = gang.iter().map(|clearing| clearing.machine.as_str()).collect();
+    assert_eq!(machines, ["b", "a"], "all of it fits, in one zone");
 }
 
-/// Only gangs of one task ever had room made for them.
+/// Formerly, tasks were only ever preempted for gangs of one task.
 #[test]
-fn a_gang_counts_room_that_is_there_already() {
+fn a_gang_counts_resources_that_are_free_already() {
     let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
     let all = vec![candidate("a", 2.0, &[], 0.0), candidate("b", 0.0, &[(2.0, 3.0)], 0.0)];
     let zones = [("x".into(), 9)];
     let wanted = Wanted { resources: &need, tasks: 2, gang: true, together: true, zones: &zones };
-    let got = choose(all, &wanted);
-    assert_eq!(got.iter().map(|(m, t)| (m.as_str(), t.len())).collect::<Vec<_>>(), [("a", 0), ("b", 1)]);
+    let clearings = choose(all, &wanted);
+    let victims = |clearing: &Clearing| (clearing.machine.to_string(), clearing.victims.len());
+    assert_eq!(clearings.iter().map(victims).collect::<Vec<_>>(), [("a".into(), 0), ("b".into(), 1)]);
 }
