--- a/crates/scheduler/src/autoscaler/mod.rs
+++ b/crates/scheduler/src/autoscaler/mod.rs
@@ -1,222 +1,301 @@
-//! The fleet: what to rent for work that fits nowhere, and what to return.
+//! The autoscaler: what to rent for work that fits nowhere.
+//!
+//! The leader gathers what waits and what is incoming, and rents what [`InstanceOffers::plan`] gives.
 
-use crate::types::{Duration, MonotonicTime, Resources, TypeName, Zone};
+use crate::types::{Duration, FencingToken, MonotonicTime, Resources, TypeName, Zone};
 use crate::wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
-/// A type in a zone, ordinary or spot.
+/// A price for a task's place is dear from this multiple of the cheapest price on.
+const DEAR: f64 = 2.0;
+/// Machines planned for one request at a time, so that a large one is spread over zones.
+const MACHINES_AT_ONCE: u32 = 4;
+/// Added to the limit on a machine's boot time, in seconds.
+const BOOT_MARGIN_S: f64 = 10.0;
+
+/// A machine type in a zone, on-demand or spot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceOffer {
+    /// The machine type.
     pub type_name: TypeName,
+    /// The zone.
     pub zone: Zone,
+    /// Whether the machines are spot machines.
     pub spot: bool,
 }
 
-/// Machines that are there or on their way, alike in kind and in the room not yet promised.
+/// Machines that are up or on their way, alike in their offer and in the resources not yet assigned.
 #[derive(Debug, Clone)]
 pub struct IncomingCapacity {
-    pub instance_offer: InstanceOffer,
+    /// What they were rented as.
+    pub offer: InstanceOffer,
+    /// Resources of each that no request has been assigned.
     pub free: Resources,
+    /// How many machines.
     pub number: u32,
 }
 
 /// Tasks of one job that wait for machines.
 #[derive(Debug, Clone)]
 pub struct CapacityRequest {
+    /// How many tasks wait.
     pub tasks: u32,
+    /// What each task takes of its machine.
     pub resources: Resources,
+    /// The machine types that it may run on; `None` allows all.
     pub types: Option<Vec<TypeName>>,
+    /// Whether its tasks may run on spot machines.
     pub spot: bool,
     /// Zones it may use and how many more of its tasks each may take.
     pub zones: Vec<(Zone, u32)>,
     /// All tasks of it must be in one zone.
     pub together: bool,
-    /// It will soon have places that come free: nothing dear is rented for it.
+    /// Running tasks will soon make way for it: nothing dear is rented.
     pub patient: bool,
 }
 
 impl CapacityRequest {
-    /// How many of its tasks may still go to machines of `instance_offer`.
-    fn allowed(&self, instance_offer: &InstanceOffer) -> u32 {
-        let kind = (self.spot || !instance_offer.spot)
-            && self.types.as_ref().is_none_or(|t| t.contains(&instance_offer.type_name));
-        let zone = self.zones.iter().find(|(z, _)| *z == instance_offer.zone);
-        zone.filter(|_| kind).map_or(0, |(_, n)| *n)
+    /// How many of its tasks may still go to machines of `offer`.
+    fn allowed(&self, offer: &InstanceOffer) -> u32 {
+        let market_allowed = self.spot || !offer.spot;
+        let type_allowed = self.types.as_ref().is_none_or(|types| types.contains(&offer.type_name));
+        if !market_allowed || !type_allowed {
+            return 0;
+        }
+        let zone = self.zones.iter().find(|(zone, _)| *zone == offer.zone);
+        zone.map_or(0, |(_, allowed)| *allowed)
     }
 
     /// Notes that `tasks` of it go to `zone`.
-    fn settle(&mut self, zone: &Zone, tasks: u32) {
+    fn assign(&mut self, zone: &Zone, tasks: u32) {
         self.tasks -= tasks;
         if self.together {
-            self.zones.retain(|(z, _)| z == zone);
+            self.zones.retain(|(allowed_zone, _)| allowed_zone == zone);
         }
-        for (_, n) in self.zones.iter_mut().filter(|(z, _)| z == zone) {
-            *n = n.saturating_sub(tasks);
+        for (_, allowed) in self.zones.iter_mut().filter(|(allowed_zone, _)| allowed_zone == zone) {
+            *allowed = allowed.saturating_sub(tasks);
         }
     }
 }
 
-/// From how many times the cheapest price of a task's place on an offer is dear.
-const DEAR: f64 = 2.0;
-/// Machines planned for one need at a time, so that a large one is spread over zones.
-const AT_ONCE: u32 = 4;
+/// Machines to rent.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Rental {
+    /// What to rent.
+    pub offer: InstanceOffer,
+    /// How many machines.
+    pub number: u32,
+}
 
+/// What the cloud offers, and which offers it refused lately.
 #[derive(Debug, Default)]
 pub struct InstanceOffers {
+    /// All machine types.
     pub types: Vec<MachineType>,
-    /// Offers refused lately, and until when they are left alone.
+    /// Offers refused lately, and until when they are not tried again.
     refused: BTreeMap<InstanceOffer, MonotonicTime>,
     next_claim: u64,
 }
 
+/// An offer that a request may use.
+struct RankedOffer {
+    /// Price of a task's place an hour.
+    cost: f64,
+    machines_in_zone: u32,
+    offer: InstanceOffer,
+    resources: Resources,
+}
+
 impl InstanceOffers {
+    /// The offers of these machine types, none refused.
     pub fn new(types: Vec<MachineType>) -> Self {
         Self { types, ..Self::default() }
     }
 
+    /// The machine type of this name.
     pub fn type_of(&self, name: &TypeName) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == *name)
+        self.types.iter().find(|machine_type| machine_type.name == *name)
     }
 
-    pub fn refuse(&mut self, instance_offer: InstanceOffer, until: MonotonicTime) {
-        self.refused.insert(instance_offer, until);
+    /// The cloud refused the offer: it is not planned with until then.
+    pub fn refuse(&mut self, offer: InstanceOffer, until: MonotonicTime) {
+        self.refused.insert(offer, until);
     }
 
-    /// A request name that no other request has: fences are unique to one leadership.
-    pub fn claim(&mut self, fencing_token: crate::types::FencingToken) -> String {
+    /// A claim that no other rental has: fencing tokens are unique to one leadership.
+    pub fn claim(&mut self, fencing_token: FencingToken) -> String {
         self.next_claim += 1;
         format!("pf-{fencing_token}-{}", self.next_claim)
     }
 
-    /// What to rent so that `capacity_requests` fit, given the machines that are `incoming` already. `per_zone`
-    /// counts the machines in each zone: of equal offers, the emptiest zone is taken. Works on
+    /// What to rent so that all `requests` fit, most urgent first, given the machines that are `incoming` already.
+    /// `machines_by_zone` counts the machines in each zone: of equal offers, the emptiest zone is taken. Works on
     /// groups of equal machines, so that its effort doesn't grow with the number of tasks.
     pub fn plan(
         &mut self,
-        capacity_requests: Vec<CapacityRequest>,
-        mut incoming: Vec<IncomingCapacity>,
-        per_zone: &BTreeMap<Zone, u32>,
+        requests: Vec<CapacityRequest>,
+        incoming: Vec<IncomingCapacity>,
+        machines_by_zone: &BTreeMap<Zone, u32>,
         now: MonotonicTime,
-    ) -> Vec<(InstanceOffer, u32)> {
+    ) -> Vec<Rental> {
         self.refused.retain(|_, until| *until > now);
-        let mut per_zone = per_zone.clone();
-        let mut out: BTreeMap<InstanceOffer, u32> = BTreeMap::new();
-        let mut left: u32 = capacity_requests.iter().map(|n| n.tasks).sum();
-        for mut capacity_request in capacity_requests {
-            left -= capacity_request.tasks;
-            if capacity_request.together {
-                // The zone that holds all of it, or else most, with what is coming.
-                let mut slots: BTreeMap<&Zone, u32> = BTreeMap::new();
-                for c in incoming.iter().filter(|c| capacity_request.allowed(&c.instance_offer) > 0) {
-                    *slots.entry(&c.instance_offer.zone).or_default() +=
-                        c.free.count_of(&capacity_request.resources) * c.number;
-                }
-                if let Some((zone, n)) = slots.into_iter().max_by_key(|(_, n)| *n)
-                    && n >= capacity_request.tasks
-                {
-                    let zone = zone.clone();
-                    capacity_request.zones.retain(|(z, _)| *z == zone);
-                }
-            }
-            let mut i = 0;
-            while i < incoming.len() && capacity_request.tasks > 0 {
-                let take = fill(&mut incoming, i, &capacity_request);
-                if take > 0 {
-                    let zone = incoming[i].instance_offer.zone.clone();
-                    capacity_request.settle(&zone, take);
-                }
-                i += 1;
-            }
-            while capacity_request.tasks > 0 {
-                let wanted = capacity_request.tasks + left;
-                let Some((instance_offer, resources)) = self.best(&capacity_request, wanted, &per_zone)
-                else {
-                    break;
-                };
-                let slots = resources.count_of(&capacity_request.resources).max(1);
-                let tasks = capacity_request.tasks.min(capacity_request.allowed(&instance_offer));
-                let number = tasks.div_ceil(slots).min(AT_ONCE);
-                *per_zone.entry(instance_offer.zone.clone()).or_default() += number;
-                *out.entry(instance_offer.clone()).or_default() += number;
-                incoming.push(IncomingCapacity {
-                    instance_offer: instance_offer.clone(),
-                    free: resources,
-                    number,
-                });
-                let last = incoming.len() - 1;
-                let take = fill(&mut incoming, last, &capacity_request);
-                if take == 0 {
-                    break;
-                }
-                capacity_request.settle(&instance_offer.zone, take);
-            }
+        let mut planner = Planner {
+            offers: self,
+            incoming,
+            machines_by_zone: machines_by_zone.clone(),
+            rentals: BTreeMap::new(),
+        };
+        let mut later_tasks: u32 = requests.iter().map(|request| request.tasks).sum();
+        for mut request in requests {
+            later_tasks -= request.tasks;
+            planner.choose_zone(&mut request);
+            planner.use_incoming(&mut request);
+            planner.rent(&mut request, later_tasks);
         }
-        out.into_iter().collect()
+        planner.rentals.into_iter().map(|(offer, number)| Rental { offer, number }).collect()
     }
 
-    /// The cheapest offer per task that isn't refused now, and what one machine of it holds.
+    /// The cheapest offer for each task that isn't refused now. `waiting_tasks` bounds how many places of a machine
+    /// count.
     fn best(
         &self,
-        capacity_request: &CapacityRequest,
-        wanted: u32,
-        per_zone: &BTreeMap<Zone, u32>,
-    ) -> Option<(InstanceOffer, Resources)> {
-        let mut best: Option<(f64, u32, InstanceOffer, Resources)> = None;
+        request: &CapacityRequest,
+        waiting_tasks: u32,
+        machines_by_zone: &BTreeMap<Zone, u32>,
+    ) -> Option<RankedOffer> {
+        let mut best: Option<RankedOffer> = None;
         let mut cheapest = f64::MAX;
-        for t in self.types.iter().filter(|t| capacity_request.resources.fits_in(&t.resources())) {
-            let slots = t.resources().count_of(&capacity_request.resources).min(wanted.max(1));
-            for zone in &t.zones {
-                for spot in [false, true] {
-                    let instance_offer =
-                        InstanceOffer { type_name: t.name.clone(), zone: zone.clone(), spot };
-                    if capacity_request.allowed(&instance_offer) == 0 {
-                        continue;
-                    }
-                    let cost = t.hourly(spot) / f64::from(slots.max(1));
-                    cheapest = cheapest.min(cost);
-                    if self.refused.contains_key(&instance_offer) {
-                        continue;
-                    }
-                    let there = per_zone.get(zone).copied().unwrap_or(0);
-                    if best.as_ref().is_none_or(|(c, n, ..)| (cost, there) < (*c, *n)) {
-                        best = Some((cost, there, instance_offer, t.resources()));
-                    }
-                }
+        for ranked in self.offers_for(request, waiting_tasks, machines_by_zone) {
+            cheapest = cheapest.min(ranked.cost);
+            if self.refused.contains_key(&ranked.offer) {
+                continue;
+            }
+            let better = best.as_ref().is_none_or(|best| {
+                (ranked.cost, ranked.machines_in_zone) < (best.cost, best.machines_in_zone)
+            });
+            if better {
+                best = Some(ranked);
             }
         }
-        best.filter(|(cost, ..)| !capacity_request.patient || *cost <= cheapest * DEAR)
-            .map(|(_, _, instance_offer, resources)| (instance_offer, resources))
+        best.filter(|best| !request.patient || best.cost <= cheapest * DEAR)
+    }
+
+    /// All offers that the request may use, refused ones among them.
+    fn offers_for<'a>(
+        &'a self,
+        request: &'a CapacityRequest,
+        waiting_tasks: u32,
+        machines_by_zone: &'a BTreeMap<Zone, u32>,
+    ) -> impl Iterator<Item = RankedOffer> + 'a {
+        let fitting = self.types.iter().filter(|t| request.resources.fits_in(&t.resources()));
+        let by_zone =
+            fitting.flat_map(|machine_type| machine_type.zones.iter().map(move |z| (machine_type, z)));
+        let markets = by_zone.flat_map(|(machine_type, zone)| {
+            [false, true].into_iter().map(move |spot| (machine_type, zone, spot))
+        });
+        markets.filter_map(move |(machine_type, zone, spot)| {
+            let offer = InstanceOffer { type_name: machine_type.name.clone(), zone: zone.clone(), spot };
+            if request.allowed(&offer) == 0 {
+                return None;
+            }
+            let resources = machine_type.resources();
+            let slots = resources.count_of(&request.resources).min(waiting_tasks.max(1)).max(1);
+            let cost = machine_type.hourly(spot) / f64::from(slots);
+            let machines_in_zone = machines_by_zone.get(zone).copied().unwrap_or(0);
+            Some(RankedOffer { cost, machines_in_zone, offer, resources })
+        })
     }
 }
 
-/// Promises as much of group `i` to `capacity_request` as fits; gives the number of tasks. What a machine
-/// keeps free goes on as a group of its own.
-fn fill(incoming: &mut Vec<IncomingCapacity>, i: usize, capacity_request: &CapacityRequest) -> u32 {
-    let group = &incoming[i];
-    let slots = group.free.count_of(&capacity_request.resources);
-    let take = capacity_request
-        .tasks
-        .min(capacity_request.allowed(&group.instance_offer))
-        .min(slots.saturating_mul(group.number));
-    if take == 0 {
-        return 0;
+/// A plan being made.
+struct Planner<'a> {
+    offers: &'a InstanceOffers,
+    /// Grows with each rental, and with each group of machines of which a part is assigned.
+    incoming: Vec<IncomingCapacity>,
+    machines_by_zone: BTreeMap<Zone, u32>,
+    rentals: BTreeMap<InstanceOffer, u32>,
+}
+
+impl Planner<'_> {
+    /// Restricts a request whose tasks must be together to the zone with the most incoming places, if that holds all.
+    fn choose_zone(&self, request: &mut CapacityRequest) {
+        if !request.together {
+            return;
+        }
+        let mut slots_by_zone: BTreeMap<&Zone, u32> = BTreeMap::new();
+        for group in self.incoming.iter().filter(|group| request.allowed(&group.offer) > 0) {
+            let slots = group.free.count_of(&request.resources) * group.number;
+            *slots_by_zone.entry(&group.offer.zone).or_default() += slots;
+        }
+        if let Some((zone, slots)) = slots_by_zone.into_iter().max_by_key(|(_, slots)| *slots)
+            && slots >= request.tasks
+        {
+            request.zones.retain(|(allowed_zone, _)| allowed_zone == zone);
+        }
     }
-    let (full, rest) = (take / slots, take % slots);
-    let mut parts = vec![(full, slots)];
-    if rest > 0 {
-        parts.push((1, rest));
+
+    /// Assigns incoming machines to the request.
+    fn use_incoming(&mut self, request: &mut CapacityRequest) {
+        let mut index = 0;
+        while index < self.incoming.len() && request.tasks > 0 {
+            self.assign(index, request);
+            index += 1;
+        }
     }
-    for (number, tasks) in parts.into_iter().filter(|(n, _)| *n > 0) {
-        let free = incoming[i].free.minus(&capacity_request.resources.times(f64::from(tasks)));
-        incoming[i].number -= number;
-        incoming.push(IncomingCapacity { instance_offer: incoming[i].instance_offer.clone(), free, number });
+
+    /// Rents machines until all tasks of the request have a place or no offer is left.
+    fn rent(&mut self, request: &mut CapacityRequest, later_tasks: u32) {
+        while request.tasks > 0 {
+            let waiting_tasks = request.tasks + later_tasks;
+            let best = self.offers.best(request, waiting_tasks, &self.machines_by_zone);
+            let Some(RankedOffer { offer, resources, .. }) = best else { break };
+            let slots = resources.count_of(&request.resources).max(1);
+            let tasks = request.tasks.min(request.allowed(&offer));
+            let number = tasks.div_ceil(slots).min(MACHINES_AT_ONCE);
+            *self.machines_by_zone.entry(offer.zone.clone()).or_default() += number;
+            *self.rentals.entry(offer.clone()).or_default() += number;
+            self.incoming.push(IncomingCapacity { offer, free: resources, number });
+            if self.assign(self.incoming.len() - 1, request) == 0 {
+                break;
+            }
+        }
+    }
+
+    /// Assigns as much of a group to the request as fits; gives the number of tasks. Machines of which something
+    /// stays free go on as a group of their own.
+    fn assign(&mut self, index: usize, request: &mut CapacityRequest) -> u32 {
+        let group = &self.incoming[index];
+        let slots = group.free.count_of(&request.resources);
+        let places = slots.saturating_mul(group.number);
+        let tasks = request.tasks.min(request.allowed(&group.offer)).min(places);
+        if tasks == 0 {
+            return 0;
+        }
+        let zone = group.offer.zone.clone();
+        let full_machines = tasks / slots;
+        let remainder = tasks % slots;
+        self.split_off(index, full_machines, slots, &request.resources);
+        self.split_off(index, remainder.min(1), remainder, &request.resources);
+        request.assign(&zone, tasks);
+        tasks
+    }
+
+    /// Moves `number` machines of a group to a new one, after each was assigned `tasks`.
+    fn split_off(&mut self, index: usize, number: u32, tasks: u32, resources: &Resources) {
+        if number == 0 {
+            return;
+        }
+        let group = &mut self.incoming[index];
+        group.number -= number;
+        let free = group.free.minus(&resources.times(f64::from(tasks)));
+        let offer = group.offer.clone();
+        self.incoming.push(IncomingCapacity { offer, free, number });
     }
-    take
 }
 
-/// How long a machine of this type may take to come up before it is given up.
-pub fn boot_limit(t: &MachineType, patience: f64) -> Duration {
-    t.boot().times(patience) + Duration::from_secs_f64(10.0)
+/// How long a machine of this type may take to come up before it is returned. `factor` multiplies the nominal time.
+pub fn boot_limit(machine_type: &MachineType, factor: f64) -> Duration {
+    machine_type.boot().times(factor) + Duration::from_secs_f64(BOOT_MARGIN_S)
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/autoscaler/tests.rs
+++ b/crates/scheduler/src/autoscaler/tests.rs
@@ -22,60 +22,50 @@
 }
 
 #[test]
-fn the_cheapest_adequate_offer_is_rented_and_what_is_coming_counts() {
-    let mut m = instance_offers();
+fn the_cheapest_adequate_offer_is_rented_and_incoming_machines_count() {
+    let mut offers = instance_offers();
     let now = MonotonicTime::from_millis(0);
-    let plan = |m: &mut InstanceOffers, n: CapacityRequest, c: Vec<IncomingCapacity>| {
-        m.plan(vec![n], c, &BTreeMap::new(), now)
+    let plan = |offers: &mut InstanceOffers, request: CapacityRequest, incoming: Vec<IncomingCapacity>| {
+        offers.plan(vec![request], incoming, &BTreeMap::new(), now)
     };
-    let instance_offer = |t: &str, z: &str, spot| InstanceOffer { type_name: t.into(), zone: z.into(), spot };
-    assert_eq!(
-        plan(&mut m, capacity_request(1, 1.0, false), vec![]),
-        [(instance_offer("small", "a", false), 1)]
-    );
-    assert_eq!(
-        plan(&mut m, capacity_request(8, 1.0, false), vec![]),
-        [(instance_offer("big", "a", false), 1)]
-    );
-    assert_eq!(plan(&mut m, capacity_request(1, 8.0, true), vec![]), [(instance_offer("big", "a", true), 1)]);
+    let offer =
+        |name: &str, zone: &str, spot| InstanceOffer { type_name: name.into(), zone: zone.into(), spot };
+    let one = |name: &str, zone: &str, spot| Rental { offer: offer(name, zone, spot), number: 1 };
+    assert_eq!(plan(&mut offers, capacity_request(1, 1.0, false), vec![]), [one("small", "a", false)]);
+    assert_eq!(plan(&mut offers, capacity_request(8, 1.0, false), vec![]), [one("big", "a", false)]);
+    assert_eq!(plan(&mut offers, capacity_request(1, 8.0, true), vec![]), [one("big", "a", true)]);
     let resources = Resources { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
-    let incoming = vec![IncomingCapacity {
-        instance_offer: instance_offer("small", "b", false),
-        free: resources,
-        number: 1,
-    }];
-    assert_eq!(plan(&mut m, capacity_request(2, 1.0, false), incoming), []);
-    m.refuse(instance_offer("small", "a", true), MonotonicTime::from_millis(9));
-    m.refuse(instance_offer("small", "b", true), MonotonicTime::from_millis(9));
+    let incoming = vec![IncomingCapacity { offer: offer("small", "b", false), free: resources, number: 1 }];
+    assert_eq!(plan(&mut offers, capacity_request(2, 1.0, false), incoming), []);
+    offers.refuse(offer("small", "a", true), MonotonicTime::from_millis(9));
+    offers.refuse(offer("small", "b", true), MonotonicTime::from_millis(9));
     let mut patient = capacity_request(1, 1.0, true);
-    assert_eq!(plan(&mut m, patient.clone(), vec![]), [(instance_offer("small", "a", false), 1)]);
+    assert_eq!(plan(&mut offers, patient.clone(), vec![]), [one("small", "a", false)]);
     patient.patient = true;
-    assert_eq!(plan(&mut m, patient, vec![]), [], "three times the price, and it can wait");
-    m.refuse(instance_offer("small", "a", false), MonotonicTime::from_millis(9));
-    assert_eq!(
-        plan(&mut m, capacity_request(1, 1.0, false), vec![]),
-        [(instance_offer("small", "b", false), 1)]
-    );
+    assert_eq!(plan(&mut offers, patient, vec![]), [], "three times the price, and it can wait");
+    offers.refuse(offer("small", "a", false), MonotonicTime::from_millis(9));
+    assert_eq!(plan(&mut offers, capacity_request(1, 1.0, false), vec![]), [one("small", "b", false)]);
 }
 
-/// Only the first few hundred waiting tasks were looked at: while their machines booted, no
+/// Formerly, only the first few hundred waiting tasks were considered: while their machines booted, no
 /// more were rented for those behind them.
 #[test]
-fn all_that_waits_gets_machines_and_together_means_one_zone() {
-    let mut m = instance_offers();
+fn all_waiting_tasks_get_machines_and_together_means_one_zone() {
+    let mut offers = instance_offers();
     let now = MonotonicTime::from_millis(0);
-    let count = |plan: Vec<(InstanceOffer, u32)>| plan.iter().map(|(_, n)| *n).sum::<u32>();
+    let count = |plan: Vec<Rental>| plan.iter().map(|rental| rental.number).sum::<u32>();
     let mut many = capacity_request(8000, 1.0, true);
     many.types = Some(vec!["big".into()]);
-    assert_eq!(count(m.plan(vec![many], vec![], &BTreeMap::new(), now)), 1000);
+    assert_eq!(count(offers.plan(vec![many], vec![], &BTreeMap::new(), now)), 1000);
     let mut gang = capacity_request(2, 2.0, false);
     gang.together = true;
     let resources = Resources { cpus: 8.0, gpus: 2.0, memory_gb: 8.0 };
-    let small = |z: &str| InstanceOffer { type_name: "small".into(), zone: z.into(), spot: false };
-    let one = |z: &str, number| IncomingCapacity { instance_offer: small(z), free: resources, number };
-    let plan = m.plan(vec![gang.clone()], vec![one("a", 1), one("b", 2)], &BTreeMap::new(), now);
+    let small = |zone: &str| InstanceOffer { type_name: "small".into(), zone: zone.into(), spot: false };
+    let incoming = |zone: &str, number| IncomingCapacity { offer: small(zone), free: resources, number };
+    let plan =
+        offers.plan(vec![gang.clone()], vec![incoming("a", 1), incoming("b", 2)], &BTreeMap::new(), now);
     assert_eq!(plan, [], "zone b holds it");
     gang.types = Some(vec!["small".into()]);
-    let plan = m.plan(vec![gang], vec![one("b", 1)], &BTreeMap::new(), now);
-    assert_eq!(plan, [(small("b"), 1)]);
+    let plan = offers.plan(vec![gang], vec![incoming("b", 1)], &BTreeMap::new(), now);
+    assert_eq!(plan, [Rental { offer: small("b"), number: 1 }]);
 }
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -4,7 +4,7 @@
 use super::cloud_calls::{CloudCall, PlannedCall};
 use super::scale_in::begin_return;
 use crate::assignments;
-use crate::autoscaler::{CapacityRequest, IncomingCapacity, InstanceOffer};
+use crate::autoscaler::{CapacityRequest, IncomingCapacity, InstanceOffer, Rental};
 use crate::jobs::{JobState, JobType};
 use crate::types::{Duration, JobId, MachineId, MonotonicTime, Resources, TeamName, Zone};
 use crate::wire::cloud::{CloudRequest, ListedMachine, MachinePhase, MachineType};
@@ -34,7 +34,7 @@
     fn add(&mut self, offer: InstanceOffer, free: Resources, number: u32) {
         let thousandths =
             [free.cpus, free.gpus, free.memory_gb].map(|amount| (amount.max(0.0) * 1000.0) as u64);
-        let new = IncomingCapacity { instance_offer: offer.clone(), free, number: 0 };
+        let new = IncomingCapacity { offer: offer.clone(), free, number: 0 };
         self.groups.entry((offer, thousandths)).or_insert(new).number += number;
     }
 
@@ -68,7 +68,8 @@
             *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
         let mut calls = Vec::new();
-        for (offer, number) in self.instance_offers.plan(requests, incoming, &machines_by_zone, now) {
+        for Rental { offer, number } in self.instance_offers.plan(requests, incoming, &machines_by_zone, now)
+        {
             if !self.cloud.take_call(now) {
                 break;
             }
