--- a/crates/heartbeat/src/delegate.rs
+++ b/crates/heartbeat/src/delegate.rs
@@ -1,250 +1,229 @@
-//! Every node's part: whose reports it answers, and what it tells the leader of them.
+//! The part of every node: which workers' heartbeats it answers, and what it reports of them to the leader.
+//!
+//! The scheduler's controller owns one [`Delegate`], hands it the leader's delegations and the workers'
+//! heartbeats, and sends the digests that it makes. The leader's [`Coordinator`](crate::Coordinator) has one
+//! too, to decide where workers belong that report to the leader itself.
 
-use crate::messages::{Delegation, FullHeartbeat, HeartbeatDigest, HeartbeatPosition, UnchangedHeartbeat};
-use crate::{NodeWeights, content_hash};
+mod heartbeat_log;
+mod redirects;
+
+use crate::NodeWeights;
+use crate::checks::{DisabledCheck, SafetyChecks};
+use crate::messages::{Delegation, FullHeartbeat, HeartbeatDigest, HeartbeatPosition};
+use heartbeat_log::HeartbeatLog;
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Zone};
-use std::collections::{BTreeMap, BTreeSet};
+use redirects::{RedirectReason, Redirects};
 
 /// How old the last delegation may be for the leader to count as reachable from here.
-const FRESH: Duration = Duration::from_millis(3000);
-/// A worker that comes back within this, after it was sent elsewhere, is answered: it found nobody there.
-const COMES_BACK: Duration = Duration::from_millis(30_000);
-/// How long what has changed waits for more of it, and what is the same as before.
-const CHANGED_EVERY: Duration = Duration::from_millis(100);
-const SAME_EVERY: Duration = Duration::from_millis(500);
-/// Bytes of content in one digest; what is more goes with the next.
-const DIGEST_BYTES: usize = 128 * 1024;
-/// Workers sent home in a second: moved a few at a time, never all at once.
-const MOVES_A_SECOND: u32 = 60;
-/// What was heard longer ago than this is not told to a new leader: the machine may have moved on.
-const REMEMBERED: Duration = Duration::from_millis(15_000);
-
-/// Guards that tests take out, to prove that what checks them can fail.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DelegateCheck {
-    /// A worker that has seen a higher fence is not answered by a lower one.
-    OlderFencingToken,
-    /// Answers end with this node's own look at the job records.
-    OwnRead,
-}
+const MAX_DELEGATION_AGE: Duration = Duration::from_millis(3000);
+/// How often machines are forgotten that have not been heard for long.
+const PRUNE_INTERVAL: Duration = Duration::from_millis(5000);
 
-/// A report, as far as it matters whose it is to answer.
+/// A heartbeat, as far as it matters which node is to answer it.
 #[derive(Debug)]
 pub struct IncomingHeartbeat<'a> {
+    /// The machine whose worker sent it.
     pub machine: &'a MachineId,
+    /// The machine's zone.
     pub zone: &'a Zone,
-    pub at: HeartbeatPosition,
+    /// When in the worker's life it was sent.
+    pub position: HeartbeatPosition,
+    /// What the worker reports, as in [`FullHeartbeat::content`].
     pub content: Vec<u8>,
 }
 
-/// What becomes of a report.
+/// What becomes of a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Routing {
-    /// Answered with 200 by this fence.
+    /// It is answered with 200 and this fencing token.
     Answer(FencingToken),
-    /// Sent to the node that is its home.
+    /// The worker is redirected to the node that its machine is assigned to.
     Redirect(NodeName),
-    /// Sent on to whichever node comes next.
+    /// The worker is to try whichever node comes next in its list.
     TryAnotherNode,
-    /// This node has no delegation: as if there were none anywhere.
+    /// This node may not answer it: as if there were no delegation.
     NoDelegation,
 }
 
+/// The delegation that this node answers by.
 #[derive(Debug, Clone)]
 struct HeldDelegation {
     leader: NodeName,
     fencing_token: FencingToken,
     sequence: u64,
-    at: MonotonicTime,
+    /// When it came. For an inferred one: long enough ago for the leader to count as unreachable.
+    received_at: MonotonicTime,
     ready: bool,
     node_weights: NodeWeights,
-    /// Workers of this zone alone are answered by it.
-    only: Option<Zone>,
+    /// Only workers of this zone are answered by it; `None`: all workers.
+    only_zone: Option<Zone>,
 }
 
-#[derive(Debug, Clone)]
-struct ReceivedHeartbeat {
-    at: HeartbeatPosition,
-    heard: MonotonicTime,
-    content: Vec<u8>,
-    hash: u64,
+impl HeldDelegation {
+    fn is_fresh(&self, now: MonotonicTime) -> bool {
+        now.since(self.received_at) < MAX_DELEGATION_AGE
+    }
 }
 
-/// When a worker was sent elsewhere, and why.
-#[derive(Debug, Clone, Copy)]
-struct Redirected {
-    at: MonotonicTime,
-    /// To its home; else on, as no delegation had come since this time.
-    alone_since: Option<MonotonicTime>,
+/// A digest and where it goes.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct OutgoingDigest {
+    /// The leader's node.
+    pub leader: NodeName,
+    /// The message.
+    pub digest: HeartbeatDigest,
 }
 
+/// Answers workers in the leader's name on one node.
 #[derive(Debug, Clone)]
 pub struct Delegate {
     me: NodeName,
     held: Option<HeldDelegation>,
-    /// The leader that all reports have been told in full.
+    /// Fencing token of the newest leader to which all known heartbeats have been reported in full.
     fully_reported_to: FencingToken,
-    heard: BTreeMap<MachineId, ReceivedHeartbeat>,
-    /// To be told in full, and to be told as the same as before.
-    changed: BTreeSet<MachineId>,
-    same: BTreeSet<MachineId>,
-    redirected: BTreeMap<MachineId, Redirected>,
-    moves: (MonotonicTime, u32),
-    next_changed: MonotonicTime,
-    next_same: MonotonicTime,
-    next_prune: MonotonicTime,
-    out: Option<DelegateCheck>,
+    log: HeartbeatLog,
+    redirects: Redirects,
+    next_prune_at: MonotonicTime,
+    checks: SafetyChecks,
 }
 
 impl Delegate {
+    /// A node without a delegation.
     pub fn new(me: NodeName) -> Self {
         Self {
             me,
             held: None,
             fully_reported_to: FencingToken(0),
-            heard: BTreeMap::new(),
-            changed: BTreeSet::new(),
-            same: BTreeSet::new(),
-            redirected: BTreeMap::new(),
-            moves: (MonotonicTime::default(), 0),
-            next_changed: MonotonicTime::default(),
-            next_same: MonotonicTime::default(),
-            next_prune: MonotonicTime::default(),
-            out: None,
+            log: HeartbeatLog::default(),
+            redirects: Redirects::default(),
+            next_prune_at: MonotonicTime::default(),
+            checks: SafetyChecks::default(),
         }
     }
 
-    /// Takes a guard out, for tests.
-    pub fn disable(&mut self, guard: DelegateCheck) {
-        self.out = Some(guard);
+    /// Switches a safety check off.
+    #[cfg(test)]
+    pub(crate) fn disable(&mut self, check: DisabledCheck) {
+        self.checks.disable(check);
     }
 
-    /// The fence that it answers by.
+    /// The fencing token that this node answers with.
     pub fn fencing_token(&self) -> Option<FencingToken> {
-        self.held.as_ref().map(|h| h.fencing_token)
+        self.held.as_ref().map(|held| held.fencing_token)
     }
 
-    /// Workers whose reports it has answered lately.
+    /// How many workers' heartbeats this node has answered lately.
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.log.len()
     }
 
+    /// Whether this node has answered no worker lately.
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.log.len() == 0
     }
 
-    /// This node leads now: it answers in its own right. What it has heard as a delegate is for itself.
+    /// This node leads now and answers in its own right. Returns the heartbeats that it received as a
+    /// delegate, for the [`Coordinator`](crate::Coordinator) of its own.
     pub fn became_leader(&mut self, now: MonotonicTime) -> Vec<FullHeartbeat> {
         self.held = None;
-        self.changed.clear();
-        self.same.clear();
-        let heard = std::mem::take(&mut self.heard);
-        heard
-            .into_iter()
-            .filter(|(_, r)| now.since(r.heard) < REMEMBERED)
-            .map(|(machine, r)| FullHeartbeat {
-                machine,
-                at: r.at,
-                age: now.since(r.heard),
-                content: r.content,
-            })
-            .collect()
+        self.log.take_recent(now)
     }
 
-    /// A leader delegates. An older leader's word, however late, changes nothing.
+    /// A delegation came. One of an older leader, or an older one of the same leader, changes nothing however
+    /// late it comes.
     pub fn delegation_received(&mut self, from: &NodeName, delegation: Delegation, now: MonotonicTime) {
         let Delegation { fencing_token, sequence, ready, node_weights } = delegation;
-        if self.held.as_ref().is_some_and(|h| (fencing_token, sequence) <= (h.fencing_token, h.sequence)) {
+        let held = self.held.as_ref().map(|held| (held.fencing_token, held.sequence));
+        if held.is_some_and(|held| (fencing_token, sequence) <= held) {
             return;
         }
         if ready && self.fully_reported_to < fencing_token {
-            // A new leader knows nothing yet: what each node has heard spares it a rush of every worker.
+            // A new leader knows nothing yet: what the nodes know spares it a rush of all workers.
             self.fully_reported_to = fencing_token;
-            self.heard.retain(|_, r| now.since(r.heard) < REMEMBERED);
-            self.changed = self.heard.keys().cloned().collect();
-            self.same.clear();
-            self.next_changed = now;
+            self.log.report_all_in_full(now);
         }
         self.held = Some(HeldDelegation {
             leader: from.clone(),
             fencing_token,
             sequence,
-            at: now,
+            received_at: now,
             ready,
             node_weights,
-            only: None,
+            only_zone: None,
         });
     }
 
-    /// The state service says who leads, though no delegation comes from there: what the leader delegates to all alike,
-    /// this node has. Nobody is home anywhere by it, and nothing is told to the leader: a worker is sent on once, as
-    /// somebody else may reach the leader, and answered when it comes back; and only those of this node's zone, `only`,
-    /// since others may reach more than this node, and what stays here the leader doesn't hear.
+    /// The key-value store says who leads, though no delegation comes from there. What a leader delegates to
+    /// all nodes alike this node may do too, with limits: no machine is assigned to a node by it, and nothing
+    /// is reported to the leader. A worker is sent on once, as another node may reach the leader, and
+    /// answered when it comes back. Only workers of this node's `own_zone` are answered: others may reach
+    /// more nodes than this one, and the leader doesn't hear those that stay here.
     pub fn delegation_inferred(
         &mut self,
         leader: &NodeName,
         fencing_token: FencingToken,
-        only: &Zone,
+        own_zone: &Zone,
         now: MonotonicTime,
     ) {
-        if self.held.as_ref().is_none_or(|h| h.fencing_token < fencing_token) {
-            let at = now.before(FRESH);
-            let (node_weights, only) = (NodeWeights::default(), Some(only.clone()));
+        if self.held.as_ref().is_none_or(|held| held.fencing_token < fencing_token) {
             self.held = Some(HeldDelegation {
                 leader: leader.clone(),
                 fencing_token,
                 sequence: 0,
-                at,
+                received_at: now.before(MAX_DELEGATION_AGE),
                 ready: false,
-                node_weights,
-                only,
+                node_weights: NodeWeights::default(),
+                only_zone: Some(own_zone.clone()),
             });
         }
     }
 
-    /// The leader lacks what these machines last said.
+    /// The leader lacks the content of these machines' newest heartbeats.
     pub fn resend_requested(&mut self, machines: Vec<MachineId>) {
-        self.changed.extend(machines.into_iter().filter(|m| self.heard.contains_key(m)));
+        self.log.report_in_full(machines);
     }
 
-    /// When it heard of the leader last.
-    pub fn heard_at(&self) -> MonotonicTime {
-        self.held.as_ref().map(|h| h.at).unwrap_or_default()
+    /// When the newest delegation came; the clock's zero if none ever did.
+    pub fn last_delegation_at(&self) -> MonotonicTime {
+        self.held.as_ref().map(|held| held.received_at).unwrap_or_default()
     }
 
     /// Whether the leader counts as reachable from here.
     pub fn is_fresh(&self, now: MonotonicTime) -> bool {
-        self.held.as_ref().is_some_and(|h| now.since(h.at) < FRESH)
+        self.held.as_ref().is_some_and(|held| held.is_fresh(now))
     }
 
-    /// Takes a report. `top`: the highest fence that this node knows of. `may_renew`: its own last look at the
-    /// job records allows it to renew leases.
+    /// Takes in a heartbeat and decides what becomes of it. `highest_token`: the highest fencing token that
+    /// this node knows of. `may_renew`: this node may renew the worker's lease, see
+    /// [`LeaseRenewal::delegate_may_renew`](crate::LeaseRenewal::delegate_may_renew).
     pub fn heartbeat_received(
         &mut self,
         heartbeat: IncomingHeartbeat<'_>,
-        top: FencingToken,
+        highest_token: FencingToken,
         may_renew: bool,
         now: MonotonicTime,
     ) -> Routing {
         let Some(held) = &self.held else { return Routing::NoDelegation };
-        // A worker drops an answer by a lower fence than it has seen, and stays here while its lease runs out.
-        // (The second is the same guard: whoever has seen a higher one says so with its next report.)
-        let older = held.fencing_token < heartbeat.at.fencing_token || held.fencing_token < top;
-        if older && self.out != Some(DelegateCheck::OlderFencingToken) {
+        let fencing_token = held.fencing_token;
+        // A worker drops an answer with a lower fencing token than it has seen, and stays here while its
+        // lease runs out. (The second condition only comes earlier: the worker says with its next heartbeat
+        // that it has seen a higher one.)
+        let outdated = fencing_token < heartbeat.position.fencing_token || fencing_token < highest_token;
+        if outdated && self.checks.performs(DisabledCheck::OlderFencingToken) {
             return Routing::NoDelegation;
         }
-        if held.only.as_ref().is_some_and(|zone| zone != heartbeat.zone) {
+        if held.only_zone.as_ref().is_some_and(|zone| zone != heartbeat.zone) {
             return Routing::NoDelegation;
         }
-        // A withdrawal that no node inside a cut can see was told after the look; see the design's "Outages".
-        if !may_renew && self.out != Some(DelegateCheck::OwnRead) {
+        // A cancellation may have been confirmed since this node's last read of the job records, without any
+        // node on this side of a network partition seeing it; see the design document, "Outages".
+        if !may_renew {
             return Routing::TryAnotherNode;
         }
-        let fencing_token = held.fencing_token;
-        if let Some(turn) = self.redirect_for(heartbeat.machine, heartbeat.zone, now) {
-            return turn;
+        if let Some(routing) = self.redirect_for(heartbeat.machine, heartbeat.zone, now) {
+            return routing;
         }
-        self.heard(heartbeat, now);
+        self.log.received(heartbeat, now);
         Routing::Answer(fencing_token)
     }
 
@@ -255,118 +234,53 @@
         zone: &Zone,
         now: MonotonicTime,
     ) -> Option<Routing> {
-        let held = self.held.as_ref()?;
-        let fresh = now.since(held.at) < FRESH;
-        let home =
-            held.node_weights.assigned_node(machine, zone).filter(|home| fresh && **home != self.me).cloned();
-        let alone_since = (!fresh).then_some(held.at);
-        if (fresh && home.is_none()) || self.came_back(machine, alone_since, now) {
+        let reason = self.redirect_reason(machine, zone, now)?;
+        if self.redirects.came_back(machine, &reason, now) {
             return None;
         }
-        let turn = match home {
-            Some(_) if !self.may_move(now) => return None,
-            Some(home) => Routing::Redirect(home),
-            // The leader may be reached from elsewhere. Whoever finds that it isn't comes back.
-            None => Routing::TryAnotherNode,
+        let routing = match &reason {
+            RedirectReason::AssignedTo(_) if !self.redirects.may_move(now) => return None,
+            RedirectReason::AssignedTo(node) => Routing::Redirect(node.clone()),
+            RedirectReason::LeaderUnreachable { .. } => Routing::TryAnotherNode,
         };
-        self.redirected.insert(machine.clone(), Redirected { at: now, alone_since });
-        // What it says next elsewhere is not known here.
-        self.heard.remove(machine);
-        self.changed.remove(machine);
-        self.same.remove(machine);
-        Some(turn)
-    }
-
-    /// Whether it was sent elsewhere for the same reason before, and so found nobody there. One that was sent
-    /// home and comes from there because that node has lost the leader too has not: it must go on until it
-    /// meets the leader (440 machines were answered by nodes that the leader did not hear, and given up; andina
-    /// fleet, apart).
-    fn came_back(&self, machine: &MachineId, alone_since: Option<MonotonicTime>, now: MonotonicTime) -> bool {
-        self.redirected.get(machine).is_some_and(|s| match alone_since {
-            Some(_) => s.alone_since == alone_since,
-            None => s.alone_since.is_none() && now.since(s.at) < COMES_BACK,
-        })
+        self.redirects.record(machine.clone(), &reason, now);
+        // What the worker reports next, to another node, is not known here.
+        self.log.forget(machine);
+        Some(routing)
     }
 
-    fn may_move(&mut self, now: MonotonicTime) -> bool {
-        if now.since(self.moves.0) >= Duration::from_millis(1000) {
-            self.moves = (now, 0);
-        }
-        self.moves.1 += 1;
-        self.moves.1 <= MOVES_A_SECOND
-    }
-
-    fn heard(&mut self, heartbeat: IncomingHeartbeat<'_>, now: MonotonicTime) {
-        let hash = content_hash(&heartbeat.content);
-        let known = self.heard.get(heartbeat.machine);
-        if known.is_some_and(|k| !heartbeat.at.is_newer(&k.at)) {
-            return; // an old one, that came late
-        }
-        let like = |k: &ReceivedHeartbeat| {
-            k.hash == hash
-                && (k.at.worker_epoch, k.at.fencing_token)
-                    == (heartbeat.at.worker_epoch, heartbeat.at.fencing_token)
-        };
-        if known.is_some_and(like) && !self.changed.contains(heartbeat.machine) {
-            self.same.insert(heartbeat.machine.clone());
-        } else {
-            self.same.remove(heartbeat.machine);
-            self.changed.insert(heartbeat.machine.clone());
+    fn redirect_reason(
+        &self,
+        machine: &MachineId,
+        zone: &Zone,
+        now: MonotonicTime,
+    ) -> Option<RedirectReason> {
+        let held = self.held.as_ref()?;
+        if !held.is_fresh(now) {
+            // Another node may reach the leader. A worker that finds none which does comes back.
+            return Some(RedirectReason::LeaderUnreachable { since: held.received_at });
         }
-        let report = ReceivedHeartbeat { at: heartbeat.at, heard: now, content: heartbeat.content, hash };
-        self.heard.insert(heartbeat.machine.clone(), report);
+        let assigned = held.node_weights.assigned_node(machine, zone)?;
+        (*assigned != self.me).then(|| RedirectReason::AssignedTo(assigned.clone()))
     }
 
-    /// What the leader is to be told now, and which node that is.
-    pub fn digest(&mut self, now: MonotonicTime) -> Option<(NodeName, HeartbeatDigest)> {
+    /// The digest to send now, if it is time for one.
+    pub fn next_digest(&mut self, now: MonotonicTime) -> Option<OutgoingDigest> {
         self.prune(now);
-        let held = self.held.as_ref().filter(|h| h.ready)?;
-        let changed = !self.changed.is_empty() && now >= self.next_changed;
-        let same = now >= self.next_same;
-        if !changed && !same {
-            return None;
-        }
-        self.next_changed = now + CHANGED_EVERY;
-        let mut digest = HeartbeatDigest {
-            fencing_token: held.fencing_token,
-            sequence: held.sequence,
-            full: Vec::new(),
-            same: Vec::new(),
-        };
-        let mut bytes = 0;
-        while bytes < DIGEST_BYTES
-            && let Some(machine) = self.changed.pop_first()
-        {
-            let Some(r) = self.heard.get(&machine) else { continue };
-            bytes += r.content.len();
-            let (age, content) = (now.since(r.heard), r.content.clone());
-            digest.full.push(FullHeartbeat { machine, at: r.at, age, content });
-        }
-        if same {
-            self.next_same = now + SAME_EVERY;
-            for machine in std::mem::take(&mut self.same) {
-                let Some(r) = self.heard.get(&machine) else { continue };
-                digest.same.push(UnchangedHeartbeat {
-                    machine,
-                    at: r.at,
-                    age: now.since(r.heard),
-                    hash: r.hash,
-                });
-            }
-        }
-        Some((held.leader.clone(), digest))
+        let held = self.held.as_ref().filter(|held| held.ready)?;
+        let digest = self.log.next_digest(held.fencing_token, held.sequence, now)?;
+        Some(OutgoingDigest { leader: held.leader.clone(), digest })
     }
 
     /// Forgets machines that have not been heard for long, here or after they were sent elsewhere.
     pub(crate) fn prune(&mut self, now: MonotonicTime) {
-        if now < self.next_prune {
+        if now < self.next_prune_at {
             return;
         }
-        self.next_prune = now + Duration::from_millis(5000);
-        self.heard.retain(|_, r| now.since(r.heard) < COMES_BACK);
-        let delegated = self.held.as_ref().map(|h| h.at);
-        let lasts = |s: &Redirected| s.alone_since.is_some() && s.alone_since == delegated;
-        self.redirected.retain(|_, s| now.since(s.at) < COMES_BACK || lasts(s));
+        self.next_prune_at = now + PRUNE_INTERVAL;
+        self.log.prune(now);
+        let last_delegation_at = self.held.as_ref().map(|held| held.received_at);
+        self.redirects.prune(last_delegation_at, now);
     }
 }
 
--- a/crates/heartbeat/src/isolation.rs
+++ b/crates/heartbeat/src/isolation.rs
@@ -1,121 +1,151 @@
-//! Nodes that can't reach one another, but the state service: what they say through it.
+//! Nodes that can't reach one another, but the key-value store: what they report through it.
 //!
-//! A node that doesn't hear the leader says, in a record of its own, under which fence it does not, and how many
-//! workers of each zone it answers. From that the leader learns two things that silence can't tell it: that a zone it
-//! doesn't hear is alive, and that more workers are on the other side, where another node should lead. Nothing is
-//! proved by it: it only keeps machines from being returned, and lets a leader resign.
+//! A node that doesn't hear the leader writes a record of its own with the fencing token of that leader and
+//! how many workers of each zone it answers. From it the leader learns two things that silence can't tell it:
+//! that a zone it doesn't hear is alive, and that more workers are on the other side of a network partition,
+//! where another node should lead. Nothing is proved by it: it only keeps machines from being returned, and
+//! lets a leader resign.
+//!
+//! The controller drives [`IsolationReporter`] on every node, the leader reads into [`IsolationReports`].
 
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Revision, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often a node says it: a change of the state service each.
-const SAY_EVERY: Duration = Duration::from_millis(5_000);
-/// How long a word holds: one more may be late.
-const HOLDS: Duration = Duration::from_millis(12_000);
-/// Workers that the others must hear beyond a leader's own for it to resign: a few more say nothing, and each change of
-/// the lead costs seconds.
-const MORE: f64 = 1.25;
-const AT_LEAST: u32 = 3;
+/// How often an isolated node writes its record, each time a write to the key-value store. Machines whose
+/// leases ran out are forgotten as often.
+const REPORT_INTERVAL: Duration = Duration::from_millis(5_000);
+/// How long a record counts after it was read: one more may be late.
+const REPORT_LIFETIME: Duration = Duration::from_millis(12_000);
+/// How many times the leader's own workers another node must answer for the leader to resign: each change of
+/// leader costs seconds, so a few more are no reason.
+const OUTNUMBERED_FACTOR: f64 = 1.25;
+/// By how many workers, at least, another node must have more than the leader.
+const OUTNUMBERED_BY: u32 = 3;
 
-/// What a node that is apart from the leader says.
+/// What a node reports that doesn't hear the leader. Stored in the key-value store as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IsolationReport {
-    /// Of the leader that it does not hear.
+    /// Fencing token of the leader that the node doesn't hear.
     #[serde(rename = "fence")]
     pub fencing_token: FencingToken,
-    /// Workers that it answers, by zone.
-    pub heard: BTreeMap<Zone, u32>,
+    /// How many workers the node answers, by their zone.
+    #[serde(rename = "heard")]
+    pub workers_by_zone: BTreeMap<Zone, u32>,
+}
+
+/// Zone of a worker, and when this node answered it last.
+#[derive(Debug)]
+struct AnsweredWorker {
+    zone: Zone,
+    answered_at: MonotonicTime,
 }
 
-/// Every node's part: whom it answers, and when to say so.
+/// The part of every node: which workers it answers, and when to report so.
 #[derive(Debug, Default)]
 pub struct IsolationReporter {
-    answered: BTreeMap<MachineId, (Zone, MonotonicTime)>,
-    /// Under which fence it spoke last, and when it speaks again.
-    said: FencingToken,
-    next: MonotonicTime,
-    next_prune: MonotonicTime,
+    answered: BTreeMap<MachineId, AnsweredWorker>,
+    /// Fencing token in the last report.
+    reported_token: FencingToken,
+    next_report_at: MonotonicTime,
+    next_prune_at: MonotonicTime,
 }
 
 impl IsolationReporter {
-    /// It has answered a worker's report.
+    /// This node has answered the heartbeat of a worker, whose lease now lasts for `lease`.
     pub fn answered(&mut self, machine: &MachineId, zone: &Zone, lease: Duration, now: MonotonicTime) {
-        self.answered.insert(machine.clone(), (zone.clone(), now));
-        if now >= self.next_prune {
-            self.next_prune = now + SAY_EVERY;
-            self.answered.retain(|_, (_, at)| now.since(*at) < lease);
+        self.answered.insert(machine.clone(), AnsweredWorker { zone: zone.clone(), answered_at: now });
+        if now >= self.next_prune_at {
+            self.next_prune_at = now + REPORT_INTERVAL;
+            self.forget_expired(lease, now);
         }
     }
 
-    /// What to say now, if something is due: of whom it has answered in its `own` zone, and elsewhere `since` it is
-    /// apart. `fencing_token`: of the leader that this node doesn't hear.
+    /// The report to write now, if it is time for one. It counts the workers that this node has answered:
+    /// those of its `own_zone`, and those of other zones since it is isolated, at `isolated_since`.
+    /// `fencing_token` is that of the leader that this node doesn't hear.
     pub fn isolation_report(
         &mut self,
         fencing_token: FencingToken,
-        since: MonotonicTime,
-        own: &Zone,
+        isolated_since: MonotonicTime,
+        own_zone: &Zone,
         lease: Duration,
         now: MonotonicTime,
     ) -> Option<IsolationReport> {
-        if now < self.next && fencing_token == self.said {
+        if now < self.next_report_at && fencing_token == self.reported_token {
             return None;
         }
-        // Whose lease lives by an answer from here counts, though it is still on its way round nodes that don't answer.
-        self.answered.retain(|_, (_, at)| now.since(*at) < lease);
-        (self.said, self.next) = (fencing_token, now + SAY_EVERY);
-        let mut heard = BTreeMap::new();
-        let apart = self.answered.values().filter(|(zone, at)| zone == own || *at >= since);
-        apart.for_each(|(zone, _)| *heard.entry(zone.clone()).or_default() += 1);
-        Some(IsolationReport { fencing_token, heard })
+        // A worker whose lease this node has renewed counts, even while it tries other nodes that don't
+        // answer.
+        self.forget_expired(lease, now);
+        self.reported_token = fencing_token;
+        self.next_report_at = now + REPORT_INTERVAL;
+        let mut workers_by_zone = BTreeMap::new();
+        for worker in self.answered.values() {
+            if worker.zone == *own_zone || worker.answered_at >= isolated_since {
+                *workers_by_zone.entry(worker.zone.clone()).or_default() += 1;
+            }
+        }
+        Some(IsolationReport { fencing_token, workers_by_zone })
+    }
+
+    fn forget_expired(&mut self, lease: Duration, now: MonotonicTime) {
+        self.answered.retain(|_, worker| now.since(worker.answered_at) < lease);
     }
 }
 
-/// The leader's part: what it was told.
+/// A report as the leader read it.
+#[derive(Debug)]
+struct StoredReport {
+    /// Revision of the record in the key-value store.
+    revision: Revision,
+    /// When this revision was first read.
+    read_at: MonotonicTime,
+    report: IsolationReport,
+}
+
+/// The leader's part: the newest report of each node.
 #[derive(Debug, Default)]
-pub struct IsolationReports(BTreeMap<NodeName, (Revision, MonotonicTime, IsolationReport)>);
+pub struct IsolationReports(BTreeMap<NodeName, StoredReport>);
 
 impl IsolationReports {
-    /// A word as it was read. One that was there before says nothing new, however often it is read.
-    pub fn learn(
-        &mut self,
-        node: NodeName,
-        revision: Revision,
-        isolation_report: IsolationReport,
-        now: MonotonicTime,
-    ) {
-        if self.0.get(&node).is_none_or(|(known, ..)| *known < revision) {
-            self.0.insert(node, (revision, now, isolation_report));
+    /// Takes in a report as read from the key-value store at `revision`. A revision that was read before, or
+    /// an older one, changes nothing: it does not become younger by being read again.
+    pub fn learn(&mut self, node: NodeName, revision: Revision, report: IsolationReport, now: MonotonicTime) {
+        if self.0.get(&node).is_none_or(|known| known.revision < revision) {
+            self.0.insert(node, StoredReport { revision, read_at: now, report });
         }
     }
 
     fn recent(&self, now: MonotonicTime) -> impl Iterator<Item = &IsolationReport> {
-        let holds = move |(_, at, _): &&(Revision, MonotonicTime, IsolationReport)| now.since(*at) < HOLDS;
-        self.0.values().filter(holds).map(|(_, _, isolation_report)| isolation_report)
+        let stored_reports = self.0.values();
+        stored_reports
+            .filter(move |stored| now.since(stored.read_at) < REPORT_LIFETIME)
+            .map(|stored| &stored.report)
     }
 
-    /// Zones whose workers are answered by nodes that are apart, whichever leader they speak of: their leases live on.
-    pub fn alive(&self, now: MonotonicTime) -> BTreeSet<Zone> {
-        self.recent(now).flat_map(|isolation_report| isolation_report.heard.keys().cloned()).collect()
+    /// Zones whose workers are answered by isolated nodes, whichever leader these name: their leases live on.
+    pub fn live_zones(&self, now: MonotonicTime) -> BTreeSet<Zone> {
+        self.recent(now).flat_map(|report| report.workers_by_zone.keys().cloned()).collect()
     }
 
-    /// Whether so many more workers are with nodes that are apart than the `mine` that the leader hears that one of
-    /// those should lead. `mine` is counted only where somebody is apart.
+    /// Whether an isolated node answers so many more workers than the leader with `fencing_token` that one on
+    /// its side should lead. `own_workers` counts the leader's workers; it is called only where some node is
+    /// isolated.
     pub fn is_outnumbered(
         &self,
-        mine: impl FnOnce() -> u32,
+        own_workers: impl FnOnce() -> u32,
         fencing_token: FencingToken,
         now: MonotonicTime,
     ) -> bool {
-        let recent =
-            self.recent(now).filter(|isolation_report| isolation_report.fencing_token == fencing_token);
-        let theirs =
-            recent.map(|isolation_report| isolation_report.heard.values().sum::<u32>()).max().unwrap_or(0);
-        if theirs < AT_LEAST {
+        let of_this_leader = self.recent(now).filter(|report| report.fencing_token == fencing_token);
+        let counts = of_this_leader.map(|report| report.workers_by_zone.values().sum::<u32>());
+        let most = counts.max().unwrap_or(0);
+        if most < OUTNUMBERED_BY {
             return false;
         }
-        let mine = mine();
-        theirs >= mine + AT_LEAST && f64::from(theirs) > f64::from(mine) * MORE
+        let own = own_workers();
+        most >= own + OUTNUMBERED_BY && f64::from(most) > f64::from(own) * OUTNUMBERED_FACTOR
     }
 }
 
--- a/crates/heartbeat/src/isolation/tests.rs
+++ b/crates/heartbeat/src/isolation/tests.rs
@@ -1,50 +1,63 @@
 use super::*;
 
-const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
+fn at_ms(ms: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(ms)
+}
 const LEASE: Duration = Duration::from_millis(12_500);
 
 #[test]
-fn whom_a_node_answers_is_said_now_and_then_and_forgotten_with_the_lease() {
-    let mut t = IsolationReporter::default();
-    (0..5u64).for_each(|i| t.answered(&format!("m-{i}").as_str().into(), &"x".into(), LEASE, T(i * 1_000)));
-    t.answered(&"m-9".into(), &"y".into(), LEASE, T(4_000));
-    let isolation_report =
-        t.isolation_report(FencingToken(7), T(0), &"x".into(), LEASE, T(5_000)).expect("due");
-    assert_eq!(isolation_report.heard, BTreeMap::from([("x".into(), 5), ("y".into(), 1)]));
+fn a_report_counts_answered_workers_until_their_leases_expire_and_comes_at_most_every_interval() {
+    let mut reporter = IsolationReporter::default();
+    for i in 0..5 {
+        reporter.answered(&format!("m-{i}").as_str().into(), &"x".into(), LEASE, at_ms(i * 1_000));
+    }
+    reporter.answered(&"m-9".into(), &"y".into(), LEASE, at_ms(4_000));
+    let report =
+        reporter.isolation_report(FencingToken(7), at_ms(0), &"x".into(), LEASE, at_ms(5_000)).expect("due");
+    assert_eq!(report.workers_by_zone, BTreeMap::from([("x".into(), 5), ("y".into(), 1)]));
     assert_eq!(
-        t.isolation_report(FencingToken(7), T(0), &"x".into(), LEASE, T(9_900)),
+        reporter.isolation_report(FencingToken(7), at_ms(0), &"x".into(), LEASE, at_ms(9_900)),
         None,
-        "a change each: not more often"
+        "each report is a write: not more often"
+    );
+    let report =
+        reporter.isolation_report(FencingToken(7), at_ms(0), &"x".into(), LEASE, at_ms(14_800)).expect("due");
+    assert_eq!(report.workers_by_zone, BTreeMap::from([("x".into(), 2), ("y".into(), 1)]));
+    let report = reporter
+        .isolation_report(FencingToken(8), at_ms(4_500), &"x".into(), LEASE, at_ms(14_900))
+        .expect("another leader must learn it at once");
+    assert_eq!(
+        report.workers_by_zone,
+        BTreeMap::from([("x".into(), 2)]),
+        "of other zones only since it is isolated"
     );
-    let isolation_report =
-        t.isolation_report(FencingToken(7), T(0), &"x".into(), LEASE, T(14_800)).expect("due");
-    assert_eq!(isolation_report.heard, BTreeMap::from([("x".into(), 2), ("y".into(), 1)]));
-    let isolation_report = t
-        .isolation_report(FencingToken(8), T(4_500), &"x".into(), LEASE, T(14_900))
-        .expect("another leader must hear it at once");
-    assert_eq!(isolation_report.heard, BTreeMap::from([("x".into(), 2)]), "of others since it is apart");
 }
 
-/// A leader that had lost the workers and its peers, but not the state service, stayed for 40 s (inc-41d7).
+/// A leader that had lost the workers and its peers, but not the key-value store, stayed for 40 s (incident
+/// inc-41d7).
 #[test]
-fn a_leader_is_outweighed_by_fresh_words_of_its_own_time_only() {
-    let mut told = IsolationReports::default();
-    let isolation_report = |fencing_token, n| IsolationReport {
+fn a_leader_is_outnumbered_by_recent_reports_that_name_it_only() {
+    let mut reports = IsolationReports::default();
+    let report = |fencing_token, workers| IsolationReport {
         fencing_token: FencingToken(fencing_token),
-        heard: BTreeMap::from([("x".into(), n)]),
+        workers_by_zone: BTreeMap::from([("x".into(), workers)]),
     };
-    told.learn("b".into(), Revision(20), isolation_report(7, 90), T(1_000));
+    reports.learn("b".into(), Revision(20), report(7, 90), at_ms(1_000));
+    assert!(
+        reports.is_outnumbered(|| 10, FencingToken(7), at_ms(2_000))
+            && reports.live_zones(at_ms(2_000)).contains(&"x".into())
+    );
+    assert!(!reports.is_outnumbered(|| 72, FencingToken(7), at_ms(2_000)), "hardly more");
+    assert!(!reports.is_outnumbered(|| 10, FencingToken(8), at_ms(2_000)), "names another leader");
+    // Reading the same revision again does not make it younger.
+    reports.learn("b".into(), Revision(20), report(7, 90), at_ms(12_000));
     assert!(
-        told.is_outnumbered(|| 10, FencingToken(7), T(2_000)) && told.alive(T(2_000)).contains(&"x".into())
+        !reports.is_outnumbered(|| 10, FencingToken(7), at_ms(13_000))
+            && reports.live_zones(at_ms(13_000)).is_empty()
     );
-    assert!(!told.is_outnumbered(|| 72, FencingToken(7), T(2_000)), "hardly more");
-    assert!(!told.is_outnumbered(|| 10, FencingToken(8), T(2_000)), "of another leader");
-    // Read again and again, it grows old all the same.
-    told.learn("b".into(), Revision(20), isolation_report(7, 90), T(12_000));
-    assert!(!told.is_outnumbered(|| 10, FencingToken(7), T(13_000)) && told.alive(T(13_000)).is_empty());
-    told.learn("b".into(), Revision(31), isolation_report(7, 90), T(13_500));
-    assert!(told.is_outnumbered(|| 10, FencingToken(7), T(14_000)));
-    // One that comes late says less than what was read before.
-    told.learn("b".into(), Revision(25), isolation_report(7, 1), T(14_000));
-    assert!(told.is_outnumbered(|| 10, FencingToken(7), T(14_500)));
+    reports.learn("b".into(), Revision(31), report(7, 90), at_ms(13_500));
+    assert!(reports.is_outnumbered(|| 10, FencingToken(7), at_ms(14_000)));
+    // An older revision that is read late changes nothing.
+    reports.learn("b".into(), Revision(25), report(7, 1), at_ms(14_000));
+    assert!(reports.is_outnumbered(|| 10, FencingToken(7), at_ms(14_500)));
 }
--- a/crates/heartbeat/src/rendezvous/tests.rs
+++ b/crates/heartbeat/src/rendezvous/tests.rs
@@ -2,12 +2,12 @@
 use std::collections::BTreeMap;
 
 fn node_weights(weights: &[(&str, &str, u16)]) -> NodeWeights {
-    let place = |(node, zone, weight): &(&str, &str, u16)| NodeWeight {
+    let weighted = |(node, zone, weight): &(&str, &str, u16)| NodeWeight {
         node: (*node).into(),
         zone: (*zone).into(),
         weight: *weight,
     };
-    NodeWeights::new(weights.iter().map(place).collect())
+    NodeWeights::new(weights.iter().map(weighted).collect())
 }
 
 fn machines() -> Vec<(MachineId, Zone)> {
@@ -16,45 +16,48 @@
 }
 
 fn shares(node_weights: &NodeWeights) -> BTreeMap<NodeName, u32> {
-    let mut out = BTreeMap::new();
+    let mut shares = BTreeMap::new();
     for (machine, zone) in machines() {
-        *out.entry(node_weights.assigned_node(&machine, &zone).expect("a home").clone()).or_default() += 1;
+        let node = node_weights.assigned_node(&machine, &zone).expect("some node has a weight");
+        *shares.entry(node.clone()).or_default() += 1;
     }
-    out
+    shares
 }
 
 #[test]
-fn machines_live_near_and_only_a_part_moves_when_a_node_goes() {
+fn machines_are_assigned_within_their_zone_and_only_those_of_a_lost_node_move() {
     let all = node_weights(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
-    for (node, n) in shares(&all) {
-        assert!((900..1100).contains(&n), "{node}: {n}");
+    for (node, count) in shares(&all) {
+        assert!((900..1100).contains(&count), "{node}: {count}");
     }
-    let near = machines().into_iter().filter(|(m, z)| {
-        let home = all.assigned_node(m, z).map(NodeName::as_str);
-        home == Some(match z.as_str() {
-            "x" => "a",
-            "y" => "b",
-            _ => "c",
-        })
+    let in_own_zone = machines().into_iter().filter(|(machine, zone)| {
+        let assigned = all.assigned_node(machine, zone).map(NodeName::as_str);
+        assigned
+            == Some(match zone.as_str() {
+                "x" => "a",
+                "y" => "b",
+                _ => "c",
+            })
     });
-    assert!(near.count() > 1900);
+    assert!(in_own_zone.count() > 1900);
     let fewer = node_weights(&[("a", "x", 100), ("c", "z", 100)]);
-    for (m, z) in machines() {
-        let before = all.assigned_node(&m, &z).expect("a home");
+    for (machine, zone) in machines() {
+        let before = all.assigned_node(&machine, &zone).expect("some node has a weight");
         if before.as_str() != "b" {
-            assert_eq!(fewer.assigned_node(&m, &z), Some(before), "only b's move");
+            assert_eq!(fewer.assigned_node(&machine, &zone), Some(before), "only b's machines move");
         }
     }
     assert_eq!(node_weights(&[("a", "x", 0)]).assigned_node(&"m".into(), &"x".into()), None);
 }
 
 #[test]
-fn a_lower_weight_sheds_machines_and_moves_no_others() {
+fn a_lower_weight_moves_machines_away_from_that_node_only() {
     let before = node_weights(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
     let after = node_weights(&[("a", "x", 50), ("b", "y", 100), ("c", "z", 100)]);
     assert!(shares(&after)[&NodeName::from("a")] < shares(&before)[&NodeName::from("a")]);
-    for (m, z) in machines() {
-        let (old, new) = (before.assigned_node(&m, &z), after.assigned_node(&m, &z));
+    for (machine, zone) in machines() {
+        let old = before.assigned_node(&machine, &zone);
+        let new = after.assigned_node(&machine, &zone);
         assert!(old == new || old.map(NodeName::as_str) == Some("a"));
     }
 }
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
 use crate::workers::stop_finished;
 use http::StatusCode;
-use pearford_heartbeat::{IncomingHeartbeat, Routing};
+use pearford_heartbeat::{IncomingHeartbeat, OutgoingDigest, Routing};
 
 /// Heartbeats that wait here for a leader, at most.
 ///
@@ -122,7 +122,7 @@
         let incoming = IncomingHeartbeat {
             machine,
             zone: &heartbeat.zone,
-            at: heartbeat.position(),
+            position: heartbeat.position(),
             content: heartbeat.content(),
         };
         let highest = self.highest_fencing_token;
@@ -148,7 +148,7 @@
     /// finished. No start ever goes this way; what the leader sends at once is relayed.
     fn commands_for(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> Vec<WorkerCommand> {
         let mut commands = self.relay.take_queued(&heartbeat.machine, fencing_token);
-        if self.lease_renewal.stops() {
+        if self.lease_renewal.stops_finished_tasks() {
             let job_cache = &self.job_cache;
             stop_finished(heartbeat, |job| job_cache.terminal_status(job).is_some(), &mut commands);
         }
@@ -209,7 +209,7 @@
         self.answer_deferred();
         self.expire_relayed_commands();
         if !self.election.leads()
-            && let Some((leader, digest)) = self.delegate.digest(self.now)
+            && let Some(OutgoingDigest { leader, digest }) = self.delegate.next_digest(self.now)
         {
             self.out.send(&leader, PeerMessage::HeartbeatDigest(digest));
         }
@@ -239,7 +239,7 @@
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
         let Some(report) = self.isolation_reporter.isolation_report(
             fencing_token,
-            self.delegate.heard_at(),
+            self.delegate.last_delegation_at(),
             &self.settings.zone,
             lease,
             self.now,
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -48,7 +48,7 @@
 use extensions::ExtensionSlot;
 use fencing_tokens::LeaderHint;
 use heartbeats::DeferredHeartbeat;
-use pearford_heartbeat::{Bounds, Delegate, IsolationReporter, LeaseRenewal};
+use pearford_heartbeat::{Delegate, IsolationReporter, LeaseRenewal, RenewalBounds};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use relay::Relay;
@@ -165,7 +165,9 @@
             peer_messages_dropped: 0,
             cluster_version,
             delegate: Delegate::new(settings.node.clone()),
-            lease_renewal: LeaseRenewal::new(Bounds::of(settings.workers.answer_window())),
+            lease_renewal: LeaseRenewal::new(RenewalBounds::with_answer_window(
+                settings.workers.answer_window(),
+            )),
             isolation_reporter: IsolationReporter::default(),
             deferred_heartbeats: VecDeque::new(),
             worker_turned_away_at: MonotonicTime::default(),
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -109,7 +109,7 @@
                     let relayed = RelayedCall { leader: from.clone(), fencing_token, call };
                     self.relay.calls.insert(request_id, relayed);
                 }
-                Err(failure) => failed.push(RelayResult { call, status: failure.status(), at: None }),
+                Err(failure) => failed.push(RelayResult { call, status: failure.status(), position: None }),
             }
         }
         if !failed.is_empty() {
@@ -151,7 +151,7 @@
         if let Some(at) = at {
             self.observe_fencing_token(at.fencing_token);
         }
-        let results = vec![RelayResult { call: relayed.call, status, at }];
+        let results = vec![RelayResult { call: relayed.call, status, position: at }];
         let message = PeerMessage::RelayResults { fencing_token: relayed.fencing_token, calls: results };
         self.out.send(&relayed.leader, message);
     }
@@ -168,10 +168,10 @@
 
     /// Processes the results of commands that this leader has sent by way of another node.
     pub(super) fn relay_results(&mut self, results: Vec<RelayResult>) {
-        for RelayResult { call, status, at } in results {
+        for RelayResult { call, status, position } in results {
             let request_id = RequestId(call);
             if self.out.relay_answered(request_id) {
-                self.command_answered(request_id, status, at);
+                self.command_answered(request_id, status, position);
             }
         }
     }
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -6,10 +6,10 @@
 use crate::cluster_version::{self, FeatureLevel};
 use crate::peer_messages::{MachineCommands, PeerMessage};
 use crate::settings::Settings;
-use crate::types::{FencingToken, MachineId, MonotonicTime, NodeName, TaskId, Zone};
+use crate::types::{FencingToken, MachineId, MonotonicTime, NodeName, TaskId};
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
 use crate::workers::{Machine, MachineStatus};
-use pearford_heartbeat::{HeardHeartbeat, HeartbeatDigest, UnacknowledgedStarts};
+use pearford_heartbeat::{HeartbeatDigest, LiveNode, ReceivedHeartbeat, ResendRequest, UnacknowledgedStarts};
 use std::collections::BTreeMap;
 
 /// Machines with commands in one message to a node.
@@ -92,11 +92,12 @@
     }
 
     /// This node and the peers that are heard, with the zone of each.
-    fn live_nodes(&self, context: &StepContext) -> Vec<(NodeName, Zone)> {
+    fn live_nodes(&self, context: &StepContext) -> Vec<LiveNode> {
         let live = context.peers.live(context.now);
         let peers = self.settings.peers.iter().filter(|peer| live.contains(&peer.name));
-        let peers = peers.map(|peer| (peer.name.clone(), peer.zone.clone()));
-        std::iter::once((self.settings.node.clone(), self.settings.zone.clone())).chain(peers).collect()
+        let peers = peers.map(|peer| LiveNode { node: peer.name.clone(), zone: peer.zone.clone() });
+        let own = LiveNode { node: self.settings.node.clone(), zone: self.settings.zone.clone() };
+        std::iter::once(own).chain(peers).collect()
     }
 
     /// Whether there are machines, and all of them have sent a heartbeat under this leadership.
@@ -130,10 +131,10 @@
             return; // it comes again once all records are read
         }
         self.failover_log.digest_received(context.now);
-        for heard in self.coordinator.digest(from, digest, context.now) {
+        for heard in self.coordinator.digest_received(from, digest, context.now) {
             self.process_delegated_heartbeat(context, from, heard);
         }
-        for (node, machines) in self.coordinator.take_missing() {
+        for ResendRequest { node, machines } in self.coordinator.take_resend_requests() {
             let message = PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines };
             context.out.send(&node, message);
         }
@@ -152,7 +153,7 @@
         &mut self,
         context: &mut StepContext,
         from: &NodeName,
-        heard: HeardHeartbeat,
+        heard: ReceivedHeartbeat,
     ) {
         let id = &heard.machine;
         if self.machines.was_returned(id) {
@@ -161,22 +162,26 @@
         if let Some(machine) = self.machines.get_mut(id)
             && machine.has_been_heard()
             && machine.is_settled()
-            && !heard.new
+            && !heard.content_changed
         {
-            machine.heartbeat_unchanged(heard.at.worker_epoch, heard.at.serial, heard.heard);
-            context.peers.heard_zone(&machine.zone, heard.heard);
+            machine.heartbeat_unchanged(
+                heard.position.worker_epoch,
+                heard.position.serial,
+                heard.received_at,
+            );
+            context.peers.heard_zone(&machine.zone, heard.received_at);
             return;
         }
         // A heartbeat is worth the same whoever has heard it: it carries the epoch, the serial and
         // the fencing token that the worker had seen.
         let Some(known) = self.coordinator.known(id) else { return };
-        let Some(heartbeat) = Heartbeat::from_content(id, heard.at, &known.content) else {
+        let Some(heartbeat) = Heartbeat::from_content(id, heard.position, &known.content) else {
             tracing::error!(machine = %id, node = %from, "a heartbeat heard by another node can't be read");
             return;
         };
         self.process_heartbeat(&heartbeat, context.now);
-        context.peers.heard_zone(&heartbeat.zone, heard.heard);
-        self.command_delegated_worker(context, from, &heartbeat, heard.heard);
+        context.peers.heard_zone(&heartbeat.zone, heard.received_at);
+        self.command_delegated_worker(context, from, &heartbeat, heard.received_at);
     }
 
     /// What a worker is to do whose heartbeat another node has answered: some commands go with that
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -73,7 +73,7 @@
                 commands = machine.commands(heartbeat, may_start, may_stop, may_start);
             }
         }
-        if context.lease_renewal.stops() {
+        if context.lease_renewal.stops_finished_tasks() {
             stop_finished(heartbeat, is_finished, &mut commands);
         }
         commands
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -48,7 +48,7 @@
 
     /// Zones whose workers' leases are renewed by isolated nodes.
     pub fn zones_alive(&self, now: MonotonicTime) -> BTreeSet<Zone> {
-        self.reports.alive(now)
+        self.reports.live_zones(now)
     }
 
     /// When the zone was last found cut off with a node inside that answers its workers.
--- a/crates/scheduler/src/node/leader/isolation/golden.rs
+++ b/crates/scheduler/src/node/leader/isolation/golden.rs
@@ -8,7 +8,7 @@
 fn golden_record_of_a_node_apart() {
     let report = IsolationReport {
         fencing_token: FencingToken(412),
-        heard: [("z0".into(), 3), ("z1".into(), 0)].into(),
+        workers_by_zone: [("z0".into(), 3), ("z1".into(), 0)].into(),
     };
     let value = serde_json::to_string(&report).expect("writable");
     let mut group = golden_group!("apart_record.txt");
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -173,7 +173,7 @@
     /// can a leader that has not read the job records for as long know what is cancelled.
     pub(super) fn find_unstoppable(&mut self, lease_renewal: &LeaseRenewal, now: MonotonicTime) {
         let unstopped_limit = self.unstopped_limit();
-        let cancellations_unknown = lease_renewal.is_blind_for(unstopped_limit, now);
+        let cancellations_unknown = lease_renewal.is_stale_for(unstopped_limit, now);
         for machine in self.machines.iter_mut() {
             if machine.status == MachineStatus::Releasing {
                 continue;
--- a/crates/scheduler/src/peer_messages/golden.rs
+++ b/crates/scheduler/src/peer_messages/golden.rs
@@ -106,13 +106,13 @@
 fn digest() -> PeerMessage {
     let full = FullHeartbeat {
         machine: "m-1".into(),
-        at: position(5),
+        position: position(5),
         age: Duration::from_millis(700),
         content: vec![1, 2, 3],
     };
     let same = UnchangedHeartbeat {
         machine: "m-2".into(),
-        at: position(6),
+        position: position(6),
         age: Duration::from_millis(800),
         hash: 0x0102_0304_0506,
     };
@@ -120,13 +120,13 @@
         fencing_token: FENCE,
         sequence: 22,
         full: vec![full],
-        same: vec![same],
+        unchanged: vec![same],
     })
 }
 
 fn relayed() -> PeerMessage {
-    let answered = RelayResult { call: 31, status: 200, at: Some(position(9)) };
-    let silent = RelayResult { call: 32, status: 0, at: None };
+    let answered = RelayResult { call: 31, status: 200, position: Some(position(9)) };
+    let silent = RelayResult { call: 32, status: 0, position: None };
     PeerMessage::RelayResults { fencing_token: FENCE, calls: vec![answered, silent] }
 }
 
