--- a/crates/recovery/src/failover.rs
+++ b/crates/recovery/src/failover.rs
@@ -1,116 +1,143 @@
-//! How far a new leader is, and what it may do meanwhile.
+//! How far a new leader has come since the failover, and what it may do meanwhile.
 //!
-//! It goes machine by machine wherever it can: orders, starts and stops on a machine that is heard don't wait for the
-//! others. What is gated here is what a report on its way could prove needless: giving a machine up, stopping work to
-//! make room, renting.
+//! It goes machine by machine wherever it can: commands, starts and stops on a machine that is heard don't
+//! wait for the other machines. Gated here is what a heartbeat on its way could prove needless: giving a
+//! machine up, preempting work, scaling out and in.
 
 use pearford_types::{Duration, MonotonicTime};
 
+/// How far a new leader has come. Phases follow in this order, and none is ever left for an earlier one.
+/// Operators see the phase's number in a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailoverPhase {
     /// The stored records are not all read.
     ReadingRecords,
-    /// Most machines' reports are still to come.
+    /// Most machines' heartbeats are still to come.
     CollectingHeartbeats,
-    /// Nearly all are in; the rest are asked, and given up one by one if they don't answer.
+    /// Nearly all are in. The rest are probed, and given up one by one if they don't answer.
     Reconciling,
+    /// All machines are heard, or every lease from before the failover has expired.
     Steady,
 }
 
 /// What a leader does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaderAction {
-    /// Answering reports, which renews leases.
+    /// Answering heartbeats, which renews leases.
     Renew,
-    /// Stopping what is surely over.
+    /// Stopping tasks that are surely finished.
     Stop,
-    /// Starting work on a machine that is heard.
+    /// Starting tasks on a machine that is heard.
     Start,
-    /// Stopping work to make room for other work.
+    /// Stopping tasks to free resources for others.
     Preempt,
-    Rent,
+    /// Renting machines.
+    ScaleOut,
     /// Returning a machine because it is not heard.
     GiveUp,
     /// Returning a machine that has had nothing to do.
-    ReturnIdle,
+    ScaleIn,
 }
 
 impl FailoverPhase {
-    /// The one table of what is allowed when.
-    pub fn allows(self, act: LeaderAction) -> bool {
-        match act {
-            LeaderAction::Renew | LeaderAction::Stop => true,
-            LeaderAction::Start => self >= FailoverPhase::CollectingHeartbeats,
-            // Room and machines that are merely unheard come back with their reports.
-            LeaderAction::Preempt | LeaderAction::Rent | LeaderAction::GiveUp | LeaderAction::ReturnIdle => {
-                self >= FailoverPhase::Reconciling
+    /// What is allowed in which phase. What a phase allows, all later ones allow.
+    pub fn allows(self, action: LeaderAction) -> bool {
+        let first_phase = match action {
+            LeaderAction::Renew | LeaderAction::Stop => FailoverPhase::ReadingRecords,
+            LeaderAction::Start => FailoverPhase::CollectingHeartbeats,
+            // Resources and machines that are merely unheard come back with their heartbeats.
+            LeaderAction::Preempt | LeaderAction::ScaleOut | LeaderAction::GiveUp | LeaderAction::ScaleIn => {
+                FailoverPhase::Reconciling
             }
-        }
+        };
+        self >= first_phase
     }
 }
 
-/// Parts of the machines that are heard for gathering to end, and after how many intervals. A worker reports every
-/// interval, give or take a quarter, and finds a node within another. Machines that died with the leader must not hold
-/// up the rest: with 95% instead, 87 dead of 1,300 did so for 12.5 s (andina fleet, loss).
-const ENOUGH: [(f64, f64); 3] = [(0.9, 0.0), (0.8, 1.5), (0.67, 2.5)];
-/// An unheard machine is not given up sooner.
-const GIVE_UP_AFTER: f64 = 1.9;
+/// Enough machines are heard to end the collection of heartbeats.
+struct Threshold {
+    /// The part of all machines that must be heard, from 0 to 1.
+    share: f64,
+    /// Heartbeat intervals that must have passed since the records were read.
+    after_intervals: f64,
+}
+
+/// Any of these ends the collection. A worker reports every interval, give or take a quarter, and finds a
+/// node within another. Machines that died with the leader must not hold up the rest: with 95% instead, 87
+/// dead of 1,300 did so for 12.5 s (simulated fleet "andina", fault "loss").
+const THRESHOLDS: [Threshold; 3] = [
+    Threshold { share: 0.9, after_intervals: 0.0 },
+    Threshold { share: 0.8, after_intervals: 1.5 },
+    Threshold { share: 0.67, after_intervals: 2.5 },
+];
+/// An unheard machine is not given up sooner than so many heartbeat intervals after the records were read.
+const GIVE_UP_AFTER_INTERVALS: f64 = 1.9;
 
-/// What is waited for.
+/// Follows how many machines a new leader has heard, and decides on its [`FailoverPhase`].
 #[derive(Debug, Clone)]
 pub struct HeartbeatCollection {
     interval: Duration,
     lease: Duration,
-    read_at: Option<MonotonicTime>,
+    /// When all records were read.
+    records_read_at: Option<MonotonicTime>,
     phase: FailoverPhase,
 }
 
 impl HeartbeatCollection {
-    /// `interval`: of workers' reports; `lease`: how long their tasks live without an answer.
+    /// A leader that has just begun to lead. `interval`: between a worker's heartbeats; `lease`: how long a
+    /// worker's tasks live without an answer.
     pub fn new(interval: Duration, lease: Duration) -> Self {
-        Self { interval, lease, read_at: None, phase: FailoverPhase::ReadingRecords }
+        Self { interval, lease, records_read_at: None, phase: FailoverPhase::ReadingRecords }
     }
 
+    /// The present phase.
     pub fn phase(&self) -> FailoverPhase {
         self.phase
     }
 
-    pub fn allows(&self, act: LeaderAction) -> bool {
-        self.phase.allows(act)
+    /// Whether the present phase allows an action.
+    pub fn allows(&self, action: LeaderAction) -> bool {
+        self.phase.allows(action)
     }
 
     /// Whether an unheard machine may be given up.
     pub fn may_give_up(&self, now: MonotonicTime) -> bool {
-        let waited = self.read_at.map(|at| now.since(at));
-        self.allows(LeaderAction::GiveUp) && waited.is_some_and(|w| w >= self.interval.times(GIVE_UP_AFTER))
+        let Some(records_read_at) = self.records_read_at else { return false };
+        let waited = now.since(records_read_at);
+        self.allows(LeaderAction::GiveUp) && waited >= self.interval.times(GIVE_UP_AFTER_INTERVALS)
     }
 
+    /// All stored records are read: heartbeats can be reconciled from now on.
     pub fn records_read(&mut self, now: MonotonicTime) {
-        self.read_at.get_or_insert(now);
+        self.records_read_at.get_or_insert(now);
         self.phase = self.phase.max(FailoverPhase::CollectingHeartbeats);
     }
 
-    /// `heard` of `all` machines that should report have. Gives the phase if it is a new one; none is ever left for
-    /// an earlier one.
+    /// Notes that `heard` of the `expected` machines have sent a heartbeat to this leader. Returns the phase
+    /// if it is a new one.
     ///
-    /// Bounds: with nine tenths heard at once, with two thirds after 2.5 intervals; in any case once every lease that ran
-    /// when the records were read is over, since then what is unheard runs nothing.
-    pub fn heard(&mut self, heard: usize, all: usize, now: MonotonicTime) -> Option<FailoverPhase> {
-        let waited = now.since(self.read_at?);
-        let share = if all == 0 { 1.0 } else { heard as f64 / all as f64 };
-        let next = match self.phase {
-            FailoverPhase::ReadingRecords => return None,
-            _ if waited >= self.lease || heard >= all => FailoverPhase::Steady,
-            phase => {
-                let enough = |(part, intervals): &(f64, f64)| {
-                    share >= *part && waited >= self.interval.times(*intervals)
-                };
-                if ENOUGH.iter().any(enough) { phase.max(FailoverPhase::Reconciling) } else { phase }
-            }
+    /// The collection ends with nine tenths heard at once, with two thirds after 2.5 intervals, and in any
+    /// case once every lease that ran when the records were read has expired: since then an unheard machine
+    /// runs nothing.
+    pub fn update(&mut self, heard: usize, expected: usize, now: MonotonicTime) -> Option<FailoverPhase> {
+        let waited = now.since(self.records_read_at?);
+        let next = if waited >= self.lease || heard >= expected {
+            FailoverPhase::Steady
+        } else if self.are_enough(heard, expected, waited) {
+            self.phase.max(FailoverPhase::Reconciling)
+        } else {
+            self.phase
         };
-        let new = next > self.phase;
+        let is_new = next > self.phase;
         self.phase = next;
-        new.then_some(next)
+        is_new.then_some(next)
+    }
+
+    fn are_enough(&self, heard: usize, expected: usize, waited: Duration) -> bool {
+        let share = heard as f64 / expected as f64;
+        THRESHOLDS.iter().any(|threshold| {
+            share >= threshold.share && waited >= self.interval.times(threshold.after_intervals)
+        })
     }
 }
 
--- a/crates/recovery/src/failover/tests.rs
+++ b/crates/recovery/src/failover/tests.rs
@@ -1,50 +1,63 @@
 use super::*;
 
-const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
+fn at_ms(ms: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(ms)
+}
 
-fn gathering() -> HeartbeatCollection {
+fn collection() -> HeartbeatCollection {
     HeartbeatCollection::new(Duration::from_secs_f64(5.0), Duration::from_secs_f64(31.0))
 }
 
+fn collection_with_records_at_zero() -> HeartbeatCollection {
+    let mut collection = collection();
+    collection.records_read(at_ms(0));
+    collection
+}
+
 #[test]
-fn nothing_needless_is_done_before_most_are_heard() {
-    let mut g = gathering();
-    assert_eq!(g.heard(90, 100, T(500)), None, "nothing is judged before the records are read");
-    assert!(g.allows(LeaderAction::Renew) && g.allows(LeaderAction::Stop) && !g.allows(LeaderAction::Start));
-    g.records_read(T(1_000));
-    assert!(g.allows(LeaderAction::Start), "on machines that are heard");
-    for act in [LeaderAction::Preempt, LeaderAction::Rent, LeaderAction::GiveUp, LeaderAction::ReturnIdle] {
-        assert!(!g.allows(act), "{act:?}");
+fn what_a_heartbeat_could_prove_needless_waits_until_most_machines_are_heard() {
+    let mut collection = collection();
+    let before_records = collection.update(90, 100, at_ms(500));
+    assert_eq!(before_records, None, "nothing is decided before the records are read");
+    assert!(collection.allows(LeaderAction::Renew) && collection.allows(LeaderAction::Stop));
+    assert!(!collection.allows(LeaderAction::Start));
+    collection.records_read(at_ms(1_000));
+    assert!(collection.allows(LeaderAction::Start), "on machines that are heard");
+    for action in [LeaderAction::Preempt, LeaderAction::ScaleOut, LeaderAction::GiveUp, LeaderAction::ScaleIn]
+    {
+        assert!(!collection.allows(action), "{action:?}");
     }
-    assert_eq!(g.heard(89, 100, T(5_000)), None);
-    assert_eq!(g.heard(90, 100, T(5_500)), Some(FailoverPhase::Reconciling));
-    assert!(g.allows(LeaderAction::Preempt) && !g.may_give_up(T(5_500)) && g.may_give_up(T(10_500)));
-    assert_eq!(g.heard(50, 100, T(6_000)), None, "machines that come up don't take it back");
-    assert_eq!(g.heard(100, 100, T(7_000)), Some(FailoverPhase::Steady));
+    assert_eq!(collection.update(89, 100, at_ms(5_000)), None);
+    assert_eq!(collection.update(90, 100, at_ms(5_500)), Some(FailoverPhase::Reconciling));
+    assert!(collection.allows(LeaderAction::Preempt));
+    assert!(!collection.may_give_up(at_ms(5_500)) && collection.may_give_up(at_ms(10_500)));
+    assert_eq!(collection.update(50, 100, at_ms(6_000)), None, "new machines don't take it back");
+    assert_eq!(collection.update(100, 100, at_ms(7_000)), Some(FailoverPhase::Steady));
 }
 
-/// 2,375 living machines were returned as lost half a minute after a take-over, since one node alone could not
-/// answer them all (four times the andina fleet, all nodes crashed for 50 s).
+/// 2,375 living machines were returned as lost half a minute after a failover, since one node alone could not
+/// answer them all (four times the simulated fleet "andina", all nodes crashed for 50 s).
 #[test]
-fn while_few_are_heard_the_bound_is_the_lease() {
-    let mut g = gathering();
-    g.records_read(T(0));
-    for at in (0..31_000).step_by(500) {
-        assert_eq!(g.heard(600, 1_000, T(at)), None, "at {at}");
+fn while_few_machines_are_heard_the_collection_lasts_for_the_lease() {
+    let mut collection = collection_with_records_at_zero();
+    for ms in (0..31_000).step_by(500) {
+        assert_eq!(collection.update(600, 1_000, at_ms(ms)), None, "at {ms}");
     }
-    assert_eq!(g.heard(600, 1_000, T(31_000)), Some(FailoverPhase::Steady));
-    let mut g = gathering();
-    g.records_read(T(0));
-    assert_eq!(g.heard(800, 1_000, T(7_400)), None);
-    assert_eq!(g.heard(800, 1_000, T(7_500)), Some(FailoverPhase::Reconciling));
-    let mut g = gathering();
-    g.records_read(T(0));
-    assert_eq!(g.heard(799, 1_000, T(12_400)), None);
-    assert_eq!(g.heard(700, 1_000, T(12_500)), Some(FailoverPhase::Reconciling));
+    assert_eq!(collection.update(600, 1_000, at_ms(31_000)), Some(FailoverPhase::Steady));
+}
+
+#[test]
+fn the_longer_the_collection_lasts_the_fewer_machines_are_enough() {
+    let mut collection = collection_with_records_at_zero();
+    assert_eq!(collection.update(800, 1_000, at_ms(7_400)), None);
+    assert_eq!(collection.update(800, 1_000, at_ms(7_500)), Some(FailoverPhase::Reconciling));
+    let mut collection = collection_with_records_at_zero();
+    assert_eq!(collection.update(799, 1_000, at_ms(12_400)), None);
+    assert_eq!(collection.update(700, 1_000, at_ms(12_500)), Some(FailoverPhase::Reconciling));
 }
 
 #[test]
-fn the_table_only_opens_from_phase_to_phase() {
+fn each_phase_allows_what_earlier_phases_allow_and_the_last_one_everything() {
     use LeaderAction::*;
     let phases = [
         FailoverPhase::ReadingRecords,
@@ -52,10 +65,10 @@
         FailoverPhase::Reconciling,
         FailoverPhase::Steady,
     ];
-    for act in [Renew, Stop, Start, Preempt, Rent, GiveUp, ReturnIdle] {
+    for action in [Renew, Stop, Start, Preempt, ScaleOut, GiveUp, ScaleIn] {
         for pair in phases.windows(2) {
-            assert!(pair[1].allows(act) || !pair[0].allows(act), "{act:?} at {pair:?}");
+            assert!(pair[1].allows(action) || !pair[0].allows(action), "{action:?} at {pair:?}");
         }
-        assert!(FailoverPhase::Steady.allows(act));
+        assert!(FailoverPhase::Steady.allows(action));
     }
 }
--- a/crates/recovery/src/pacing/tests.rs
+++ b/crates/recovery/src/pacing/tests.rs
@@ -1,24 +1,32 @@
 use super::*;
 
-const T: fn(u64) -> MonotonicTime = MonotonicTime::from_millis;
+const INTERVAL_MS: u64 = 100;
+const REST_FACTOR: f64 = 3.0;
+const CHEAP_COST_MS: u64 = 5;
+const HIGH_COST_MS: u64 = 400;
+const CHEAP_UNTIL_MS: u64 = 15_000;
+const END_MS: u64 = 30_000;
 
 #[test]
-fn costly_work_leaves_its_rest_to_others_and_cheap_work_comes_as_often_as_it_may() {
-    let mut pace = Pacer::new(Duration::from_millis(100), 3.0, T(0));
-    let (mut now, mut worked) = (0, 0);
-    while now < 30_000 {
-        let cost = if now < 15_000 { 5 } else { 400 };
-        if pace.due(T(now)) {
-            pace.begins(T(now));
+fn costly_work_leaves_its_rest_to_others_and_cheap_work_is_done_every_interval() {
+    let at_ms = MonotonicTime::from_millis;
+    let mut pacer = Pacer::new(Duration::from_millis(INTERVAL_MS), REST_FACTOR, at_ms(0));
+    let mut now = 0;
+    let mut worked = 0;
+    while now < END_MS {
+        let cost = if now < CHEAP_UNTIL_MS { CHEAP_COST_MS } else { HIGH_COST_MS };
+        if pacer.is_due(at_ms(now)) {
+            pacer.begin(at_ms(now));
             worked += cost;
             now += cost;
-            pace.cost(Duration::from_millis(cost), T(now));
+            pacer.record_cost(Duration::from_millis(cost), at_ms(now));
         } else {
             // Steps without the work say nothing of its cost.
-            pace.cost(Duration::from_millis(900), T(now));
+            pacer.record_cost(Duration::from_millis(900), at_ms(now));
             now += 1;
         }
     }
-    let cheap = 15_000 / 105 * 5;
-    assert!((cheap..cheap + 15_000 / 4 + 500).contains(&worked), "{worked} ms");
+    let cheap = CHEAP_UNTIL_MS / (INTERVAL_MS + CHEAP_COST_MS) * CHEAP_COST_MS;
+    let costly = (END_MS - CHEAP_UNTIL_MS) / 4;
+    assert!((cheap..cheap + costly + 500).contains(&worked), "{worked} ms");
 }
--- a/crates/scheduler/src/node/leader/adoption.rs
+++ b/crates/scheduler/src/node/leader/adoption.rs
@@ -8,7 +8,7 @@
 use crate::wire::cloud::MachineType;
 use crate::wire::state::Pair;
 use crate::workers::{Machine, MachineStatus};
-use pearford_recovery::{Adoption, adopt};
+use pearford_recovery::{Adoption, InheritedAssignment, adopt};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An assignment that is to be adopted.
@@ -160,7 +160,8 @@
         let Inherited { machine, task, state, attempt } = inherited;
         let job_state = self.job_states.get_mut(&task.job);
         let task_done = job_state.as_ref().is_some_and(|job_state| job_state.done().contains(task.index));
-        match (adopt(job_state.is_some(), task_done, superseded), job_state) {
+        let inherited = InheritedAssignment { job_open: job_state.is_some(), task_done, superseded };
+        match (adopt(&inherited), job_state) {
             (Adoption::Superseded, _) => self.remove_assignment(&machine, &task, now),
             (Adoption::Keep, Some(job_state)) => {
                 job_state.place(task.index, machine.clone());
@@ -177,7 +178,7 @@
                     self.task_done(&machine, &task, now);
                 }
             }
-            (Adoption::Keep | Adoption::Over, _) => self.remove_or_stop(&machine, &task, now),
+            (Adoption::Keep | Adoption::Finished, _) => self.remove_or_stop(&machine, &task, now),
         }
     }
 }
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -155,7 +155,7 @@
             context.catalogue.refresh(context.out);
         }
         let returns = self.returns(now);
-        let rentals = if self.rental_pacer.due(now) { self.rentals(now) } else { Vec::new() };
+        let rentals = if self.rental_pacer.is_due(now) { self.rentals(now) } else { Vec::new() };
         if list {
             self.cloud.send_listing(context, None);
         }
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -58,7 +58,7 @@
             Duration::from_secs_f64(workers.lease_s),
         );
         self.heartbeat_collection.records_read(MonotonicTime::default());
-        self.heartbeat_collection.heard(1, 1, self.since);
+        self.heartbeat_collection.update(1, 1, self.since);
     }
 
     /// Frees the resources of stopping tasks without a proof that they are gone.
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -219,7 +219,7 @@
     /// The step that has ended took `cost`.
     pub(in crate::node) fn took(&mut self, cost: Duration, now: MonotonicTime) {
         self.rounds.add_cost(cost, now);
-        self.rental_pacer.cost(cost, now);
+        self.rental_pacer.record_cost(cost, now);
     }
 
     /// The instance types were read anew.
--- a/crates/scheduler/src/node/leader/scale_in.rs
+++ b/crates/scheduler/src/node/leader/scale_in.rs
@@ -11,7 +11,7 @@
 impl Leader {
     /// The call that returns machines now, if there are any to return.
     pub(super) fn returns(&mut self, now: MonotonicTime) -> Option<PlannedCall> {
-        if self.heartbeat_collection.allows(LeaderAction::ReturnIdle) {
+        if self.heartbeat_collection.allows(LeaderAction::ScaleIn) {
             self.begin_idle_returns(now);
         }
         let releasing = self.machines.iter().filter(|machine| machine.status == MachineStatus::Releasing);
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -49,14 +49,14 @@
 impl Leader {
     /// The calls that rent machines now.
     pub(super) fn rentals(&mut self, now: MonotonicTime) -> Vec<PlannedCall> {
-        if !self.heartbeat_collection.allows(LeaderAction::Rent)
+        if !self.heartbeat_collection.allows(LeaderAction::ScaleOut)
             || !self.cloud.may_rent(now)
             || now.since(self.since) < RENT_AFTER_FAILOVER
             || self.instance_offers.types.is_empty()
         {
             return Vec::new();
         }
-        self.rental_pacer.begins(now);
+        self.rental_pacer.begin(now);
         let mut requests = self.capacity_requests(now);
         requests.iter_mut().for_each(|request| self.avoid_cut_zones(request));
         if requests.is_empty() {
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -60,7 +60,7 @@
 
     /// The step that has ended took `cost`.
     pub fn add_cost(&mut self, cost: Duration, now: MonotonicTime) {
-        self.passes.cost(cost, now);
+        self.passes.record_cost(cost, now);
     }
 
     /// Whether a round is under way at the controller.
@@ -102,10 +102,10 @@
     /// controllers theirs.
     pub(super) fn offer_rounds(&mut self, context: &mut StepContext) {
         let now = context.now;
-        if !self.rounds.passes.due(now) || !self.may_start(context) {
+        if !self.rounds.passes.is_due(now) || !self.may_start(context) {
             return;
         }
-        self.rounds.passes.begins(now);
+        self.rounds.passes.begin(now);
         let me = self.settings.node.clone();
         let mut live = context.peers.live(now);
         live.retain(|node| !self.rounds.is_slow(node, now));
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -184,7 +184,7 @@
             heard += usize::from(machine.has_been_heard());
             all += 1;
         }
-        if let Some(phase) = self.heartbeat_collection.heard(heard, all, now) {
+        if let Some(phase) = self.heartbeat_collection.update(heard, all, now) {
             let after_ms = now.since(self.since).0;
             tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard, of = all, "failover");
             self.capacity_version += 1;
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -118,7 +118,7 @@
     pub(super) fn task_gone(&mut self, id: &MachineId, task: &TaskId, outcome: Outcome, now: MonotonicTime) {
         self.commits.mark_changed(id.clone());
         self.capacity_version += 1;
-        if outcome == Outcome::Ended(TaskExit::NoRoom)
+        if outcome == Outcome::Ended(TaskExit::InsufficientResources)
             && let Some(machine) = self.machines.get_mut(id)
         {
             machine.not_before = now + NO_CAPACITY_PAUSE;
@@ -138,7 +138,7 @@
                     self.broadcaster.add_outcome(outcome);
                 }
             }
-            Outcome::Ended(TaskExit::Refused | TaskExit::NoRoom) => {
+            Outcome::Ended(TaskExit::Refused | TaskExit::InsufficientResources) => {
                 job_state.not_before = now + REFUSAL_PAUSE;
             }
             _ => {}
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -136,7 +136,7 @@
             Some(Cause::Error) => TaskExit::Failed,
             Some(Cause::Stopped) => TaskExit::Stopped { saved: self.saved },
             Some(Cause::Peers | Cause::Alone) => TaskExit::GangBroke,
-            Some(Cause::NoRoom) => TaskExit::NoRoom,
+            Some(Cause::NoRoom) => TaskExit::InsufficientResources,
             Some(Cause::Busy | Cause::Unknown | Cause::Other) | None => TaskExit::Refused,
         }
     }
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -386,12 +386,12 @@
                 stopping: assignment.stop.is_some(),
                 reported_state: reported.map_or(ReportedState::Absent, |r| r.reported_state()),
                 after_command: assignment.state.is_before(heartbeat.worker_epoch, heartbeat.serial),
-                under_fencing_token: heartbeat.fencing_token == mine,
+                saw_fencing_token: heartbeat.fencing_token == mine,
                 wanted_here: open && again.contains(&task),
                 may_still_arrive: false,
             };
             match reconcile(&observation) {
-                Decision::There => there(assignment, observation.reported_state, now, &task, &mut outcome),
+                Decision::Present => there(assignment, observation.reported_state, now, &task, &mut outcome),
                 Decision::Done => {
                     fetched(assignment, &task, &mut outcome);
                     assignment.state = AssignmentState::Done;
