--- a/crates/scheduler/src/node/leader/adoption.rs
+++ b/crates/scheduler/src/node/leader/adoption.rs
@@ -7,7 +7,7 @@
 use crate::types::{Attempt, JobId, MachineId, MonotonicTime, TaskId};
 use crate::wire::cloud::MachineType;
 use crate::wire::state::Pair;
-use crate::workers::{Machine, MachineStatus};
+use crate::workers::{ImageCache, Machine, MachineStatus};
 use pearford_recovery::{Adoption, InheritedAssignment, adopt};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,7 +39,7 @@
             self.worker_calls.queue_token(id.clone());
         }
         if machine.images.is_empty() {
-            machine.images = record.images;
+            machine.images = ImageCache::from_record(record.images);
         }
         for RecordedAssignment { task, attempt, team, resources } in record.assignments {
             let assignment =
--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -107,7 +107,7 @@
         requested_images: &BTreeSet<&Image>,
         now: MonotonicTime,
     ) -> MachineView {
-        let images = machine.images.iter().map(|cached| &cached.image);
+        let images = machine.images.iter();
         let images = images.filter(|image| requested_images.contains(image)).cloned().collect();
         MachineView {
             id: machine.id.clone(),
@@ -180,7 +180,7 @@
     let mut selected = Vec::new();
     for mut group in groups.into_values() {
         let has_requested =
-            |machine: &Machine| machine.images.iter().any(|cached| requested_images.contains(&cached.image));
+            |machine: &Machine| machine.images.iter().any(|image| requested_images.contains(image));
         group.sort_by_cached_key(|candidate| {
             let machine = candidate.machine;
             (!has_requested(machine), (machine.free().gpus * 1000.0) as u64)
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -8,7 +8,7 @@
 use crate::settings::Settings;
 use crate::types::{FencingToken, MachineId, MonotonicTime, NodeName, TaskId};
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
-use crate::workers::{Machine, MachineStatus};
+use crate::workers::{DelegateCommands, Machine, MachineStatus};
 use pearford_heartbeat::{HeartbeatDigest, LiveNode, ReceivedHeartbeat, ResendRequest, UnacknowledgedStarts};
 use std::collections::BTreeMap;
 
@@ -202,20 +202,21 @@
         machine.last_heartbeat = Some(heard_at);
         let job_cache = &context.job_cache;
         let finished = |task: &TaskId| job_cache.terminal_status(&task.job).is_some();
-        let (queued, restarts) = machine.commands_for_delegate(heartbeat, may_start, finished, context.now);
+        let DelegateCommands { queued, direct_starts } =
+            machine.commands_for_delegate(heartbeat, may_start, finished, context.now);
         if !queued.is_empty() && *from != self.settings.node {
             self.queued_commands.add(from, id, queued);
         }
         if machine.has_starts() {
             self.worker_calls.queue_commands(id.clone());
         }
-        if restarts.is_empty() {
+        if direct_starts.is_empty() {
             return;
         }
         let Some(addr) = machine.addr.clone() else { return };
         // These starts stay unacknowledged until the worker's epoch ends, whatever this call's answer is.
         let worker_epoch = machine.worker_epoch;
-        let body = workers::command(self.fencing_token, worker_epoch, &restarts);
+        let body = workers::command(self.fencing_token, worker_epoch, &direct_starts);
         let request_id = self.send_to_worker(context, id, addr, body);
         let call = DirectCall { machine: id.clone(), worker_epoch, starts: Vec::new() };
         self.worker_calls.commands_sent(request_id, call);
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::types::{JobId, MachineId, MonotonicTime, RequestId, Resources, TaskId};
 use crate::wire::cloud::MachineType;
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
-use crate::workers::{HeartbeatOutcome, Machine, MachineStatus, stop_finished};
+use crate::workers::{GoneTask, HeartbeatOutcome, Machine, MachineStatus, TaskAttempt, stop_finished};
 use http::StatusCode;
 use pearford_recovery::RecordedState;
 
@@ -181,17 +181,17 @@
                 self.start_after_fetches(&task.job);
             }
         }
-        if !outcome.again.is_empty() {
-            let tasks = outcome.again.len();
+        if !outcome.restarting.is_empty() {
+            let tasks = outcome.restarting.len();
             tracing::debug!(machine = %id, tasks, "not there any more; they start again here");
-            outcome.again.iter().for_each(|task| self.broadcaster.mark_changed(&task.job));
+            outcome.restarting.iter().for_each(|task| self.broadcaster.mark_changed(&task.job));
             self.worker_calls.queue_commands(id.clone());
         }
-        for (task, _) in outcome.done {
+        for TaskAttempt { task, .. } in outcome.done {
             self.broadcaster.mark_changed(&task.job);
             self.task_done(id, &task, now);
         }
-        for (task, _, outcome) in outcome.gone {
+        for GoneTask { task, outcome } in outcome.gone {
             self.broadcaster.mark_changed(&task.job);
             self.task_gone(id, &task, outcome, now);
         }
--- a/crates/scheduler/src/node/leader/heartbeats/tests.rs
+++ b/crates/scheduler/src/node/leader/heartbeats/tests.rs
@@ -34,8 +34,7 @@
     }
     let starts = |leader: &mut Leader, id: &str| {
         let machine = leader.machines.get_mut(&MachineId::from(id)).expect("there");
-        let (_, starts) = machine.direct_commands(true, MonotonicTime::from_millis(1));
-        starts.len()
+        machine.direct_commands(true, MonotonicTime::from_millis(1)).starts.len()
     };
     assert_eq!((starts(&mut leader, "m-0"), starts(&mut leader, "m-1")), (0, 1));
     let waiting = r#"{"host":"m-1","addr":"10.9.0.1:1","flavor":"t","region":"z0","preemptible":false,
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -9,7 +9,7 @@
 use crate::jobs::JobState;
 use crate::partitions::Partitions;
 use crate::types::{Duration, JobId, MachineId, MonotonicTime, Zone};
-use crate::workers::{Machine, MachineStatus};
+use crate::workers::{Machine, MachineStatus, TaskAttempt};
 use pearford_heartbeat::LeaseRenewal;
 use pearford_recovery::LeaderAction;
 use std::collections::BTreeMap;
@@ -225,7 +225,7 @@
 
 /// Whether a start on the machine that was never acknowledged is to be stopped for longer than `limit`.
 fn has_overdue_start(machine: &Machine, limit: Duration, now: MonotonicTime) -> bool {
-    machine.unacknowledged.keys().any(|(task, attempt)| {
+    machine.unacknowledged.keys().any(|TaskAttempt { task, attempt }| {
         machine.assignments.get(task).is_some_and(|assignment| {
             assignment.attempt == *attempt
                 && matches!(assignment.state, AssignmentState::Sent { .. })
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -132,7 +132,7 @@
             Assignment::new(task, attempt, team, spec.resources, AssignmentState::Planned, now);
         assignment.after_fetches = slow_fetch && machine.has_image(&spec.image);
         machine.assignments.insert(task.clone(), assignment);
-        if machine.held.as_ref().is_some_and(|(job, _)| *job == task.job) {
+        if machine.held.as_ref().is_some_and(|hold| hold.job == task.job) {
             machine.held = None;
         }
         self.commits.mark_changed(machine_id.clone());
--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -9,7 +9,7 @@
 use crate::placement::PlacementRequest;
 use crate::preemption::{Candidate, Clearing, Victim, Wanted, choose};
 use crate::types::{Duration, JobId, MonotonicTime};
-use crate::workers::{Health, Machine};
+use crate::workers::{CapacityHold, Health, Machine};
 use std::collections::BTreeSet;
 
 /// How long a job waits for the resources freed for it before more are freed, besides the time that
@@ -222,7 +222,7 @@
             if (hold_all || tasks.len() > 1)
                 && let Some(machine) = self.machines.get_mut(machine)
             {
-                machine.held = Some((job.clone(), until));
+                machine.held = Some(CapacityHold { job: job.clone(), until });
             }
         }
     }
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -6,7 +6,7 @@
 use crate::placement::{MachineView, PlacementRequest};
 use crate::types::{Duration, MonotonicTime, Zone};
 use crate::wire::cloud::MachineType;
-use crate::workers::{Machine, MachineStatus};
+use crate::workers::{CapacityHold, Machine, MachineStatus};
 use pearford_recovery::LeaderAction;
 use std::collections::BTreeMap;
 
@@ -61,7 +61,7 @@
             left = left.saturating_sub(view.free.count_of(&request.resources));
             view.held_for = Some(request.job.clone());
             if let Some(machine) = self.machines.get_mut(&view.id) {
-                machine.held = Some((request.job.clone(), now + HOLD_FOR));
+                machine.held = Some(CapacityHold { job: request.job.clone(), until: now + HOLD_FOR });
             }
         }
     }
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -2,9 +2,9 @@
 //! and the leader's fencing token here, probes of silent workers in `probing`.
 
 use super::{Leader, StepContext};
-use crate::types::{Attempt, Duration, FencingToken, MachineId, MonotonicTime, NodeName, RequestId};
-use crate::types::{TaskId, WorkerEpoch};
+use crate::types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, RequestId, WorkerEpoch};
 use crate::wire::workers;
+use crate::workers::{DirectAnswer, DirectCommands, TaskAttempt};
 use pearford_heartbeat::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
     /// The epoch that the commands name.
     pub worker_epoch: WorkerEpoch,
     /// Starts among the commands.
-    pub starts: Vec<(TaskId, Attempt)>,
+    pub starts: Vec<TaskAttempt>,
 }
 
 /// Which workers are to be called, and the calls under way.
@@ -125,12 +125,14 @@
 
     fn commands_answered(&mut self, call: DirectCall, status: u16, position: Option<&HeartbeatPosition>) {
         let Some(machine) = self.machines.get_mut(&call.machine) else { return };
-        let carried_out_at = match position {
-            Some(position) if status == STATUS_OK => Some(Some((position.worker_epoch, position.serial))),
-            _ if REFUSED_STATUSES.contains(&status) => Some(None),
-            _ => None,
+        let answer = match position {
+            Some(position) if status == STATUS_OK => {
+                DirectAnswer::Executed { worker_epoch: position.worker_epoch, serial: position.serial }
+            }
+            _ if REFUSED_STATUSES.contains(&status) => DirectAnswer::Refused,
+            _ => DirectAnswer::Missing,
         };
-        machine.direct_answered(call.starts, call.worker_epoch, carried_out_at);
+        machine.direct_answered(call.starts, call.worker_epoch, answer);
     }
 
     fn probe_answered(&mut self, machine: &MachineId, status: u16, now: MonotonicTime) {
@@ -192,7 +194,7 @@
             if !machine.reachable(self.fencing_token) {
                 continue;
             }
-            let (commands, starts) = machine.direct_commands(may_start, context.now);
+            let DirectCommands { commands, starts } = machine.direct_commands(may_start, context.now);
             if commands.is_empty() {
                 continue;
             }
--- /dev/null
+++ b/crates/scheduler/src/workers/commands.rs
@@ -0,0 +1,241 @@
+//! Commands to a worker: in the answer to its heartbeat, through the node that answered it, or directly.
+
+use super::machine::{Machine, MachineStatus, TaskAttempt};
+use crate::assignments::{Assignment, AssignmentState, Stop, UNACKNOWLEDGED_SERIAL};
+use crate::types::{FencingToken, JobId, MonotonicTime, TaskId, WorkerEpoch};
+use crate::wire::workers::{Heartbeat, TaskPhase, WorkerCommand};
+use pearford_recovery::Decision;
+
+/// Most commands in one answer, which keeps its one line below 64 KiB.
+const MAX_COMMANDS: usize = 200;
+
+/// Direct commands to a worker.
+#[derive(Debug, Default)]
+pub struct DirectCommands {
+    /// What to send.
+    pub commands: Vec<WorkerCommand>,
+    /// The starts among them.
+    pub starts: Vec<TaskAttempt>,
+}
+
+/// Commands that follow from a heartbeat which another node has answered.
+#[derive(Debug)]
+pub struct DelegateCommands {
+    /// For that node to send with its next answer to the worker.
+    pub queued: Vec<WorkerCommand>,
+    /// Starts to send directly.
+    pub direct_starts: Vec<WorkerCommand>,
+}
+
+/// What became of a direct command.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DirectAnswer {
+    /// The worker has carried it out, by this position in its life.
+    Executed {
+        /// The worker's epoch.
+        worker_epoch: WorkerEpoch,
+        /// Serial in that epoch.
+        serial: u64,
+    },
+    /// The worker has refused it: nothing runs.
+    Refused,
+    /// No usable answer came: it may still run.
+    Missing,
+}
+
+/// Adds to `commands` stops for all listed tasks of finished jobs, but for what `commands` stop already.
+///
+/// Every answer that renews a lease stops these, whichever node gives it: the leader during its leadership
+/// lease, one that holds on without the key-value store or has not read the records yet, or another node in
+/// the leader's name. The bound on how long leases are renewed after a read covers only cancellations that
+/// the read can't see; the tasks of those that it saw must not live on by that answer. (A leader that had not
+/// read the records as the key-value store went away renewed the leases of cancelled tasks without a stop
+/// until its hold ended: simulation seeds 3182, 3284.)
+pub fn stop_finished(
+    heartbeat: &Heartbeat,
+    is_finished: impl Fn(&JobId) -> bool,
+    commands: &mut Vec<WorkerCommand>,
+) {
+    for reported in heartbeat.tasks.iter().filter(|reported| reported.phase != TaskPhase::Exited) {
+        let Some(task) = reported.task().filter(|task| is_finished(&task.job)) else { continue };
+        let stop = WorkerCommand::Stop { task, attempt: reported.attempt, grace_s: 0.0 };
+        if commands.len() < MAX_COMMANDS && !commands.contains(&stop) {
+            commands.push(stop);
+        }
+    }
+}
+
+impl Machine {
+    /// Asks a task to stop, with `grace_s` seconds to save a checkpoint; a shorter grace replaces a longer
+    /// one. Returns the assignment if it is removed at once, since no command can have reached the worker.
+    pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Assignment> {
+        let assignment = self.assignments.get_mut(task)?;
+        if assignment.unsent() {
+            self.planned.remove(task);
+            return self.assignments.remove(task);
+        }
+        match &mut assignment.stop {
+            Some(stop) if stop.grace_s <= grace_s => {}
+            Some(stop) => {
+                stop.grace_s = grace_s;
+                stop.sent = false;
+            }
+            None => assignment.stop = Some(Stop { grace_s, since: now, sent: false }),
+        }
+        None
+    }
+
+    /// Whether starts could leave now.
+    pub fn has_starts(&self) -> bool {
+        self.assignments.values().any(|assignment| {
+            assignment.state == AssignmentState::Ready
+                && assignment.stop.is_none()
+                && !assignment.after_fetches
+        })
+    }
+
+    /// Whether a direct command may reach the worker, which must have seen this leader's fencing token.
+    pub fn reachable(&self, fencing_token: FencingToken) -> bool {
+        self.addr.is_some() && self.status == MachineStatus::Up && self.fencing_token == fencing_token
+    }
+
+    /// The commands that answer `heartbeat`. Starts leave only with `may_start`; `may_stop` tells which stops
+    /// may leave without it. What has no assignment is stopped or forgotten only while the leadership is
+    /// valid (`leads`).
+    pub fn commands(
+        &mut self,
+        heartbeat: &Heartbeat,
+        may_start: bool,
+        may_stop: impl Fn(&TaskId) -> bool,
+        leads: bool,
+    ) -> Vec<WorkerCommand> {
+        let mut commands = if leads { self.commands_for_unassigned(heartbeat) } else { Vec::new() };
+        for (task, assignment) in &mut self.assignments {
+            if commands.len() >= MAX_COMMANDS {
+                break;
+            }
+            let attempt = assignment.attempt;
+            match (assignment.state, assignment.stop) {
+                (AssignmentState::Ready, None) if assignment.after_fetches => {}
+                (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
+                    let task_attempt = TaskAttempt::of(task, attempt);
+                    let unacknowledged = self.unacknowledged.contains_key(&task_attempt);
+                    let serial = if unacknowledged { UNACKNOWLEDGED_SERIAL } else { heartbeat.serial };
+                    assignment.state = AssignmentState::Sent { worker_epoch: heartbeat.worker_epoch, serial };
+                    commands.push(task_attempt.into_start());
+                }
+                // A task that already saves got its stop; a second one would cut it short.
+                (AssignmentState::Saving, Some(stop)) if stop.grace_s > 0.0 => {}
+                (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
+                (_, Some(stop)) if may_start || may_stop(task) => {
+                    let grace_s = stop.grace_s;
+                    commands.push(WorkerCommand::Stop { task: task.clone(), attempt, grace_s });
+                }
+                _ => {}
+            }
+        }
+        commands
+    }
+
+    /// Stops reported tasks that have no assignment, and lets the worker forget those that have ended.
+    fn commands_for_unassigned(&self, heartbeat: &Heartbeat) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
+        for reported in &heartbeat.tasks {
+            let Some(task) = reported.task() else { continue };
+            if self.is_assigned(&task, reported) {
+                continue;
+            }
+            let attempt = reported.attempt;
+            match self.reconcile_unassigned(&task, reported) {
+                Decision::Stop => commands.push(WorkerCommand::Stop { task, attempt, grace_s: 0.0 }),
+                Decision::Forget => commands.push(WorkerCommand::Forget { task, attempt }),
+                _ => {}
+            }
+        }
+        commands
+    }
+
+    /// Commands to send directly to the worker: starts that are durable now, and new stops.
+    pub fn direct_commands(&mut self, may_start: bool, now: MonotonicTime) -> DirectCommands {
+        let mut direct = DirectCommands::default();
+        for (task, assignment) in &mut self.assignments {
+            let attempt = assignment.attempt;
+            match (assignment.state, &mut assignment.stop) {
+                (AssignmentState::Ready, None) if may_start && !assignment.after_fetches => {
+                    assignment.state = AssignmentState::Direct;
+                    let task_attempt = TaskAttempt::of(task, attempt);
+                    direct.commands.push(task_attempt.clone().into_start());
+                    direct.starts.push(task_attempt.clone());
+                    self.sent.insert(task_attempt, now);
+                }
+                (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
+                (_, Some(stop)) if !stop.sent => {
+                    stop.sent = true;
+                    let grace_s = stop.grace_s;
+                    direct.commands.push(WorkerCommand::Stop { task: task.clone(), attempt, grace_s });
+                }
+                _ => {}
+            }
+        }
+        direct
+    }
+
+    /// Commands for a heartbeat that another node has answered. Starts among them go directly, the rest may
+    /// wait for the answer to the next heartbeat. An unacknowledged start goes again: it may be that none has
+    /// arrived.
+    pub fn commands_for_delegate(
+        &mut self,
+        heartbeat: &Heartbeat,
+        may_start: bool,
+        may_stop: impl Fn(&TaskId) -> bool,
+        now: MonotonicTime,
+    ) -> DelegateCommands {
+        let queued = self.commands(heartbeat, false, |task| may_start || may_stop(task), may_start);
+        let mut direct_starts = Vec::new();
+        if may_start {
+            for (task, assignment) in &self.assignments {
+                let unacknowledged =
+                    matches!(assignment.state, AssignmentState::Sent { serial: UNACKNOWLEDGED_SERIAL, .. });
+                if unacknowledged && assignment.stop.is_none() {
+                    let task_attempt = TaskAttempt::of(task, assignment.attempt);
+                    self.sent.insert(task_attempt.clone(), now);
+                    direct_starts.push(task_attempt.into_start());
+                }
+            }
+        }
+        DelegateCommands { queued, direct_starts }
+    }
+
+    /// The starts of a direct command to `worker_epoch` were answered, or won't be any more.
+    pub fn direct_answered(
+        &mut self,
+        starts: Vec<TaskAttempt>,
+        worker_epoch: WorkerEpoch,
+        answer: DirectAnswer,
+    ) {
+        for task_attempt in starts {
+            let Some(assignment) = self.assignments.get_mut(&task_attempt.task) else { continue };
+            // If a heartbeat has listed it meanwhile, the command has run.
+            let still_direct = assignment.state == AssignmentState::Direct;
+            if assignment.attempt != task_attempt.attempt || !still_direct {
+                continue;
+            }
+            assignment.state = match answer {
+                DirectAnswer::Executed { worker_epoch, serial } => {
+                    AssignmentState::Sent { worker_epoch, serial }
+                }
+                DirectAnswer::Refused => AssignmentState::Ready,
+                DirectAnswer::Missing => {
+                    self.unacknowledged.insert(task_attempt, worker_epoch);
+                    AssignmentState::Sent { worker_epoch, serial: UNACKNOWLEDGED_SERIAL }
+                }
+            };
+        }
+    }
+}
+
+impl TaskAttempt {
+    fn into_start(self) -> WorkerCommand {
+        WorkerCommand::Start { task: self.task, attempt: self.attempt }
+    }
+}
