--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -12,12 +12,18 @@
 /// processor (four times the andina fleet, all nodes crashed).
 const MAX_CANDIDATES: usize = 512;
 
+/// A machine that a scheduling pass considers.
+pub(super) struct Candidate {
+    /// The machine as controllers see it.
+    pub view: MachineView,
+    /// The controller whose partition it is in.
+    pub owner: Option<NodeName>,
+}
+
 /// The machines that a scheduling pass considers.
 pub(super) struct Candidates {
-    /// The machines as controllers see them.
-    pub views: Vec<MachineView>,
-    /// The controller whose partition each machine is in.
-    pub owners: Vec<Option<NodeName>>,
+    /// The machines, by id; where they are only a part, by the order in which that was selected.
+    pub machines: Vec<Candidate>,
     /// These are all that have free resources: what fits none of them fits nowhere.
     pub complete: bool,
 }
@@ -25,17 +31,25 @@
 impl Candidates {
     /// Drops the machines that are not `kept`: what fits none of the rest may fit elsewhere.
     pub fn keep(&mut self, kept: &[bool]) {
-        let mut kept_views = kept.iter();
-        self.views.retain(|_| kept_views.next() == Some(&true));
-        let mut kept_owners = kept.iter();
-        self.owners.retain(|_| kept_owners.next() == Some(&true));
+        let mut kept = kept.iter();
+        self.machines.retain(|_| kept.next() == Some(&true));
         self.complete = false;
     }
 
+    /// All machines as controllers see them.
+    pub fn views(&self) -> impl Iterator<Item = &MachineView> {
+        self.machines.iter().map(|candidate| &candidate.view)
+    }
+
+    /// All machines as controllers see them, to change.
+    pub fn views_mut(&mut self) -> impl Iterator<Item = &mut MachineView> {
+        self.machines.iter_mut().map(|candidate| &mut candidate.view)
+    }
+
     /// The machines in a controller's partition.
     pub fn of(&self, node: &NodeName) -> impl Iterator<Item = &MachineView> {
-        let owned = self.views.iter().zip(&self.owners);
-        owned.filter(move |(_, owner)| owner.as_ref() == Some(node)).map(|(view, _)| view)
+        let owned = self.machines.iter().filter(move |candidate| candidate.owner.as_ref() == Some(node));
+        owned.map(|candidate| &candidate.view)
     }
 }
 
@@ -55,13 +69,15 @@
         if !complete {
             open = select_part(open, &requested_images);
         }
-        let views: Vec<MachineView> =
-            open.into_iter().map(|candidate| self.view(candidate, &requested_images, now)).collect();
-        let owners = views.iter().map(|view| {
-            self.partitions.add(&view.id);
-            self.partitions.owner(&view.id).cloned()
-        });
-        Candidates { owners: owners.collect(), views, complete }
+        let mut machines: Vec<Candidate> = open
+            .into_iter()
+            .map(|machine| Candidate { view: self.view(machine, &requested_images, now), owner: None })
+            .collect();
+        for candidate in &mut machines {
+            self.partitions.add(&candidate.view.id);
+            candidate.owner = self.partitions.owner(&candidate.view.id).cloned();
+        }
+        Candidates { machines, complete }
     }
 
     fn open_machines(&self, requests: &[PlacementRequest], now: MonotonicTime) -> Vec<OpenMachine<'_>> {
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -11,13 +11,6 @@
 use http::StatusCode;
 use pearford_recovery::RecordedState;
 
-/// HTTP status: the heartbeat counts, the worker's lease is renewed, and commands may follow.
-const STATUS_OK: StatusCode = StatusCode::OK;
-/// HTTP status: the worker is to send its heartbeats to another node.
-const STATUS_MISDIRECTED: StatusCode = StatusCode::MISDIRECTED_REQUEST;
-/// HTTP status: nothing is said about the worker's lease.
-const STATUS_UNAVAILABLE: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
-
 /// A gang's task on its machine, as far as its start is concerned.
 struct GangTask {
     task: TaskId,
@@ -28,6 +21,9 @@
 
 impl Leader {
     /// Takes a heartbeat and answers it; false: this node may not speak for the controllers now.
+    ///
+    /// 200 renews the worker's lease and may carry commands, 421 names the node that the worker is to
+    /// send its heartbeats to, 503 says nothing about its lease.
     pub(in crate::node) fn heartbeat(
         &mut self,
         context: &mut StepContext,
@@ -38,13 +34,13 @@
             return false;
         }
         if self.machines.was_returned(&heartbeat.machine) {
-            context.out.refuse(request, STATUS_UNAVAILABLE, "this machine was returned");
+            context.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "this machine was returned");
             return true;
         }
         if context.heartbeats_delegated && self.loaded() {
             let assigned = self.coordinator.redirect_for(&heartbeat.machine, &heartbeat.zone, context.now);
             if let Some(node) = assigned {
-                context.out.answer(request, STATUS_MISDIRECTED, workers::redirect(Some(&node)));
+                context.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)));
                 return true;
             }
             let position = heartbeat.position();
@@ -52,7 +48,7 @@
         }
         context.peers.heard_zone(&heartbeat.zone, context.now);
         let commands = self.commands_for(context, heartbeat);
-        context.out.answer(request, STATUS_OK, workers::answer(self.fencing_token, &commands));
+        context.out.answer(request, StatusCode::OK, workers::answer(self.fencing_token, &commands));
         true
     }
 
--- a/crates/scheduler/src/node/leader/partition_moves.rs
+++ b/crates/scheduler/src/node/leader/partition_moves.rs
@@ -76,12 +76,13 @@
         claims: &[Claim],
     ) -> Fit<'a> {
         let mut fit = Fit { own: BTreeMap::new(), all: BTreeMap::new(), movable: Vec::new() };
-        for (index, view) in candidates.views.iter().enumerate() {
+        for (index, candidate) in candidates.machines.iter().enumerate() {
+            let view = &candidate.view;
             if !request.allows(view) {
                 continue;
             }
             let slots = view.free.count_of(&request.resources);
-            match &candidates.owners[index] {
+            match &candidate.owner {
                 Some(owner) if owner == node => *fit.own.entry(&view.zone).or_default() += slots,
                 Some(owner) if self.rounds.is_pending_at(owner) || is_claimed(claims, owner, view) => {
                     continue;
@@ -109,12 +110,13 @@
         let mut moved = 0;
         let mut slots_gained = 0;
         for index in movable {
-            let view = &candidates.views[index];
+            let candidate = &mut candidates.machines[index];
+            let view = &candidate.view;
             if only_zone.is_some_and(|zone| *zone != view.zone) {
                 continue;
             }
             // Each machine that goes may leave the next one claimed.
-            let owner = candidates.owners[index].as_ref();
+            let owner = candidate.owner.as_ref();
             if moved >= max_moves || owner.is_some_and(|owner| is_claimed(claims, owner, view)) {
                 continue;
             }
@@ -123,7 +125,7 @@
             }
             slots_gained += view.free.count_of(&request.resources);
             self.partitions.transfer(node, [view.id.clone()]);
-            candidates.owners[index] = Some(node.clone());
+            candidate.owner = Some(node.clone());
             moved += 1;
         }
         slots_gained
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -2,8 +2,9 @@
 //! are there, and for replicas where their image is.
 
 use super::Leader;
+use super::candidates::Candidates;
 use super::preemption::{PREEMPT_RETRY, Preemption};
-use crate::placement::{MachineView, PlacementRequest};
+use crate::placement::PlacementRequest;
 use crate::types::{Duration, MonotonicTime, Zone};
 use crate::wire::cloud::MachineType;
 use crate::workers::{Machine, MachineStatus};
@@ -39,7 +40,7 @@
     pub(super) fn hold_for_gang(
         &mut self,
         request: &PlacementRequest,
-        views: &mut [MachineView],
+        candidates: &mut Candidates,
         now: MonotonicTime,
     ) {
         // Worth idle machines only where the next one could not be up in time.
@@ -48,10 +49,10 @@
             return;
         }
         let needed = request.tasks.len() as u32;
-        let slots = self.gang_slots(request, views, now);
+        let slots = self.gang_slots(request, candidates, now);
         let zones = zones_for_gang(request, slots, needed);
         let mut left = needed;
-        for view in views.iter_mut().filter(|view| zones.contains(&view.zone)) {
+        for view in candidates.views_mut().filter(|view| zones.contains(&view.zone)) {
             if left == 0 {
                 break;
             }
@@ -70,11 +71,11 @@
     fn gang_slots(
         &self,
         request: &PlacementRequest,
-        views: &[MachineView],
+        candidates: &Candidates,
         now: MonotonicTime,
     ) -> BTreeMap<Zone, GangSlots> {
         let mut slots: BTreeMap<Zone, GangSlots> = BTreeMap::new();
-        for view in views.iter().filter(|view| request.allows(view)) {
+        for view in candidates.views().filter(|view| request.allows(view)) {
             let zone = slots.entry(view.zone.clone()).or_default();
             zone.free += view.free.count_of(&request.resources);
         }
@@ -103,12 +104,12 @@
     pub(super) fn keep_for_image(
         &mut self,
         request: &PlacementRequest,
-        views: &[MachineView],
+        candidates: &Candidates,
         searches_left: &mut usize,
         now: MonotonicTime,
     ) -> u32 {
         let tasks = request.tasks.len() as u32;
-        let ready = slots_with_image(request, views);
+        let ready = slots_with_image(request, candidates);
         let Some(job_state) = self.job_states.get_mut(&request.job) else { return 0 };
         if job_state.preempting_until.is_none_or(|until| now >= until) {
             job_state.promised = 0;
@@ -170,7 +171,8 @@
 }
 
 /// How many of the request's tasks fit machines that have its image.
-fn slots_with_image(request: &PlacementRequest, views: &[MachineView]) -> u32 {
-    let with_image = views.iter().filter(|view| request.allows(view) && view.images.contains(&request.image));
+fn slots_with_image(request: &PlacementRequest, candidates: &Candidates) -> u32 {
+    let with_image =
+        candidates.views().filter(|view| request.allows(view) && view.images.contains(&request.image));
     with_image.map(|view| view.free.count_of(&request.resources)).sum()
 }
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -167,8 +167,8 @@
             return None;
         }
         if request.job_type == JobType::Service {
-            let views = &pass.candidates.views;
-            let kept = self.keep_for_image(&request, views, &mut pass.searches_left, pass.now) as usize;
+            let kept =
+                self.keep_for_image(&request, &pass.candidates, &mut pass.searches_left, pass.now) as usize;
             request.tasks.truncate(request.tasks.len() - kept.min(request.tasks.len()));
             if request.tasks.is_empty() {
                 return None;
@@ -191,7 +191,7 @@
             pass.searches_left -= usize::from(self.preempt(request, pass.now));
         }
         if request.job_type == JobType::Gang && request.tasks.len() > 1 {
-            self.hold_for_gang(request, &mut pass.candidates.views, pass.now);
+            self.hold_for_gang(request, &mut pass.candidates, pass.now);
         }
     }
 
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -72,9 +72,9 @@
         let Some(resources) = requests.first().map(|request| request.resources) else { return };
         let mut needed: u32 = requests.iter().map(|request| request.tasks.len() as u32).sum();
         let spot_will_do = requests.iter().all(|request| request.spot);
-        let mut kept = vec![false; candidates.views.len()];
+        let mut kept = vec![false; candidates.machines.len()];
         let mut others = Vec::new();
-        for (index, view) in candidates.views.iter().enumerate() {
+        for (index, view) in candidates.views().enumerate() {
             let slots = view.free.count_of(&resources).min(MAX_TASKS_COUNTED);
             let expensive = !view.spot && spot_will_do;
             if self.commits.is_urgent(&assignments::key(&view.id)) {
