--- a/crates/pearford/src/files.rs
+++ b/crates/pearford/src/files.rs
@@ -1,59 +1,87 @@
-//! Settings files: the platform's TOML, and the operators' YAML with a section for each feature.
+//! Reads and checks the settings files: the platform's TOML, and the operators' YAML with a section for each extension.
+//!
+//! Every fault is a line that names the file, the key and the remedy.
 
 use pearford_nomad::operator::NomadSettings;
 use pearford_scheduler::settings::{self, Settings, SourceFile};
 use serde_yaml_ng::{Mapping, Value};
 use std::path::Path;
 
+/// The key of the Nomad API's section in the operators' file.
+const NOMAD_SECTION: &str = "nomad";
+
 /// All settings of a node, checked.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadedSettings {
+    /// The controller's settings, of both files.
     pub settings: Settings,
     /// The operators' `nomad` section, if there is one.
     pub nomad: Option<NomadSettings>,
 }
 
-fn read(path: &Path) -> Result<String, Vec<String>> {
-    std::fs::read_to_string(path).map_err(|e| vec![format!("{}: (file): can't be read: {e}", path.display())])
+/// The operators' file, taken apart by who reads what.
+struct OperatorFile {
+    /// What concerns the controller, as YAML; empty if there is nothing.
+    controller: String,
+    /// The section of the Nomad API.
+    nomad: Option<NomadSettings>,
 }
 
-/// The operators' file: what concerns the core, as text, and Nomad's section.
-fn sections(path: &Path) -> Result<(String, Option<NomadSettings>), Vec<String>> {
-    let text = read(path)?;
-    let named = |why: String| format!("{}: {why}", path.display());
-    let value: Value = serde_yaml_ng::from_str(&text).map_err(|e| vec![named(format!("(syntax): {e}"))])?;
-    let mut map = match value {
-        Value::Null => Mapping::new(),
-        Value::Mapping(map) => map,
-        _ => return Err(vec![named("(file): must hold KEY: VALUE lines".into())]),
+/// Reads both files.
+///
+/// # Errors
+///
+/// The faults, a line each. Those of the operators' file as YAML, and of its `nomad` section, come alone; after them
+/// all faults of the controller's settings come together.
+pub fn load(platform: &Path, operator: Option<&Path>) -> Result<LoadedSettings, Vec<String>> {
+    let text = read(platform)?;
+    let platform_name = platform.display().to_string();
+    let platform_file = SourceFile::new(&platform_name, &text);
+    let Some(path) = operator else {
+        return Ok(LoadedSettings { settings: check(platform_file, None)?, nomad: None });
     };
-    let nomad =
-        match map.remove("nomad") {
-            None => None,
-            Some(section) => Some(NomadSettings::of(section).map_err(|faults| {
-                faults.into_iter().map(|f| named(format!("nomad.{f}"))).collect::<Vec<_>>()
-            })?),
-        };
-    let controller = if map.is_empty() { Ok(String::new()) } else { serde_yaml_ng::to_string(&map) };
-    Ok((controller.map_err(|e| vec![named(e.to_string())])?, nomad))
+    let file = read_operator_file(path)?;
+    let operator_name = path.display().to_string();
+    let settings = check(platform_file, Some(SourceFile::new(&operator_name, &file.controller)))?;
+    Ok(LoadedSettings { settings, nomad: file.nomad })
 }
 
-/// Nomad's section of the operators' file, with defaults where it says nothing.
-pub fn nomad(operator: &Path) -> Result<NomadSettings, Vec<String>> {
-    Ok(sections(operator)?.1.unwrap_or_default())
+/// The `nomad` section of the operators' file, with defaults for what it leaves out.
+///
+/// # Errors
+///
+/// The faults of the file as YAML, or of its `nomad` section, a line each.
+pub fn load_nomad(operator: &Path) -> Result<NomadSettings, Vec<String>> {
+    Ok(read_operator_file(operator)?.nomad.unwrap_or_default())
 }
 
-pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Loaded, Vec<String>> {
-    let text = read(platform)?;
-    let (controller, nomad) = match operator {
-        None => (None, None),
-        Some(path) => {
-            let (controller, nomad) = sections(path)?;
-            (Some((path.display().to_string(), controller)), nomad)
-        }
+/// Checks the controller's settings, which are in both files.
+fn check(platform: SourceFile, operator: Option<SourceFile>) -> Result<Settings, Vec<String>> {
+    settings::parse(platform, operator).map_err(|faults| faults.iter().map(ToString::to_string).collect())
+}
+
+fn read_operator_file(path: &Path) -> Result<OperatorFile, Vec<String>> {
+    let text = read(path)?;
+    let in_file = |fault: String| format!("{}: {fault}", path.display());
+    let value: Value =
+        serde_yaml_ng::from_str(&text).map_err(|error| vec![in_file(format!("(syntax): {error}"))])?;
+    let mut sections = match value {
+        Value::Null => Mapping::new(),
+        Value::Mapping(sections) => sections,
+        _ => return Err(vec![in_file("(file): must hold KEY: VALUE lines".into())]),
+    };
+    let nomad = sections.remove(NOMAD_SECTION).map(NomadSettings::of).transpose().map_err(|faults| {
+        faults.into_iter().map(|fault| in_file(format!("{NOMAD_SECTION}.{fault}"))).collect::<Vec<_>>()
+    })?;
+    let controller = if sections.is_empty() {
+        String::new()
+    } else {
+        serde_yaml_ng::to_string(&sections).map_err(|error| vec![in_file(error.to_string())])?
     };
-    let controller = controller.as_ref().map(|(name, text)| SourceFile::new(name, text));
-    let settings = settings::parse(SourceFile::new(&platform.display().to_string(), &text), controller)
-        .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
-    Ok(Loaded { settings, nomad })
+    Ok(OperatorFile { controller, nomad })
+}
+
+fn read(path: &Path) -> Result<String, Vec<String>> {
+    std::fs::read_to_string(path)
+        .map_err(|error| vec![format!("{}: (file): can't be read: {error}", path.display())])
 }
--- a/crates/pearford/src/main.rs
+++ b/crates/pearford/src/main.rs
@@ -9,7 +9,7 @@
 mod runtime;
 
 use clap::{Args, Parser, Subcommand};
-use files::Loaded;
+use files::LoadedSettings;
 use pearford_nomad::api::NomadApi;
 use pearford_nomad::operator::NomadSettings;
 use runtime::ExtensionListener;
@@ -59,7 +59,7 @@
 
 impl Files {
     /// Reads and checks the files; the faults go to standard error.
-    fn load(&self) -> Result<Loaded, ExitCode> {
+    fn load(&self) -> Result<LoadedSettings, ExitCode> {
         files::load(&self.config, self.operator.as_deref()).map_err(|faults| invalid_settings("", &faults))
     }
 }
@@ -82,14 +82,14 @@
 }
 
 /// `pearford check`, once the files have been found valid.
-fn check(loaded: &Loaded) -> ExitCode {
+fn check(loaded: &LoadedSettings) -> ExitCode {
     let settings = &loaded.settings;
     println!("settings are valid: node {}, {} peers", settings.node, settings.peers.len());
     ExitCode::SUCCESS
 }
 
 /// `pearford serve`: runs a node until its process is killed.
-fn serve(loaded: Loaded) -> ExitCode {
+fn serve(loaded: LoadedSettings) -> ExitCode {
     start_logging();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
