--- a/crates/dev-cluster/src/cloud.rs
+++ b/crates/dev-cluster/src/cloud.rs
@@ -1,7 +1,8 @@
-//! A stand-in of the cloud: rents machines, which are tasks of this process.
+//! A stand-in of the cloud, over HTTP. The machines that it rents out are workers' stand-ins in this process.
 
+use crate::http_server::{self, Answer};
 use crate::store::StoreHandle;
-use crate::worker::{self, Worker};
+use crate::worker::{self, MachineSpec, Worker};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,145 +10,181 @@
 use std::time::Instant;
 use tokio::task::JoinHandle;
 use warp::Filter;
-use warp::reply::Response;
+use warp::http::{Method, StatusCode};
+use warp::path::FullPath;
 
-/// Machines at a time.
-const MOST: usize = 64;
+/// Machines that can be rented at a time.
+const MAX_MACHINES: usize = 64;
+/// The name of the only machine type.
+const MACHINE_TYPE: &str = "std";
 
 struct Machine {
     zone: String,
     spot: bool,
-    since: Instant,
+    rented_at: Instant,
     worker: Worker,
-    runs: JoinHandle<()>,
+    /// Sends the worker's heartbeats.
+    heartbeats: JoinHandle<()>,
     addr: SocketAddr,
 }
 
 #[derive(Default)]
-struct Inner {
-    next: u64,
+struct State {
+    /// The number in the latest machine's name.
+    last_machine: u64,
+    /// The machines that each request has got, by its claim: a repeated request gets the same.
     claims: HashMap<String, Vec<String>>,
     machines: BTreeMap<String, Machine>,
 }
 
+/// How many machines are rented.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct MachineCounts {
+    /// All of them.
+    pub total: usize,
+    /// Those that hang: they neither send heartbeats nor answer.
+    pub silent: usize,
+}
+
+/// The cloud. Clones share its machines.
 #[derive(Clone)]
 pub struct Cloud {
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<State>>,
     store: StoreHandle,
     nodes: Vec<SocketAddr>,
     zones: Vec<String>,
 }
 
 impl Cloud {
-    /// Its machines report to `nodes`.
+    /// A cloud without machines as yet. Theirs will send heartbeats to `nodes`, and look up jobs in `store`.
     pub fn new(store: StoreHandle, nodes: Vec<SocketAddr>, zones: Vec<String>) -> Self {
-        Self { inner: Arc::default(), store, nodes, zones }
-    }
-
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        Self { state: Arc::default(), store, nodes, zones }
     }
 
-    /// Makes `n` machines that have work hang for good; gives how many did.
-    pub fn silence(&self, n: usize) -> usize {
-        let inner = self.lock();
-        let workers = inner.machines.values().map(|m| &m.worker);
-        let with_work = workers.filter(|w| !w.is_silent() && !w.present().is_empty());
-        with_work.take(n).map(Worker::fall_silent).count()
+    /// Makes up to `count` machines that have work hang for good; returns how many did.
+    pub fn silence(&self, count: usize) -> usize {
+        let state = self.lock();
+        let workers = state.machines.values().map(|machine| &machine.worker);
+        let with_work = workers.filter(|worker| !worker.is_silent() && !worker.present_tasks().is_empty());
+        with_work.take(count).map(Worker::fall_silent).count()
     }
 
     /// On how many machines each task is. Those of silent machines count until the machines are returned.
-    pub fn present(&self) -> BTreeMap<String, usize> {
-        let mut places = BTreeMap::new();
+    pub fn present_tasks(&self) -> BTreeMap<String, usize> {
+        let mut machines_by_task = BTreeMap::new();
         for machine in self.lock().machines.values() {
-            for task in machine.worker.present() {
-                *places.entry(task).or_default() += 1;
+            for task in machine.worker.present_tasks() {
+                *machines_by_task.entry(task).or_default() += 1;
             }
         }
-        places
+        machines_by_task
+    }
+
+    /// How many machines are rented, and how many of them are silent.
+    pub fn machine_counts(&self) -> MachineCounts {
+        let state = self.lock();
+        let silent = state.machines.values().filter(|machine| machine.worker.is_silent()).count();
+        MachineCounts { total: state.machines.len(), silent }
+    }
+
+    /// Serves the cloud on a free port.
+    ///
+    /// # Errors
+    ///
+    /// No port can be listened on.
+    pub fn serve(&self) -> std::io::Result<SocketAddr> {
+        let cloud = self.clone();
+        let filter = warp::method().and(warp::path::full()).and(warp::body::bytes()).map(
+            move |method: Method, path: FullPath, body: bytes::Bytes| {
+                let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
+                cloud.answer(&method, path.as_str(), &body).into_response()
+            },
+        );
+        http_server::serve(filter)
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Machines, silent ones among them.
-    pub fn machines(&self) -> (usize, usize) {
-        let inner = self.lock();
-        (inner.machines.len(), inner.machines.values().filter(|m| m.worker.is_silent()).count())
+    fn answer(&self, method: &Method, path: &str, body: &Value) -> Answer {
+        match (method.as_str(), path) {
+            ("GET", "/flavors") => Answer::ok(self.machine_types()),
+            ("GET", "/machines") => Answer::ok(self.list()),
+            ("POST", "/machines") => self.rent(body),
+            ("POST", "/machines/release") => self.release(body),
+            _ => Answer::malformed(),
+        }
     }
 
-    fn types(&self) -> Value {
-        json!({"flavors": [{"name": "std", "vcpus": 32, "accelerators": 8, "memory_gb": 256, "local_gb": 100,
-            "pull_gb_per_s": 10.0, "hourly": 8.0, "low_price": 3.0, "ready_s": 1, "regions": self.zones}]})
+    fn machine_types(&self) -> Value {
+        json!({"flavors": [{"name": MACHINE_TYPE, "vcpus": 32, "accelerators": 8, "memory_gb": 256,
+            "local_gb": 100, "pull_gb_per_s": 10.0, "hourly": 8.0, "low_price": 3.0, "ready_s": 1,
+            "regions": self.zones}]})
     }
 
-    fn rent(&self, body: &Value) -> (u16, Value) {
+    fn rent(&self, body: &Value) -> Answer {
         let text = |key: &str| body[key].as_str().unwrap_or_default().to_string();
-        let number = body["number"].as_u64().unwrap_or(1) as usize;
-        let mut inner = self.lock();
-        if let Some(hosts) = inner.claims.get(&text("claim")) {
-            return (200, json!({"hosts": hosts}));
+        let wanted = body["number"].as_u64().unwrap_or(1) as usize;
+        let mut state = self.lock();
+        if let Some(hosts) = state.claims.get(&text("claim")) {
+            return Answer::ok(json!({"hosts": hosts}));
         }
         let mut hosts = Vec::new();
-        for _ in 0..number.min(MOST.saturating_sub(inner.machines.len())) {
-            inner.next += 1;
-            let id = format!("m-{:06}", inner.next);
-            let spot = body["preemptible"] == true;
-            let place =
-                worker::Place { id: id.clone(), type_name: text("flavor"), zone: text("region"), spot };
-            let zone = place.zone.clone();
-            let Ok((addr, worker, runs)) = worker::start(place, self.nodes.clone(), self.store.clone())
-            else {
-                break;
+        for _ in 0..wanted.min(MAX_MACHINES.saturating_sub(state.machines.len())) {
+            state.last_machine += 1;
+            let spec = MachineSpec {
+                id: format!("m-{:06}", state.last_machine),
+                type_name: text("flavor"),
+                zone: text("region"),
+                spot: body["preemptible"] == true,
             };
-            inner
-                .machines
-                .insert(id.clone(), Machine { zone, spot, since: Instant::now(), worker, runs, addr });
+            let id = spec.id.clone();
+            let Ok(machine) = self.start_machine(spec) else { break };
+            state.machines.insert(id.clone(), machine);
             hosts.push(id);
         }
         if hosts.is_empty() {
-            return (503, json!({"error": "no capacity"}));
+            return Answer::new(StatusCode::SERVICE_UNAVAILABLE, json!({"error": "no capacity"}));
         }
-        inner.claims.insert(text("claim"), hosts.clone());
-        (200, json!({"hosts": hosts}))
+        state.claims.insert(text("claim"), hosts.clone());
+        Answer::ok(json!({"hosts": hosts}))
     }
 
-    fn release(&self, body: &Value) -> (u16, Value) {
+    fn start_machine(&self, spec: MachineSpec) -> std::io::Result<Machine> {
+        let zone = spec.zone.clone();
+        let spot = spec.spot;
+        let started = worker::start(spec, self.nodes.clone(), self.store.clone())?;
+        Ok(Machine {
+            zone,
+            spot,
+            rented_at: Instant::now(),
+            worker: started.worker,
+            heartbeats: started.heartbeats,
+            addr: started.addr,
+        })
+    }
+
+    fn release(&self, body: &Value) -> Answer {
         for id in body["hosts"].as_array().into_iter().flatten().filter_map(Value::as_str) {
             if let Some(machine) = self.lock().machines.remove(id) {
-                machine.runs.abort();
+                machine.heartbeats.abort();
             }
         }
-        (200, json!({}))
+        Answer::ok(json!({}))
     }
 
     fn list(&self) -> Value {
-        let inner = self.lock();
-        let hosts: Vec<Value> = inner
-            .machines
-            .iter()
-            .map(|(id, m)| {
-                json!({"id": id, "addr": m.addr.to_string(), "flavor": "std", "region": m.zone, "preemptible": m.spot,
-                    "phase": "running", "age_s": m.since.elapsed().as_secs_f64()})
-            })
-            .collect();
+        let state = self.lock();
+        let hosts: Vec<Value> = state.machines.iter().map(|(id, machine)| machine.description(id)).collect();
         json!({"hosts": hosts, "more": false})
     }
+}
 
-    /// Serves it on a free port.
-    pub fn serve(&self) -> std::io::Result<SocketAddr> {
-        let cloud = self.clone();
-        let filter = warp::method().and(warp::path::full()).and(warp::body::bytes()).map(
-            move |method: warp::http::Method, path: warp::path::FullPath, body: bytes::Bytes| -> Response {
-                let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
-                let (status, body) = match (method.as_str(), path.as_str()) {
-                    ("GET", "/flavors") => (200, cloud.types()),
-                    ("GET", "/machines") => (200, cloud.list()),
-                    ("POST", "/machines") => cloud.rent(&body),
-                    ("POST", "/machines/release") => cloud.release(&body),
-                    _ => (400, json!({"error": "malformed"})),
-                };
-                let status = warp::http::StatusCode::from_u16(status).unwrap_or_default();
-                warp::Reply::into_response(warp::reply::with_status(warp::reply::json(&body), status))
-            },
-        );
-        crate::serve(filter)
+impl Machine {
+    /// The machine as the cloud lists it.
+    fn description(&self, id: &str) -> Value {
+        json!({"id": id, "addr": self.addr.to_string(), "flavor": MACHINE_TYPE, "region": self.zone,
+            "preemptible": self.spot, "phase": "running", "age_s": self.rented_at.elapsed().as_secs_f64()})
     }
 }
--- a/crates/dev-cluster/src/cluster.rs
+++ b/crates/dev-cluster/src/cluster.rs
@@ -1,135 +1,176 @@
-//! Controllers as real processes around the stand-ins.
+//! Controllers as real processes, around the stand-ins of the key-value store and the cloud.
+
+mod node_settings;
 
 use crate::cloud::Cloud;
 use crate::store::StoreHandle;
+use node_settings::ServiceAddresses;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use tempfile::TempDir;
 use tokio::process::{Child, Command};
 
+/// What in the operators' file is replaced by a free port.
+const PORT_PLACEHOLDER: &str = "PORT";
+
+/// A team of users.
+#[derive(Debug, Clone)]
+pub struct Team {
+    /// Its name.
+    pub name: String,
+    /// How many GPUs it may hold at most.
+    pub max_gpus: u32,
+}
+
+impl Team {
+    /// A team that may hold `max_gpus` GPUs at most.
+    pub fn new(name: &str, max_gpus: u32) -> Self {
+        Self { name: name.to_string(), max_gpus }
+    }
+}
+
 /// What a cluster is made of.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The program that each controller runs.
     pub program: PathBuf,
+    /// How many controllers there are.
     pub nodes: usize,
-    /// Teams, and how many GPUs each may hold.
-    pub teams: Vec<(String, u32)>,
+    /// The teams that may submit jobs.
+    pub teams: Vec<Team>,
     /// The operators' file; `PORT` in it becomes a free port, another for each node.
     pub operator: String,
-    /// Changes a second that the state service is said to take.
+    /// Writes a second that the controllers are told the key-value store takes.
     pub write_rps: f64,
 }
 
+/// The addresses of a controller.
+#[derive(Debug, Clone, Copy)]
+struct NodeAddresses {
+    api: SocketAddr,
+    peer: SocketAddr,
+    /// With the port that the operators' file gets.
+    nomad_api: SocketAddr,
+}
+
 /// A running cluster. Its processes end with it.
 pub struct Cluster {
     plan: Plan,
+    /// Holds the settings and the log of each node.
     folder: TempDir,
-    nodes: Vec<Option<Child>>,
-    /// The stand-in that rents the machines.
+    /// The controllers' processes, once they have been started.
+    processes: Vec<Option<Child>>,
+    /// The stand-in that rents out the machines.
     pub cloud: Cloud,
-    /// Where users and workers turn to.
-    pub api: Vec<SocketAddr>,
-    /// Where the port in the operators' file has come to be.
-    pub nomad_apis: Vec<SocketAddr>,
-}
-
-fn free_ports(n: usize) -> std::io::Result<Vec<SocketAddr>> {
-    // Held together, so that none is given twice.
-    let held = (0..n).map(|_| TcpListener::bind(("127.0.0.1", 0))).collect::<std::io::Result<Vec<_>>>()?;
-    held.iter().map(TcpListener::local_addr).collect()
-}
-
-fn settings(
-    plan: &Plan,
-    i: usize,
-    api: &[SocketAddr],
-    back: &[SocketAddr],
-    cloud: SocketAddr,
-    state: SocketAddr,
-) -> String {
-    let zones: Vec<String> = (0..plan.nodes).map(|i| format!("\"z{i}\"")).collect();
-    let mut out =
-        format!("node = \"n{i}\"\nsite = \"z{i}\"\napi_addr = \"{}\"\nback = \"{}\"\n", api[i], back[i]);
-    for j in (0..plan.nodes).filter(|j| *j != i) {
-        out += &format!("[[seeds]]\nnode = \"n{j}\"\nsite = \"z{j}\"\npeer_addr = \"{}\"\n", back[j]);
-    }
-    out += &format!("[outside]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n");
-    out += &format!("[facts]\nzones = [{}]\ntime_bound_ms = 5.0\n", zones.join(", "));
-    for (team, gpus) in &plan.teams {
-        out += &format!("[[facts.teams]]\nname = \"{team}\"\ngpus = 4.0\ngpus_max = {gpus}.0\n");
-    }
-    let (rps, write_rps) = (250.0_f64.max(plan.write_rps), plan.write_rps);
-    out +=
-        &format!("[facts.state]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\nvalue_kb = 16.0\ntxn_ops = 12\n");
-    out + "[facts.workers]\nreport_s = 1.0\nlease_s = 10.0\ngang_wait_s = 20.0\ngang_peer_s = 4.0\ncancel_s = 30.0\n\
-           [facts.cloud]\nrps = 10.0\nlist_lag_s = 1.0\n\
-           [facts.machine_limits]\ncpu_share = 1.0\nram_mb = 256.0\nmax_connections = 1500\n"
+    /// Each node's address for users and workers.
+    pub api_addrs: Vec<SocketAddr>,
+    /// Each node's address with the port that its operators' file got.
+    pub nomad_api_addrs: Vec<SocketAddr>,
 }
 
 impl Cluster {
+    /// Starts the stand-ins and all controllers. Returns before the controllers answer.
+    ///
+    /// # Errors
+    ///
+    /// There are no free ports, files can't be written, or the program can't be started.
     pub async fn start(plan: Plan) -> std::io::Result<Self> {
-        let ports = free_ports(3 * plan.nodes)?;
-        let (api, rest) = ports.split_at(plan.nodes);
-        let (back, nomad_apis) = rest.split_at(plan.nodes);
+        let nodes = free_addresses(plan.nodes)?;
+        let api_addrs: Vec<SocketAddr> = nodes.iter().map(|node| node.api).collect();
+        let nomad_api_addrs = nodes.iter().map(|node| node.nomad_api).collect();
+        let zones = (0..plan.nodes).map(node_settings::zone).collect();
         let store = StoreHandle::default();
-        let zones = (0..plan.nodes).map(|i| format!("z{i}")).collect();
-        let cloud = Cloud::new(store.clone(), api.to_vec(), zones);
-        let (state_addr, cloud_addr) = (store.serve()?, cloud.serve()?);
+        let cloud = Cloud::new(store.clone(), api_addrs.clone(), zones);
+        let services = ServiceAddresses { store: store.serve()?, cloud: cloud.serve()? };
+        let processes = (0..plan.nodes).map(|_| None).collect();
         let folder = TempDir::new()?;
-        for (i, nomad_api) in nomad_apis.iter().enumerate() {
-            std::fs::write(
-                folder.path().join(format!("n{i}.toml")),
-                settings(&plan, i, api, back, cloud_addr, state_addr),
-            )?;
-            let operator = plan.operator.replace("PORT", &nomad_api.port().to_string());
-            std::fs::write(folder.path().join(format!("n{i}.yaml")), operator)?;
+        let mut cluster = Self { plan, folder, processes, cloud, api_addrs, nomad_api_addrs };
+        for node in 0..nodes.len() {
+            cluster.write_settings(node, &nodes, services)?;
         }
-        let nodes = (0..plan.nodes).map(|_| None).collect();
-        let mut cluster =
-            Self { plan, folder, nodes, cloud, api: api.to_vec(), nomad_apis: nomad_apis.to_vec() };
-        for i in 0..cluster.plan.nodes {
-            cluster.start_node(i)?;
+        for node in 0..nodes.len() {
+            cluster.start_node(node)?;
         }
         Ok(cluster)
     }
 
-    pub fn start_node(&mut self, i: usize) -> std::io::Result<()> {
-        let file = |ending: &str| self.folder.path().join(format!("n{i}.{ending}"));
-        let log = std::fs::File::create(file("log"))?;
-        let child = Command::new(&self.plan.program)
-            .args([
-                Path::new("serve"),
-                Path::new("--operator"),
-                &file("yaml"),
-                Path::new("--config"),
-                &file("toml"),
-            ])
+    fn write_settings(
+        &self,
+        node: usize,
+        nodes: &[NodeAddresses],
+        services: ServiceAddresses,
+    ) -> std::io::Result<()> {
+        let platform = node_settings::platform(&self.plan, node, nodes, services);
+        std::fs::write(self.file(node, "toml"), platform)?;
+        let port = nodes[node].nomad_api.port().to_string();
+        std::fs::write(self.file(node, "yaml"), self.plan.operator.replace(PORT_PLACEHOLDER, &port))
+    }
+
+    /// A node's file of one kind.
+    fn file(&self, node: usize, extension: &str) -> PathBuf {
+        self.folder.path().join(format!("n{node}.{extension}"))
+    }
+
+    /// Starts a controller's process. Its log begins anew.
+    ///
+    /// # Errors
+    ///
+    /// The log can't be written, or the program can't be started.
+    pub fn start_node(&mut self, node: usize) -> std::io::Result<()> {
+        let log = std::fs::File::create(self.file(node, "log"))?;
+        let operator = self.file(node, "yaml");
+        let platform = self.file(node, "toml");
+        let arguments =
+            [Path::new("serve"), Path::new("--operator"), &operator, Path::new("--config"), &platform];
+        let process = Command::new(&self.plan.program)
+            .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        self.nodes[i] = Some(child);
+        self.processes[node] = Some(process);
         Ok(())
     }
 
-    /// Ends a controller's process at once.
-    pub async fn kill_node(&mut self, i: usize) -> std::io::Result<()> {
-        match &mut self.nodes[i] {
-            Some(child) => child.kill().await,
+    /// Kills a controller's process, and returns when it has ended.
+    ///
+    /// # Errors
+    ///
+    /// The operating system refuses.
+    pub async fn kill_node(&mut self, node: usize) -> std::io::Result<()> {
+        match &mut self.processes[node] {
+            Some(process) => process.kill().await,
             None => Ok(()),
         }
     }
 
-    /// A controller's process, while it runs.
-    pub fn pid(&self, i: usize) -> Option<u32> {
-        self.nodes[i].as_ref().and_then(Child::id)
+    /// The process id of a controller, while it runs.
+    pub fn pid(&self, node: usize) -> Option<u32> {
+        self.processes[node].as_ref().and_then(Child::id)
+    }
+
+    /// What a controller has logged since its latest start.
+    pub fn log(&self, node: usize) -> String {
+        std::fs::read_to_string(self.file(node, "log")).unwrap_or_default()
     }
+}
 
-    /// What a controller has logged since its last start.
-    pub fn log(&self, i: usize) -> String {
-        std::fs::read_to_string(self.folder.path().join(format!("n{i}.log"))).unwrap_or_default()
+/// Free addresses for as many nodes. They are only free for now: another process may take one before it is used.
+fn free_addresses(nodes: usize) -> std::io::Result<Vec<NodeAddresses>> {
+    let listen = || TcpListener::bind(("127.0.0.1", 0));
+    // Held together, so that none is given twice.
+    let mut held = Vec::new();
+    let mut addresses = Vec::new();
+    for _ in 0..nodes {
+        let listeners = [listen()?, listen()?, listen()?];
+        addresses.push(NodeAddresses {
+            api: listeners[0].local_addr()?,
+            peer: listeners[1].local_addr()?,
+            nomad_api: listeners[2].local_addr()?,
+        });
+        held.push(listeners);
     }
+    Ok(addresses)
 }
--- a/crates/dev-cluster/src/main.rs
+++ b/crates/dev-cluster/src/main.rs
@@ -1,23 +1,16 @@
+//! `pearford-dev-cluster`: runs a whole service on this machine, and may place a job on it.
 #![forbid(unsafe_code)]
 
-use bytes::Bytes;
+mod placement;
+
 use clap::Parser;
-use http_body_util::{BodyExt, Full};
-use hyper_util::client::legacy::Client;
-use hyper_util::client::legacy::connect::HttpConnector;
-use hyper_util::rt::TokioExecutor;
-use pearford_dev_cluster::cluster::{Cluster, Plan};
-use serde_json::Value;
-use std::path::{Path, PathBuf};
+use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
+use std::path::PathBuf;
 use std::process::ExitCode;
-use std::time::{Duration, Instant};
-use tokio::process::Command;
-
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(200);
+use std::time::Duration;
 
 /// Runs a whole service on this machine, on loopback, until Ctrl-C: three controllers as processes,
-/// stand-ins of state service, cloud and workers, Nomad's door open at each controller.
+/// stand-ins of key-value store, cloud and workers, the Nomad API open at each controller.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -29,22 +22,34 @@
     place: Option<PathBuf>,
     /// End by itself after so many seconds.
     #[arg(long = "for", value_name = "SECONDS")]
-    lasts: Option<u64>,
+    run_for: Option<u64>,
 }
 
+/// Exit code if there is no program to run.
+const NO_PROGRAM: u8 = 2;
+/// How many controllers there are.
+const NODES: usize = 3;
+/// How many GPUs each team may hold.
+const TEAM_MAX_GPUS: u32 = 32;
+/// Writes a second that the controllers are told the key-value store takes.
+const STORE_WRITE_RPS: f64 = 100.0;
+/// Threads for the stand-ins.
+const WORKER_THREADS: usize = 2;
+/// The operators' settings; the cluster puts a port in.
 const OPERATOR: &str =
     "nomad:\n  listen: 127.0.0.1:PORT\n  mhz_per_cpu: 2500\n  namespaces:\n    default: red\n";
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("pearford"));
-    let Some(program) = cli.program.clone().or_else(beside).filter(|p| p.exists()) else {
+    let Some(program) = cli.program.clone().or_else(program_beside_this).filter(|path| path.exists()) else {
         eprintln!(
             "pearford-dev-cluster: there is no controllers' program beside this; build it, or give --program FILE"
         );
-        return ExitCode::from(2);
+        return ExitCode::from(NO_PROGRAM);
     };
-    let runtime = match tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build() {
+    let runtime =
+        tokio::runtime::Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build();
+    let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("pearford-dev-cluster: the runtime can't start: {error}");
@@ -60,67 +65,28 @@
     }
 }
 
+fn program_beside_this() -> Option<PathBuf> {
+    Some(std::env::current_exe().ok()?.parent()?.join("pearford"))
+}
+
 async fn run(program: PathBuf, cli: Cli) -> std::io::Result<()> {
-    let teams = vec![("red".to_string(), 32), ("blue".to_string(), 32)];
     let cluster = Cluster::start(Plan {
         program: program.clone(),
-        nodes: 3,
-        teams,
+        nodes: NODES,
+        teams: vec![Team::new("red", TEAM_MAX_GPUS), Team::new("blue", TEAM_MAX_GPUS)],
         operator: OPERATOR.into(),
-        write_rps: 100.0,
+        write_rps: STORE_WRITE_RPS,
     })
     .await?;
-    for (i, (api, nomad_api)) in cluster.api.iter().zip(&cluster.nomad_apis).enumerate() {
-        println!("node {i}: users http://{api}  nomad http://{nomad_api}");
+    for (node, (api, nomad_api)) in cluster.api_addrs.iter().zip(&cluster.nomad_api_addrs).enumerate() {
+        println!("node {node}: users http://{api}  nomad http://{nomad_api}");
     }
     if let Some(file) = &cli.place {
-        place(&program, &format!("http://{}", cluster.nomad_apis[0]), file).await?;
+        placement::place(&program, &format!("http://{}", cluster.nomad_api_addrs[0]), file).await?;
     }
-    match cli.lasts {
+    match cli.run_for {
         Some(seconds) => tokio::time::sleep(Duration::from_secs(seconds)).await,
         None => tokio::signal::ctrl_c().await?,
     }
     Ok(())
 }
-
-/// Registers a job file and waits until its tasks run.
-async fn place(program: &Path, nomad_api: &str, file: &Path) -> std::io::Result<()> {
-    let began = Instant::now();
-    let output = loop {
-        let nomad =
-            Command::new(program).args(["nomad", "run", "--address", nomad_api]).arg(file).output().await?;
-        // Right after its start a node refuses for a moment.
-        let early =
-            String::from_utf8_lossy(&nomad.stderr).contains("come back") || nomad.stderr.starts_with(b"http");
-        if nomad.status.success() || !early || began.elapsed() > PATIENCE {
-            break nomad;
-        }
-        tokio::time::sleep(POLL).await;
-    };
-    print!("{}", String::from_utf8_lossy(&output.stdout));
-    if !output.status.success() {
-        return Err(std::io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()));
-    }
-    let client: Client<HttpConnector, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-    while began.elapsed() < PATIENCE {
-        let request =
-            http::Request::get(format!("{nomad_api}/v1/jobs?namespace=*")).body(Full::new(Bytes::new()));
-        if let Ok(response) = client.request(request.map_err(std::io::Error::other)?).await
-            && let Ok(body) = response.into_body().collect().await
-        {
-            let jobs: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
-            let groups = jobs[0]["JobSummary"]["Summary"].as_object().cloned().unwrap_or_default();
-            if !groups.is_empty() && groups.values().all(|g| g["Queued"] == 0) {
-                for (group, c) in groups {
-                    println!(
-                        "{}: group {group}: {} run, {} complete",
-                        jobs[0]["ID"], c["Running"], c["Complete"]
-                    );
-                }
-                return Ok(());
-            }
-        }
-        tokio::time::sleep(POLL).await;
-    }
-    Err(std::io::Error::other("the job's tasks did not start in time"))
-}
--- a/crates/dev-cluster/src/service_report.rs
+++ b/crates/dev-cluster/src/service_report.rs
@@ -1,105 +1,105 @@
-//! What a day served, by class and by team, from the lines that nodes log: `accepted`, `started`, `done`, `withdrawn`.
+//! What share of the jobs of each class and each team was served on a day, from the lines that controllers log:
+//! `accepted`, `started`, `done`, and `cancelled` or `withdrawn`, which mean the same.
+//!
+//! `pearford-service-report` prints it.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod log_line;
+#[cfg(test)]
+mod tests;
+
+use log_line::{JobEvent, LogLine};
+use std::collections::BTreeMap;
 use std::fmt;
 
 /// A job accepted so shortly before the log ends could not be served any more, in seconds.
-pub const TOO_LATE_S: f64 = 60.0;
-/// Less than this part served of a class or a team fails the day.
-const HALF: f64 = 0.5;
+pub const MIN_SERVICE_TIME_S: f64 = 60.0;
+/// A class or a team of which less than this share was served fails the day.
+const MIN_SERVED_SHARE: f64 = 0.5;
 
-#[derive(Debug)]
+/// A job, by all lines about it. Each may come from several nodes, and more than once after a failover.
+#[derive(Debug, Default)]
 struct Job {
+    /// Absent if the log has lines about the job, but not that it was accepted.
+    acceptance: Option<Acceptance>,
+    started: bool,
+    done: bool,
+    cancelled: bool,
+}
+
+#[derive(Debug)]
+struct Acceptance {
     class: String,
     team: String,
-    accepted_s: f64,
+    at_s: f64,
 }
 
 /// Jobs of a class or a team.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Share {
-    /// Accepted, and neither withdrawn unserved nor too late.
+    /// Accepted, and neither cancelled before they started nor too late.
     pub jobs: usize,
+    /// Those of `jobs` that have started.
     pub started: usize,
+    /// Those of `jobs` that are done.
     pub done: usize,
-    /// Withdrawn before they had started.
-    pub withdrawn: usize,
-    /// Accepted too late to be served.
+    /// Cancelled before they had started; not among `jobs`.
+    pub cancelled: usize,
+    /// Accepted too late to be served; not among `jobs`.
     pub late: usize,
 }
 
 impl Share {
-    /// The part that was served: what has started, since services are never done.
+    /// The share that was served, from 0 to 1: what has started, since services are never done.
     pub fn served(&self) -> f64 {
         if self.jobs == 0 { 1.0 } else { self.started as f64 / self.jobs as f64 }
     }
 
+    /// Whether less than half was served.
     pub fn fails(&self) -> bool {
-        self.served() < HALF
+        self.served() < MIN_SERVED_SHARE
+    }
+
+    /// Counts a job that was accepted `remaining_s` seconds before the log's end.
+    fn count(&mut self, job: &Job, remaining_s: f64) {
+        let started = job.started || job.done;
+        if !started && job.cancelled {
+            self.cancelled += 1;
+        } else if !started && remaining_s < MIN_SERVICE_TIME_S {
+            self.late += 1;
+        } else {
+            self.jobs += 1;
+            self.started += usize::from(started);
+            self.done += usize::from(job.done);
+        }
     }
 }
 
+/// What was served on a day.
 #[derive(Debug, Default)]
 pub struct ServiceReport {
+    /// By the jobs' class.
     pub classes: BTreeMap<String, Share>,
+    /// By the jobs' team.
     pub teams: BTreeMap<String, Share>,
 }
 
-/// A line's time in seconds (of its month), what it says, and its fields.
-fn read(line: &str) -> Option<(f64, &str, BTreeMap<&str, &str>)> {
-    let stamp = line.split_whitespace().find(|word| word.ends_with('Z') && word.contains('T'))?;
-    let (date, clock) = stamp.strip_suffix('Z')?.split_once('T')?;
-    let day: f64 = date.rsplit('-').next()?.parse().ok()?;
-    let mut seconds = day * 86_400.0;
-    for (part, unit) in clock.split(':').zip([3_600.0, 60.0, 1.0]) {
-        seconds += part.parse::<f64>().ok()? * unit;
-    }
-    let said = &line[line.find(" INFO ")? + 6..];
-    let mut words = said.split_whitespace();
-    let what = words.next()?;
-    Some((seconds, what, words.filter_map(|word| word.split_once('=')).collect()))
-}
-
 impl ServiceReport {
-    /// Counts the jobs of a day's lines. Each may come from several nodes, and more than once after a take-over.
-    pub fn of<'a>(lines: impl Iterator<Item = &'a str>) -> Self {
+    /// Counts the jobs of a day's log lines, in any order. Other lines are passed over.
+    pub fn from_log<'a>(lines: impl Iterator<Item = &'a str>) -> Self {
         let mut jobs: BTreeMap<String, Job> = BTreeMap::new();
-        let (mut stages, mut ends_s) = (BTreeMap::<String, BTreeSet<String>>::new(), 0.0f64);
-        for (at_s, what, fields) in lines.filter_map(read) {
-            ends_s = ends_s.max(at_s);
-            let Some(id) = fields.get("job") else { continue };
-            match (what, fields.get("class"), fields.get("team")) {
-                ("accepted", Some(class), Some(team)) => {
-                    let (class, team) = ((*class).to_string(), (*team).to_string());
-                    jobs.insert((*id).to_string(), Job { class, team, accepted_s: at_s });
-                }
-                ("started" | "done" | "withdrawn", ..) => {
-                    stages.entry((*id).to_string()).or_default().insert(what.to_string());
-                }
-                _ => {}
-            }
+        let mut end_s = 0.0f64;
+        for line in lines.filter_map(LogLine::parse) {
+            end_s = end_s.max(line.at_s);
+            record(&mut jobs, &line);
         }
-        let mut out = Self::default();
-        for (id, job) in jobs {
-            let reached = |stage: &str| stages.get(&id).is_some_and(|s| s.contains(stage));
-            let (done, withdrawn) = (reached("done"), reached("withdrawn"));
-            let started = reached("started") || done;
-            for share in [
-                out.classes.entry(job.class.clone()).or_default(),
-                out.teams.entry(job.team.clone()).or_default(),
-            ] {
-                match started {
-                    false if withdrawn => share.withdrawn += 1,
-                    false if ends_s - job.accepted_s < TOO_LATE_S => share.late += 1,
-                    started => {
-                        share.jobs += 1;
-                        share.started += usize::from(started);
-                        share.done += usize::from(done);
-                    }
-                }
-            }
+        let mut report = Self::default();
+        for job in jobs.values() {
+            let Some(acceptance) = &job.acceptance else { continue };
+            let remaining_s = end_s - acceptance.at_s;
+            report.classes.entry(acceptance.class.clone()).or_default().count(job, remaining_s);
+            report.teams.entry(acceptance.team.clone()).or_default().count(job, remaining_s);
         }
-        out
+        report
     }
 
     /// Classes and teams of which less than half was served.
@@ -109,25 +109,45 @@
     }
 }
 
+/// Notes what a line says of a job.
+fn record(jobs: &mut BTreeMap<String, Job>, line: &LogLine) {
+    let Some(id) = line.field("job") else { return };
+    let Some(event) = line.event else { return };
+    let job = jobs.entry(id.to_string()).or_default();
+    match event {
+        JobEvent::Accepted => {
+            if let (Some(class), Some(team)) = (line.field("class"), line.field("team")) {
+                let (class, team) = (class.to_string(), team.to_string());
+                job.acceptance = Some(Acceptance { class, team, at_s: line.at_s });
+            }
+        }
+        JobEvent::Started => job.started = true,
+        JobEvent::Done => job.done = true,
+        JobEvent::Cancelled => job.cancelled = true,
+    }
+}
+
 impl fmt::Display for ServiceReport {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let all = self.classes.iter().map(|c| ("class", c)).chain(self.teams.iter().map(|t| ("team", t)));
-        for (kind, (name, s)) in all {
-            let failed = if s.fails() { "  LESS THAN HALF" } else { "" };
-            writeln!(
-                f,
-                "{kind} {name}: {} jobs, {} started ({:.2}), {} done; left out: {} withdrawn before, {} too late{failed}",
-                s.jobs,
-                s.started,
-                s.served(),
-                s.done,
-                s.withdrawn,
-                s.late
-            )?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (class, share) in &self.classes {
+            writeln!(formatter, "class {class}: {share}")?;
+        }
+        for (team, share) in &self.teams {
+            writeln!(formatter, "team {team}: {share}")?;
         }
         Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests;
+impl fmt::Display for Share {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Self { jobs, started, done, cancelled, late } = self;
+        let served = self.served();
+        let failed = if self.fails() { "  LESS THAN HALF" } else { "" };
+        write!(
+            formatter,
+            "{jobs} jobs, {started} started ({served:.2}), {done} done; \
+             left out: {cancelled} withdrawn before, {late} too late{failed}"
+        )
+    }
+}
--- a/crates/dev-cluster/src/store.rs
+++ b/crates/dev-cluster/src/store.rs
@@ -1,217 +1,138 @@
-//! A stand-in of the state service. It forgets everything when its process ends.
+//! A stand-in of the key-value store, over HTTP. It forgets everything when its process ends.
 
+mod state;
+
+use crate::http_server::{self, Answer};
 use serde_json::{Value, json};
-use std::collections::{BTreeMap, HashMap};
+use state::Store;
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 use warp::Filter;
-use warp::http::StatusCode;
-use warp::reply::{Response, with_status};
-
-const HISTORY: usize = 10_000;
-
-#[derive(Default)]
-struct Store {
-    store_revision: u64,
-    keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    grants: BTreeMap<u64, (Duration, Instant)>,
-    next_grant: u64,
-    news: Vec<(u64, Value)>,
-}
+use warp::http::{Method, StatusCode};
+use warp::path::FullPath;
+use warp::reply::Response;
+
+/// The longest that a watch waits for a change, in milliseconds.
+const MAX_WATCH_MS: u64 = 60_000;
+/// How often a waiting watch looks for changes without being notified, so that expired leases show.
+const WATCH_POLL: Duration = Duration::from_millis(200);
+/// A lease's length if the request names none, in milliseconds.
+const DEFAULT_LEASE_MS: u64 = 5000;
+
+/// A request's query parameters.
+type Query = HashMap<String, String>;
 
+/// The store. Clones share its contents.
 #[derive(Clone, Default)]
 pub struct StoreHandle {
     store: Arc<Mutex<Store>>,
     changed: Arc<Notify>,
 }
 
-type Query = HashMap<String, String>;
-
-fn reply(status: u16, body: &Value) -> Response {
-    let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    warp::Reply::into_response(with_status(warp::reply::json(body), status))
-}
-
-impl Store {
-    fn expire(&mut self) {
-        let now = Instant::now();
-        let over: Vec<u64> =
-            self.grants.iter().filter(|(_, (_, ends))| *ends < now).map(|(id, _)| *id).collect();
-        for id in over {
-            self.end(id);
-        }
-    }
-
-    fn end(&mut self, grant: u64) {
-        self.grants.remove(&grant);
-        let keys: Vec<String> =
-            self.keys.iter().filter(|(_, v)| v.2 == Some(grant)).map(|(k, _)| k.clone()).collect();
-        if !keys.is_empty() {
-            self.store_revision += 1;
-        }
-        keys.into_iter().for_each(|key| self.drop_key(key));
-    }
-
-    fn drop_key(&mut self, key: String) {
-        self.keys.remove(&key);
-        let store_revision = self.store_revision;
-        self.tell(json!({"drop": key, "stamp": store_revision}));
-    }
-
-    fn tell(&mut self, news: Value) {
-        self.news.push((self.store_revision, news));
-        if self.news.len() > HISTORY {
-            self.news.remove(0);
-        }
-    }
-
-    fn multi(&mut self, body: &Value) -> (u16, Value) {
-        let empty = Vec::new();
-        let list = |key: &str| body[key].as_array().unwrap_or(&empty);
-        let revision = |key: &str| self.keys.get(key).map_or(0, |v| v.1);
-        let failed: Vec<&str> = list("if")
-            .iter()
-            .filter_map(|c| Some((c["k"].as_str()?, c["stamp"].as_u64()?)))
-            .filter(|(key, at)| revision(key) != *at)
-            .map(|(key, _)| key)
-            .collect();
-        if list("apply").iter().any(|c| c["permit"].as_u64().is_some_and(|p| !self.grants.contains_key(&p))) {
-            return (400, json!({"error": "no such lease"}));
-        }
-        if !failed.is_empty() {
-            return (409, json!({"failed": failed, "epoch": self.store_revision}));
-        }
-        if !list("apply").is_empty() {
-            self.store_revision += 1;
-        }
-        let store_revision = self.store_revision;
-        for change in list("apply") {
-            if let Some(key) = change["set"].as_str() {
-                self.keys
-                    .insert(key.into(), (change["v"].clone(), store_revision, change["permit"].as_u64()));
-                self.tell(json!({"set": key, "v": change["v"], "stamp": store_revision}));
-            } else if let Some(key) = change["drop"].as_str() {
-                self.drop_key(key.into());
-            }
-        }
-        (200, json!({"epoch": store_revision}))
-    }
-
-    fn range(&self, query: &Query) -> Value {
-        let text = |key: &str| query.get(key).map_or("", String::as_str);
-        let most: usize = text("most").parse().unwrap_or(1000).min(1000);
-        let mut pairs: Vec<Value> = self
-            .keys
-            .range(text("under").to_string()..)
-            .take_while(|(k, _)| k.starts_with(text("under")))
-            .filter(|(k, _)| k.as_str() > text("from"))
-            .take(most + 1)
-            .map(|(k, v)| json!({"k": k, "v": v.0, "stamp": v.1}))
-            .collect();
-        let more = pairs.len() > most;
-        pairs.truncate(most);
-        json!({"pairs": pairs, "more": more, "epoch": self.store_revision})
+impl StoreHandle {
+    /// A key's value, if it has one.
+    pub fn value(&self, key: &str) -> Option<Value> {
+        self.lock().get(key).map(|entry| entry.value.clone())
     }
 
-    /// What changed under a prefix after a revision; none if that is too long ago.
-    fn since(&self, under: &str, from: u64) -> Option<Vec<Value>> {
-        if self.news.len() >= HISTORY && self.news.first().is_some_and(|(at, _)| *at > from + 1) {
-            return None;
-        }
-        let of = |n: &Value| n["set"].as_str().or(n["drop"].as_str()).is_some_and(|k| k.starts_with(under));
-        Some(self.news.iter().filter(|(at, n)| *at > from && of(n)).map(|(_, n)| n.clone()).collect())
+    /// Serves the store on a free port.
+    ///
+    /// # Errors
+    ///
+    /// No port can be listened on.
+    pub fn serve(&self) -> std::io::Result<SocketAddr> {
+        let watched = self.clone();
+        let watch =
+            warp::path!("watch").and(warp::query::<Query>()).then(move |query| watched.clone().watch(query));
+        let store = self.clone();
+        let rest =
+            warp::method().and(warp::path::full()).and(warp::query::<Query>()).and(warp::body::bytes()).map(
+                move |method: Method, path: FullPath, query, body: bytes::Bytes| {
+                    let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
+                    store.answer(&method, path.as_str(), &query, &body)
+                },
+            );
+        http_server::serve(watch.or(rest))
     }
-}
 
-impl StoreHandle {
+    /// The contents, without what expired leases held.
     fn lock(&self) -> MutexGuard<'_, Store> {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.expire();
+        store.expire_leases();
         store
     }
 
-    /// A value, as the workers' stand-ins look up what a job is.
-    pub fn value(&self, key: &str) -> Option<Value> {
-        self.lock().keys.get(key).map(|v| v.0.clone())
+    fn answer(&self, method: &Method, path: &str, query: &Query, body: &Value) -> Response {
+        let mut store = self.lock();
+        let answer = match (method.as_str(), path.trim_start_matches('/')) {
+            ("GET", "kv") => range(&store, query),
+            ("GET", path) if path.starts_with("kv/") => get(&store, &path["kv/".len()..]),
+            ("POST", "multi") => store.transaction(body),
+            ("POST", "grants") => {
+                let ttl = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(DEFAULT_LEASE_MS));
+                Answer::ok(json!({"permit": store.grant_lease(ttl)}))
+            }
+            (method, path) if path.starts_with("grants/") => change_lease(&mut store, method, path),
+            _ => Answer::malformed(),
+        };
+        drop(store);
+        self.changed.notify_waiters();
+        answer.into_response()
     }
 
+    /// Answers with what has changed under a prefix since a revision, as soon as there is anything.
     async fn watch(self, query: Query) -> Response {
-        let number = |key: &str| query.get(key).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
-        let under = query.get("under").cloned().unwrap_or_default();
-        let until = Instant::now() + Duration::from_millis(number("block_ms").min(60_000));
+        let number = |key: &str| query.get(key).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+        let prefix = query.get("under").cloned().unwrap_or_default();
+        let deadline = Instant::now() + Duration::from_millis(number("block_ms").min(MAX_WATCH_MS));
         loop {
+            // Before the contents are read, so that no change is missed in between.
             let changed = self.changed.notified();
-            let (store_revision, news) = {
-                let store = self.lock();
-                (store.store_revision, store.since(&under, number("from")))
-            };
-            match news {
-                None => return reply(410, &json!({"epoch": store_revision})),
-                Some(news) if !news.is_empty() || Instant::now() >= until => {
-                    return reply(200, &json!({"epoch": store_revision, "news": news}));
-                }
-                Some(_) => {
-                    let left =
-                        until.saturating_duration_since(Instant::now()).min(Duration::from_millis(200));
-                    let _ = tokio::time::timeout(left, changed).await;
-                }
+            if let Some(answer) = self.changes(&prefix, number("from"), Instant::now() >= deadline) {
+                return answer.into_response();
             }
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            // Whether it was notified or not, the contents are read again.
+            let _ = tokio::time::timeout(remaining.min(WATCH_POLL), changed).await;
         }
     }
 
-    fn answer(&self, method: &warp::http::Method, path: &str, query: &Query, body: &Value) -> Response {
-        let mut store = self.lock();
-        let (status, body) = match (method.as_str(), path.trim_start_matches('/')) {
-            ("GET", "kv") => (200, store.range(query)),
-            ("GET", path) if path.starts_with("kv/") => {
-                match store.keys.get_key_value(&path["kv/".len()..]) {
-                    Some((k, v)) => (200, json!({"k": k, "v": v.0, "stamp": v.1, "permit": v.2})),
-                    None => (404, json!({"epoch": store.store_revision})),
-                }
-            }
-            ("POST", "multi") => store.multi(body),
-            ("POST", "grants") => {
-                let life = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(5000));
-                store.next_grant += 1;
-                let id = store.next_grant;
-                store.grants.insert(id, (life, Instant::now() + life));
-                (200, json!({"permit": id}))
-            }
-            (method, path) if path.starts_with("grants/") => {
-                let id = path.split('/').nth(1).and_then(|id| id.parse().ok()).unwrap_or(0);
-                match (method, store.grants.get_mut(&id)) {
-                    ("DELETE", Some(_)) => {
-                        store.end(id);
-                        (200, json!({}))
-                    }
-                    (_, Some((life, ends))) => {
-                        *ends = Instant::now() + *life;
-                        (200, json!({}))
-                    }
-                    _ => (404, json!({})),
-                }
-            }
-            _ => (400, json!({"error": "malformed"})),
-        };
-        drop(store);
-        self.changed.notify_waiters();
-        reply(status, &body)
+    /// What has changed; `None` if nothing has, unless `even_if_none`.
+    fn changes(&self, prefix: &str, from: u64, even_if_none: bool) -> Option<Answer> {
+        let store = self.lock();
+        let revision = store.revision();
+        match store.events_since(prefix, from) {
+            None => Some(Answer::new(StatusCode::GONE, json!({"epoch": revision}))),
+            Some(events) if events.is_empty() && !even_if_none => None,
+            Some(events) => Some(Answer::ok(json!({"epoch": revision, "news": events}))),
+        }
     }
+}
 
-    /// Serves it on a free port.
-    pub fn serve(&self) -> std::io::Result<SocketAddr> {
-        let (state, watched) = (self.clone(), self.clone());
-        let watch =
-            warp::path!("watch").and(warp::query::<Query>()).then(move |query| watched.clone().watch(query));
-        let rest =
-            warp::method().and(warp::path::full()).and(warp::query::<Query>()).and(warp::body::bytes()).map(
-                move |method, path: warp::path::FullPath, query, body: bytes::Bytes| {
-                    let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
-                    state.answer(&method, path.as_str(), &query, &body)
-                },
-            );
-        crate::serve(watch.or(rest))
+fn get(store: &Store, key: &str) -> Answer {
+    match store.get(key) {
+        Some(entry) => {
+            Answer::ok(json!({"k": key, "v": entry.value, "stamp": entry.revision, "permit": entry.lease}))
+        }
+        None => Answer::new(StatusCode::NOT_FOUND, json!({"epoch": store.revision()})),
     }
 }
+
+fn range(store: &Store, query: &Query) -> Answer {
+    let text = |key: &str| query.get(key).map_or("", String::as_str);
+    Answer::ok(store.range(text("under"), text("from"), text("most").parse().ok()))
+}
+
+/// Ends a lease, or renews it.
+fn change_lease(store: &mut Store, method: &str, path: &str) -> Answer {
+    let lease = path.split('/').nth(1).and_then(|id| id.parse().ok()).unwrap_or(0);
+    let known = match method {
+        "DELETE" => store.revoke_lease(lease),
+        _ => store.renew_lease(lease),
+    };
+    let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
+    Answer::new(status, json!({}))
+}
--- a/crates/pearford/benches/nomad_api.rs
+++ b/crates/pearford/benches/nomad_api.rs
@@ -6,7 +6,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pearford_dev_cluster::cluster::{Cluster, Plan};
+use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,14 +59,14 @@
             program: env!("CARGO_BIN_EXE_pearford").into(),
             nodes: 1,
             // One job of the team runs; all others wait for its limit.
-            teams: vec![("red".into(), 1)],
+            teams: vec![Team::new("red", 1)],
             operator: operator.into(),
             write_rps: 100_000.0,
         };
         let began = Instant::now();
         let cluster = Cluster::start(plan).await.expect("starts");
         let client = Client::builder(TokioExecutor::new()).build_http();
-        let (api, nomad_api) = (cluster.api[0], cluster.nomad_apis[0]);
+        let (api, nomad_api) = (cluster.api_addrs[0], cluster.nomad_api_addrs[0]);
         while send(&client, "GET", format!("http://{api}/up"), &Value::Null).await.0 != 200 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
--- a/crates/pearford/tests/nomad_client.rs
+++ b/crates/pearford/tests/nomad_client.rs
@@ -4,7 +4,7 @@
 use nomad_client::apis::configuration::Configuration;
 use nomad_client::apis::{evaluations_api, jobs_api};
 use nomad_client::models::{Job, JobPlanRequest, JobsParseRequest, RegisterJobRequest};
-use pearford_dev_cluster::cluster::{Cluster, Plan};
+use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -12,13 +12,16 @@
 
 async fn cluster() -> Cluster {
     let program = env!("CARGO_BIN_EXE_pearford").into();
-    let teams = vec![("red".to_string(), 32), ("blue".to_string(), 32)];
+    let teams = vec![Team::new("red", 32), Team::new("blue", 32)];
     let plan = Plan { program, nodes: 3, teams, operator: OPERATOR.into(), write_rps: 100.0 };
     Cluster::start(plan).await.expect("the processes start")
 }
 
 fn at(cluster: &Cluster, node: usize) -> Configuration {
-    Configuration { base_path: format!("http://{}/v1", cluster.nomad_apis[node]), ..Configuration::default() }
+    Configuration {
+        base_path: format!("http://{}/v1", cluster.nomad_api_addrs[node]),
+        ..Configuration::default()
+    }
 }
 
 fn job(name: &str, kind: &str, count: u32, image: &str) -> Job {
--- a/crates/pearford/tests/recovery.rs
+++ b/crates/pearford/tests/recovery.rs
@@ -6,7 +6,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pearford_dev_cluster::cluster::{Cluster, Plan};
+use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -44,15 +44,16 @@
 async fn settled(cluster: &Cluster, what: &str) {
     let began = Instant::now();
     loop {
-        let present = cluster.cloud.present();
+        let present = cluster.cloud.present_tasks();
         let twice: Vec<_> = present.iter().filter(|(_, n)| **n > 1).collect();
         assert!(twice.is_empty(), "{what}: on two machines: {twice:?}");
-        let (_, silent) = cluster.cloud.machines();
+        let silent = cluster.cloud.machine_counts().silent;
         if present.len() == JOBS * TASKS && silent == 0 {
             return;
         }
         let logs = || (0..3).map(|i| cluster.log(i)).collect::<String>();
-        let (machines, of) = (cluster.cloud.machines(), present.len());
+        let machines = cluster.cloud.machine_counts();
+        let of = present.len();
         assert!(began.elapsed() < Duration::from_secs(60), "{what}: {of} tasks, {machines:?}; {}", logs());
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -60,14 +61,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_killed_ten_times_lose_nothing_and_start_nothing_twice() {
-    let teams = vec![("red".to_string(), 400), ("blue".to_string(), 400)];
+    let teams = vec![Team::new("red", 400), Team::new("blue", 400)];
     let program = env!("CARGO_BIN_EXE_pearford").into();
     let operator = "report_homes: true\n".to_string();
     let plan = Plan { program, nodes: 3, teams, operator, write_rps: 200.0 };
     let mut cluster = Cluster::start(plan).await.expect("the processes start");
     let http: Http = Client::builder(TokioExecutor::new()).build_http();
     for n in 0..JOBS {
-        let uri = format!("http://{}/submissions", cluster.api[n % 3]);
+        let uri = format!("http://{}/submissions", cluster.api_addrs[n % 3]);
         let began = Instant::now();
         while ask(&http, uri.clone(), Some(service(n))).await.is_none_or(|(status, _)| status != 201) {
             assert!(began.elapsed() < Duration::from_secs(30), "never accepted: {}", cluster.log(0));
@@ -88,7 +89,7 @@
         settled(&cluster, &format!("after kill {kill}")).await;
     }
     for n in 0..JOBS {
-        let uri = format!("http://{}/submissions/req-{n:06}", cluster.api[n % 3]);
+        let uri = format!("http://{}/submissions/req-{n:06}", cluster.api_addrs[n % 3]);
         let began = Instant::now();
         loop {
             match ask(&http, uri.clone(), None).await {
