--- a/crates/heartbeat/src/lib.rs
+++ b/crates/heartbeat/src/lib.rs
@@ -3,7 +3,7 @@
 //! If one node answered every heartbeat, its sockets and processor would have to be sized for the whole
 //! service. Instead the leader delegates its right to answer. Each node is the *assigned node* of a part of
 //! the machines: it answers their heartbeats with the leader's fencing token, reports what has changed to the
-//! leader in digests, and relays the leader's commands. `docs/design/homes.md` weighs the alternatives
+//! leader in digests, and relays the leader's commands. `docs/design/heartbeat.md` weighs the alternatives
 //! and has the safety argument.
 //!
 //! [`Delegate`] is the part of every node, [`Coordinator`] that of the leader. [`LeaseRenewal`] bounds until
