--- a/crates/pearford/tests/recovery.rs
+++ b/crates/pearford/tests/recovery.rs
@@ -7,6 +7,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
+use pearford_dev_cluster::service_report::ServiceReport;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -59,6 +60,13 @@
     }
 }
 
+/// Jobs that the service report finds accepted in the controllers' own log lines.
+fn accepted_by_logs(cluster: &Cluster) -> usize {
+    let logs: String = (0..3).map(|node| cluster.log(node)).collect();
+    let report = ServiceReport::from_log(logs.lines());
+    report.classes.values().map(|share| share.jobs + share.late).sum()
+}
+
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_killed_ten_times_lose_nothing_and_start_nothing_twice() {
     let teams = vec![Team::new("red", 400), Team::new("blue", 400)];
@@ -76,6 +84,7 @@
         }
     }
     settled(&cluster, "at first").await;
+    assert_eq!(accepted_by_logs(&cluster), JOBS, "pearford-service-report reads what the controllers log");
     for kill in 0..KILLS {
         for i in 0..3 {
             cluster.kill_node(i).await.expect("killed");
--- a/crates/scheduler/src/jobs/cache.rs
+++ b/crates/scheduler/src/jobs/cache.rs
@@ -2,7 +2,7 @@
 //!
 //! The prefix watcher feeds it; the controller answers users from it, and the leader schedules from it.
 
-use super::graph::{self, Graph};
+use super::graph::Graph;
 use super::record::{PREFIX, Phase, Record};
 use super::spec::Priority;
 use crate::types::{JobId, Revision};
@@ -71,7 +71,7 @@
 
     /// Disables a check, to prove that the simulation's rules notice its absence.
     #[cfg(any(test, feature = "simulation"))]
-    pub(crate) fn disable(&mut self, check: graph::DependencyCheck) {
+    pub(crate) fn disable(&mut self, check: super::graph::DependencyCheck) {
         self.graph.disabled_check = Some(check);
     }
 
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -232,7 +232,7 @@
             StoreReply::Committed { store_revision } => {
                 let id = waiting.id;
                 self.job_cache.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
-                tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "job accepted");
+                tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "accepted");
                 self.served.count(jobs::Stage::Accepted, &job.spec);
                 // Cancelled at once, if one of its dependencies is.
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
@@ -260,7 +260,7 @@
             StoreReply::Committed { store_revision } => {
                 let id = waiting.id;
                 self.job_cache.learn(id.clone(), Revision(store_revision), Record::Cancelled);
-                tracing::info!(job = %id, "job cancelled");
+                tracing::info!(job = %id, "cancelled");
                 self.answer_status(waiting.request, &id, Phase::Cancelled, None);
             }
             StoreReply::Conflict { .. } => self.pending_requests.push(waiting),
