--- a/crates/scheduler/src/node/leader/partition_moves.rs
+++ b/crates/scheduler/src/node/leader/partition_moves.rs
@@ -2,8 +2,7 @@
 
 use super::Leader;
 use super::candidates::Candidates;
-use crate::jobs::JobType;
-use crate::jobs::WaitingReason;
+use crate::jobs::{JobType, WaitingReason};
 use crate::placement::{MachineView, PlacementRequest};
 use crate::types::{NodeName, Zone};
 use std::collections::BTreeMap;
--- a/crates/scheduler/src/node/leader/status.rs
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::assignments::Assignment;
-use crate::jobs::{JobState, Served, TaskCounts};
+use crate::jobs::{JobState, Served, TaskCounts, WaitingReason};
 use crate::types::{JobId, MonotonicTime, Resources, TaskId, TeamName};
 use crate::workers::MachineStatus;
 
@@ -68,7 +68,7 @@
     }
 
     /// Jobs with waiting tasks, how many wait, and the reason.
-    pub(in crate::node) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, crate::jobs::WaitingReason)> {
+    pub(in crate::node) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, WaitingReason)> {
         let waiting = self.job_states.iter().filter(|(_, job_state)| job_state.waiting_count() > 0);
         waiting.map(|(id, job_state)| (id, job_state.waiting_count(), job_state.reason))
     }
