--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -103,7 +103,7 @@
         reads.any(|read| self.job_watcher.read_after(read.job_reads_begun).is_none())
     }
 
-    /// Reads the extensions' records as needed, and tells them of changes and of reads that have ended.
+    /// Reads the extensions' records as needed, and hands them changes and the reads that have ended.
     pub(super) fn pump_extensions(&mut self) {
         for slot_number in 0..self.extensions.len() {
             let slot = &mut self.extensions[slot_number];
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -6,7 +6,7 @@
 use crate::placement::{self, Factors, MachineView, PlacementOutcome, PlacementRequest, Proposal};
 use crate::types::Duration;
 
-/// How often nodes tell one another that they are alive.
+/// How often nodes ping one another.
 const PING_EVERY: Duration = Duration::from_millis(1000);
 /// A node that turned a worker away within this time says so in its pings.
 const HEARS_WORKERS_FOR: Duration = Duration::from_millis(3000);
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -176,7 +176,7 @@
         if let Some(phase) = self.job_cache.terminal_status(&id) {
             return self.answer_status(request, &id, phase, self.counts_of(&id));
         }
-        // Whether there is such a job, and in which state, can't be told.
+        // Whether there is such a job, and in which state, is unknown.
         if self.job_cache.is_unreadable(&id) {
             let reason =
                 format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
@@ -217,8 +217,7 @@
                 }
             }
             UserRequest::Submit { spec: Err(refusal) } => {
-                let status = refusal.status;
-                self.out.refuse(request, status, &refusal.reason);
+                self.out.refuse(request, refusal.status, &refusal.reason);
             }
             UserRequest::Status | UserRequest::Cancel => {
                 self.out.refuse(request, StatusCode::NOT_FOUND, "no such job")
