--- a/crates/pearford/benches/nomad_api.rs
+++ b/crates/pearford/benches/nomad_api.rs
@@ -1,4 +1,4 @@
-//! What the nomad_api costs, against the same node without it or the native nomad_api, as ratios in one run:
+//! What the Nomad API costs, against the same node without it or its native API, as ratios in one run:
 //! `cargo bench -p pearford --bench nomad_api`. Real processes, stand-ins beside them, on loopback.
 
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 const JOBS: usize = 2_000;
 const NAMES: usize = 10_000;
 const QUERIES: usize = 500;
-const DOOR: &str = "nomad:\n  listen: 127.0.0.1:PORT\n  max_blocking: 1000\n";
+const OPERATOR: &str = "nomad:\n  listen: 127.0.0.1:PORT\n  max_blocking: 1000\n";
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
@@ -135,13 +135,14 @@
 }
 
 async fn measure() {
-    let (off, on) = (Node::start("{}\n").await, Node::start(DOOR).await);
+    let (off, on) = (Node::start("{}\n").await, Node::start(OPERATOR).await);
     println!("ready: {:.0} ms without, {:.0} ms with the nomad_api", off.ready_ms, on.ready_ms);
     println!("memory at the start: {:.1} MB without, {:.1} MB with", off.used().1, on.used().1);
     println!("idle: {:.2}% of a core without, {:.2}% with", idle_share(&off).await, idle_share(&on).await);
 
     let native = off.rate(JOBS, false).await;
-    let (beside, nomad_api) = (on.rate(JOBS, false).await, Node::start(DOOR).await.rate(JOBS, true).await);
+    let (beside, nomad_api) =
+        (on.rate(JOBS, false).await, Node::start(OPERATOR).await.rate(JOBS, true).await);
     println!(
         "submissions a processor second: native {native:.0}, native with the nomad_api open {beside:.0}, nomad_api {nomad_api:.0}"
     );
@@ -152,8 +153,8 @@
     );
     drop((off, on));
 
-    // 10,000 names that are over, so that what they cost is the nomad_api's alone.
-    let node = Arc::new(Node::start(DOOR).await);
+    // 10,000 names of finished jobs, so that what they cost is the Nomad API's alone.
+    let node = Arc::new(Node::start(OPERATOR).await);
     let baseline = Node::start("{}\n").await;
     for n in 0..NAMES {
         assert_eq!(node.nomad(n).await, 200);
@@ -164,7 +165,7 @@
         assert_eq!(send(&baseline.client, "POST", id, &Value::Null).await.0, 200);
     }
     println!(
-        "memory with {NAMES} jobs that are over: native {:.1} MB, names at the nomad_api {:.1} MB",
+        "memory with {NAMES} finished jobs: native {:.1} MB, names of the Nomad API {:.1} MB",
         baseline.used().1,
         node.used().1
     );
@@ -194,7 +195,7 @@
     );
     waiting.iter().for_each(tokio::task::JoinHandle::abort);
 
-    let node = Arc::new(Node::start(DOOR).await);
+    let node = Arc::new(Node::start(OPERATOR).await);
     let (quiet, quiet95) = node.latency(20_000_000).await;
     let stop = Arc::new(AtomicBool::new(false));
     let storm: Vec<_> = (0..8)
--- a/crates/pearford/tests/nomad_client.rs
+++ b/crates/pearford/tests/nomad_client.rs
@@ -1,5 +1,5 @@
-//! A client library of the registry against real processes on loopback: register, wait, look at
-//! allocations, change, stop; with a node killed on the way.
+//! A client library of Nomad's API against real processes on loopback: register a job, wait for it, read its
+//! allocations, change it, stop it; with a node killed on the way.
 
 use nomad_client::apis::configuration::Configuration;
 use nomad_client::apis::{evaluations_api, jobs_api};
@@ -38,12 +38,12 @@
     Some(RegisterJobRequest { job: Some(Box::new(job)), ..RegisterJobRequest::new(None) })
 }
 
-/// Asks until it is as wanted; a node that has just started may refuse for a while.
-async fn until<T, F: Future<Output = Option<T>>>(what: &str, cluster: &Cluster, ask: impl Fn() -> F) -> T {
+/// Polls until there is a result; a node that has just started may refuse for a while.
+async fn until<T, F: Future<Output = Option<T>>>(what: &str, cluster: &Cluster, poll: impl Fn() -> F) -> T {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(20) {
-        if let Some(got) = ask().await {
-            return got;
+        if let Some(result) = poll().await {
+            return result;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -51,9 +51,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_of_the_registry_is_served_by_real_processes() {
+async fn a_client_of_nomads_api_is_served_by_real_processes() {
     let mut cluster = cluster().await;
-    let (a, b, c) = (at(&cluster, 0), at(&cluster, 1), at(&cluster, 2));
+    let a = at(&cluster, 0);
+    let b = at(&cluster, 1);
+    let c = at(&cluster, 2);
 
     // Register, and the same again elsewhere: one evaluation.
     let first = until("the first registration", &cluster, || async {
@@ -71,7 +73,7 @@
     assert_eq!(first.eval_id, again.eval_id);
     let evaluation = first.eval_id.expect("an evaluation");
 
-    // Wait with blocking queries at another node until it is over.
+    // Wait with blocking queries at another node until it has finished.
     let mut index = 1;
     let done = loop {
         let read =
@@ -101,7 +103,7 @@
     assert_eq!(after.eval_id.as_deref(), Some(evaluation.as_str()));
     assert!(after.warnings.is_some_and(|w| w.contains("does not run again")));
 
-    // A service, rolled to a new image while a node is killed.
+    // A service gets a new image while a node is killed.
     jobs_api::register_job(&a, None, None, None, None, register(job("quotes", "service", 3, "img-1")))
         .await
         .expect("taken");
@@ -118,7 +120,7 @@
         .await
         .expect("taken");
     cluster.kill_node(0).await.expect("killed");
-    until("the roll's end", &cluster, || running(c.clone(), 1)).await;
+    until("the end of the rollout", &cluster, || running(c.clone(), 1)).await;
     cluster.start_node(0).expect("starts again");
 
     // Planning changes nothing; check-and-set is honoured.
--- a/crates/pearford/tests/recovery.rs
+++ b/crates/pearford/tests/recovery.rs
@@ -19,18 +19,18 @@
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-async fn ask(http: &Http, uri: String, body: Option<Value>) -> Option<(u16, Value)> {
+async fn exchange(http: &Http, uri: String, body: Option<Value>) -> Option<(u16, Value)> {
     let request = match body {
         Some(body) => http::Request::post(uri).body(Full::new(Bytes::from(body.to_string()))),
         None => http::Request::get(uri).body(Full::default()),
     };
-    let answer = async {
+    let exchange = async {
         let response = http.request(request.ok()?).await.ok()?;
         let status = response.status().as_u16();
         let body = response.into_body().collect().await.ok()?.to_bytes();
         Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
     };
-    tokio::time::timeout(Duration::from_secs(5), answer).await.ok().flatten()
+    tokio::time::timeout(Duration::from_secs(5), exchange).await.ok().flatten()
 }
 
 /// One task takes a whole machine.
@@ -78,7 +78,7 @@
     for n in 0..JOBS {
         let uri = format!("http://{}/submissions", cluster.api_addrs[n % 3]);
         let began = Instant::now();
-        while ask(&http, uri.clone(), Some(service(n))).await.is_none_or(|(status, _)| status != 201) {
+        while exchange(&http, uri.clone(), Some(service(n))).await.is_none_or(|(status, _)| status != 201) {
             assert!(began.elapsed() < Duration::from_secs(30), "never accepted: {}", cluster.log(0));
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -101,7 +101,7 @@
         let uri = format!("http://{}/submissions/req-{n:06}", cluster.api_addrs[n % 3]);
         let began = Instant::now();
         loop {
-            match ask(&http, uri.clone(), None).await {
+            match exchange(&http, uri.clone(), None).await {
                 Some((200, body)) if body["phase"] == "running" => break,
                 Some((404, _)) => panic!("forgotten: req-{n:06}"),
                 got => assert!(began.elapsed() < Duration::from_secs(20), "req-{n:06}: {got:?}"),
