--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -37,7 +37,7 @@
 
     /// Takes starts sent directly as unable to arrive a second time.
     pub(in crate::node) fn inject_forgetting_sent_starts(&mut self) {
-        self.machines.iter_mut().for_each(Machine::sabotage_forget_sent);
+        self.machines.iter_mut().for_each(Machine::forget_sent_starts);
     }
 
     /// Ignores what isolated nodes report through the key-value store.
--- a/crates/scheduler/src/workers/commands.rs
+++ b/crates/scheduler/src/workers/commands.rs
@@ -50,7 +50,7 @@
 /// the leader's name. The bound on how long leases are renewed after a read covers only cancellations that
 /// the read can't see; the tasks of those that it saw must not live on by that answer. (A leader that had not
 /// read the records as the key-value store went away renewed the leases of cancelled tasks without a stop
-/// until its hold ended: simulation seeds 3182, 3284.)
+/// until its answer window ended: simulation seeds 3182, 3284.)
 pub fn stop_finished(
     heartbeat: &Heartbeat,
     is_finished: impl Fn(&JobId) -> bool,
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -228,7 +228,7 @@
 #[cfg(any(test, feature = "simulation"))]
 impl Machine {
     /// Leaves out the check that what was started directly is not forgotten.
-    pub fn sabotage_forget_sent(&mut self) {
+    pub fn forget_sent_starts(&mut self) {
         self.sent.clear();
     }
 }
