--- a/crates/nomad/src/api/machines.rs
+++ b/crates/nomad/src/api/machines.rs
@@ -1,53 +1,55 @@
-//! Machines, as Nomad's nodes: read from the ledger's records when somebody asks, as no node but the leader
-//! keeps a copy of them. Those listed hold tasks, or have held some lately: the ledger has no record of others.
+//! Machines, as Nomad's nodes: their assignment records are read from the store for each request, as no node but the
+//! leader keeps a copy. Machines that hold no task, and have held none lately, have no record and are not listed.
 
-use super::Reply;
-use super::requests::{Ask, Page};
+use super::endpoints::Endpoint;
+use super::query::Page;
+use super::reply::{Reply, status};
 use pearford_scheduler::assignments::MachineRecord;
 use pearford_scheduler::extension::{MachinePage, Machines, Outcome};
 use pearford_scheduler::types::MachineId;
 use serde_json::{Value, json};
 
-/// Machines on one page: half a megabyte of records.
-const MOST: usize = 500;
-/// Bytes of a machine's name.
-const LONGEST: usize = 150;
+/// The most machines on one page: half a megabyte of records.
+const MAX_MACHINES: usize = 500;
+/// The most bytes of a machine's name.
+const MAX_NAME_BYTES: usize = 150;
 
-/// A question about machines.
+/// A read of machines.
 #[derive(Debug)]
-pub struct Asked {
-    what: What,
-    /// The asker may see all teams' tasks.
+pub struct MachineQuery {
+    scope: Scope,
+    /// Whether the client may see all teams' tasks.
     all_teams: bool,
 }
 
 #[derive(Debug)]
-enum What {
+enum Scope {
     One(String),
     Page { prefix: String, after: Option<MachineId>, most: usize },
 }
 
-impl Asked {
-    /// None: the question is about something else.
-    pub fn of(ask: &Ask, page: &Page, all_teams: bool) -> Option<Self> {
-        let what = match ask {
-            Ask::Node(id) => What::One(id.clone()),
-            Ask::Nodes => What::Page {
+impl MachineQuery {
+    /// The read of an endpoint; none if the endpoint is not about machines.
+    pub fn of(endpoint: &Endpoint, page: &Page, all_teams: bool) -> Option<Self> {
+        let scope = match endpoint {
+            Endpoint::Machine(name) => Scope::One(name.clone()),
+            Endpoint::Machines => Scope::Page {
                 prefix: page.prefix.clone(),
                 after: is_name(&page.from).then(|| MachineId::from(page.from.as_str())),
-                most: page.most.min(MOST),
+                most: page.most.min(MAX_MACHINES),
             },
             _ => return None,
         };
-        Some(Self { what, all_teams })
+        Some(Self { scope, all_teams })
     }
 
-    pub fn which(&self) -> Machines {
-        match &self.what {
-            // What can't be a name is looked for under one that nothing has.
-            What::One(id) if !is_name(id) => Machines::One("-".into()),
-            What::One(id) => Machines::One(id.as_str().into()),
-            What::Page { after, most, .. } => {
+    /// The machines to be read.
+    pub fn selection(&self) -> Machines {
+        match &self.scope {
+            // What can't be a machine's name is replaced by a name that no machine has.
+            Scope::One(id) if !is_name(id) => Machines::One("-".into()),
+            Scope::One(id) => Machines::One(id.as_str().into()),
+            Scope::Page { after, most, .. } => {
                 Machines::Page { after: after.clone(), most: u32::try_from(*most).unwrap_or(1) }
             }
         }
@@ -56,28 +58,33 @@
 
 /// Whether it can be a machine's name: it becomes part of a path to the state service.
 fn is_name(text: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !text.is_empty() && text.len() <= LONGEST && text.bytes().all(fits)
+    let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(fits)
 }
 
 /// The answer, from what was found.
-pub fn reply(asked: &Asked, found: Result<MachinePage, Outcome>) -> Reply {
+pub fn reply(query: &MachineQuery, found: Result<MachinePage, Outcome>) -> Reply {
     let found = match found {
         Ok(found) => found,
         Err(Outcome::NoBudget) => {
-            return Reply::error(429, "machines are asked for too often here; come back");
+            return Reply::error(
+                status::TOO_MANY_REQUESTS,
+                "machines are asked for too often here; come back",
+            );
         }
-        Err(_) => return Reply::error(503, "the state service can't be read now; come back"),
+        Err(_) => return Reply::error(status::UNAVAILABLE, "the state service can't be read now; come back"),
     };
-    match &asked.what {
-        What::One(_) => match found.machines.first() {
-            Some(machine) => Reply::json(200, None, &node(&machine.id, &machine.record, asked.all_teams)),
-            None => Reply::error(404, "no machine of this name holds tasks"),
+    match &query.scope {
+        Scope::One(_) => match found.machines.first() {
+            Some(machine) => {
+                Reply::json(status::OK, None, &node(&machine.id, &machine.record, query.all_teams))
+            }
+            None => Reply::error(status::NOT_FOUND, "no machine of this name holds tasks"),
         },
-        What::Page { prefix, .. } => {
+        Scope::Page { prefix, .. } => {
             let of = found.machines.iter().filter(|machine| machine.id.as_str().starts_with(prefix));
             let nodes: Vec<Value> = of.map(|machine| stub(&machine.id, &machine.record)).collect();
-            let mut reply = Reply::json(200, None, &nodes.into());
+            let mut reply = Reply::json(status::OK, None, &nodes.into());
             let last = found.machines.last().filter(|_| found.more);
             reply.next_token = last.map(|machine| machine.id.to_string());
             reply
@@ -96,7 +103,7 @@
 fn node(id: &MachineId, record: &MachineRecord, all_teams: bool) -> Value {
     let mut node = stub(id, record);
     if all_teams {
-        // Native names: what a machine holds needn't have come through this door.
+        // Native names: what a machine holds needn't have come through this API.
         node["Tasks"] = record.assignments.iter().map(|assignment| assignment.task.to_string()).collect();
     }
     node
--- a/crates/nomad/src/api/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -2,8 +2,9 @@
 //! so, and decided anew if not.
 
 use super::names::{NameHash, PREFIX};
+use super::reply::{Reply, respond, send, status};
 use super::versions::{self, Decision, Writes};
-use super::{NomadApi, Reply, Waiting, answers, ids, send};
+use super::{NomadApi, Waiting, answers, ids};
 use crate::translate::Job;
 use pearford_scheduler::extension::{Action, Outcome, Share, View};
 use pearford_scheduler::types::RequestId;
@@ -16,7 +17,7 @@
 /// A registration or a stop on its way.
 #[derive(Debug, Clone)]
 pub(super) enum Change {
-    Register { job: Box<Job>, json: Box<Value>, enforce: Option<u64>, plan: bool },
+    Register { job: Box<Job>, json: Box<Value>, enforced_index: Option<u64>, plan: bool },
     Deregister { hash: NameHash, purge: bool },
 }
 
@@ -47,7 +48,10 @@
         let known = view.records.get(&write.change.hash().key()).is_some();
         let registers = matches!(write.change, Change::Register { plan: false, .. });
         if view.records.store_revision().is_none() || view.jobs.store_revision().is_none() {
-            return vec![send(request, Reply::error(503, "records are not read yet; come back"))];
+            return respond(
+                request,
+                Reply::error(status::UNAVAILABLE, "records are not read yet; come back"),
+            );
         }
         // A refusal stands only after the read: what was accepted elsewhere keeps its answer. (Repeats got
         // "machine types are not known yet" from a node that had just started: seed 119 of the placements.)
@@ -57,13 +61,13 @@
                 return self.carry_out(view, write, decision);
             }
         }
-        self.read_first(request, Waiting::Write(write))
+        self.read_records_first(request, Waiting::Write(write))
     }
 
     fn decision(&self, view: &View<'_>, write: &Write) -> Decision {
         match &write.change {
-            Change::Register { job, json, enforce, .. } => {
-                versions::register(view, job, json, *enforce, write.salt)
+            Change::Register { job, json, enforced_index, .. } => {
+                versions::register(view, job, json, *enforced_index, write.salt)
             }
             Change::Deregister { hash, purge } => versions::deregister(view, hash, *purge),
         }
@@ -76,15 +80,15 @@
 
     fn carry_out(&mut self, view: &View<'_>, mut write: Write, decision: Decision) -> Vec<Action> {
         match decision {
-            Decision::Refuse { status, why } => vec![send(write.request, Reply::error(status, why))],
+            Decision::Refuse { status, why } => respond(write.request, Reply::error(status, why)),
             Decision::Same => vec![self.saved_reply(view, &write, true)],
             Decision::Write(writes) => {
                 if let Change::Register { plan: true, .. } = &write.change {
-                    return vec![send(write.request, self.planned(view, &write.change.hash(), false))];
+                    return respond(write.request, self.planned(view, &write.change.hash(), false));
                 }
                 write.made =
                     writes.conditions.iter().filter(|(_, s)| s.0 == 0).map(|(k, _)| k.clone()).collect();
-                let tag = self.tag();
+                let tag = self.next_tag();
                 self.waiting.insert(tag, Waiting::Committing(write));
                 let Writes { conditions, changes } = writes;
                 vec![Action::Commit { tag, share: Share::Users, conditions, changes }]
@@ -101,7 +105,7 @@
         };
         let index = head.map_or(0, |(_, head)| versions::modify_index(view, &head));
         Reply::json(
-            200,
+            status::OK,
             None,
             &json!({"Diff": {"Type": kind, "ID": "", "Fields": null, "Objects": null, "TaskGroups": null},
             "Annotations": null, "FailedTGAllocs": null, "JobModifyIndex": index, "CreatedEvals": null,
@@ -120,7 +124,10 @@
             Change::Deregister { .. } => false,
         };
         let Some((_, head)) = versions::head_of(view, &hash) else {
-            return send(write.request, Reply::error(503, "the record is not here yet; come back"));
+            return send(
+                write.request,
+                Reply::error(status::UNAVAILABLE, "the record is not here yet; come back"),
+            );
         };
         let index = answers::index(view, &head);
         let over = answers::status(view, &head) == "dead";
@@ -137,13 +144,13 @@
         let id = ids::of_version(&hash, head.version);
         let reply = json!({"EvalID": id, "EvalCreateIndex": index, "JobModifyIndex": versions::modify_index(view, &head),
             "Warnings": warning, "Index": index, "LastContact": 0, "KnownLeader": true});
-        send(write.request, Reply::json(200, Some(index), &reply))
+        send(write.request, Reply::json(status::OK, Some(index), &reply))
     }
 
     pub(super) fn committed(&mut self, view: &View<'_>, mut write: Write, outcome: Outcome) -> Vec<Action> {
         match outcome {
             Outcome::Done { .. } => {
-                self.learn(view, &write.change.hash().key());
+                self.record_changed(view, &write.change.hash().key());
                 if let Change::Register { job, .. } = &write.change {
                     tracing::info!(job = job.id, namespace = job.namespace, "registered");
                 }
@@ -155,21 +162,22 @@
                 if failed.iter().any(|k| !k.starts_with(PREFIX) && write.made.contains(k)) {
                     write.salt += 1;
                 }
-                self.read_first(write.request, Waiting::Write(write))
+                self.read_records_first(write.request, Waiting::Write(write))
             }
             Outcome::Conflict(_) => {
-                vec![send(write.request, Reply::error(503, "the job is changing; come back"))]
+                respond(write.request, Reply::error(status::UNAVAILABLE, "the job is changing; come back"))
             }
             Outcome::Malformed => {
                 let why = "the state service does not take the job's records; make the job smaller";
-                vec![send(write.request, Reply::error(422, why))]
-            }
-            Outcome::NoBudget => {
-                vec![send(write.request, Reply::error(429, "too many registrations at once; come back"))]
+                respond(write.request, Reply::error(status::UNPROCESSABLE, why))
             }
+            Outcome::NoBudget => respond(
+                write.request,
+                Reply::error(status::TOO_MANY_REQUESTS, "too many registrations at once; come back"),
+            ),
             Outcome::Unknown => {
                 let why = "the state service can't be written now; come back: the same request changes nothing twice";
-                vec![send(write.request, Reply::error(503, why))]
+                respond(write.request, Reply::error(status::UNAVAILABLE, why))
             }
         }
     }
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -1,8 +1,9 @@
 //! Machines as the door lists them: what the ledger has durably, at any node.
 
 use super::{api, call, job};
-use crate::api::machines::{Asked, reply};
-use crate::api::requests::{Ask, Page, Query};
+use crate::api::endpoints::Endpoint;
+use crate::api::machines::{MachineQuery, reply};
+use crate::api::query::{Page, Query};
 use pearford_scheduler::assignments::MachineRecord;
 use pearford_scheduler::extension::{MachinePage, RecordedMachine, Verb};
 use pearford_scheduler::simulation::Simulation;
@@ -78,10 +79,10 @@
     .expect("a record");
     let page = Page::of(&Query::default()).expect("valid");
     for all in [false, true] {
-        let asked = Asked::of(&Ask::Node("m-1".into()), &page, all).expect("about machines");
+        let query = MachineQuery::of(&Endpoint::Machine("m-1".into()), &page, all).expect("about machines");
         let machine = RecordedMachine { id: "m-1".into(), record: record.clone() };
         let found = MachinePage { machines: vec![machine], more: false };
-        let body: Value = serde_json::from_str(&reply(&asked, Ok(found)).body).expect("JSON");
+        let body: Value = serde_json::from_str(&reply(&query, Ok(found)).body).expect("JSON");
         assert_eq!(body["Address"], "10.0.0.9");
         assert_eq!(body.get("Tasks").is_some(), all);
     }
