--- a/crates/nomad/src/api/guards.rs
+++ b/crates/nomad/src/api/guards.rs
@@ -7,7 +7,7 @@
     /// An answer is as of a read begun after the question.
     FreshRead,
     /// A stop withdraws the native jobs.
-    Withdrawal,
+    Cancellation,
     /// An old part goes only once new replicas are healthy in its place.
     HealthyFirst,
 }
--- a/crates/nomad/src/api/mod.rs
+++ b/crates/nomad/src/api/mod.rs
@@ -43,6 +43,7 @@
 use retry::Write;
 use std::collections::BTreeMap;
 use tokens::Tokens;
+use versions::RecordedName;
 
 /// What waits for a read or a commit of the node.
 #[derive(Debug)]
@@ -125,7 +126,7 @@
     /// Takes in a name's record as it is now.
     fn record_changed(&mut self, view: &View<'_>, key: &str) {
         let Some(hash) = NameHash::from_key(key) else { return };
-        let Some((revision, head)) = versions::head_of(view, &hash) else { return };
+        let Some(RecordedName { revision, head }) = versions::recorded_name(view, &hash) else { return };
         self.maintenance.record_changed(&hash, &head);
         self.names.insert(view, &hash, revision.0, head);
         self.blocking_queries.changed(hash);
--- a/crates/nomad/src/api/reply.rs
+++ b/crates/nomad/src/api/reply.rs
@@ -16,10 +16,14 @@
     pub const NOT_FOUND: u16 = 404;
     /// The path does not take this method.
     pub const METHOD_NOT_ALLOWED: u16 = 405;
+    /// The job has changed since the client read it.
+    pub const CONFLICT: u16 = 409;
     /// The store refuses the records as they are.
     pub const UNPROCESSABLE: u16 = 422;
     /// A bound on requests or writes is reached; the client is to retry.
     pub const TOO_MANY_REQUESTS: u16 = 429;
+    /// A record can't be decoded.
+    pub const INTERNAL_ERROR: u16 = 500;
     /// Nomad has it, pearford does not.
     pub const NOT_IMPLEMENTED: u16 = 501;
     /// Records can't be read or written now; the client is to retry.
--- a/crates/nomad/src/api/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -2,8 +2,8 @@
 //! so, and decided anew if not.
 
 use super::names::{NameHash, PREFIX};
-use super::reply::{Reply, respond, send, status};
-use super::versions::{self, Decision, Writes};
+use super::reply::{Refusal, Reply, respond, send, status};
+use super::versions::{self, Decision, RecordedName, Writes};
 use super::{NomadApi, Waiting, answers, ids};
 use crate::translate::Job;
 use pearford_scheduler::extension::{Action, Outcome, Share, View};
@@ -57,14 +57,14 @@
         // "machine types are not known yet" from a node that had just started: seed 119 of the placements.)
         if registers && !known {
             let decision = self.decision(view, &write);
-            if !matches!(decision, Decision::Refuse { .. }) {
+            if decision.is_ok() {
                 return self.carry_out(view, write, decision);
             }
         }
         self.read_records_first(request, Waiting::Write(write))
     }
 
-    fn decision(&self, view: &View<'_>, write: &Write) -> Decision {
+    fn decision(&self, view: &View<'_>, write: &Write) -> Result<Decision, Refusal> {
         match &write.change {
             Change::Register { job, json, enforced_index, .. } => {
                 versions::register(view, job, json, *enforced_index, write.salt)
@@ -78,11 +78,16 @@
         self.carry_out(view, write, decision)
     }
 
-    fn carry_out(&mut self, view: &View<'_>, mut write: Write, decision: Decision) -> Vec<Action> {
+    fn carry_out(
+        &mut self,
+        view: &View<'_>,
+        mut write: Write,
+        decision: Result<Decision, Refusal>,
+    ) -> Vec<Action> {
         match decision {
-            Decision::Refuse { status, why } => respond(write.request, Reply::error(status, why)),
-            Decision::Same => vec![self.saved_reply(view, &write, true)],
-            Decision::Write(writes) => {
+            Err(refusal) => respond(write.request, refusal),
+            Ok(Decision::Same) => vec![self.saved_reply(view, &write, true)],
+            Ok(Decision::Write(writes)) => {
                 if let Change::Register { plan: true, .. } = &write.change {
                     return respond(write.request, self.planned(view, &write.change.hash(), false));
                 }
@@ -97,13 +102,13 @@
     }
 
     fn planned(&self, view: &View<'_>, hash: &NameHash, same: bool) -> Reply {
-        let head = versions::head_of(view, hash);
-        let kind = match (&head, same) {
+        let known = versions::recorded_name(view, hash);
+        let kind = match (&known, same) {
             (_, true) => "None",
             (None, _) => "Added",
             _ => "Edited",
         };
-        let index = head.map_or(0, |(_, head)| versions::modify_index(view, &head));
+        let index = known.map_or(0, |known| versions::modify_index(view, &known.head));
         Reply::json(
             status::OK,
             None,
@@ -123,7 +128,7 @@
             Change::Register { .. } => true,
             Change::Deregister { .. } => false,
         };
-        let Some((_, head)) = versions::head_of(view, &hash) else {
+        let Some(RecordedName { head, .. }) = versions::recorded_name(view, &hash) else {
             return send(
                 write.request,
                 Reply::error(status::UNAVAILABLE, "the record is not here yet; come back"),
--- a/crates/nomad/src/api/tests/histories.rs
+++ b/crates/nomad/src/api/tests/histories.rs
@@ -384,7 +384,7 @@
 /// Proves that the checks above can fail.
 #[test]
 fn a_guard_taken_out_shows() {
-    for guard in [Guard::Repeat, Guard::FreshRead, Guard::Withdrawal] {
+    for guard in [Guard::Repeat, Guard::FreshRead, Guard::Cancellation] {
         let noticed = without(guard, || {
             (100..140).any(|seed| {
                 let play = day(seed, troubles);
--- a/crates/nomad/src/api/versions.rs
+++ b/crates/nomad/src/api/versions.rs
@@ -1,19 +1,29 @@
-//! What a registration or a stop leads to. All of it is one transaction: the name's record, the
-//! version's, and the native jobs, conditional on the name's record as it was read.
+//! What a registration or a stop leads to. All of it is one transaction: the name's record, the version's, and the
+//! native jobs, conditional on the name's record as it was read.
+//!
+//! `retry` calls it for clients' writes, `maintenance` for what the leader does on its own.
 
 use super::guards::{Guard, holds};
 use super::names::{Ended, GroupRecord, Head, NameHash, Old, Part, Rollout, VersionRecord, part_id, split};
-use crate::translate::Job;
+use super::reply::{Refusal, status};
+use crate::translate::{Group, Job};
 use pearford_scheduler::extension::View;
 use pearford_scheduler::jobs::{self, Record};
 use pearford_scheduler::types::{JobId, Revision};
 use pearford_scheduler::wire::state::Change;
 use serde_json::Value;
 
+/// The revision of a key that must not exist.
+const ABSENT: Revision = Revision(0);
+/// Records of a registration besides its native jobs': the name's and the version's.
+const NAME_RECORDS: usize = 2;
+
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Writes {
+    /// Keys, and the revisions that they must have; 0 for a key that must not exist.
     pub conditions: Vec<(String, Revision)>,
+    /// What is changed if all conditions hold.
     pub changes: Vec<Change>,
 }
 
@@ -23,17 +33,17 @@
         self.changes.push(Change::Put { key, value, lease: None });
     }
 
-    /// Withdraws a native job, if it has no final answer yet: then the same transaction fails where it
-    /// gets one meanwhile, so that neither overwrites the other.
+    /// Cancels a native job that is not finished yet. The transaction fails if the job finishes meanwhile, so that
+    /// neither result overwrites the other.
     fn cancel(&mut self, view: &View<'_>, id: &JobId) {
-        if holds(Guard::Withdrawal)
-            && let Some(known) = view.jobs.get(id).filter(|k| k.record.is_open())
+        if holds(Guard::Cancellation)
+            && let Some(known) = view.jobs.get(id).filter(|known| known.record.is_open())
         {
             self.put(jobs::key(id), known.revision, Record::Cancelled.to_value());
         }
     }
 
-    /// Withdraws as many as the transaction has room for; gives the rest, for `ending`.
+    /// Cancels at most so many native jobs. Returns the others, for [`Head::ending`].
     fn cancel_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
         let rest = open.split_off(at_most.min(open.len()));
         open.iter().for_each(|id| self.cancel(view, id));
@@ -41,26 +51,28 @@
     }
 }
 
+/// What a registration or a stop leads to, if it is not refused.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// It is so already.
+    /// Nothing: the records are so already.
     Same,
+    /// The transaction is to be committed.
     Write(Writes),
-    Refuse {
-        status: u16,
-        why: String,
-    },
 }
 
-fn refuse(status: u16, why: impl Into<String>) -> Decision {
-    Decision::Refuse { status, why: why.into() }
+/// A name's record as this node has read it.
+pub struct RecordedName {
+    /// Revision of the record.
+    pub revision: Revision,
+    /// The record.
+    pub head: Head,
 }
 
-/// The name's record as this node knows it.
-pub fn head_of(view: &View<'_>, hash: &NameHash) -> Option<(Revision, Head)> {
+/// The name's record as this node has read it; none, with a line in the log, if it can't be decoded.
+pub fn recorded_name(view: &View<'_>, hash: &NameHash) -> Option<RecordedName> {
     let (revision, value) = view.records.get(&hash.key())?;
     match serde_json::from_str(value) {
-        Ok(head) => Some((revision, head)),
+        Ok(head) => Some(RecordedName { revision, head }),
         Err(error) => {
             tracing::error!(key = hash.key(), %error, "a name's record can't be read");
             None
@@ -73,71 +85,156 @@
     view.records.get(&head.hash().version_key(head.version)).map_or(0, |(revision, _)| revision.0)
 }
 
+/// Whether a native job is there and not finished.
 pub fn is_open(view: &View<'_>, id: &JobId) -> bool {
-    view.jobs.get(id).is_some_and(|k| k.record.is_open())
+    view.jobs.get(id).is_some_and(|known| known.record.is_open())
+}
+
+/// A record of a native job that is to be new.
+struct NewRecord {
+    key: String,
+    value: String,
 }
 
-/// Registers a job. `enforce`: the modify index that the client has read; 0: none. `salt` moves on when an
-/// id turns out to be taken.
-pub fn register(view: &View<'_>, job: &Job, json: &Value, enforce: Option<u64>, salt: u64) -> Decision {
+/// The native jobs of a new version.
+struct NewParts {
+    groups: Vec<GroupRecord>,
+    records: Vec<NewRecord>,
+}
+
+/// Registers a job. `enforced_index` is the modify index that the client has read, if it enforces one, 0 for a job
+/// that must not be registered. `salt` moves on when the id of a native job turns out to be taken.
+///
+/// # Errors
+/// The job is refused, with the answer to the client.
+pub fn register(
+    view: &View<'_>,
+    job: &Job,
+    json: &Value,
+    enforced_index: Option<u64>,
+    salt: u64,
+) -> Result<Decision, Refusal> {
     let hash = NameHash::of(&job.namespace, &job.id);
-    let known = head_of(view, &hash);
+    let known = recorded_name(view, &hash);
     if known.is_none() && view.records.get(&hash.key()).is_some() {
-        return refuse(500, "the record of this name can't be read; see the log");
+        let reason = "the record of this name can't be read; see the log";
+        return Err(Refusal::new(status::INTERNAL_ERROR, reason));
     }
     let digest = job.digest();
     // Before the check of the index: a client that repeats itself has changed the index by its first try.
-    if holds(Guard::Repeat) && known.as_ref().is_some_and(|(_, head)| head.digest == digest) {
-        return Decision::Same;
+    if holds(Guard::Repeat) && known.as_ref().is_some_and(|known| known.head.digest == digest) {
+        return Ok(Decision::Same);
     }
-    let index = known.as_ref().map_or(0, |(_, head)| if head.purged { 0 } else { modify_index(view, head) });
-    if let Some(enforced) = enforce
-        && enforced != index
-    {
-        return refuse(
-            409,
-            format!("Enforcing job modify index {enforced}: the job's is {index}; read it again"),
-        );
+    check_index(view, known.as_ref(), enforced_index)?;
+    check_groups(view, job)?;
+    let version = known.as_ref().map_or(0, |known| known.head.version + 1);
+    let parts = new_parts(view, job, &hash, version, salt)?;
+    let mut head = new_head(view, job, version, &digest, parts.groups);
+    let mut leaving = Vec::new();
+    let mut revision = ABSENT;
+    if let Some(known) = &known {
+        revision = known.revision;
+        head.created = if known.head.created > 0 { known.head.created } else { revision.0 };
+        leaving = succeed(view, &known.head, &mut head);
     }
-    for group in &job.groups {
-        if let Err(refusal) = view.admission.check(&group.spec) {
-            return refuse(refusal.status.as_u16(), format!("group `{}`: {}", group.name, refusal.reason));
+    let mut writes = Writes::default();
+    let spare = view.settings.state.txn_ops - NAME_RECORDS - parts.records.len();
+    head.ending.extend(writes.cancel_some(view, leaving, spare));
+    let head_value = head.to_value();
+    let version_value = VersionRecord::new(&digest, view.wall_time.0, json).to_value();
+    check_size(view, "its record", &head_value)?;
+    check_size(view, "the job", &version_value)?;
+    for record in parts.records {
+        writes.put(record.key, ABSENT, record.value);
+    }
+    writes.put(hash.key(), revision, head_value);
+    writes.put(hash.version_key(version), ABSENT, version_value);
+    Ok(Decision::Write(writes))
+}
+
+/// Checks the index that a client enforces against the job's; a purged job has none.
+fn check_index(view: &View<'_>, known: Option<&RecordedName>, enforced: Option<u64>) -> Result<(), Refusal> {
+    let index = match known {
+        Some(known) if !known.head.purged => modify_index(view, &known.head),
+        _ => 0,
+    };
+    match enforced {
+        Some(enforced) if enforced != index => {
+            let reason =
+                format!("Enforcing job modify index {enforced}: the job's is {index}; read it again");
+            Err(Refusal::new(status::CONFLICT, reason))
         }
+        _ => Ok(()),
+    }
+}
+
+/// The most native jobs that one transaction can make.
+fn max_new_records(view: &View<'_>) -> usize {
+    view.settings.state.txn_ops.saturating_sub(NAME_RECORDS)
+}
+
+/// Checks that each group is admitted, and that all fit into one transaction.
+fn check_groups(view: &View<'_>, job: &Job) -> Result<(), Refusal> {
+    for group in &job.groups {
+        view.admission.check(&group.spec).map_err(|refusal| {
+            let reason = format!("group `{}`: {}", group.name, refusal.reason);
+            Refusal::new(refusal.status.as_u16(), reason)
+        })?;
     }
-    let ops = view.settings.state.txn_ops;
-    let groups_at_most = ops.saturating_sub(2);
-    if job.groups.len() > groups_at_most {
-        let why = format!(
-            "has {} groups; the state service takes {ops} changes at once, so at most {groups_at_most}: make several jobs",
-            job.groups.len()
+    let max_groups = max_new_records(view);
+    if job.groups.len() > max_groups {
+        let reason = format!(
+            "has {} groups; the state service takes {} changes at once, so at most {max_groups}: make several jobs",
+            job.groups.len(),
+            view.settings.state.txn_ops
         );
-        return refuse(422, why);
+        return Err(Refusal::new(status::UNPROCESSABLE, reason));
     }
-    let version = known.as_ref().map_or(0, |(_, head)| head.version + 1);
-    let mut writes = Writes::default();
+    Ok(())
+}
+
+/// Splits each group into native jobs.
+fn new_parts(
+    view: &View<'_>,
+    job: &Job,
+    hash: &NameHash,
+    version: u64,
+    salt: u64,
+) -> Result<NewParts, Refusal> {
     let mut groups = Vec::new();
-    let mut made = Vec::new();
-    for (g, group) in job.groups.iter().enumerate() {
-        let sizes = split(job, g, view.settings, groups_at_most / job.groups.len());
+    let mut records = Vec::new();
+    for (group_index, group) in job.groups.iter().enumerate() {
+        let sizes = split(job, group_index, view.settings, max_new_records(view) / job.groups.len());
         let mut parts = Vec::new();
-        for (p, tasks) in sizes.into_iter().enumerate() {
-            let id = part_id(&hash, version, &group.name, p, salt);
-            if let Some(never) = view.admission.dependency_error(&id, &group.spec) {
-                return refuse(422, format!("group `{}`: {never}", group.name));
+        for (part_index, tasks) in sizes.into_iter().enumerate() {
+            let id = part_id(hash, version, &group.name, part_index, salt);
+            if let Some(error) = view.admission.dependency_error(&id, &group.spec) {
+                let reason = format!("group `{}`: {error}", group.name);
+                return Err(Refusal::new(status::UNPROCESSABLE, reason));
             }
-            let mut spec = group.spec.clone();
-            spec.tasks = tasks;
-            made.push((jobs::key(&id), Record::Open(view.admission.open(&spec)).to_value()));
+            records.push(NewRecord { key: jobs::key(&id), value: open_record(view, group, tasks) });
             parts.push(Part { id, tasks });
         }
         let update = job.service.then_some(group.update);
         groups.push(GroupRecord { name: group.name.clone(), task: group.task.clone(), parts, update });
     }
-    let mut head = Head {
+    Ok(NewParts { groups, records })
+}
+
+/// The record of a new native job that runs some of a group's tasks.
+fn open_record(view: &View<'_>, group: &Group, tasks: u32) -> String {
+    let mut spec = group.spec.clone();
+    spec.tasks = tasks;
+    Record::Open(view.admission.open(&spec)).to_value()
+}
+
+/// The name's record with a new version, as if there had been none before.
+fn new_head(view: &View<'_>, job: &Job, version: u64, digest: &str, groups: Vec<GroupRecord>) -> Head {
+    Head {
         namespace: job.namespace.clone(),
         name: job.id.clone(),
         version,
-        digest: digest.clone(),
+        digest: digest.to_string(),
         service: job.service,
         priority: job.priority,
         submitted_ms: view.wall_time.0,
@@ -148,62 +245,61 @@
         roll: None,
         ended: None,
         ending: Vec::new(),
-    };
-    let mut leaving = Vec::new();
-    if let Some((revision, old)) = &known {
-        head.created = if old.created > 0 { old.created } else { revision.0 };
-        succeed(view, old, &mut head, &mut leaving);
     }
-    let record = VersionRecord::new(&digest, view.wall_time.0, json).to_value();
-    let revision = known.as_ref().map_or(Revision(0), |(revision, _)| *revision);
-    let spare = ops - 2 - made.len();
-    head.ending.extend(writes.cancel_some(view, leaving, spare));
-    for (what, value) in [("its record", &head.to_value()), ("the job", &record)] {
-        let (bytes, limit) = (value.len(), view.settings.state.value_bytes);
-        if bytes > limit {
-            let why = format!(
-                "{what} takes {bytes} bytes and the state service stores {limit}; make the job smaller"
-            );
-            return refuse(422, why);
-        }
+}
+
+/// Checks that the store takes a value.
+fn check_size(view: &View<'_>, what: &str, value: &str) -> Result<(), Refusal> {
+    let bytes = value.len();
+    let limit = view.settings.state.value_bytes;
+    if bytes > limit {
+        let reason =
+            format!("{what} takes {bytes} bytes and the state service stores {limit}; make the job smaller");
+        return Err(Refusal::new(status::UNPROCESSABLE, reason));
     }
-    made.into_iter().for_each(|(key, value)| writes.put(key, Revision(0), value));
-    writes.put(hash.key(), revision, head.to_value());
-    writes.put(hash.version_key(version), Revision(0), record);
-    Decision::Write(writes)
+    Ok(())
 }
 
-/// What becomes of the native jobs of the version before: a service's are rolled, others withdrawn.
-fn succeed(view: &View<'_>, old: &Head, head: &mut Head, leaving: &mut Vec<JobId>) {
+/// What becomes of the native jobs of the version before: a service's are replaced by a rollout; the others are
+/// returned, to be cancelled.
+fn succeed(view: &View<'_>, old: &Head, head: &mut Head) -> Vec<JobId> {
     head.ending = old.ending.iter().filter(|id| is_open(view, id)).cloned().collect();
-    let mut olds: Vec<Old> = old.roll.iter().flat_map(|r| r.olds.clone()).collect();
-    for group in &old.groups {
-        olds.extend(group.parts.iter().map(|p| Old { group: group.name.clone(), part: p.clone() }));
-    }
-    olds.retain(|o| is_open(view, &o.part.id));
+    let mut olds: Vec<Old> = old.roll.iter().flat_map(|rollout| rollout.olds.clone()).collect();
+    olds.extend(current_parts(old));
+    olds.retain(|old| is_open(view, &old.part.id));
     let rollouts = old.service && head.service && !old.stopped;
     let (staying, going): (Vec<Old>, Vec<Old>) =
-        olds.into_iter().partition(|o| rollouts && head.groups.iter().any(|g| g.name == o.group));
-    leaving.extend(going.into_iter().map(|o| o.part.id));
+        olds.into_iter().partition(|old| rollouts && head.groups.iter().any(|group| group.name == old.group));
     if !staying.is_empty() {
-        let from = old.roll.as_ref().filter(|r| !r.kept).map_or(old.version, |r| r.from);
-        head.roll = Some(Rollout {
-            from,
-            olds: staying,
-            gone: Vec::new(),
-            progressed_ms: view.wall_time.0,
-            kept: false,
-        });
+        let from = old.roll.as_ref().filter(|rollout| !rollout.kept);
+        let from = from.map_or(old.version, |rollout| rollout.from);
+        head.roll = Some(new_rollout(view, from, staying));
     }
+    going.into_iter().map(|old| old.part.id).collect()
+}
+
+/// The native jobs of a name's current version, as ones to be replaced.
+fn current_parts(head: &Head) -> impl Iterator<Item = Old> {
+    head.groups.iter().flat_map(|group| {
+        group.parts.iter().map(|part| Old { group: group.name.clone(), part: part.clone() })
+    })
 }
 
-/// Stops a job: no new version, and all of its native jobs withdrawn, those of a roll included.
-pub fn deregister(view: &View<'_>, hash: &NameHash, purge: bool) -> Decision {
-    let Some((revision, mut head)) = head_of(view, hash) else {
-        return refuse(404, "there is no such job in this namespace");
+/// A rollout that begins now.
+fn new_rollout(view: &View<'_>, from: u64, olds: Vec<Old>) -> Rollout {
+    Rollout { from, olds, gone: Vec::new(), progressed_ms: view.wall_time.0, kept: false }
+}
+
+/// Stops a job: no new version, and all of its native jobs cancelled, those of a rollout included.
+///
+/// # Errors
+/// There is no such job.
+pub fn deregister(view: &View<'_>, hash: &NameHash, purge: bool) -> Result<Decision, Refusal> {
+    let Some(RecordedName { revision, mut head }) = recorded_name(view, hash) else {
+        return Err(Refusal::new(status::NOT_FOUND, "there is no such job in this namespace"));
     };
     if head.stopped && (head.purged || !purge) {
-        return Decision::Same;
+        return Ok(Decision::Same);
     }
     let open: Vec<JobId> = head.jobs().filter(|id| is_open(view, id)).cloned().collect();
     if head.roll.take().is_some() {
@@ -215,25 +311,25 @@
     // The version's record is written again: its revision is the index that clients compare.
     let version_key = hash.version_key(head.version);
     let version = view.records.get(&version_key).map(|(revision, value)| (revision, value.to_string()));
-    let at_once = view.settings.state.txn_ops - 1 - usize::from(version.is_some());
-    head.ending = writes.cancel_some(view, open, at_once);
+    let at_most = view.settings.state.txn_ops - 1 - usize::from(version.is_some());
+    head.ending = writes.cancel_some(view, open, at_most);
     writes.put(hash.key(), revision, head.to_value());
     if let Some((revision, value)) = version {
         writes.put(version_key, revision, value);
     }
-    Decision::Write(writes)
+    Ok(Decision::Write(writes))
 }
 
-/// Withdraws what a stop or a new version could not withdraw at once.
+/// Cancels native jobs that a stop or a new version could not cancel at once; none if there are none.
 pub fn end_some(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
-    let (revision, mut head) = head_of(view, hash)?;
+    let RecordedName { revision, mut head } = recorded_name(view, hash)?;
     if head.ending.is_empty() {
         return None;
     }
     let mut writes = Writes::default();
-    let at_once = view.settings.state.txn_ops - 1;
+    let at_most = view.settings.state.txn_ops - 1;
     let open: Vec<JobId> = head.ending.iter().filter(|id| is_open(view, id)).cloned().collect();
-    head.ending = writes.cancel_some(view, open, at_once);
+    head.ending = writes.cancel_some(view, open, at_most);
     writes.put(hash.key(), revision, head.to_value());
     Some(writes)
 }
@@ -243,23 +339,23 @@
 
 /// Removes the oldest version's record beyond those that are kept.
 pub fn tidy(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
-    let (revision, head) = head_of(view, hash)?;
+    let RecordedName { revision, head } = recorded_name(view, hash)?;
     let from = hash.versions_from();
     let (key, old, _) = view.records.iter_from(&from).next().filter(|(key, ..)| key.starts_with(&from))?;
     let version: u64 = key.rsplit('/').next()?.parse().ok()?;
-    let rolls_from = head.roll.as_ref().is_some_and(|r| r.from == version);
+    let rolls_from = head.roll.as_ref().is_some_and(|rollout| rollout.from == version);
     if version + VERSIONS_KEPT >= head.version || rolls_from {
         return None;
     }
     let key = key.to_string();
     Some(Writes {
-        // As it was looked at: a roll that goes back could need it by now.
+        // Conditional on the name's record: a rollout that is reverted meanwhile needs the version.
         conditions: vec![(hash.key(), revision), (key.clone(), old)],
         changes: vec![Change::Delete { key }],
     })
 }
 
-/// How a roll goes on, as the leader decided.
+/// The next step of a rollout, as the leader decided: the new record, and a native job that is cancelled.
 pub fn write_roll(view: &View<'_>, revision: Revision, head: &Head, cancel: Option<&JobId>) -> Writes {
     let mut writes = Writes::default();
     if let Some(id) = cancel {
@@ -269,8 +365,8 @@
     writes
 }
 
-/// Goes back to the version before a roll that has failed: its parts that are still there go on, those that
-/// have gone come anew, and what the failed version has is rolled away.
+/// Reverts a failed rollout to the version `before`: parts of it that are still there go on, missing ones are made
+/// anew, and those of the failed version are replaced. None if that is impossible, or too large for one transaction.
 pub fn revert(view: &View<'_>, revision: Revision, failed: &Head, before: &Job, salt: u64) -> Option<Writes> {
     let roll = failed.roll.as_ref()?;
     let hash = failed.hash();
@@ -280,41 +376,28 @@
     let mut writes = Writes::default();
     let mut groups = Vec::new();
     for group in &before.groups {
-        let mut parts: Vec<Part> =
-            roll.olds.iter().filter(|o| o.group == group.name).map(|o| o.part.clone()).collect();
-        let there: u32 = parts.iter().map(|p| p.tasks).sum();
-        let missing = group.spec.tasks.saturating_sub(there);
+        let remaining = roll.olds.iter().filter(|old| old.group == group.name);
+        let mut parts: Vec<Part> = remaining.map(|old| old.part.clone()).collect();
+        let present: u32 = parts.iter().map(|part| part.tasks).sum();
+        let missing = group.spec.tasks.saturating_sub(present);
         if missing > 0 {
             let id = part_id(&hash, version, &group.name, parts.len(), salt);
-            let mut spec = group.spec.clone();
-            spec.tasks = missing;
-            let value = Record::Open(view.admission.open(&spec)).to_value();
-            writes.put(jobs::key(&id), Revision(0), value);
+            writes.put(jobs::key(&id), ABSENT, open_record(view, group, missing));
             parts.push(Part { id, tasks: missing });
         }
         let update = Some(group.update);
         groups.push(GroupRecord { name: group.name.clone(), task: group.task.clone(), parts, update });
     }
-    let mut olds = Vec::new();
-    for group in &failed.groups {
-        olds.extend(group.parts.iter().map(|p| Old { group: group.name.clone(), part: p.clone() }));
-    }
     let head = Head {
         version,
         digest: record.digest.clone(),
         submitted_ms: view.wall_time.0,
         groups,
-        roll: Some(Rollout {
-            from: failed.version,
-            olds,
-            gone: Vec::new(),
-            progressed_ms: view.wall_time.0,
-            kept: false,
-        }),
+        roll: Some(new_rollout(view, failed.version, current_parts(failed).collect())),
         ended: Some(Ended::Reverted),
         ..failed.clone()
     };
     writes.put(hash.key(), revision, head.to_value());
-    writes.put(hash.version_key(version), Revision(0), record.to_value());
+    writes.put(hash.version_key(version), ABSENT, record.to_value());
     (writes.changes.len() <= view.settings.state.txn_ops).then_some(writes)
 }
