--- a/crates/nomad/src/hcl/functions/collections.rs
+++ b/crates/nomad/src/hcl/functions/collections.rs
@@ -2,7 +2,7 @@
 
 use super::Result;
 use super::arguments::{list, map, text, texts, whole};
-use crate::hcl::eval::Scope;
+use crate::hcl::scope::Scope;
 use crate::tree::Value;
 
 /// `distinct` charges its comparisons as bytes: each element against at most so many others.
@@ -19,6 +19,7 @@
     Ok(Value::Whole(length as i64))
 }
 
+/// One list of several.
 pub fn concat(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let mut out = Vec::new();
     for argument in arguments {
@@ -64,6 +65,7 @@
     found.or(arguments.get(2)).cloned().ok_or_else(|| format!("there is no `{key}`, and no default"))
 }
 
+/// Whether a list has an element.
 pub fn contains(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Bool(list(&arguments[0])?.contains(&arguments[1])))
 }
@@ -113,6 +115,7 @@
     }
 }
 
+/// A list's elements, the last first.
 pub fn reverse(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::List(list(&arguments[0])?.iter().rev().cloned().collect()))
 }
--- a/crates/nomad/src/hcl/functions/conversions.rs
+++ b/crates/nomad/src/hcl/functions/conversions.rs
@@ -3,9 +3,10 @@
 use super::Result;
 use super::arguments::{list, map, number, text};
 use super::numbers::value_of;
-use crate::hcl::eval::Scope;
+use crate::hcl::scope::Scope;
 use crate::tree::Value;
 
+/// A string, number or bool as a string.
 pub fn to_string(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Text(text(&arguments[0])?))
 }
@@ -20,6 +21,7 @@
     value_of(number(&arguments[0])?)
 }
 
+/// A bool, or a string that says `true` or `false`.
 pub fn to_bool(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     match text(&arguments[0])?.as_str() {
         "true" => Ok(Value::Bool(true)),
@@ -33,14 +35,17 @@
     Ok(Value::List(list(&arguments[0])?.to_vec()))
 }
 
+/// The map itself.
 pub fn to_map(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Map(map(&arguments[0])?.to_vec()))
 }
 
+/// A value as JSON.
 pub fn json_encode(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Text(arguments[0].to_json().to_string()))
 }
 
+/// The value that JSON stands for.
 pub fn json_decode(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let json = serde_json::from_str(&text(&arguments[0])?).map_err(|error| error.to_string())?;
     Ok(Value::from_json(&json))
--- a/crates/nomad/src/hcl/functions/format.rs
+++ b/crates/nomad/src/hcl/functions/format.rs
@@ -2,7 +2,7 @@
 
 use super::Result;
 use super::arguments::{number, text, whole};
-use crate::hcl::eval::Scope;
+use crate::hcl::scope::Scope;
 use crate::tree::Value;
 use std::iter::Peekable;
 use std::str::Chars;
--- a/crates/nomad/src/hcl/functions/mod.rs
+++ b/crates/nomad/src/hcl/functions/mod.rs
@@ -10,7 +10,7 @@
 mod numbers;
 mod strings;
 
-use super::eval::Scope;
+use super::scope::Scope;
 use crate::tree::Value;
 
 /// The largest number of elements that one call may make.
--- a/crates/nomad/src/hcl/functions/numbers.rs
+++ b/crates/nomad/src/hcl/functions/numbers.rs
@@ -2,7 +2,7 @@
 
 use super::arguments::{number, whole};
 use super::{MAX_ELEMENTS, Result};
-use crate::hcl::eval::Scope;
+use crate::hcl::scope::Scope;
 use crate::tree::Value;
 
 /// 2^53: whole numbers below it are exact as `f64`.
@@ -46,10 +46,12 @@
     Ok(Value::List(out))
 }
 
+/// The smallest argument.
 pub fn min(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     reduce(arguments, f64::min)
 }
 
+/// The largest argument.
 pub fn max(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     reduce(arguments, f64::max)
 }
@@ -59,14 +61,17 @@
     value_of(numbers.into_iter().reduce(pick).unwrap_or(0.0))
 }
 
+/// The least whole number not below the argument.
 pub fn ceil(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     value_of(number(&arguments[0])?.ceil())
 }
 
+/// The greatest whole number not above the argument.
 pub fn floor(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     value_of(number(&arguments[0])?.floor())
 }
 
+/// The argument without its sign.
 pub fn abs(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     value_of(number(&arguments[0])?.abs())
 }
--- a/crates/nomad/src/hcl/functions/strings.rs
+++ b/crates/nomad/src/hcl/functions/strings.rs
@@ -2,13 +2,15 @@
 
 use super::arguments::{text, texts, whole};
 use super::{MAX_ELEMENTS, Result};
-use crate::hcl::eval::Scope;
+use crate::hcl::scope::Scope;
 use crate::tree::Value;
 
+/// In upper case.
 pub fn upper(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Text(text(&arguments[0])?.to_uppercase()))
 }
 
+/// In lower case.
 pub fn lower(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Text(text(&arguments[0])?.to_lowercase()))
 }
@@ -38,6 +40,7 @@
     Ok(Value::Whole(text(&arguments[0])?.chars().count() as i64))
 }
 
+/// Without white space at either end.
 pub fn trimspace(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     Ok(Value::Text(text(&arguments[0])?.trim().into()))
 }
@@ -49,28 +52,33 @@
     Ok(Value::Text(whole_text.trim_matches(|letter| trimmed.contains(letter)).into()))
 }
 
+/// Without a prefix, if it is there.
 pub fn trimprefix(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let whole_text = text(&arguments[0])?;
     let prefix = text(&arguments[1])?;
     Ok(Value::Text(whole_text.strip_prefix(&prefix).unwrap_or(&whole_text).into()))
 }
 
+/// Without a suffix, if it is there.
 pub fn trimsuffix(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let whole_text = text(&arguments[0])?;
     let suffix = text(&arguments[1])?;
     Ok(Value::Text(whole_text.strip_suffix(&suffix).unwrap_or(&whole_text).into()))
 }
 
+/// Whether a string begins with another.
 pub fn startswith(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let whole_text = text(&arguments[0])?;
     Ok(Value::Bool(whole_text.starts_with(&text(&arguments[1])?)))
 }
 
+/// Whether a string ends with another.
 pub fn endswith(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let whole_text = text(&arguments[0])?;
     Ok(Value::Bool(whole_text.ends_with(&text(&arguments[1])?)))
 }
 
+/// Whether a string holds another.
 pub fn strcontains(arguments: &[Value], _: &mut Scope) -> Result<Value> {
     let whole_text = text(&arguments[0])?;
     Ok(Value::Bool(whole_text.contains(&text(&arguments[1])?)))
--- a/crates/nomad/src/hcl/mod.rs
+++ b/crates/nomad/src/hcl/mod.rs
@@ -6,16 +6,21 @@
 
 mod eval;
 mod functions;
+mod loops;
+mod operators;
+mod scope;
+mod templates;
+mod traversal;
 mod variables;
 
-pub use eval::Budget;
+pub use scope::Budget;
 pub use variables::{Assignment, read_assignments};
 
 use crate::fault::{Fault, Faults, Pos};
 use crate::tree::{Block, Entry, Item, Value};
-use eval::Scope;
 use hcl_edit::Span;
 use hcl_edit::structure::{Block as HclBlock, Body, Structure};
+use scope::{Scope, items};
 use std::ops::Range;
 
 /// Bytes of a job file.
@@ -162,12 +167,12 @@
         Some(name) => name.trim().to_string(),
         None => key.clone(),
     };
-    let items = match scope.eval(&each.value).and_then(|v| eval::items(v, each.value.span())) {
+    let items = match scope.eval(&each.value).and_then(|value| items(value, each.value.span())) {
         Ok(items) => items,
         Err(error) => return faults.add(places.at(error.span.or_else(|| each.span())), &path, error.reason),
     };
-    for (k, v) in items {
-        let each = Value::Map(vec![("key".into(), k), ("value".into(), v)]);
+    for item in items {
+        let each = Value::Map(vec![("key".into(), item.key), ("value".into(), item.value)]);
         scope.push(&iterator, each);
         let label = b.body.get_attribute("labels").map(|a| scope.eval(&a.value));
         let mut made = block(content, &path, places, scope, faults);
--- a/crates/nomad/src/hcl/variables.rs
+++ b/crates/nomad/src/hcl/variables.rs
@@ -1,6 +1,6 @@
 //! `variable` and `locals`, and what is assigned from outside.
 
-use super::eval::{Budget, Scope};
+use super::scope::{Budget, Scope};
 use super::{Places, parse};
 use crate::fault::{Fault, Faults, Pos};
 use crate::tree::Value;
@@ -12,6 +12,7 @@
 /// A variable's value from the command line or the API.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Assignment {
+    /// The variable.
     pub name: String,
     /// As typed (`-var k=v`): a string, or an expression where the variable's type is not a string.
     /// Else evaluated already, from a file.
