--- a/crates/nomad/benches/rollouts.rs
+++ b/crates/nomad/benches/rollouts.rs
@@ -1,5 +1,5 @@
 //! An hour of rolls in the seeded world: what they write, against the state service's rate of changes and
-//! against the same changes of version made natively (submit the new, withdraw the old).
+//! against the same changes of version made natively (submit the new, cancel the old).
 //! `cargo bench -p pearford-nomad --bench rollouts`
 
 use pearford_nomad::api::NomadApi;
--- a/crates/nomad/src/api/answers.rs
+++ b/crates/nomad/src/api/answers.rs
@@ -1,4 +1,4 @@
-//! What the API says of names, versions, tasks: from the copies of the records that every node has.
+//! What answers say of names, versions and tasks, from the copies of the records that every node has.
 
 use super::ids;
 use super::names::{Ended, Head, Part, VersionRecord};
@@ -10,28 +10,33 @@
 /// How many tasks of something are where.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Counts {
+    /// All tasks.
     pub tasks: u32,
+    /// Done.
     pub done: u32,
+    /// Running.
     pub running: u32,
-    /// Withdrawn before they were done.
+    /// Cancelled before they were done.
     pub stopped: u32,
 }
 
 impl Counts {
+    /// Neither running nor finished.
     pub fn waiting(&self) -> u32 {
         self.tasks.saturating_sub(self.done + self.running + self.stopped)
     }
 
-    fn plus(self, o: Counts) -> Counts {
+    fn plus(self, other: Counts) -> Counts {
         Counts {
-            tasks: self.tasks + o.tasks,
-            done: self.done + o.done,
-            running: self.running + o.running,
-            stopped: self.stopped + o.stopped,
+            tasks: self.tasks + other.tasks,
+            done: self.done + other.done,
+            running: self.running + other.running,
+            stopped: self.stopped + other.stopped,
         }
     }
 }
 
+/// Of a native job.
 pub fn counts_of(view: &View<'_>, part: &Part) -> Counts {
     let TaskCounts { done, running } = view.task_counts(&part.id).unwrap_or_default();
     let tasks = part.tasks;
@@ -45,54 +50,61 @@
     }
 }
 
+/// Of a job, or of one of its groups by its index.
 pub fn counts(view: &View<'_>, head: &Head, group: Option<usize>) -> Counts {
-    let groups = head.groups.iter().enumerate().filter(|(i, _)| group.is_none_or(|g| g == *i));
-    let parts = groups.flat_map(|(_, g)| &g.parts);
-    parts.map(|p| counts_of(view, p)).fold(Counts::default(), Counts::plus)
+    let groups = head.groups.iter().enumerate().filter(|(index, _)| group.is_none_or(|only| only == *index));
+    let parts = groups.flat_map(|(_, group)| &group.parts);
+    parts.map(|part| counts_of(view, part)).fold(Counts::default(), Counts::plus)
 }
 
 /// `pending`, `running` or `dead`.
 pub fn status(view: &View<'_>, head: &Head) -> &'static str {
-    let c = counts(view, head, None);
-    let over = head.parts().all(|p| view.jobs.terminal_status(&p.id).is_some());
-    match () {
-        () if head.stopped || over => "dead",
-        () if c.running > 0 => "running",
-        () => "pending",
+    let finished = head.parts().all(|part| view.jobs.terminal_status(&part.id).is_some());
+    if head.stopped || finished {
+        "dead"
+    } else if counts(view, head, None).running > 0 {
+        "running"
+    } else {
+        "pending"
     }
 }
 
 fn description(view: &View<'_>, head: &Head) -> String {
-    let c = counts(view, head, None);
-    match () {
-        () if head.stopped && c.done == c.tasks => "done, then stopped".into(),
-        () if head.stopped => "stopped".into(),
-        () if c.done == c.tasks => "done".into(),
-        () if c.stopped > 0 => "withdrawn through pearford's own API".into(),
-        () => match &head.roll {
-            Some(roll) if roll.kept => {
-                format!("the roll from version {} has failed; kept as it stands", roll.from)
-            }
-            Some(roll) => format!("on the way from version {}", roll.from),
-            None => String::new(),
-        },
+    let counts = counts(view, head, None);
+    let done = counts.done == counts.tasks;
+    if head.stopped {
+        return if done { "done, then stopped".into() } else { "stopped".into() };
+    }
+    if done {
+        return "done".into();
+    }
+    if counts.stopped > 0 {
+        return "withdrawn through pearford's own API".into();
+    }
+    match &head.roll {
+        Some(roll) if roll.kept => {
+            format!("the roll from version {} has failed; kept as it stands", roll.from)
+        }
+        Some(roll) => format!("on the way from version {}", roll.from),
+        None => String::new(),
     }
 }
 
-/// Revision of the newest record that it is told by: never falls, as names' records are never removed.
+/// The largest revision of the records that a job is answered from: never falls, as names' records are never removed.
 pub fn index(view: &View<'_>, head: &Head) -> u64 {
     let own = view.records.get(&head.hash().key()).map_or(0, |(revision, _)| revision.0);
-    let jobs = head.parts().filter_map(|p| view.jobs.get(&p.id)).map(|k| k.revision.0);
+    let jobs = head.parts().filter_map(|part| view.jobs.get(&part.id)).map(|known| known.revision.0);
     jobs.chain([own, 1]).max().unwrap_or(1)
 }
 
+/// Counts by group, as Nomad's job summary.
 pub fn summary(view: &View<'_>, head: &Head) -> Value {
-    let of = |c: Counts| {
-        json!({"Queued": c.waiting(), "Starting": 0, "Running": c.running, "Complete": c.done + c.stopped,
+    let of = |counts: Counts| {
+        json!({"Queued": counts.waiting(), "Starting": 0, "Running": counts.running, "Complete": counts.done + counts.stopped,
             "Failed": 0, "Lost": 0, "Unknown": 0})
     };
-    let groups =
-        head.groups.iter().enumerate().map(|(i, g)| (g.name.clone(), of(counts(view, head, Some(i)))));
+    let groups = head.groups.iter().enumerate();
+    let groups = groups.map(|(index, group)| (group.name.clone(), of(counts(view, head, Some(index)))));
     json!({"JobID": head.name, "Namespace": head.namespace,
         "Summary": Value::Object(groups.collect()), "Children": {"Pending": 0, "Running": 0, "Dead": 0},
         "CreateIndex": created(view, head), "ModifyIndex": index(view, head)})
@@ -107,6 +119,7 @@
     if head.service { "service" } else { "batch" }
 }
 
+/// A job in the short form of lists.
 pub fn stub(view: &View<'_>, head: &Head) -> Value {
     json!({"ID": head.name, "Name": head.name, "Namespace": head.namespace, "ParentID": "", "Type": kind(head),
         "Priority": head.priority, "Periodic": false, "ParameterizedJob": false, "Stop": head.stopped,
@@ -143,63 +156,79 @@
     Some(job)
 }
 
+/// The newest version as it was registered, with what the server adds.
 pub fn job(view: &View<'_>, head: &Head) -> Option<Value> {
     version_job(view, head, head.version)
 }
 
+/// The versions whose records are kept, the newest first.
 pub fn versions(view: &View<'_>, head: &Head) -> Value {
     let from = head.hash().versions_from();
     let known = view.records.iter_from(&from).take_while(|(key, ..)| key.starts_with(&from));
     let numbers = known.filter_map(|(key, ..)| key.rsplit('/').next()?.parse::<u64>().ok());
-    let mut jobs: Vec<Value> = numbers.filter_map(|v| version_job(view, head, v)).collect();
+    let mut jobs: Vec<Value> = numbers.filter_map(|version| version_job(view, head, version)).collect();
     jobs.reverse();
     json!({"Versions": jobs, "Diffs": null})
 }
 
-/// The k-th task of a group by its progress: those done come first, then those that run.
-pub fn allocation(view: &View<'_>, head: &Head, group: usize, k: u32) -> Option<Value> {
-    let g = head.groups.get(group)?;
-    let c = counts(view, head, Some(group));
-    if k >= g.tasks() {
+/// What Nomad says of an allocation's progress.
+struct AllocationStatus {
+    client: &'static str,
+    desired: &'static str,
+    description: &'static str,
+    task_state: &'static str,
+}
+
+/// The status of a task of a group by its place in order of progress: those done come first, then those that run.
+fn allocation_status(head: &Head, counts: Counts, task: u32) -> AllocationStatus {
+    let desired = if head.stopped { "stop" } else { "run" };
+    let running_end = counts.done + counts.running;
+    if task < counts.done {
+        AllocationStatus { client: "complete", desired: "run", description: "done", task_state: "dead" }
+    } else if task < running_end {
+        AllocationStatus { client: "running", desired, description: "runs", task_state: "running" }
+    } else if task < running_end + counts.stopped {
+        AllocationStatus { client: "complete", desired: "stop", description: "stopped", task_state: "dead" }
+    } else {
+        let description = "waits, or fetches its image";
+        AllocationStatus { client: "pending", desired, description, task_state: "pending" }
+    }
+}
+
+/// A task of a group by its place in order of progress; none if the group has fewer.
+pub fn allocation(view: &View<'_>, head: &Head, group_index: usize, task: u32) -> Option<Value> {
+    let group = head.groups.get(group_index)?;
+    if task >= group.tasks() {
         return None;
     }
-    let (client, desired, what) = match k {
-        k if k < c.done => ("complete", "run", "done"),
-        k if k < c.done + c.running => ("running", if head.stopped { "stop" } else { "run" }, "runs"),
-        k if k < c.done + c.running + c.stopped => ("complete", "stop", "stopped"),
-        _ => ("pending", if head.stopped { "stop" } else { "run" }, "waits, or fetches its image"),
-    };
+    let status = allocation_status(head, counts(view, head, Some(group_index)), task);
     let hash = head.hash();
-    let state = match client {
-        "pending" => "pending",
-        "running" => "running",
-        _ => "dead",
-    };
     Some(
-        json!({"ID": ids::of_task(&hash, head.version, group, k), "Name": format!("{}.{}[{k}]", head.name, g.name),
+        json!({"ID": ids::of_task(&hash, head.version, group_index, task), "Name": format!("{}.{}[{task}]", head.name, group.name),
         "Namespace": head.namespace, "EvalID": ids::of_version(&hash, head.version), "NodeID": "", "NodeName": "",
-        "JobID": head.name, "JobType": kind(head), "JobVersion": head.version, "TaskGroup": g.name,
-        "DesiredStatus": desired, "DesiredDescription": "", "ClientStatus": client, "ClientDescription": what,
+        "JobID": head.name, "JobType": kind(head), "JobVersion": head.version, "TaskGroup": group.name,
+        "DesiredStatus": status.desired, "DesiredDescription": "", "ClientStatus": status.client,
+        "ClientDescription": status.description,
         "DeploymentStatus": null, "FollowupEvalID": "", "RescheduleTracker": null,
-        "TaskStates": {g.task.as_str(): {"State": state, "Failed": false, "Restarts": 0, "Events": []}},
+        "TaskStates": {group.task.as_str(): {"State": status.task_state, "Failed": false, "Restarts": 0, "Events": []}},
         "CreateIndex": created(view, head), "ModifyIndex": index(view, head),
         "CreateTime": head.submitted_ms * 1_000_000, "ModifyTime": head.submitted_ms * 1_000_000}),
     )
 }
 
-/// Places of all allocations of a job.
+/// All allocations of a job: the index of the group, and the place in it.
 pub fn places(head: &Head) -> impl Iterator<Item = (usize, u32)> + '_ {
-    head.groups.iter().enumerate().flat_map(|(g, group)| (0..group.tasks()).map(move |k| (g, k)))
+    let groups = head.groups.iter().enumerate();
+    groups.flat_map(|(index, group)| (0..group.tasks()).map(move |task| (index, task)))
 }
 
+/// The one evaluation of the newest version.
 pub fn evaluation(view: &View<'_>, head: &Head) -> Value {
-    let c = counts(view, head, None);
-    let queued: serde_json::Map<String, Value> = head
-        .groups
-        .iter()
-        .enumerate()
-        .map(|(i, g)| (g.name.clone(), counts(view, head, Some(i)).waiting().into()))
-        .collect();
+    let waiting = counts(view, head, None).waiting();
+    let mut queued = serde_json::Map::new();
+    for (index, group) in head.groups.iter().enumerate() {
+        queued.insert(group.name.clone(), counts(view, head, Some(index)).waiting().into());
+    }
     let hash = head.hash();
     json!({"ID": ids::of_version(&hash, head.version), "Namespace": head.namespace, "Priority": head.priority,
         "Type": kind(head), "TriggeredBy": if head.stopped { "job-deregister" } else { "job-register" },
@@ -209,10 +238,10 @@
         "BlockedEval": "", "FailedTGAllocs": null, "QueuedAllocations": queued,
         "AnnotatePlan": false, "SnapshotIndex": index(view, head), "CreateIndex": created(view, head),
         "ModifyIndex": index(view, head), "CreateTime": head.submitted_ms * 1_000_000,
-        "ModifyTime": head.submitted_ms * 1_000_000, "Waiting": c.waiting()})
+        "ModifyTime": head.submitted_ms * 1_000_000, "Waiting": waiting})
 }
 
-/// A service's way to its newest version.
+/// A service's rollout to its newest version, under way or finished; none for a batch job.
 pub fn deployment(view: &View<'_>, head: &Head) -> Option<Value> {
     if !head.service {
         return None;
@@ -228,14 +257,14 @@
         (None, _) => ("successful", "the version runs alone"),
     };
     let hash = head.hash();
-    let groups = head.groups.iter().enumerate().map(|(i, g)| {
-        let c = counts(view, head, Some(i));
-        let update = g.update.unwrap_or_default();
+    let groups = head.groups.iter().enumerate().map(|(index, group)| {
+        let counts = counts(view, head, Some(index));
+        let update = group.update.unwrap_or_default();
         let state = json!({"AutoRevert": update.auto_revert, "AutoPromote": false, "Promoted": false,
-            "PlacedCanaries": null, "DesiredCanaries": 0, "DesiredTotal": c.tasks, "PlacedAllocs": c.running,
-            "HealthyAllocs": c.running, "UnhealthyAllocs": 0, "ProgressDeadline": update.progress_deadline.0 * 1_000_000,
+            "PlacedCanaries": null, "DesiredCanaries": 0, "DesiredTotal": counts.tasks, "PlacedAllocs": counts.running,
+            "HealthyAllocs": counts.running, "UnhealthyAllocs": 0, "ProgressDeadline": update.progress_deadline.0 * 1_000_000,
             "RequireProgressBy": null});
-        (g.name.clone(), state)
+        (group.name.clone(), state)
     });
     Some(json!({"ID": ids::of_version(&hash, head.version), "Namespace": head.namespace, "JobID": head.name,
         "JobVersion": head.version, "JobModifyIndex": modify_index(view, head), "JobSpecModifyIndex": modify_index(view, head),
--- a/crates/nomad/src/api/guards.rs
+++ b/crates/nomad/src/api/guards.rs
@@ -1,12 +1,14 @@
-//! Guards that tests take out, to prove that what checks them can fail. Outside of tests all are in.
+//! Guarantees that tests can disable, to prove that the checks of them can fail (as in mutation testing). Outside of
+//! tests all hold.
 
+/// A guarantee of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
     /// A file that is registered already makes no new version.
     Repeat,
-    /// An answer is as of a read begun after the question.
+    /// An answer is as of a read begun after the request.
     FreshRead,
-    /// A stop withdraws the native jobs.
+    /// A stop cancels the native jobs.
     Cancellation,
     /// An old part goes only once new replicas are healthy in its place.
     HealthyFirst,
@@ -17,7 +19,7 @@
     static OUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Whether the guard is in its place.
+/// Whether the guarantee holds: always, but in tests that disable it.
 #[cfg(test)]
 pub fn holds(guard: Guard) -> bool {
     OUT.get() != Some(guard)
@@ -28,7 +30,7 @@
     true
 }
 
-/// Does something with a guard taken out.
+/// Does something with a guarantee disabled.
 #[cfg(test)]
 pub fn without<T>(guard: Guard, what: impl FnOnce() -> T) -> T {
     OUT.set(Some(guard));
--- a/crates/nomad/src/api/maintenance.rs
+++ b/crates/nomad/src/api/maintenance.rs
@@ -1,9 +1,10 @@
-//! What the leader does for names beside requests: rolls, what is left to withdraw, old versions. One
-//! commit at a time, from what the node has to spare.
+//! What the leader does for names beside requests: rollouts, native jobs left to cancel, old versions. One commit at a
+//! time, from what the node has to spare.
 
 use super::names::{Ended, Head, NameHash, VersionRecord};
 use super::rollouts::{self, Facts, Health, Step};
-use super::versions::{self, VERSIONS_KEPT, Writes};
+use super::versions::{self, VERSIONS_KEPT};
+use super::writes::Writes;
 use crate::decode;
 use crate::fault::Faults;
 use crate::translate::{Context, Job, translate};
@@ -11,19 +12,21 @@
 use pearford_scheduler::types::{Duration, FencingToken, MonotonicTime, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 
-const EVERY: Duration = Duration::from_millis(500);
-/// After a commit that came to nothing.
+/// Time between commits, at least.
+const INTERVAL: Duration = Duration::from_millis(500);
+/// Time until the next commit after one that failed.
 const PAUSE: Duration = Duration::from_millis(1000);
-/// Names looked at for a roll in one step.
-const ROLLS_AT_ONCE: usize = 64;
+/// Names considered in one step.
+const MAX_NAMES_PER_STEP: usize = 64;
 
+/// The leader's maintenance; on other nodes it only keeps up with the records.
 #[derive(Debug, Default)]
 pub struct Maintenance {
-    /// Names with a roll, or with native jobs left to withdraw.
+    /// Names with a rollout, or with native jobs left to cancel.
     active: BTreeSet<NameHash>,
     /// Names with versions beyond those that are kept.
     untidy: BTreeSet<NameHash>,
-    /// Where the next look at the active ones begins.
+    /// The active name considered last: the next step begins after it.
     after: Option<NameHash>,
     health: Health,
     fencing_token: Option<FencingToken>,
@@ -35,6 +38,7 @@
 }
 
 impl Maintenance {
+    /// Takes in a name's record as it is now.
     pub fn record_changed(&mut self, hash: &NameHash, head: &Head) {
         if head.roll.as_ref().is_some_and(|r| !r.kept) || !head.ending.is_empty() {
             self.active.insert(hash.clone());
@@ -46,6 +50,7 @@
         }
     }
 
+    /// Takes in the outcome of a commit.
     pub fn committed(&mut self, tag: u64, outcome: &Outcome, now: MonotonicTime) {
         if self.committing != Some(tag) {
             return;
@@ -77,12 +82,13 @@
         if view.leads.is_none() || self.committing.is_some() || view.now < self.next {
             return None;
         }
-        self.next = view.now + EVERY;
+        self.next = view.now + INTERVAL;
         let from = self.after.take();
         let later = |h: &&NameHash| from.as_ref().is_none_or(|from| *h > from);
-        let mut turn: Vec<NameHash> = self.active.iter().filter(later).take(ROLLS_AT_ONCE).cloned().collect();
-        if turn.len() < ROLLS_AT_ONCE {
-            let more = ROLLS_AT_ONCE - turn.len();
+        let mut turn: Vec<NameHash> =
+            self.active.iter().filter(later).take(MAX_NAMES_PER_STEP).cloned().collect();
+        if turn.len() < MAX_NAMES_PER_STEP {
+            let more = MAX_NAMES_PER_STEP - turn.len();
             turn.extend(self.active.iter().filter(|h| !later(h)).take(more).cloned());
         }
         let mut writes = None;
@@ -195,6 +201,7 @@
         versions::write_roll(view, revision, &next, None)
     }
 
+    /// Adds its metrics.
     pub fn metrics(&self, lines: &mut Vec<String>) {
         lines.push(format!("pearford_nomad_rolls {}", self.active.len()));
         lines.push(format!("pearford_nomad_upkeep_commits {}", self.steps));
--- a/crates/nomad/src/api/mod.rs
+++ b/crates/nomad/src/api/mod.rs
@@ -28,6 +28,7 @@
 mod tests;
 pub mod tokens;
 mod versions;
+mod writes;
 
 use crate::operator::NomadSettings;
 use crate::translate::Context;
--- a/crates/nomad/src/api/names/golden.rs
+++ b/crates/nomad/src/api/names/golden.rs
@@ -98,7 +98,7 @@
 #[test]
 fn golden_records_of_versions() {
     let small = serde_json::json!({"ID": "shop", "TaskGroups": [{"Name": "web"}]});
-    let large = serde_json::json!({"ID": "shop", "Meta": {"note": "x".repeat(2 * PLAIN)}});
+    let large = serde_json::json!({"ID": "shop", "Meta": {"note": "x".repeat(2 * MAX_PLAIN_BYTES)}});
     let key = NameHash::of("red", "shop").version_key(7);
     let mut group = golden_group!("version_records.txt");
     for (name, job) in [("plain", small), ("packed", large)] {
--- a/crates/nomad/src/api/names/tests.rs
+++ b/crates/nomad/src/api/names/tests.rs
@@ -27,6 +27,6 @@
     let record = VersionRecord::new("d", 7, &job);
     assert!(record.to_value().len() < 1000, "{}", record.to_value().len());
     assert_eq!(record.job(), Some(job));
-    let bomb = VersionRecord::new("d", 7, &serde_json::json!("x".repeat(2 * MAX_JOB)));
+    let bomb = VersionRecord::new("d", 7, &serde_json::json!("x".repeat(2 * MAX_JOB_BYTES)));
     assert_eq!(bomb.job(), None);
 }
--- a/crates/nomad/src/api/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -1,9 +1,10 @@
-//! Registrations and stops on their way: decided from the records as they are, committed if they are still
-//! so, and decided anew if not.
+//! Registrations and stops under way: decided from the records as they are, committed on condition that they still
+//! are so, and decided anew if not.
 
 use super::names::{NameHash, PREFIX};
 use super::reply::{Refusal, Reply, respond, send, status};
-use super::versions::{self, Decision, RecordedName, Writes};
+use super::versions::{self, Decision, RecordedName};
+use super::writes::Writes;
 use super::{NomadApi, Waiting, answers, ids};
 use crate::translate::Job;
 use pearford_scheduler::extension::{Action, Outcome, Share, View};
@@ -11,14 +12,30 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// Tries at a commit whose conditions failed.
-const TRIES: u32 = 4;
+/// How often a commit whose conditions failed is tried again.
+const MAX_RETRIES: u32 = 4;
 
-/// A registration or a stop on its way.
+/// A registration or a stop.
 #[derive(Debug, Clone)]
 pub(super) enum Change {
-    Register { job: Box<Job>, json: Box<Value>, enforced_index: Option<u64>, plan: bool },
-    Deregister { hash: NameHash, purge: bool },
+    /// A job is registered.
+    Register {
+        /// The job, translated.
+        job: Box<Job>,
+        /// The job as it was sent.
+        json: Box<Value>,
+        /// The index that the registered job must have, if the client enforces one.
+        enforced_index: Option<u64>,
+        /// Whether the client only wants to know what would be done.
+        plan: bool,
+    },
+    /// A job is stopped.
+    Deregister {
+        /// Its name.
+        hash: NameHash,
+        /// Whether it is to be no longer listed.
+        purge: bool,
+    },
 }
 
 impl Change {
@@ -30,17 +47,21 @@
     }
 }
 
+/// A change under way, and the request that it answers.
 #[derive(Debug)]
 pub(super) struct Write {
     pub(super) request: RequestId,
     change: Change,
+    /// How often it has been tried again.
     tries: u32,
+    /// Part of new native jobs' ids; moves on when one is taken.
     salt: u64,
-    /// Keys that the last try was to make: if one is there, its id is taken.
+    /// Keys that the last commit was to make: if one exists, its id is taken.
     made: BTreeSet<String>,
 }
 
 impl NomadApi {
+    /// Begins a change.
     pub(super) fn write(&mut self, view: &View<'_>, request: RequestId, change: Change) -> Vec<Action> {
         let write = Write { request, change, tries: 0, salt: 0, made: BTreeSet::new() };
         // Setting the keys if absent decides by itself; no read is needed before. A name that this node
@@ -73,6 +94,7 @@
         }
     }
 
+    /// Decides a change from the records, which have just been read, and commits it.
     pub(super) fn decide(&mut self, view: &View<'_>, write: Write) -> Vec<Action> {
         let decision = self.decision(view, &write);
         self.carry_out(view, write, decision)
@@ -101,12 +123,15 @@
         }
     }
 
+    /// The answer to a plan.
     fn planned(&self, view: &View<'_>, hash: &NameHash, same: bool) -> Reply {
         let known = versions::recorded_name(view, hash);
-        let kind = match (&known, same) {
-            (_, true) => "None",
-            (None, _) => "Added",
-            _ => "Edited",
+        let kind = if same {
+            "None"
+        } else if known.is_none() {
+            "Added"
+        } else {
+            "Edited"
         };
         let index = known.map_or(0, |known| versions::modify_index(view, &known.head));
         Reply::json(
@@ -135,16 +160,15 @@
             );
         };
         let index = answers::index(view, &head);
-        let over = answers::status(view, &head) == "dead";
-        let warning = match (registers && same, head.stopped, over) {
-            (true, true, _) => {
-                "this version was stopped and does not run again; change the job, for example its meta pearford_run"
-            }
-            (true, _, true) => {
-                "this version is done and does not run again; change the job, for example its meta pearford_run"
-            }
-            (true, ..) => "this version is registered already",
-            _ => "",
+        let finished = answers::status(view, &head) == "dead";
+        let warning = if !(registers && same) {
+            ""
+        } else if head.stopped {
+            "this version was stopped and does not run again; change the job, for example its meta pearford_run"
+        } else if finished {
+            "this version is done and does not run again; change the job, for example its meta pearford_run"
+        } else {
+            "this version is registered already"
         };
         let id = ids::of_version(&hash, head.version);
         let reply = json!({"EvalID": id, "EvalCreateIndex": index, "JobModifyIndex": versions::modify_index(view, &head),
@@ -152,6 +176,7 @@
         send(write.request, Reply::json(status::OK, Some(index), &reply))
     }
 
+    /// Goes on after a commit: answers, or tries again.
     pub(super) fn committed(&mut self, view: &View<'_>, mut write: Write, outcome: Outcome) -> Vec<Action> {
         match outcome {
             Outcome::Done { .. } => {
@@ -161,10 +186,10 @@
                 }
                 vec![self.saved_reply(view, &write, false)]
             }
-            Outcome::Conflict(failed) if write.tries < TRIES => {
+            Outcome::Conflict(failed) if write.tries < MAX_RETRIES => {
                 write.tries += 1;
                 // An id that was to be new is there: another node's try of the same, or a user's own job.
-                if failed.iter().any(|k| !k.starts_with(PREFIX) && write.made.contains(k)) {
+                if failed.iter().any(|key| !key.starts_with(PREFIX) && write.made.contains(key)) {
                     write.salt += 1;
                 }
                 self.read_records_first(write.request, Waiting::Write(write))
@@ -173,16 +198,16 @@
                 respond(write.request, Reply::error(status::UNAVAILABLE, "the job is changing; come back"))
             }
             Outcome::Malformed => {
-                let why = "the state service does not take the job's records; make the job smaller";
-                respond(write.request, Reply::error(status::UNPROCESSABLE, why))
+                let reason = "the state service does not take the job's records; make the job smaller";
+                respond(write.request, Reply::error(status::UNPROCESSABLE, reason))
             }
             Outcome::NoBudget => respond(
                 write.request,
                 Reply::error(status::TOO_MANY_REQUESTS, "too many registrations at once; come back"),
             ),
             Outcome::Unknown => {
-                let why = "the state service can't be written now; come back: the same request changes nothing twice";
-                respond(write.request, Reply::error(status::UNAVAILABLE, why))
+                let reason = "the state service can't be written now; come back: the same request changes nothing twice";
+                respond(write.request, Reply::error(status::UNAVAILABLE, reason))
             }
         }
     }
--- a/crates/nomad/src/api/rollouts.rs
+++ b/crates/nomad/src/api/rollouts.rs
@@ -11,11 +11,12 @@
 
 /// How long the limit must have been in the way before an old part goes first: what was just placed or
 /// stopped takes a while to show.
-const PATIENCE: Duration = Duration::from_millis(4000);
+const QUOTA_SETTLING_TIME: Duration = Duration::from_millis(4000);
 
 /// What the leader sees of a new part.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Seen {
+    /// Tasks that run.
     pub running: u32,
     /// Tasks without a machine.
     pub waiting: u32,
@@ -23,7 +24,9 @@
     pub healthy: bool,
 }
 
+/// What a step is decided from.
 pub struct Facts<'a> {
+    /// Parts of the new version.
     pub parts: &'a BTreeMap<JobId, Seen>,
     /// Whether another task of the group fits its team's limit.
     pub fits: &'a dyn Fn(&str) -> bool,
@@ -31,18 +34,24 @@
     pub open: &'a dyn Fn(&JobId) -> bool,
     /// How long nothing has changed that this leader has seen.
     pub unchanged: Duration,
+    /// Time of day, in ms.
     pub wall_ms: u64,
 }
 
+/// The next step of a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
+    /// Nothing to do yet.
     Wait,
     /// This old part goes; it has gone already if it isn't open any more.
     Cancel(JobId),
+    /// The new version runs alone.
     Finish,
+    /// No progress within the deadline.
     Fail,
 }
 
+/// Decides the next step.
 pub fn next(head: &Head, roll: &Rollout, facts: &Facts<'_>) -> Step {
     if roll.kept {
         return Step::Wait;
@@ -69,7 +78,7 @@
         let waits = group.parts.iter().any(|p| seen(&p.id).waiting > 0);
         let coming = group.parts.iter().any(|p| seen(&p.id).running + seen(&p.id).waiting < p.tasks);
         let min_healthy = group.update.unwrap_or_default().min_healthy;
-        let settled = facts.unchanged.0 >= PATIENCE.0 + min_healthy.0;
+        let settled = facts.unchanged.0 >= QUOTA_SETTLING_TIME.0 + min_healthy.0;
         if waits && !coming && settled && !(facts.fits)(&group.name) {
             return Step::Cancel(old.part.id.clone());
         }
@@ -140,10 +149,12 @@
         self.changed_at.get(name).map_or(Duration::from_millis(0), |at| now.since(*at))
     }
 
+    /// Takes in that something has changed under a name.
     pub fn touched(&mut self, name: &str, now: MonotonicTime) {
         self.changed_at.insert(name.into(), now);
     }
 
+    /// Forgets a name.
     pub fn forget(&mut self, name: &str, head: &Head) {
         self.changed_at.remove(name);
         for part in head.parts() {
@@ -152,6 +163,7 @@
         }
     }
 
+    /// Forgets everything.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever comes to the door: an answer, and nothing broken.
+//! Whatever a client sends is answered, and breaks nothing.
 
 use super::{api, call, job};
 use arbtest::arbtest;
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Machines as the door lists them: what the ledger has durably, at any node.
+//! Machines as the API lists them: what assignment records hold durably, at any node.
 
 use super::{api, call, job};
 use crate::api::endpoints::Endpoint;
--- a/crates/nomad/src/api/tests/mod.rs
+++ b/crates/nomad/src/api/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The door in the seeded world of the core.
+//! The API in the core's seeded simulation.
 
 mod golden;
 mod histories;
--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -1,4 +1,4 @@
-//! The same seeds with jobs submitted natively and through the door: the same tasks start on the same
+//! The same seeds with jobs submitted natively and through the API: the same tasks start on the same
 //! machines at the same times.
 
 use super::{api, call};
@@ -76,14 +76,14 @@
     seed: u64,
     through_api: bool,
     troubled: bool,
-    spoil: fn(&mut Value),
+    change: fn(&mut Value),
 ) -> Vec<(u64, String, MachineId)> {
     let mut w = Simulation::new(seed).with_feature(api);
     if troubled {
         troubles(&mut w);
     }
     let mut jobs = jobs(seed);
-    jobs.iter_mut().for_each(|j| spoil(&mut j.nomad));
+    jobs.iter_mut().for_each(|j| change(&mut j.nomad));
     let mut next: Vec<Option<u64>> = jobs.iter().map(|j| Some(j.at)).collect();
     let mut tries = vec![0usize; jobs.len()];
     for now in (0..DAY_ENDS).step_by(50) {
@@ -124,7 +124,7 @@
     let first = native.iter().zip(&nomad).position(|(a, b)| a != b);
     assert!(
         native == nomad,
-        "seed {seed}: {} starts natively, {} through the door; first apart: {:?}",
+        "seed {seed}: {} starts natively, {} through the API; first apart: {:?}",
         native.len(),
         nomad.len(),
         first.map(|i| (&native[i], &nomad[i]))
--- a/crates/nomad/src/api/tokens.rs
+++ b/crates/nomad/src/api/tokens.rs
@@ -19,6 +19,7 @@
     pub write: bool,
 }
 
+/// The tokens that are known, by their hashes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tokens {
     known: Vec<([u8; 32], Token)>,
@@ -29,6 +30,7 @@
 pub enum Caller<'a> {
     /// No tokens are configured: everybody on this machine may do everything.
     Anybody,
+    /// The holder of a token.
     Holder(&'a Token),
 }
 
@@ -51,6 +53,7 @@
         if faults.is_empty() { Ok(Self { known }) } else { Err(faults) }
     }
 
+    /// Whether no tokens are configured.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
@@ -83,6 +86,7 @@
 }
 
 impl Caller<'_> {
+    /// Whether it may read a namespace; `*` is all.
     pub fn may_read(&self, namespace: &str) -> bool {
         match self {
             Caller::Anybody => true,
@@ -90,6 +94,7 @@
         }
     }
 
+    /// Whether it may register and stop jobs in a namespace.
     pub fn may_write(&self, namespace: &str) -> bool {
         match self {
             Caller::Anybody => true,
--- a/crates/nomad/src/api/versions.rs
+++ b/crates/nomad/src/api/versions.rs
@@ -6,6 +6,7 @@
 use super::guards::{Guard, holds};
 use super::names::{Ended, GroupRecord, Head, NameHash, Old, Part, Rollout, VersionRecord, part_id, split};
 use super::reply::{Refusal, status};
+use super::writes::Writes;
 use crate::translate::{Group, Job};
 use pearford_scheduler::extension::View;
 use pearford_scheduler::jobs::{self, Record};
@@ -18,39 +19,6 @@
 /// Records of a registration besides its native jobs': the name's and the version's.
 const NAME_RECORDS: usize = 2;
 
-/// A transaction.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct Writes {
-    /// Keys, and the revisions that they must have; 0 for a key that must not exist.
-    pub conditions: Vec<(String, Revision)>,
-    /// What is changed if all conditions hold.
-    pub changes: Vec<Change>,
-}
-
-impl Writes {
-    fn put(&mut self, key: String, revision: Revision, value: String) {
-        self.conditions.push((key.clone(), revision));
-        self.changes.push(Change::Put { key, value, lease: None });
-    }
-
-    /// Cancels a native job that is not finished yet. The transaction fails if the job finishes meanwhile, so that
-    /// neither result overwrites the other.
-    fn cancel(&mut self, view: &View<'_>, id: &JobId) {
-        if holds(Guard::Cancellation)
-            && let Some(known) = view.jobs.get(id).filter(|known| known.record.is_open())
-        {
-            self.put(jobs::key(id), known.revision, Record::Cancelled.to_value());
-        }
-    }
-
-    /// Cancels at most so many native jobs. Returns the others, for [`Head::ending`].
-    fn cancel_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
-        let rest = open.split_off(at_most.min(open.len()));
-        open.iter().for_each(|id| self.cancel(view, id));
-        rest
-    }
-}
-
 /// What a registration or a stop leads to, if it is not refused.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
--- a/crates/nomad/src/fault.rs
+++ b/crates/nomad/src/fault.rs
@@ -5,16 +5,20 @@
 /// A place in a text, from 1; the default where there is none to name.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pos {
+    /// The line.
     pub line: u32,
+    /// The column, in bytes.
     pub column: u32,
 }
 
 /// One thing that is wrong. The reason says what to write instead.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct Fault {
+    /// Where it is.
     pub at: Pos,
     /// The field, from the top: `job.group.task.resources.cores`.
     pub path: String,
+    /// What is wrong, and what to write instead.
     pub reason: String,
 }
 
@@ -34,11 +38,13 @@
     left_out: usize,
 }
 
-const MOST: usize = 100;
+/// The most faults that are kept.
+const MAX_FAULTS: usize = 100;
 
 impl Faults {
+    /// Notes a fault, or only counts it if there are enough.
     pub fn add(&mut self, at: Pos, path: &str, reason: impl Into<String>) {
-        if self.found.len() < MOST {
+        if self.found.len() < MAX_FAULTS {
             self.found.push(Fault { at, path: path.into(), reason: reason.into() });
         } else {
             self.left_out += 1;
@@ -58,6 +64,7 @@
         Err(self.found)
     }
 
+    /// Whether nothing has been found.
     pub fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
--- a/crates/nomad/src/fields.rs
+++ b/crates/nomad/src/fields.rs
@@ -7,11 +7,15 @@
 /// What values a field takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Kind {
+    /// A string.
     Text,
+    /// A whole number.
     Whole,
+    /// True or false.
     Flag,
     /// A string with units (`30s`, `1h30m`); as a number, nanoseconds.
     Duration,
+    /// A list of strings.
     Texts,
     /// Names and strings, as a block or a map.
     Map,
@@ -26,8 +30,11 @@
 /// What a field may be left at.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Lit {
+    /// A string.
     Text(&'static str),
+    /// A whole number.
     Whole(i64),
+    /// True or false.
     Flag(bool),
     /// Seconds.
     Duration(f64),
@@ -49,6 +56,7 @@
     Answer,
 }
 
+/// A row of the table.
 #[derive(Debug, Clone, Copy)]
 pub struct Field {
     /// Form of block that it is in.
@@ -57,11 +65,13 @@
     pub name: &'static str,
     /// In the API.
     pub json: &'static str,
+    /// What values it takes.
     pub kind: Kind,
+    /// What becomes of it.
     pub rule: Rule,
 }
 
-/// Prefix of the `meta` keys that say what Nomad's words lack.
+/// Prefix of the `meta` keys that say what Nomad has no fields for.
 pub const META: &str = "pearford_";
 
 const fn f(form: &'static str, name: &'static str, json: &'static str, kind: Kind, rule: Rule) -> Field {
@@ -85,7 +95,7 @@
 const RESTARTS: &str =
     "a task that fails is started again, on another machine if need be, until its job is stopped";
 
-// One row a field, as in a table.
+/// The table, a row for each field.
 #[rustfmt::skip]
 pub const FIELDS: &[Field] = &[
     // ---- job ----
@@ -274,22 +284,28 @@
 /// What a `meta` key under the prefix says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum MetaKind {
+    /// Any string but the empty one.
     Text,
     /// Seconds or GB, a decimal number from 0.
     Amount,
+    /// `true` or `false`.
     Flag,
-    /// Names by commas.
+    /// Names separated by commas.
     Names,
 }
 
+/// A key of `meta`.
 #[derive(Debug, Clone, Copy)]
 pub struct MetaField {
     /// Without the prefix.
     pub name: &'static str,
+    /// What values it takes.
     pub kind: MetaKind,
+    /// What it says, for readers.
     pub says: &'static str,
 }
 
+/// The keys of `meta` that mean something.
 pub const META_FIELDS: &[MetaField] = &[
     MetaField {
         name: "class",
@@ -356,6 +372,7 @@
         }
     }
 
+    /// As it is written in a job file.
     pub fn shown(&self) -> String {
         match self {
             Lit::Text(t) => format!("\"{t}\""),
@@ -367,6 +384,7 @@
 }
 
 impl Field {
+    /// What values it takes, for readers.
     pub fn shown_kind(&self) -> &'static str {
         match self.kind {
             Text => "string",
@@ -455,14 +473,14 @@
     let mut out =
         String::from("| field | API | takes | | what becomes of it |\n| --- | --- | --- | --- | --- |\n");
     for field in FIELDS {
-        let (verdict, what) = field.says();
+        let (outcome, what) = field.says();
         let name = if field.name.is_empty() {
             String::new()
         } else {
             format!("`{}.{}`", path_of(field.form), field.name)
         };
         let json = if field.json.is_empty() { String::new() } else { format!("`{}`", field.json) };
-        out += &format!("| {name} | {json} | {} | {verdict} | {what} |\n", field.shown_kind());
+        out += &format!("| {name} | {json} | {} | {outcome} | {what} |\n", field.shown_kind());
     }
     out += "\n| `meta` key | takes | what it says |\n| --- | --- | --- |\n";
     for m in META_FIELDS {
--- a/crates/nomad/src/operator.rs
+++ b/crates/nomad/src/operator.rs
@@ -1,17 +1,17 @@
-//! The operators' own settings for Nomad's files and door (YAML).
+//! The operators' settings for Nomad's job files and API (YAML).
 
 use crate::api::tokens::{Token, Tokens};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Every key has a default; see `docs/operating/nomad.md`.
+/// The `nomad` section. Every key has a default; see `docs/operating/nomad.md`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NomadSettings {
-    /// Where clients connect; without it the door is off.
+    /// Where clients connect; without it the API is off.
     pub listen: Option<SocketAddr>,
-    /// Who may use the door. Without any, it may only listen on loopback.
+    /// Who may use the API. Without any, it may only listen on loopback.
     pub tokens: Vec<Token>,
     /// Requests that may wait for the state service at a time.
     pub max_waiting: usize,
@@ -38,10 +38,13 @@
     pub expected_s: Option<f64>,
 }
 
+/// What an attribute stands for in a constraint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttributeMeaning {
+    /// The zone of a machine.
     Zone,
+    /// The type of a machine.
     MachineType,
 }
 
@@ -66,12 +69,16 @@
 }
 
 impl NomadSettings {
-    /// Reads the operators' `nomad` section; errors name key and remedy.
+    /// Reads the operators' `nomad` section.
+    ///
+    /// # Errors
+    /// A line for each fault, with key and remedy.
     pub fn of(section: serde_yaml_ng::Value) -> Result<Self, Vec<String>> {
         // An empty or all-comment section is a valid way of saying "defaults".
-        let settings: Self = match section.is_null() {
-            true => Self::default(),
-            false => serde_yaml_ng::from_value(section).map_err(|e| vec![e.to_string()])?,
+        let settings: Self = if section.is_null() {
+            Self::default()
+        } else {
+            serde_yaml_ng::from_value(section).map_err(|error| vec![error.to_string()])?
         };
         let faults = settings.faults();
         if faults.is_empty() { Ok(settings) } else { Err(faults) }
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -2,16 +2,22 @@
 
 use crate::fault::Pos;
 
+/// A value of either form.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
+    /// Nothing.
     Null,
+    /// True or false.
     Bool(bool),
     /// A whole number that fits, exactly.
     Whole(i64),
+    /// Any other number.
     Number(f64),
+    /// A string.
     Text(String),
+    /// A list, whose elements may be of different types.
     List(Vec<Value>),
-    /// In the order written.
+    /// Keys and values, in the order written.
     Map(Vec<(String, Value)>),
 }
 
@@ -41,6 +47,7 @@
         }
     }
 
+    /// A number, whole or not.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
             Value::Whole(n) => Some(*n as f64),
@@ -49,6 +56,7 @@
         }
     }
 
+    /// A map's value by its key.
     pub fn get(&self, key: &str) -> Option<&Value> {
         match self {
             Value::Map(entries) => entries.iter().find(|(k, _)| k == key).map(|(_, v)| v),
@@ -67,6 +75,7 @@
         }
     }
 
+    /// The value that JSON stands for; whole numbers that don't fit become floating-point ones.
     pub fn from_json(value: &serde_json::Value) -> Value {
         use serde_json::Value as Json;
         match value {
@@ -82,6 +91,7 @@
         }
     }
 
+    /// The value as JSON.
     pub fn to_json(&self) -> serde_json::Value {
         use serde_json::Value as Json;
         match self {
@@ -99,21 +109,31 @@
 /// A block with its label, or an object of the API.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Block {
+    /// Where it begins.
     pub at: Pos,
+    /// Its label, if it has one.
     pub label: Option<String>,
+    /// What it holds, in the order written.
     pub entries: Vec<Entry>,
 }
 
+/// A name in a block with what it holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
+    /// The name.
     pub key: String,
+    /// Where it stands.
     pub at: Pos,
+    /// What it holds.
     pub item: Item,
 }
 
+/// What a name in a block holds.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Item {
+    /// A value.
     Value(Value),
+    /// A block.
     Block(Block),
     /// Could not be evaluated; the fault is known already.
     Bad,
