--- a/crates/nomad/src/api/cluster_info.rs
+++ b/crates/nomad/src/api/cluster_info.rs
@@ -4,6 +4,7 @@
 use super::reply::{Reply, status};
 use crate::operator::NomadSettings;
 use pearford_scheduler::extension::View;
+use pearford_scheduler::types::TeamName;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::iter::once;
@@ -32,7 +33,7 @@
 }
 
 fn namespaces(view: &View<'_>, settings: &NomadSettings) -> Reply {
-    let teams = view.settings.teams.keys().map(|team| team.as_str());
+    let teams = view.settings.teams.keys().map(TeamName::as_str);
     let mapped = settings.namespaces.keys().map(String::as_str);
     let names: BTreeSet<&str> = teams.chain(mapped).collect();
     let namespaces: Vec<Value> = names
--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -39,7 +39,7 @@
     match value {
         Value::Object(map) => map.iter().for_each(|(k, v)| pointers(v, &format!("{at}/{k}"), out)),
         Value::Array(list) => {
-            list.iter().enumerate().for_each(|(i, v)| pointers(v, &format!("{at}/{i}"), out))
+            list.iter().enumerate().for_each(|(i, v)| pointers(v, &format!("{at}/{i}"), out));
         }
         _ => {}
     }
--- a/crates/nomad/src/api/tokens/tests.rs
+++ b/crates/nomad/src/api/tokens/tests.rs
@@ -3,7 +3,7 @@
 fn token(name: &str, secret: &str, namespaces: &[&str], write: bool) -> Token {
     let hash = Sha256::digest(secret.as_bytes());
     let sha256 = hash.iter().map(|b| format!("{b:02x}")).collect();
-    let namespaces = namespaces.iter().map(|n| n.to_string()).collect();
+    let namespaces = namespaces.iter().map(ToString::to_string).collect();
     Token { name: name.into(), sha256, namespaces, write }
 }
 
--- a/crates/nomad/src/hcl/eval.rs
+++ b/crates/nomad/src/hcl/eval.rs
@@ -92,7 +92,7 @@
     /// A map; of a key's values the last one counts.
     fn object(&mut self, object: &Object, span: Place) -> Result<Value> {
         let mut map: Vec<(String, Value)> = Vec::new();
-        for (key, value) in object.iter() {
+        for (key, value) in object {
             let key = match key {
                 ObjectKey::Ident(name) => name.as_str().to_string(),
                 ObjectKey::Expression(key) => self.map_key(key)?,
--- a/crates/nomad/src/hcl/templates.rs
+++ b/crates/nomad/src/hcl/templates.rs
@@ -19,7 +19,7 @@
 
     /// Appends what a template gives.
     fn fill(&mut self, template: &Template, out: &mut String, span: &Place) -> Result<()> {
-        for element in template.iter() {
+        for element in template {
             self.step(span)?;
             match element {
                 Element::Literal(text) => self.append(text.value(), out, span)?,
--- a/crates/nomad/src/hcl/traversal.rs
+++ b/crates/nomad/src/hcl/traversal.rs
@@ -2,8 +2,8 @@
 
 use super::scope::{Error, Place, Result, Scope};
 use crate::tree::Value;
-use hcl_edit::Span;
 use hcl_edit::expr::{Expression, Traversal, TraversalOperator};
+use hcl_edit::{Decorated, Span};
 
 impl Scope {
     pub(super) fn traversal(&mut self, traversal: &Traversal, span: Place) -> Result<Value> {
@@ -13,8 +13,7 @@
         {
             return runtime_reference(root.as_str(), traversal, span);
         }
-        let operators: Vec<&TraversalOperator> =
-            traversal.operators.iter().map(|operator| operator.value()).collect();
+        let operators: Vec<&TraversalOperator> = traversal.operators.iter().map(Decorated::value).collect();
         let mut operators = operators.as_slice();
         let mut value = match &traversal.expr {
             Expression::Variable(root) if self.find(root.as_str()).is_some() => {
--- a/crates/nomad/tests/corpus.rs
+++ b/crates/nomad/tests/corpus.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_file_gives_what_stands_beside_it() {
+fn every_file_gives_the_outcome_beside_it() {
     let corpus = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus");
     let settings = std::fs::read_to_string(corpus.join("operator.yaml")).expect("readable");
     let settings = NomadSettings::parse(&settings).expect("valid");
--- a/crates/nomad/tests/fuzz.rs
+++ b/crates/nomad/tests/fuzz.rs
@@ -1,5 +1,5 @@
 //! Whatever is thrown at the readers: no panic, and bounded work. `PEARFORD_FUZZ_MS=600000` goes on for
-//! ten minutes; a failing input is told by its seed (`arbtest`).
+//! ten minutes; a failing input is reported by its seed (`arbtest`).
 
 use arbtest::arbtest;
 use pearford_nomad::operator::NomadSettings;
@@ -130,10 +130,10 @@
         let context = Context { settings: NomadSettings::default(), zones: Vec::new() };
         // Tests run on small stacks, as a server's threads do.
         let faults = source::job(&text, &[], &context).expect_err("refused");
-        let told: usize = faults.iter().map(|f| f.to_string().len()).sum();
+        let reported: usize = faults.iter().map(|f| f.to_string().len()).sum();
         assert!(
-            faults.len() <= 101 && told < 100_000,
-            "{} faults, {told} bytes: {:.200}",
+            faults.len() <= 101 && reported < 100_000,
+            "{} faults, {reported} bytes: {:.200}",
             faults.len(),
             text
         );
--- a/crates/nomad/tests/round_trip.rs
+++ b/crates/nomad/tests/round_trip.rs
@@ -4,7 +4,7 @@
 use pearford_nomad::source;
 use pearford_nomad::translate::Context;
 use pearford_scheduler::jobs::{JobSpec, JobType, Priority};
-use pearford_scheduler::types::{Duration, Resources};
+use pearford_scheduler::types::{Duration, JobId, Resources, TypeName};
 use proptest::prelude::*;
 
 /// GPUs in one `device` block or in several: the sum is what counts.
@@ -31,7 +31,7 @@
         meta.push(("due_s", due.as_secs_f64().to_string()));
     }
     if !spec.needs.is_empty() {
-        meta.push(("awaits", spec.needs.iter().map(|n| n.as_str()).collect::<Vec<_>>().join(",")));
+        meta.push(("awaits", spec.needs.iter().map(JobId::as_str).collect::<Vec<_>>().join(",")));
     }
     meta.into_iter().map(|(k, v)| (format!("pearford_{k}"), v)).collect()
 }
@@ -47,7 +47,7 @@
 
 fn class_constraint(spec: &JobSpec) -> Option<(&'static str, String)> {
     let types = spec.types.as_ref()?;
-    let list = types.iter().map(|t| t.as_str()).collect::<Vec<_>>().join(", ");
+    let list = types.iter().map(TypeName::as_str).collect::<Vec<_>>().join(", ");
     Some((if types.len() == 1 { "=" } else { "set_contains_any" }, list))
 }
 
