--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod fault;
 pub mod fields;
 pub mod hcl;
+mod json_places;
 pub mod operator;
 pub mod schema;
 pub mod source;
