--- a/crates/pearford/benches/nomad_api.rs
+++ b/crates/pearford/benches/nomad_api.rs
@@ -26,7 +26,15 @@
     match client.request(request).await {
         Ok(response) => {
             let status = response.status().as_u16();
-            (status, response.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default())
+            (
+                status,
+                response
+                    .into_body()
+                    .collect()
+                    .await
+                    .map(http_body_util::Collected::to_bytes)
+                    .unwrap_or_default(),
+            )
         }
         Err(_) => (0, Bytes::new()),
     }
--- a/crates/pearford/src/golden.rs
+++ b/crates/pearford/src/golden.rs
@@ -13,7 +13,7 @@
         None => format!("argument {}", arg.get_index().unwrap_or_default()),
     };
     let values: Vec<&str> =
-        arg.get_value_names().unwrap_or_default().iter().map(|name| name.as_str()).collect();
+        arg.get_value_names().unwrap_or_default().iter().map(clap::builder::Str::as_str).collect();
     let defaults: Vec<String> =
         arg.get_default_values().iter().map(|value| value.to_string_lossy().into_owned()).collect();
     let required = if arg.is_required_set() { "required" } else { "optional" };
--- a/crates/scheduler/src/cluster_version/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -216,7 +216,7 @@
             // A level once reached stays so.
             Ok(level) => self.reached = self.reached.max(level),
             Err(error) => {
-                tracing::error!(key = pair.key, %error, "the cluster's feature level can't be read")
+                tracing::error!(key = pair.key, %error, "the cluster's feature level can't be read");
             }
         }
     }
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -129,7 +129,7 @@
         match self.delegate.heartbeat_received(incoming, highest, may_renew, self.now) {
             Routing::NoDelegation => return false,
             Routing::Redirect(node) => {
-                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)))
+                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)));
             }
             Routing::TryAnotherNode => {
                 self.worker_turned_away_at = self.now;
@@ -158,7 +158,7 @@
     fn redirect(&mut self, request: RequestId) {
         match self.known_leader().cloned() {
             Some(leader) => {
-                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&leader)))
+                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&leader)));
             }
             None => self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "no leader is known here"),
         }
@@ -175,7 +175,7 @@
             PeerMessage::UnacknowledgedStarts(starts)
                 if starts.fencing_token >= self.highest_fencing_token =>
             {
-                self.lease_renewal.unacknowledged_starts_received(starts, self.now)
+                self.lease_renewal.unacknowledged_starts_received(starts, self.now);
             }
             PeerMessage::ResendHeartbeats { fencing_token, machines }
                 if self.delegate.fencing_token() == Some(fencing_token) =>
@@ -188,7 +188,7 @@
                 self.relay.queue(fencing_token, commands);
             }
             PeerMessage::RelayCommands { fencing_token, calls } => {
-                self.relay_commands(from, fencing_token, calls)
+                self.relay_commands(from, fencing_token, calls);
             }
             PeerMessage::HeartbeatDigest(digest) => {
                 if let Some((leader, mut context)) = self.leading() {
--- a/crates/scheduler/src/node/controller/http_api.rs
+++ b/crates/scheduler/src/node/controller/http_api.rs
@@ -22,8 +22,14 @@
                 let text = self.waiting_report();
                 self.out.answer(request, StatusCode::OK, text);
             }
-            (_, ["up"] | ["submissions"] | ["submissions", _] | ["submissions", _, "withdraw"])
-            | (_, ["v1", "report"] | ["operator", "metrics" | "waiting"]) => {
+            (
+                _,
+                ["up" | "submissions"]
+                | ["submissions", _]
+                | ["submissions", _, "withdraw"]
+                | ["v1", "report"]
+                | ["operator", "metrics" | "waiting"],
+            ) => {
                 self.out.refuse(request, StatusCode::METHOD_NOT_ALLOWED, "wrong method for this path");
             }
             _ => self.out.refuse(request, StatusCode::NOT_FOUND, "no such path"),
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -28,7 +28,7 @@
         match pending {
             Pending::Follow(WatchedPrefix::Jobs, read) => self.job_records_reply(read, reply),
             Pending::Follow(WatchedPrefix::Extension(slot), read) => {
-                self.extension_records_reply(slot, read, reply)
+                self.extension_records_reply(slot, read, reply);
             }
             Pending::Create { waiting, job } => self.created(waiting, job, reply),
             Pending::Cancel { waiting } => self.cancelled(waiting, reply),
@@ -37,7 +37,7 @@
             // Nothing to do: the report is written again soon, whatever became of this one.
             Pending::IsolationReport => {}
             Pending::ExtensionCommit { slot, tag, changes } => {
-                self.extension_committed(slot, tag, changes, reply)
+                self.extension_committed(slot, tag, changes, reply);
             }
             Pending::ExtensionMachines { slot, tag } => self.extension_machines_reply(slot, tag, reply),
             Pending::Leader(fencing_token, leader_request) => {
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -211,7 +211,7 @@
             UserRequest::Submit { spec: Ok(spec) } => {
                 match self.admission().dependency_error(&waiting.id, spec) {
                     Some(error) => {
-                        self.out.refuse(request, StatusCode::UNPROCESSABLE_ENTITY, &error.to_string())
+                        self.out.refuse(request, StatusCode::UNPROCESSABLE_ENTITY, &error.to_string());
                     }
                     None => self.create(waiting),
                 }
@@ -220,7 +220,7 @@
                 self.out.refuse(request, refusal.status, &refusal.reason);
             }
             UserRequest::Status | UserRequest::Cancel => {
-                self.out.refuse(request, StatusCode::NOT_FOUND, "no such job")
+                self.out.refuse(request, StatusCode::NOT_FOUND, "no such job");
             }
         }
     }
