--- a/crates/scheduler/src/simulation/bad_records.rs
+++ b/crates/scheduler/src/simulation/bad_records.rs
@@ -53,8 +53,9 @@
         let bytes = peer_messages::encode(&from.into(), message);
         let envelope = peer_messages::decode(&bytes).expect("well formed");
         for i in 0..NODES {
-            let life = w.nodes[i].life;
-            w.at(w.now, Event::Input(i, life, Input::Peer(envelope.clone())));
+            let incarnation = w.nodes[i].incarnation;
+            let input = Input::Peer(envelope.clone());
+            w.at(w.now, Event::Input { node: i, incarnation, input });
         }
     }
     assert!(peer_messages::decode(b"no envelope").is_none() && peer_messages::decode(&[]).is_none());
--- a/crates/scheduler/src/simulation/close_reads.rs
+++ b/crates/scheduler/src/simulation/close_reads.rs
@@ -1,6 +1,14 @@
 //! Users who look closely: at all nodes within milliseconds, with repeats and cancellations; and who ask oddly.
 
-use super::{Asker, Event, Host, Method, Simulation, Stage, job};
+use super::events::Event;
+use super::links::Host;
+use super::nodes::Requester;
+use super::rules::Known;
+use super::users::Stage;
+use super::workers::Worker;
+use super::{Leadership, Simulation, job};
+use crate::election::LEADER_KEY;
+use crate::node::Method;
 use crate::types::JobId;
 use rand::RngExt;
 use serde_json::{Value, json};
@@ -10,7 +18,7 @@
 pub struct CloseRead {
     pub node: usize,
     pub id: String,
-    pub ask: CloseReadRequest,
+    pub request: CloseReadRequest,
 }
 
 #[derive(Debug, Clone)]
@@ -24,31 +32,27 @@
 }
 
 impl Simulation {
-    pub fn count(&mut self, meeting: &'static str) {
-        *self.met.entry(meeting).or_default() += 1;
-    }
-
     /// Notes whose leadership this is.
     pub fn note_leader(&mut self) {
-        let key = self.state.revision(crate::election::LEADER_KEY);
-        if key.is_some() && self.led_by.0 != key {
-            self.led_by = (key, self.now);
+        let leader_key = self.state.revision(LEADER_KEY);
+        if leader_key.is_some() && self.leadership.leader_key != leader_key {
+            self.leadership = Leadership { leader_key, since_ms: self.now };
             self.count("a new leader");
         }
     }
 
-    /// A user was told that its job is accepted, or `over`.
-    pub fn note_news(&mut self, over: bool) {
-        self.count(if over { "told the verdict" } else { "accepted" });
-        if over && self.now - self.led_by.1 < 2_000 {
-            self.count("a verdict within two seconds of a new leader");
+    /// Counts that a user was told that its job is accepted, or finished.
+    pub fn count_job_state(&mut self, finished: bool) {
+        self.count(if finished { "terminal status told" } else { "accepted" });
+        if finished && self.now - self.leadership.since_ms < 2_000 {
+            self.count("a terminal status within two seconds of a new leader");
         }
     }
 
     /// Sends a request; one that finds nobody is not sent again.
     pub fn close_read(&mut self, close_read: CloseRead) {
         let before = self.rules.known(&close_read.id);
-        let (method, path, body) = match &close_read.ask {
+        let (method, path, body) = match &close_read.request {
             CloseReadRequest::Status | CloseReadRequest::AdmissionError(None) => {
                 (Method::Get, format!("/submissions/{}", close_read.id), String::new())
             }
@@ -62,7 +66,7 @@
         };
         self.request(
             close_read.node,
-            Asker::CloseRead { close_read, before },
+            Requester::CloseRead { close_read, before },
             Host::User,
             method,
             path,
@@ -73,28 +77,28 @@
     pub fn close_read_answer(
         &mut self,
         close_read: CloseRead,
-        before: &super::rules::Known,
+        before: &Known,
         node: usize,
         status: u16,
         body: &str,
     ) {
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let phase = value["phase"].as_str().unwrap_or_default();
-        if let CloseReadRequest::AdmissionError(asked) = &close_read.ask {
+        if let CloseReadRequest::AdmissionError(asked) = &close_read.request {
             if !matches!(status, 400 | 404 | 422 | 429 | 503) {
                 let what = asked.as_ref().map_or("asked about", |_| "submitted");
                 self.rules.fail(self.now, format!("accepted: {} was {what} and got {status}", close_read.id));
             }
             return;
         }
-        self.count(match (before.accepted, &before.terminal_status, &close_read.ask) {
-            (_, Some(_), _) => "a look after the verdict",
+        self.count(match (before.accepted, &before.terminal_status, &close_read.request) {
+            (_, Some(_), _) => "a close read after the terminal status",
             (true, None, CloseReadRequest::Repeat(_)) => "a repeat after the acceptance",
-            (true, None, _) => "a look after the acceptance",
-            _ => "a look before any answer",
+            (true, None, _) => "a close read after the acceptance",
+            _ => "a close read before any answer",
         });
         let was = self.rules.broken.len();
-        let repeat = matches!(close_read.ask, CloseReadRequest::Repeat(_));
+        let repeat = matches!(close_read.request, CloseReadRequest::Repeat(_));
         self.rules.answered(self.now, &close_read.id, before, repeat, status, phase);
         if self.rules.broken.len() > was {
             let now = self.now;
@@ -103,18 +107,18 @@
     }
 
     /// Asks about a user's job at every node, twice, within milliseconds.
-    pub fn read_closely(&mut self, user: usize, _why: &str) {
+    pub fn read_closely(&mut self, user: usize) {
         let (id, body) = (self.users[user].id.clone(), self.users[user].body.clone());
         for node in 0..self.nodes.len() {
             for _ in 0..2 {
-                let ask = match self.rng.random_range(0..10) {
+                let request = match self.rng.random_range(0..10) {
                     0..3 => CloseReadRequest::Repeat(body.to_string()),
                     3 => CloseReadRequest::Repeat(self.corrupt(&body)),
                     4 if self.rng.random_bool(0.2) => CloseReadRequest::Cancel,
                     _ => CloseReadRequest::Status,
                 };
                 let ms = self.rng_ms(0, 30);
-                self.after(ms, Event::CloseRead(CloseRead { node, id: id.clone(), ask }));
+                self.after(ms, Event::CloseRead(CloseRead { node, id: id.clone(), request }));
             }
         }
     }
@@ -141,19 +145,19 @@
             return;
         }
         let Some(user) = self.users.iter().position(|u| u.id == id) else { return };
-        if self.close_reads {
-            self.read_closely(user, "ended");
+        if self.faults.close_reads {
+            self.read_closely(user);
         }
-        if self.cancel_at_end > 0.0
+        if self.faults.cancel_at_end > 0.0
             && self.users[user].stage == Stage::Polling
-            && self.rng.random_bool(self.cancel_at_end)
+            && self.rng.random_bool(self.faults.cancel_at_end)
         {
-            self.count("called off at the end");
-            self.call_off(user, 3);
+            self.count("cancelled at the end");
+            self.cancel_within(user, 3);
         }
     }
 
-    fn call_off(&mut self, user: usize, within: u64) {
+    fn cancel_within(&mut self, user: usize, within: u64) {
         let at = self.now + self.rng_ms(0, within);
         self.users[user].cancel_at = Some(at);
         self.at(at, Event::User(user));
@@ -161,7 +165,7 @@
 
     pub fn cancel_now(&mut self, count: usize, hang_ms: u64) {
         let runs = |id: &str| {
-            let at = |w: &super::workers::Worker| w.tasks.iter().any(|t| t.job() == id && t.present());
+            let at = |w: &Worker| w.tasks.iter().any(|t| t.job() == id && t.present());
             self.workers.iter().position(at)
         };
         let running: Vec<(usize, usize)> = (0..self.users.len())
@@ -171,22 +175,22 @@
             .collect();
         let mut hang = 8;
         for (user, machine) in running {
-            self.count("called off now");
-            self.call_off(user, 200);
+            self.count("cancelled now");
+            self.cancel_within(user, 200);
             if hang_ms > 0 && hang > 0 && self.workers[machine].hung_until <= self.now {
                 hang -= 1;
-                self.count("called off and hung");
+                self.count("cancelled and hung");
                 self.workers[machine].hung_until = self.now + hang_ms;
             }
         }
     }
 
     pub fn odd_turn(&mut self) {
-        if !self.odd {
+        if !self.faults.odd_requests {
             return;
         }
         let ms = self.rng_ms(100, 400);
-        self.after(ms, Event::Odd);
+        self.after(ms, Event::OddRequest);
         let node = self.rng.random_range(0..self.nodes.len());
         let accepted: Vec<usize> =
             (0..self.users.len()).filter(|u| self.rules.accepted(&self.users[*u].id)).collect();
@@ -194,20 +198,20 @@
         match (self.rng.random_range(0..3), any) {
             (0, Some(u)) => {
                 let (id, body) = (self.users[u].id.clone(), self.users[u].body.clone());
-                let ask = CloseReadRequest::Repeat(self.corrupt(&body));
-                self.close_read(CloseRead { node, id, ask });
+                let request = CloseReadRequest::Repeat(self.corrupt(&body));
+                self.close_read(CloseRead { node, id, request });
             }
             (1, Some(u)) if self.rules.terminal_status(&self.users[u].id) == Some("done") => {
                 let id = self.users[u].id.clone();
                 self.count("a cancellation of what is done");
-                self.close_read(CloseRead { node, id, ask: CloseReadRequest::Cancel });
+                self.close_read(CloseRead { node, id, request: CloseReadRequest::Cancel });
             }
             _ => {
-                self.odd_ids += 1;
-                let n = 900_000 + self.odd_ids as usize;
+                self.impossible_requests += 1;
+                let n = 900_000 + self.impossible_requests as usize;
                 let mut body = job(n, "array", 1);
                 let id = body["id"].as_str().unwrap_or_default().to_string();
-                let asked = match self.odd_ids % 6 {
+                let asked = match self.impossible_requests % 6 {
                     0 => None,
                     1 => Some(self.corrupt(&body)).filter(|b| !b.contains("padding")),
                     2 => {
@@ -229,21 +233,21 @@
                     }
                 };
                 self.count("an impossible request");
-                self.close_read(CloseRead { node, id, ask: CloseReadRequest::AdmissionError(asked) });
+                self.close_read(CloseRead { node, id, request: CloseReadRequest::AdmissionError(asked) });
             }
         }
     }
 
     /// A start must not leave a node that knows its job to be over. (What had left before is allowed, and gone in time.)
-    pub fn check_orders(&mut self, node: usize, body: &str) {
+    pub fn check_commands(&mut self, node: usize, body: &str) {
         if !body.contains("\"start\"") {
             return;
         }
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let starts = value["orders"].as_array().into_iter().flatten().filter(|o| o["verb"] == "start");
         let mut wrong = Vec::new();
-        for order in starts {
-            let task = order["shard"].as_str().unwrap_or_default();
+        for command in starts {
+            let task = command["shard"].as_str().unwrap_or_default();
             let job = JobId::from(task.split('/').next().unwrap_or_default());
             if self.nodes[node].controller.as_ref().is_some_and(|c| c.knows_finished(&job)) {
                 wrong.push(task.to_string());
--- a/crates/scheduler/src/simulation/days/bad_records.rs
+++ b/crates/scheduler/src/simulation/days/bad_records.rs
@@ -58,7 +58,7 @@
     keys.iter().take(2).for_each(|key| w.state.overwrite(key, bad));
     // Their workers reach nobody meanwhile, and the cloud answers late.
     w.workers.iter_mut().filter(|m| keys.iter().take(2).any(|k| k.ends_with(m.id.as_str()))).for_each(|m| {
-        m.muted_until = 40_000;
+        m.heartbeats_lost_until = 40_000;
     });
     w.at(15_050, Event::Fault(Fault::CloudOutage(true)));
     w.at(27_000, Event::Fault(Fault::CloudOutage(false)));
--- a/crates/scheduler/src/simulation/days/combined_faults.rs
+++ b/crates/scheduler/src/simulation/days/combined_faults.rs
@@ -2,7 +2,7 @@
 
 use super::TROUBLE_ENDS;
 use super::ordinary::day;
-use crate::simulation::{Event, Fault, Host, Leader, NODES, Simulation, job};
+use crate::simulation::{Event, Fault, Host, LeaderFault, NODES, Simulation, job};
 use rand::RngExt;
 
 /// The rows of `docs/design/combined_failures.md`.
@@ -71,33 +71,33 @@
         }
         Trouble::LateReports => {
             let share = w.rng.random_range(0.2..0.6);
-            w.at(from, fault(Fault::LateReports(share)));
-            w.at(to, fault(Fault::LateReports(0.0)));
+            w.at(from, fault(Fault::LateHeartbeats(share)));
+            w.at(to, fault(Fault::LateHeartbeats(0.0)));
         }
-        Trouble::LeaderApart => w.at(from, fault(Fault::Leader(Leader::Apart, to - from))),
+        Trouble::LeaderApart => w.at(from, fault(Fault::Leader(LeaderFault::Isolated, to - from))),
         Trouble::HandOvers => {
             let mut at = from;
             while at < to {
                 let all = w.rng.random_bool(0.2);
                 match all {
                     true => (0..NODES).for_each(|i| w.at(at + i as u64, fault(Fault::Crash(i)))),
-                    false => w.at(at, fault(Fault::Leader(Leader::Ends, 0))),
+                    false => w.at(at, fault(Fault::Leader(LeaderFault::Ends, 0))),
                 }
                 at += w.rng_ms(2_000, 12_000);
             }
         }
-        Trouble::LeaderEnds => w.at(from, fault(Fault::Leader(Leader::Ends, 0))),
+        Trouble::LeaderEnds => w.at(from, fault(Fault::Leader(LeaderFault::Ends, 0))),
         Trouble::Deaf => {
             for _ in 0..4 {
                 let at = w.rng_ms(from, to);
                 let ms = w.rng.random_range(2_000..40_000).min(TROUBLE_ENDS - at);
-                w.at(at, fault(Fault::MachineDeaf(ms)));
+                w.at(at, fault(Fault::CommandsLost(ms)));
             }
         }
         Trouble::Slow => {
             let ms = w.rng.random_range(200..4_000);
-            w.at(from, fault(Fault::StateSlow(ms)));
-            w.at(to, fault(Fault::StateSlow(0)));
+            w.at(from, fault(Fault::SlowStore(ms)));
+            w.at(to, fault(Fault::SlowStore(0)));
         }
         Trouble::AllAway => {
             let every = w.rng.random_range(2_000..4_000);
@@ -121,7 +121,10 @@
             for n in 0..4 {
                 let at = w.rng_ms(from, to);
                 let ms = w.rng.random_range(2_000..40_000).min(TROUBLE_ENDS - at);
-                w.at(at, fault(if n == 0 { Fault::AllMute(ms) } else { Fault::MachineMute(ms) }));
+                w.at(
+                    at,
+                    fault(if n == 0 { Fault::AllHeartbeatsLost(ms) } else { Fault::HeartbeatsLost(ms) }),
+                );
             }
         }
         Trouble::OddRequests => {
@@ -134,23 +137,23 @@
         }
         Trouble::LostAnswers => {
             let share = w.rng.random_range(0.1..0.5);
-            w.at(from, fault(Fault::LostAnswers(share)));
-            w.at(to, fault(Fault::LostAnswers(0.0)));
+            w.at(from, fault(Fault::LostStoreAnswers(share)));
+            w.at(to, fault(Fault::LostStoreAnswers(0.0)));
         }
         Trouble::CopiesForNext => {
             let share = w.rng.random_range(0.2..0.6);
-            w.at(from, fault(Fault::CopiesForNext(share)));
-            w.at(to, fault(Fault::CopiesForNext(0.0)));
+            w.at(from, fault(Fault::HeartbeatCopiesForNextLeader(share)));
+            w.at(to, fault(Fault::HeartbeatCopiesForNextLeader(0.0)));
         }
         Trouble::FastBoots => {
             w.at(from, fault(Fault::FastBoots(true)));
             w.at(to, fault(Fault::FastBoots(false)));
         }
         Trouble::RefusedThenAway => {
-            w.at(from, fault(Fault::Leader(Leader::Refused, 9_000)));
+            w.at(from, fault(Fault::Leader(LeaderFault::Refused, 9_000)));
             let down = from + w.rng_ms(500, 8_000);
-            w.at(down, fault(Fault::StateOutage(true)));
-            w.at(to.max(down + 1_000), fault(Fault::StateOutage(false)));
+            w.at(down, fault(Fault::StoreOutage(true)));
+            w.at(to.max(down + 1_000), fault(Fault::StoreOutage(false)));
         }
     }
 }
--- a/crates/scheduler/src/simulation/days/directed.rs
+++ b/crates/scheduler/src/simulation/days/directed.rs
@@ -3,7 +3,7 @@
 use super::ordinary::{cut_zone, day};
 use super::{DAY_ENDS, TROUBLE_ENDS};
 use crate::node::{Controller, DisabledCheck};
-use crate::simulation::{Event, Fault, Host, Leader, NODES, Simulation, job};
+use crate::simulation::{Event, Fault, Host, LeaderFault, NODES, Simulation, job};
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
 use rand::RngExt;
 
@@ -12,7 +12,7 @@
     pub name: &'static str,
     pub day: fn(u64) -> Simulation,
     /// What must have taken place, and how often at least over the seeds.
-    pub met: &'static [(&'static str, u64)],
+    pub occurrences: &'static [(&'static str, u64)],
     pub without: fn(&mut Simulation),
 }
 
@@ -30,7 +30,7 @@
     w.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     let mut ms = from;
     while ms < to {
-        at(w, ms, Fault::Leader(Leader::Ends, 0));
+        at(w, ms, Fault::Leader(LeaderFault::Ends, 0));
         ms += w.rng_ms(every / 2, every * 3 / 2);
     }
 }
@@ -39,7 +39,7 @@
 fn machines_fail(w: &mut Simulation, n: usize) {
     for k in 0..n {
         let (ms, long) = (w.rng_ms(8_000, 75_000), w.rng.random_range(3_000..30_000).min(14_000));
-        let fault = [Fault::MachineDies, Fault::MachineHangs(long), Fault::MachineDeaf(long)][k % 3].clone();
+        let fault = [Fault::MachineDies, Fault::MachineHangs(long), Fault::CommandsLost(long)][k % 3].clone();
         at(w, ms, fault);
     }
 }
@@ -64,7 +64,7 @@
         machines_fail(w, 3);
     });
     from_to(&mut w, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
-    from_to(&mut w, 10_000, 50_000, Fault::StateSlow(900), Fault::StateSlow(0));
+    from_to(&mut w, 10_000, 50_000, Fault::SlowStore(900), Fault::SlowStore(0));
     from_to(&mut w, 55_000, 80_000, Fault::LateWrites(0.3), Fault::LateWrites(0.0));
     w
 }
@@ -76,7 +76,7 @@
         machines_fail(w, 3);
     });
     from_to(&mut w, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
-    from_to(&mut w, 4_000, 85_000, Fault::LostAnswers(0.4), Fault::LostAnswers(0.0));
+    from_to(&mut w, 4_000, 85_000, Fault::LostStoreAnswers(0.4), Fault::LostStoreAnswers(0.0));
     from_to(&mut w, 30_000, 60_000, Fault::LateWrites(0.2), Fault::LateWrites(0.0));
     w
 }
@@ -95,9 +95,9 @@
     for k in 0..3 {
         let ms = 25_000 + 20_000 * k;
         at(&mut w, ms, Fault::CancelNow(5, 13_000));
-        (0..3).for_each(|_| at(&mut w, ms - 200, Fault::MachineDeaf(12_000)));
+        (0..3).for_each(|_| at(&mut w, ms - 200, Fault::CommandsLost(12_000)));
         let ends = ms + w.rng_ms(0, 4_000);
-        at(&mut w, ends, Fault::Leader(Leader::Ends, 0));
+        at(&mut w, ends, Fault::Leader(LeaderFault::Ends, 0));
     }
     w
 }
@@ -117,7 +117,7 @@
         machines_fail(w, 3);
     });
     // What follows the records lags, so that nodes know different things.
-    from_to(&mut w, 5_000, TROUBLE_ENDS, Fault::StateSlow(600), Fault::StateSlow(0));
+    from_to(&mut w, 5_000, TROUBLE_ENDS, Fault::SlowStore(600), Fault::SlowStore(0));
     w
 }
 
@@ -130,7 +130,7 @@
     });
     w.keeps_images = true;
     from_to(&mut w, 1, DAY_ENDS, Fault::FastBoots(true), Fault::FastBoots(false));
-    from_to(&mut w, 5_000, 85_000, Fault::StateSlow(1_500), Fault::StateSlow(0));
+    from_to(&mut w, 5_000, 85_000, Fault::SlowStore(1_500), Fault::SlowStore(0));
     from_to(&mut w, 5_000, 80_000, Fault::LateWrites(0.25), Fault::LateWrites(0.0));
     w
 }
@@ -142,8 +142,14 @@
         machines_fail(w, 6);
     });
     w.keeps_images = true;
-    from_to(&mut w, 5_000, 85_000, Fault::CopiesForNext(0.4), Fault::CopiesForNext(0.0));
-    from_to(&mut w, 5_000, 85_000, Fault::LateReports(0.3), Fault::LateReports(0.0));
+    from_to(
+        &mut w,
+        5_000,
+        85_000,
+        Fault::HeartbeatCopiesForNextLeader(0.4),
+        Fault::HeartbeatCopiesForNextLeader(0.0),
+    );
+    from_to(&mut w, 5_000, 85_000, Fault::LateHeartbeats(0.3), Fault::LateHeartbeats(0.0));
     w
 }
 
@@ -196,11 +202,11 @@
         machines_fail(w, 3);
     });
     w.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
-    at(&mut w, 20_000, Fault::AllMute(25_000));
-    at(&mut w, 22_000, Fault::Leader(Leader::Ends, 0));
+    at(&mut w, 20_000, Fault::AllHeartbeatsLost(25_000));
+    at(&mut w, 22_000, Fault::Leader(LeaderFault::Ends, 0));
     at(&mut w, 26_000, Fault::CancelNow(6, 10_000));
-    (0..5).for_each(|k| at(&mut w, 52_000 + 10 * k, Fault::MachineMute(30_000)));
-    at(&mut w, 60_000, Fault::Leader(Leader::Ends, 0));
+    (0..5).for_each(|k| at(&mut w, 52_000 + 10 * k, Fault::HeartbeatsLost(30_000)));
+    at(&mut w, 60_000, Fault::Leader(LeaderFault::Ends, 0));
     w
 }
 
@@ -217,7 +223,7 @@
         leaders_end(w, seed, 5_000, 88_000, 7_000);
         machines_fail(w, 3);
     });
-    from_to(&mut w, 30_000, 55_000, Fault::StateOutage(true), Fault::StateOutage(false));
+    from_to(&mut w, 30_000, 55_000, Fault::StoreOutage(true), Fault::StoreOutage(false));
     for i in 0..NODES {
         // All end; one is back at once.
         at(&mut w, 60_000 + i as u64, Fault::Crash(i));
@@ -237,7 +243,7 @@
         w.add_user(when, body, None);
     }
     from_to(&mut w, 1_000, 85_000, Fault::OddRequests(true), Fault::OddRequests(false));
-    from_to(&mut w, 5_000, 60_000, Fault::StateSlow(700), Fault::StateSlow(0));
+    from_to(&mut w, 5_000, 60_000, Fault::SlowStore(700), Fault::SlowStore(0));
     leaders_end(&mut w, seed, 20_000, 70_000, 25_000);
     machines_fail(&mut w, 3);
     w
@@ -274,9 +280,9 @@
     w.run_until(25_000);
     cut_zone(&mut w, seed as usize % NODES, true);
     at(&mut w, 27_000, Fault::CancelNow(6, 0));
-    at(&mut w, 40_000, Fault::Leader(Leader::Ends, 0));
+    at(&mut w, 40_000, Fault::Leader(LeaderFault::Ends, 0));
     w.run_until(70_000);
-    *w.met.entry("a zone cut off").or_default() += 1;
+    *w.occurrences.entry("a zone cut off").or_default() += 1;
     cut_zone(&mut w, seed as usize % NODES, false);
     w
 }
@@ -292,7 +298,13 @@
         at(&mut w, 25_000 + 40 * i as u64, Fault::Crash(i));
     }
     at(&mut w, 24_900, Fault::CancelNow(6, 0));
-    from_to(&mut w, 15_000, 60_000, Fault::CopiesForNext(0.5), Fault::CopiesForNext(0.0));
+    from_to(
+        &mut w,
+        15_000,
+        60_000,
+        Fault::HeartbeatCopiesForNextLeader(0.5),
+        Fault::HeartbeatCopiesForNextLeader(0.0),
+    );
     w
 }
 
@@ -314,9 +326,9 @@
         let from = w.rng_ms(8_000, 55_000);
         let to = from + w.rng_ms(3_000, 30_000);
         from_to(&mut w, from, to, Fault::Hold { a, b, on: true }, Fault::Hold { a, b, on: false });
-        *w.met.entry("a link held").or_default() += 1;
+        *w.occurrences.entry("a link held").or_default() += 1;
     }
-    at(&mut w, 30_000, Fault::Leader(Leader::Apart, 25_001));
+    at(&mut w, 30_000, Fault::Leader(LeaderFault::Isolated, 25_001));
     from_to(&mut w, 30_000, 55_000, Fault::CloudOutage(true), Fault::CloudOutage(false));
     at(&mut w, 32_000, Fault::CancelNow(6, 0));
     w
@@ -330,7 +342,7 @@
     Row {
         name: "held words",
         day: held_announcements,
-        met: &[("a link held", 10), ("called off now", 1)],
+        occurrences: &[("a link held", 10), ("cancelled now", 1)],
         without: |w| {
             injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
@@ -340,9 +352,9 @@
     Row {
         name: "close looks",
         day: close_reads,
-        met: &[
-            ("a look after the verdict", 1),
-            ("a look after the acceptance", 1),
+        occurrences: &[
+            ("a close read after the terminal status", 1),
+            ("a close read after the acceptance", 1),
             ("a repeat after the acceptance", 1),
         ],
         without: |w| {
@@ -352,13 +364,13 @@
     Row {
         name: "only the answer of a transaction is lost",
         day: lost_answers,
-        met: &[("only the answer lost", 1), ("a look after the verdict", 1)],
+        occurrences: &[("only the answer lost", 1), ("a close read after the terminal status", 1)],
         without: |w| w.state.careless = true,
     },
     Row {
         name: "every team at its limit",
         day: full_teams,
-        met: &[("called off and hung", 1)],
+        occurrences: &[("cancelled and hung", 1)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks))
         },
@@ -366,13 +378,13 @@
     Row {
         name: "work changes hands",
         day: hand_overs,
-        met: &[("a verdict within two seconds of a new leader", 1)],
+        occurrences: &[("a terminal status within two seconds of a new leader", 1)],
         without: |w| injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::RelayFilter)),
     },
     Row {
         name: "new machines at once",
         day: fast_boots,
-        met: &[("a start within three seconds of the boot", 1)],
+        occurrences: &[("a start within three seconds of the boot", 1)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::DurableBeforeStart))
         },
@@ -380,7 +392,7 @@
     Row {
         name: "old reports for a new leader",
         day: old_reports,
-        met: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
+        occurrences: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder))
         },
@@ -388,7 +400,7 @@
     Row {
         name: "four jobs a second",
         day: small_jobs,
-        met: &[("accepted", 800)],
+        occurrences: &[("accepted", 800)],
         without: |w| {
             injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
@@ -399,7 +411,7 @@
     Row {
         name: "called off at the end and now",
         day: called_off,
-        met: &[("called off at the end", 1), ("called off now", 1), ("called off and hung", 1)],
+        occurrences: &[("cancelled at the end", 1), ("cancelled now", 1), ("cancelled and hung", 1)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::SilenceDetection))
         },
@@ -407,7 +419,7 @@
     Row {
         name: "mute machines",
         day: mute,
-        met: &[("mute", 1), ("a direct start at a mute machine", 1)],
+        occurrences: &[("heartbeats lost", 1), ("a direct start at a machine whose heartbeats are lost", 1)],
         without: |w| {
             injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
@@ -417,7 +429,7 @@
     Row {
         name: "ten leaders",
         day: ten_leaders,
-        met: &[("a new leader", 40)],
+        occurrences: &[("a new leader", 40)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
         },
@@ -425,7 +437,7 @@
     Row {
         name: "more work than room, odd requests",
         day: overload,
-        met: &[
+        occurrences: &[
             ("an impossible request", 1),
             ("a cancellation of what is done", 1),
             ("a repeat after the acceptance", 1),
@@ -437,7 +449,7 @@
     Row {
         name: "bound to a zone",
         day: bound_to_a_zone,
-        met: &[("a machine lost with tasks bound to its zone", 1)],
+        occurrences: &[("a machine lost with tasks bound to its zone", 1)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::ZoneConstraint))
         },
@@ -445,7 +457,7 @@
     Row {
         name: "a zone cut off",
         day: cut_off_zone,
-        met: &[("a zone cut off", 1), ("called off now", 1)],
+        occurrences: &[("a zone cut off", 1), ("cancelled now", 1)],
         without: |w| {
             injected_fault(w, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
@@ -455,7 +467,7 @@
     Row {
         name: "all nodes away",
         day: all_away,
-        met: &[("copy for the next leader", 1)],
+        occurrences: &[("copy for the next leader", 1)],
         without: |w| {
             injected_fault(w, |controller, _| controller.disable_check(DisabledCheck::HeartbeatOrder))
         },
--- a/crates/scheduler/src/simulation/days/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/days/isolated_leader.rs
@@ -1,6 +1,6 @@
 //! Days on which the state service refuses the leader alone, and is then down for everybody.
 
-use crate::simulation::{Event, Fault, Host, Leader, NODES, Simulation, job};
+use crate::simulation::{Event, Fault, Host, LeaderFault, NODES, Simulation, job};
 use rand::RngExt;
 
 /// When the troubles begin.
@@ -41,9 +41,9 @@
     let first = w.rng_ms(T, T + 2_000);
     let long = w.rng_ms(2_000, 20_000);
     let what = match w.rng.random_range(0..4) {
-        0 => Leader::Apart,
-        1 => Leader::Ends,
-        _ => Leader::Refused,
+        0 => LeaderFault::Isolated,
+        1 => LeaderFault::Ends,
+        _ => LeaderFault::Refused,
     };
     w.at(first, Event::Fault(Fault::Leader(what, long)));
     // A change of the lead, or all nodes ending, in the midst.
@@ -51,27 +51,27 @@
     let at = w.rng_ms(first, first + 8_000);
     match w.rng.random_range(0..4) {
         0 => (0..NODES).for_each(|i| w.at(at + 30 * i as u64, Event::Fault(Fault::Crash(i)))),
-        1 => w.at(at, Event::Fault(Fault::Leader(Leader::Ends, 0))),
+        1 => w.at(at, Event::Fault(Fault::Leader(LeaderFault::Ends, 0))),
         2 => {
             let slow = w.rng.random_range(100..2_500);
-            w.at(at, Event::Fault(Fault::StateSlow(slow)));
-            w.at(at + 20_000, Event::Fault(Fault::StateSlow(0)));
+            w.at(at, Event::Fault(Fault::SlowStore(slow)));
+            w.at(at + 20_000, Event::Fault(Fault::SlowStore(0)));
         }
         _ => {}
     }
     // Then nobody reaches the state service, for longer than `cancel_s`.
     let down = w.rng_ms(first, first + 16_000);
     let up = down + w.rng_ms(49_000, 75_000);
-    w.at(down, Event::Fault(Fault::StateOutage(true)));
-    w.at(up, Event::Fault(Fault::StateOutage(false)));
+    w.at(down, Event::Fault(Fault::StoreOutage(true)));
+    w.at(up, Event::Fault(Fault::StoreOutage(false)));
     let mut over = up;
     if seed.is_multiple_of(3) {
         // Grants have their full time again, so the leader before may lead on; and it is refused again at once.
         let again = up + w.rng_ms(0, 1_500);
-        w.at(again, Event::Fault(Fault::Leader(Leader::Refused, 14_000)));
-        w.at(again + 1_500, Event::Fault(Fault::StateOutage(true)));
+        w.at(again, Event::Fault(Fault::Leader(LeaderFault::Refused, 14_000)));
+        w.at(again + 1_500, Event::Fault(Fault::StoreOutage(true)));
         over = again + 65_000;
-        w.at(over, Event::Fault(Fault::StateOutage(false)));
+        w.at(over, Event::Fault(Fault::StoreOutage(false)));
     }
     // Orders to some machines are held up, from a node or from all; answers to others.
     for _ in 0..w.rng.random_range(0..5) {
@@ -89,7 +89,7 @@
     for n in 0..w.rng.random_range(3..7) {
         let at = w.rng_ms(T - 3_000, T + 20_000);
         let ms = w.rng.random_range(2_000..30_000);
-        let fault = [Fault::MachineHangs(ms), Fault::MachineDeaf(ms), Fault::MachineDies][n % 3].clone();
+        let fault = [Fault::MachineHangs(ms), Fault::CommandsLost(ms), Fault::MachineDies][n % 3].clone();
         w.at(at, Event::Fault(fault));
     }
     (w, over)
@@ -116,15 +116,15 @@
     }
     let held = w.rng_ms(T - 500, T + 500);
     let for_ms = w.rng_ms(48_500, 57_000);
-    w.at(held, Event::Fault(Fault::Leader(Leader::Held, for_ms)));
+    w.at(held, Event::Fault(Fault::Leader(LeaderFault::CommandsHeld, for_ms)));
     let down = w.rng_ms(T + 5_000, T + 14_000);
-    w.at(down, Event::Fault(Fault::StateOutage(true)));
-    w.at(down + 70_000, Event::Fault(Fault::StateOutage(false)));
+    w.at(down, Event::Fault(Fault::StoreOutage(true)));
+    w.at(down + 70_000, Event::Fault(Fault::StoreOutage(false)));
     w.at(T, Event::Fault(Fault::CloudOutage(true)));
     w.at(down + 70_000, Event::Fault(Fault::CloudOutage(false)));
     for n in 0..w.rng.random_range(3..6) {
         let (at, ms) = (w.rng_ms(T - 3_000, T + 20_000), w.rng.random_range(2_000..20_000));
-        let fault = [Fault::MachineHangs(ms), Fault::MachineDies, Fault::MachineDeaf(ms)][n % 3].clone();
+        let fault = [Fault::MachineHangs(ms), Fault::MachineDies, Fault::CommandsLost(ms)][n % 3].clone();
         w.at(at, Event::Fault(fault));
     }
     (w, down + 70_000)
--- a/crates/scheduler/src/simulation/days/mod.rs
+++ b/crates/scheduler/src/simulation/days/mod.rs
@@ -33,13 +33,13 @@
         match w.rng.random_range(0..10) {
             0 => w.at(at, Event::Fault(Fault::Crash(i))),
             1 => (0..NODES).for_each(|i| w.at(at + i as u64, Event::Fault(Fault::Crash(i)))),
-            2 => for_a_while(w, 25_000, Fault::StateOutage(true), Fault::StateOutage(false)),
-            3 => for_a_while(w, 40_000, Fault::Refuse(i, true), Fault::Refuse(i, false)),
+            2 => for_a_while(w, 25_000, Fault::StoreOutage(true), Fault::StoreOutage(false)),
+            3 => for_a_while(w, 40_000, Fault::StoreRefuses(i, true), Fault::StoreRefuses(i, false)),
             4 => for_a_while(
                 w,
                 40_000,
-                cut(Host::Node(i), Host::State, true),
-                cut(Host::Node(i), Host::State, false),
+                cut(Host::Node(i), Host::Store, true),
+                cut(Host::Node(i), Host::Store, false),
             ),
             5 => for_a_while(
                 w,
--- a/crates/scheduler/src/simulation/days/ordinary.rs
+++ b/crates/scheduler/src/simulation/days/ordinary.rs
@@ -27,7 +27,7 @@
 
 /// Cuts (or mends) a zone off from everything else.
 pub fn cut_zone(w: &mut Simulation, zone: usize, on: bool) {
-    divide(w, zone, &[Host::State, Host::Cloud, Host::User], on, false);
+    divide(w, zone, &[Host::Store, Host::Cloud, Host::User], on, false);
 }
 
 /// Cuts (or mends) the links between a zone's node and machines and those of the other zones and `others`.
@@ -130,7 +130,7 @@
             let cancel_at = gone.filter(|(which, _)| *which == n).map(|(_, at)| at);
             w.add_user(at + n as u64, body, cancel_at);
             if let Some(user) = w.users.last_mut().filter(|_| n == 4 && p % 3 == 0) {
-                user.submits = Submits::OnceOver;
+                user.submits = Submits::OnceFinished;
             }
         }
     }
@@ -156,7 +156,7 @@
             at += 6_000;
         }
     }
-    w.at(at + 2_000, Event::Fault(Fault::Limits));
+    w.at(at + 2_000, Event::Fault(Fault::NextStoreLimits));
     pipelines(&mut w, at, 75_000);
     if hard {
         troubles(&mut w);
@@ -167,9 +167,9 @@
 /// All nodes end during an outage of the state service.
 pub fn crash_of_all_in_an_outage(seed: u64) -> Simulation {
     day(seed, |w| {
-        w.at(20_000, Event::Fault(Fault::StateOutage(true)));
+        w.at(20_000, Event::Fault(Fault::StoreOutage(true)));
         (0..NODES).for_each(|i| w.at(30_000 + 40 * i as u64, Event::Fault(Fault::Crash(i))));
-        w.at(42_000, Event::Fault(Fault::StateOutage(false)));
+        w.at(42_000, Event::Fault(Fault::StoreOutage(false)));
     })
 }
 
@@ -214,10 +214,10 @@
         w.nodes[i].controller.as_ref().is_some_and(|c| c.holds_lease(at))
     };
     let old = (0..NODES).find(|i| leads(&w, *i)).expect("somebody leads");
-    w.at(20_001, Event::Fault(Fault::Refuse(old, true)));
+    w.at(20_001, Event::Fault(Fault::StoreRefuses(old, true)));
     w.run_until(30_000);
     assert!((0..NODES).any(|i| i != old && leads(&w, i)), "seed {seed}: nobody took over");
-    w.at(60_000, Event::Fault(Fault::Refuse(old, false)));
+    w.at(60_000, Event::Fault(Fault::StoreRefuses(old, false)));
     w
 }
 
@@ -245,9 +245,9 @@
         let at = w.rng_ms(500, 15_000);
         w.add_user(at, body, None);
     }
-    w.at(25_000, Event::Fault(Fault::StateOutage(true)));
+    w.at(25_000, Event::Fault(Fault::StoreOutage(true)));
     (0..5).for_each(|i| w.at(30_000 + i as u64, Event::Fault(Fault::Crash(i))));
-    w.at(36_000, Event::Fault(Fault::StateOutage(false)));
+    w.at(36_000, Event::Fault(Fault::StoreOutage(false)));
     w
 }
 
--- a/crates/scheduler/src/simulation/days/recovery.rs
+++ b/crates/scheduler/src/simulation/days/recovery.rs
@@ -77,8 +77,8 @@
     let at = w.rng_ms(22_000, 55_000);
     match w.rng.random_range(0..4) {
         0 => {
-            w.at(at, Event::Fault(Fault::StateOutage(true)));
-            w.at(at + 8_000, Event::Fault(Fault::StateOutage(false)));
+            w.at(at, Event::Fault(Fault::StoreOutage(true)));
+            w.at(at + 8_000, Event::Fault(Fault::StoreOutage(false)));
         }
         1 => {
             let i = w.rng.random_range(0..NODES);
@@ -90,8 +90,8 @@
         }
         2 => {
             let i = w.rng.random_range(0..NODES);
-            w.at(at, Event::Fault(Fault::Refuse(i, true)));
-            w.at((at + 12_000).min(LAST), Event::Fault(Fault::Refuse(i, false)));
+            w.at(at, Event::Fault(Fault::StoreRefuses(i, true)));
+            w.at((at + 12_000).min(LAST), Event::Fault(Fault::StoreRefuses(i, false)));
         }
         _ => {}
     }
@@ -132,7 +132,7 @@
     let down = DOWN_MS;
     // Without the state service the nodes that come back can't answer anybody.
     crash_all(&mut w, down);
-    w.at(down, Event::Fault(Fault::StateOutage(true)));
-    w.at(down + 24_000, Event::Fault(Fault::StateOutage(false)));
+    w.at(down, Event::Fault(Fault::StoreOutage(true)));
+    w.at(down + 24_000, Event::Fault(Fault::StoreOutage(false)));
     w
 }
--- a/crates/scheduler/src/simulation/directed.rs
+++ b/crates/scheduler/src/simulation/directed.rs
@@ -43,7 +43,7 @@
         let broken = of_seeds(played, |seed| {
             let (wrong, w) = play(row, seed, false);
             let mut counts = counts.lock().expect("no thread panicked");
-            w.met.iter().for_each(|(what, n)| *counts.entry(what).or_default() += n);
+            w.occurrences.iter().for_each(|(what, n)| *counts.entry(what).or_default() += n);
             wrong
         });
         let counts = counts.into_inner().expect("no thread panicked");
@@ -53,7 +53,10 @@
             counts.get(what).copied().unwrap_or(0) < (*least * asked).div_ceil(SEEDS)
         };
         wrong.extend(
-            row.met.iter().filter(took_place).map(|m| format!("{}: did not take place: {m:?}", row.name)),
+            row.occurrences
+                .iter()
+                .filter(took_place)
+                .map(|m| format!("{}: did not take place: {m:?}", row.name)),
         );
     }
     assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
--- /dev/null
+++ b/crates/scheduler/src/simulation/events.rs
@@ -0,0 +1,98 @@
+//! The simulation's events and the queue that orders them by simulated time.
+
+use super::close_reads::CloseRead;
+use super::faults::Fault;
+use super::nodes::{Answered, Caller};
+use super::rules::Known;
+use super::workers::SentHeartbeat;
+use crate::node::Input;
+use crate::wire::cloud::CloudRequest;
+use crate::wire::state::StoreRequest;
+use std::collections::BTreeMap;
+
+/// What happens at a set time.
+#[derive(Debug)]
+pub enum Event {
+    /// The next periodic step of a node's incarnation.
+    Tick { node: usize, incarnation: u64 },
+    /// An input reaches a node's incarnation.
+    Input { node: usize, incarnation: u64, input: Input },
+    /// A request reaches the key-value store.
+    Store { caller: Caller, request: StoreRequest },
+    /// The key-value store has finished a slow answer to a node, which is sent now.
+    SlowStoreAnswer { node: usize, answer: Box<Event> },
+    /// A transaction whose sender got no answer is carried out.
+    LateWrite(StoreRequest),
+    /// The watch with this number is answered.
+    WatchEnds(u64),
+    /// A request reaches the cloud.
+    Cloud { caller: Caller, request: CloudRequest },
+    /// A request with commands reaches the machine at an address.
+    Command { caller: Caller, addr: String, body: String },
+    /// A node's request has gone without an answer for as long as it waits for one.
+    Timeout { caller: Caller, service: Service },
+    /// A node's process starts.
+    Restart(usize),
+    /// A worker's next step.
+    Worker(usize),
+    /// A node's answer to a heartbeat reaches its worker.
+    HeartbeatAnswer { heartbeat: SentHeartbeat, node: usize, status: u16, body: String },
+    /// A worker stops waiting for the answer to a heartbeat, named by its number.
+    HeartbeatTimeout { machine: usize, heartbeat: u64 },
+    /// A user sends a request beside those of its own job.
+    CloseRead(CloseRead),
+    /// A node's answer to such a request; `before` is what users knew as it was sent.
+    CloseReadAnswer { close_read: CloseRead, before: Known, node: usize, status: u16, body: String },
+    /// The next malformed or impossible request is sent.
+    OddRequest,
+    /// A copy of a heartbeat is sent to a node.
+    HeartbeatCopy { machine: usize, node: usize, body: String },
+    /// A user's next request.
+    User(usize),
+    /// A node's answer reaches a user.
+    UserAnswer { user: usize, request: u64, status: u16, body: String },
+    /// A user stops waiting for the answer to a request.
+    UserTimeout { user: usize, request: u64 },
+    /// An answer reaches the test itself.
+    Answered(Answered),
+    /// A fault begins or ends.
+    Fault(Fault),
+}
+
+/// The service that a node's request went to.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Service {
+    Store,
+    Cloud,
+    Worker,
+}
+
+/// When an event takes place; those of one millisecond in the order in which they were added.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EventKey {
+    at_ms: u64,
+    sequence: u64,
+}
+
+/// Events to come, in the order in which they take place.
+#[derive(Debug, Default)]
+pub(super) struct EventQueue {
+    last_sequence: u64,
+    events: BTreeMap<EventKey, Event>,
+}
+
+impl EventQueue {
+    /// Adds an event at a simulated time, in milliseconds.
+    pub(super) fn push(&mut self, at_ms: u64, event: Event) {
+        self.last_sequence += 1;
+        let key = EventKey { at_ms, sequence: self.last_sequence };
+        self.events.insert(key, event);
+    }
+
+    /// Takes the next event and its time, if it takes place by `end_ms`.
+    pub(super) fn pop_until(&mut self, end_ms: u64) -> Option<(u64, Event)> {
+        let next = self.events.first_entry()?;
+        let at_ms = next.key().at_ms;
+        (at_ms <= end_ms).then(|| (at_ms, next.remove()))
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/simulation/nodes.rs
@@ -0,0 +1,284 @@
+//! The nodes' processes: starts, clocks, steps, and requests that reach them over HTTP.
+
+use super::Simulation;
+use super::close_reads::CloseRead;
+use super::events::{Event, Service};
+use super::links::Host;
+use super::rules::Known;
+use super::settings::next_settings;
+use super::workers::SentHeartbeat;
+use crate::extension::{Call, Extension};
+use crate::node::{Controller, Input, Method, Now};
+use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
+use crate::wire::cloud::CloudReply;
+use crate::wire::state::StoreReply;
+use rand::RngExt;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// How often a node steps without other input, in milliseconds; up to `TICK_JITTER_MS` more each time.
+const TICK_MS: u64 = 50;
+const TICK_JITTER_MS: u64 = 4;
+/// What a monotonic clock shows as the simulation begins, in milliseconds.
+const MONOTONIC_START_MS: u64 = 1_000_000;
+/// What a wall clock shows as the simulation begins, in milliseconds since 1970.
+const WALL_START_MS: u64 = 1_700_000_000_000;
+
+/// A node's process, or the gap between two of them.
+pub struct Node {
+    /// The running process; none while the node is down.
+    pub controller: Option<Controller>,
+    /// How often the node has started.
+    pub incarnation: u64,
+    /// Who waits for the answers to requests at this node.
+    pub(super) requesters: BTreeMap<RequestId, Requester>,
+    last_request: u64,
+    /// The node's own requests that have neither been answered nor timed out.
+    pub(super) open_requests: BTreeSet<RequestId>,
+}
+
+impl Node {
+    fn down() -> Self {
+        Self {
+            controller: None,
+            incarnation: 0,
+            requesters: BTreeMap::new(),
+            last_request: 0,
+            open_requests: BTreeSet::new(),
+        }
+    }
+
+    fn runs(&self, incarnation: u64) -> bool {
+        self.controller.is_some() && self.incarnation == incarnation
+    }
+}
+
+/// A node's request, and the incarnation that waits for its answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Caller {
+    pub node: usize,
+    pub incarnation: u64,
+    pub request_id: RequestId,
+}
+
+impl Caller {
+    /// The arrival of an answer.
+    pub(super) fn input(self, input: Input) -> Event {
+        Event::Input { node: self.node, incarnation: self.incarnation, input }
+    }
+}
+
+/// Who waits for the answer to a request at a node.
+#[derive(Debug)]
+pub(super) enum Requester {
+    User {
+        user: usize,
+        request: u64,
+    },
+    Worker(SentHeartbeat),
+    CloseRead {
+        close_read: CloseRead,
+        before: Known,
+    },
+    /// Nobody any more: the request is a copy of a heartbeat.
+    Nobody,
+    /// The test itself.
+    Test {
+        tag: u64,
+    },
+}
+
+/// An answer to the test itself.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Answered {
+    /// The number that the test gave the request.
+    pub tag: u64,
+    pub node: usize,
+    pub status: u16,
+    pub retry_after_s: Option<u32>,
+    pub headers: Vec<(&'static str, String)>,
+    pub body: String,
+}
+
+/// The first `count` nodes as ends of links.
+pub(super) fn hosts(count: usize) -> impl Iterator<Item = Host> {
+    (0..count).map(Host::Node)
+}
+
+impl Simulation {
+    /// Adds a node that starts within the first 300 ms.
+    pub(super) fn add_node(&mut self) {
+        self.nodes.push(Node::down());
+        let at_ms = self.rng_ms(1, 300);
+        self.at(at_ms, Event::Restart(self.nodes.len() - 1));
+    }
+
+    /// Gives every node an extension, from its next start on.
+    pub fn with_feature(mut self, feature: fn() -> Box<dyn Extension>) -> Self {
+        self.feature_prefix = Some(feature().prefix());
+        self.feature = Some(feature);
+        self
+    }
+
+    /// All nodes begin with the version before dependencies, and the key-value store with the limits
+    /// that it has then. The settings name its next ones.
+    pub fn begin_old(&mut self) {
+        let nodes = self.settings.len();
+        self.old = self.settings.iter().cloned().enumerate().collect();
+        self.settings = (0..nodes).map(|node| Arc::new(next_settings(node, nodes))).collect();
+    }
+
+    pub(super) fn start_node(&mut self, index: usize) {
+        let seed = self.rng.random();
+        let previous_settings = self.old.get(&index);
+        let settings = previous_settings.unwrap_or(&self.settings[index]).clone();
+        let mut controller = Controller::new(settings, seed);
+        if previous_settings.is_some() {
+            controller.act_as_previous_version();
+        }
+        if let Some(feature) = self.feature {
+            controller = controller.with_extension(feature());
+        }
+        let node = &mut self.nodes[index];
+        node.incarnation += 1;
+        node.controller = Some(controller);
+        node.requesters.clear();
+        node.open_requests.clear();
+        let incarnation = node.incarnation;
+        self.after(1, Event::Tick { node: index, incarnation });
+    }
+
+    /// Ends a node's process, if it runs; it starts again after a time drawn from `away_ms`.
+    pub(super) fn crash_node(&mut self, index: usize) {
+        if self.nodes[index].controller.take().is_some() {
+            let ms = self.rng.random_range(self.away_ms.clone());
+            self.after(ms, Event::Restart(index));
+        }
+    }
+
+    pub(super) fn tick(&mut self, node: usize, incarnation: u64) {
+        if !self.nodes[node].runs(incarnation) {
+            return;
+        }
+        let jitter = self.rng_ms(0, TICK_JITTER_MS);
+        self.after(TICK_MS + jitter, Event::Tick { node, incarnation });
+        self.note_leader();
+        self.release_copies();
+        self.step(node, Input::Tick);
+    }
+
+    pub(super) fn receive_input(&mut self, node: usize, incarnation: u64, input: Input) {
+        if !self.nodes[node].runs(incarnation) {
+            return;
+        }
+        let answered = match &input {
+            Input::Store { request_id, .. }
+            | Input::Cloud { request_id, .. }
+            | Input::Worker { request_id, .. } => Some(*request_id),
+            _ => None,
+        };
+        // An answer after the caller gave up reaches nobody.
+        if answered.is_none_or(|request_id| self.nodes[node].open_requests.remove(&request_id)) {
+            self.step(node, input);
+        }
+    }
+
+    pub(super) fn request_timeout(&mut self, caller: Caller, service: Service) {
+        let Caller { node, incarnation, request_id } = caller;
+        let state = &mut self.nodes[node];
+        if state.incarnation != incarnation || !state.open_requests.remove(&request_id) {
+            return;
+        }
+        let input = match service {
+            Service::Store => Input::Store { request_id, reply: StoreReply::Unknown },
+            Service::Cloud => Input::Cloud { request_id, reply: CloudReply::Unknown },
+            Service::Worker => Input::Worker { request_id, status: 0, body: Vec::new() },
+        };
+        self.step(node, input);
+    }
+
+    /// What a node's monotonic clock shows.
+    fn monotonic_time(&self, node: usize) -> MonotonicTime {
+        let drift = self.now as i64 * self.drift_ppm[node] / 1_000_000;
+        MonotonicTime::from_millis(MONOTONIC_START_MS + self.now.saturating_add_signed(drift))
+    }
+
+    /// The node that validly leads now, if one does.
+    pub fn leader(&self) -> Option<usize> {
+        let leads = |node: &usize| {
+            let controller = self.nodes[*node].controller.as_ref();
+            controller.is_some_and(|controller| controller.holds_lease(self.monotonic_time(*node)))
+        };
+        (0..self.nodes.len()).find(leads)
+    }
+
+    /// Gives a node an input and carries out the effects.
+    fn step(&mut self, node: usize, input: Input) {
+        let now = Now {
+            steady: self.monotonic_time(node),
+            wall_time: WallTime(WALL_START_MS + self.now),
+            took: Duration::from_millis(0),
+        };
+        let incarnation = self.nodes[node].incarnation;
+        let Some(controller) = &mut self.nodes[node].controller else { return };
+        let effects = controller.step(now, input);
+        if self.old.contains_key(&node) {
+            controller.act_as_previous_version();
+        }
+        if let Some(injected_fault) = self.injected_fault {
+            injected_fault(controller, self.now);
+        }
+        if let Err(what) = controller.check_sums() {
+            self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
+        }
+        for effect in effects {
+            self.effects.effect(self.now, node, &effect);
+            self.carry_out(node, incarnation, effect);
+        }
+    }
+
+    /// Sends a node a request over HTTP; false: the connection fails.
+    pub(super) fn request(
+        &mut self,
+        node: usize,
+        requester: Requester,
+        from: Host,
+        method: Method,
+        path: String,
+        body: String,
+    ) -> bool {
+        let input = |request| Input::Http { request, method, path, body: body.into_bytes() };
+        self.send_request(node, requester, from, input)
+    }
+
+    fn send_request(
+        &mut self,
+        index: usize,
+        requester: Requester,
+        from: Host,
+        input: impl FnOnce(RequestId) -> Input,
+    ) -> bool {
+        if self.nodes[index].controller.is_none() || self.links.refuses(from, Host::Node(index)) {
+            return false;
+        }
+        let node = &mut self.nodes[index];
+        node.last_request += 1;
+        let request = RequestId(node.last_request);
+        node.requesters.insert(request, requester);
+        let incarnation = node.incarnation;
+        let event = Event::Input { node: index, incarnation, input: input(request) };
+        self.send(from, Host::Node(index), event);
+        true
+    }
+
+    /// Sends a node a request as a user would; the answer comes to `answers`. False: the connection fails.
+    pub fn ask(&mut self, node: usize, tag: u64, method: Method, path: &str, body: &str) -> bool {
+        self.request(node, Requester::Test { tag }, Host::User, method, path.into(), body.into())
+    }
+
+    /// Calls a node's extension; the answer comes to `answers`. False: the connection fails.
+    pub fn call(&mut self, node: usize, tag: u64, call: Call) -> bool {
+        let input = |request| Input::Call { slot: 0, request, call };
+        self.send_request(node, Requester::Test { tag }, Host::User, input)
+    }
+}
--- a/crates/scheduler/src/simulation/rules.rs
+++ b/crates/scheduler/src/simulation/rules.rs
@@ -66,9 +66,6 @@
         let (job, index) = split(task);
         self.done.get(job).is_some_and(|d| d.contains(&index))
     }
-    pub fn progress(&self, _task: &str) -> u64 {
-        0
-    }
     pub fn completes(&mut self, task: &str, gang: bool) {
         let (job, index) = split(task);
         let n = self.bodies[job]["shards"].as_u64().unwrap_or(1);
@@ -105,17 +102,8 @@
     }
 
     /// A task has its image on a machine and starts.
-    #[allow(clippy::too_many_arguments)]
-    pub fn starts(
-        &mut self,
-        now: u64,
-        machine: &MachineId,
-        type_name: &str,
-        zone: &str,
-        spot: bool,
-        task: &str,
-        workers: &[Worker],
-    ) {
+    pub fn starts(&mut self, now: u64, worker: &Worker, task: &str, workers: &[Worker]) {
+        let Worker { id: machine, type_name, zone, spot, .. } = worker;
         self.started += 1;
         self.starts.push((now, task.into(), machine.clone()));
         let (job, _) = split(task);
@@ -136,10 +124,10 @@
         if others(&|w, t| t.name == task && w.id != *machine) > 0 {
             self.fail(now, format!("ran_twice: {task} on {machine} and elsewhere"));
         }
-        let allowed = body["flavors"].as_array().is_none_or(|f| f.iter().any(|f| f == type_name))
+        let allowed = body["flavors"].as_array().is_none_or(|f| f.iter().any(|f| f == type_name.as_str()))
             && body["region"].as_str().is_none_or(|r| r == zone)
-            && (!spot || body["preemptible"] == true);
-        let mates = |z: bool| others(&|w, t| t.job() == job && t.name != task && (w.zone == zone) == z);
+            && (!*spot || body["preemptible"] == true);
+        let mates = |z: bool| others(&|w, t| t.job() == job && t.name != task && (w.zone == *zone) == z);
         let cap = body["shards"].as_u64().unwrap_or(1).div_ceil(2);
         let spread_ok = body["spread"] != true || mates(true) < cap;
         let together_ok = body["together"] != true || mates(false) == 0;
--- a/crates/scheduler/src/simulation/store.rs
+++ b/crates/scheduler/src/simulation/store.rs
@@ -1,25 +1,29 @@
-//! A stand-in of the state service.
+//! A stand-in of the key-value store.
 
-use super::{Event, Host, Input, Simulation};
+use super::Simulation;
+use super::events::Event;
+use super::links::{Delay, Host};
+use super::nodes::Caller;
 use crate::jobs::{self, Record};
+use crate::node::Input;
 use crate::rate_limit::StoreLimits;
-use crate::types::{LeaseId, RequestId, Revision};
-use crate::wire::state::{Change, Event as News, Pair, StoreReply, StoreRequest};
+use crate::types::{LeaseId, Revision};
+use crate::wire::state::{Change, Event as StoreEvent, Pair, StoreReply, StoreRequest};
 use crate::wire::users;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-struct GrantLease {
+struct Lease {
+    /// When it runs out, in milliseconds.
     ends: u64,
-    life: u64,
+    /// How long it lasts after each renewal, in milliseconds.
+    ttl_ms: u64,
 }
 
 #[derive(Debug)]
-struct Open {
-    from: usize,
-    life: u64,
-    request_id: RequestId,
+struct Watch {
+    caller: Caller,
     prefix: &'static str,
     since: u64,
 }
@@ -28,23 +32,24 @@
 pub struct Service {
     store_revision: u64,
     keys: BTreeMap<String, (String, Revision, Option<LeaseId>)>,
-    grants: BTreeMap<LeaseId, GrantLease>,
-    history: Vec<News>,
-    watches: BTreeMap<u64, Open>,
-    next: u64,
+    leases: BTreeMap<LeaseId, Lease>,
+    history: Vec<StoreEvent>,
+    watches: BTreeMap<u64, Watch>,
+    /// The last number given to a lease or a watch.
+    last_id: u64,
     away: bool,
     pub refused: BTreeSet<usize>,
     pub limits: StoreLimits,
     /// Values and transactions that were refused for being over the limits.
     pub too_large: Vec<String>,
-    /// Sabotage: takes every transaction, whatever its conditions.
+    /// Injected fault: takes every transaction, whatever its conditions.
     pub careless: bool,
 }
 
-fn news_key(n: &News) -> (&str, Revision) {
+fn event_key(n: &StoreEvent) -> (&str, Revision) {
     match n {
-        News::Put(p) => (&p.key, p.revision),
-        News::Delete { key, revision } => (key, *revision),
+        StoreEvent::Put(p) => (&p.key, p.revision),
+        StoreEvent::Delete { key, revision } => (key, *revision),
     }
 }
 
@@ -53,10 +58,10 @@
         Self {
             store_revision: 0,
             keys: BTreeMap::new(),
-            grants: BTreeMap::new(),
+            leases: BTreeMap::new(),
             history: Vec::new(),
             watches: BTreeMap::new(),
-            next: 0,
+            last_id: 0,
             away: false,
             refused: BTreeSet::new(),
             limits,
@@ -74,7 +79,7 @@
         self.store_revision += 1;
         let revision = Revision(self.store_revision);
         self.keys.insert(key.into(), (value.into(), revision, None));
-        self.history.push(News::Put(Pair { key: key.into(), value: value.into(), revision }));
+        self.history.push(StoreEvent::Put(Pair { key: key.into(), value: value.into(), revision }));
     }
 
     pub fn revision(&self, key: &str) -> Option<Revision> {
@@ -83,7 +88,7 @@
 
     /// How many changes were made under a prefix so far.
     pub fn changes(&self, prefix: &str) -> usize {
-        self.history.iter().filter(|n| news_key(n).0.starts_with(prefix)).count()
+        self.history.iter().filter(|n| event_key(n).0.starts_with(prefix)).count()
     }
 
     /// All pairs under a prefix.
@@ -99,10 +104,20 @@
             .map(|(key, (value, revision, lease))| (key.as_str(), value.as_str(), *revision, *lease))
     }
 
+    /// Refuses a node's requests from now on, or serves them again.
+    pub fn refuse(&mut self, node: usize, on: bool) {
+        if on {
+            self.refused.insert(node);
+        } else {
+            self.refused.remove(&node);
+        }
+    }
+
+    /// Begins or ends an outage; after it, all leases have their full time again.
     pub fn outage(&mut self, on: bool, now: u64) {
         self.away = on;
         if !on {
-            self.grants.values_mut().for_each(|g| g.ends = now + g.life);
+            self.leases.values_mut().for_each(|lease| lease.ends = now + lease.ttl_ms);
         }
     }
 
@@ -110,9 +125,9 @@
         if self.away {
             return;
         }
-        let ended: Vec<LeaseId> = self.grants.iter().filter(|(_, g)| g.ends < now).map(|(p, _)| *p).collect();
+        let ended: Vec<LeaseId> = self.leases.iter().filter(|(_, g)| g.ends < now).map(|(p, _)| *p).collect();
         for lease in ended {
-            self.grants.remove(&lease);
+            self.leases.remove(&lease);
             let keys: Vec<String> =
                 self.keys.iter().filter(|(_, v)| v.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
             if !keys.is_empty() {
@@ -120,14 +135,14 @@
             }
             for key in keys {
                 self.keys.remove(&key);
-                self.history.push(News::Delete { key, revision: Revision(self.store_revision) });
+                self.history.push(StoreEvent::Delete { key, revision: Revision(self.store_revision) });
             }
         }
     }
 
-    fn since(&self, prefix: &str, from: u64) -> Vec<News> {
-        let start = self.history.partition_point(|n| news_key(n).1.0 <= from);
-        self.history[start..].iter().filter(|n| news_key(n).0.starts_with(prefix)).cloned().collect()
+    fn since(&self, prefix: &str, from: u64) -> Vec<StoreEvent> {
+        let start = self.history.partition_point(|n| event_key(n).1.0 <= from);
+        self.history[start..].iter().filter(|n| event_key(n).0.starts_with(prefix)).cloned().collect()
     }
 
     fn commit(&mut self, conditions: &[(String, Revision)], changes: Vec<Change>) -> StoreReply {
@@ -143,10 +158,10 @@
         let revision = |k: &String| self.keys.get(k).map(|v| v.1).unwrap_or_default();
         let failed: Vec<String> =
             conditions.iter().filter(|(k, s)| revision(k) != *s).map(|(k, _)| k.clone()).collect();
-        let no_grant = changes
+        let no_lease = changes
             .iter()
-            .any(|c| matches!(c, Change::Put { lease: Some(p), .. } if !self.grants.contains_key(p)));
-        if no_grant {
+            .any(|c| matches!(c, Change::Put { lease: Some(p), .. } if !self.leases.contains_key(p)));
+        if no_lease {
             return StoreReply::LeaseExpired;
         }
         if !failed.is_empty() && !self.careless {
@@ -158,11 +173,11 @@
             match change {
                 Change::Put { key, value, lease } => {
                     self.keys.insert(key.clone(), (value.clone(), revision, lease));
-                    self.history.push(News::Put(Pair { key, value, revision }));
+                    self.history.push(StoreEvent::Put(Pair { key, value, revision }));
                 }
                 Change::Delete { key } => {
                     self.keys.remove(&key);
-                    self.history.push(News::Delete { key, revision });
+                    self.history.push(StoreEvent::Delete { key, revision });
                 }
             }
         }
@@ -192,14 +207,14 @@
             }
             StoreRequest::Commit { conditions, changes } => self.commit(&conditions, changes),
             StoreRequest::GrantLease { life_ms } => {
-                self.next += 1;
-                let lease = LeaseId(self.next);
-                self.grants.insert(lease, GrantLease { ends: now + life_ms, life: life_ms });
+                self.last_id += 1;
+                let lease = LeaseId(self.last_id);
+                self.leases.insert(lease, Lease { ends: now + life_ms, ttl_ms: life_ms });
                 StoreReply::LeaseGranted(lease)
             }
-            StoreRequest::RenewLease { lease } => match self.grants.get_mut(&lease) {
-                Some(g) => {
-                    g.ends = now + g.life;
+            StoreRequest::RenewLease { lease } => match self.leases.get_mut(&lease) {
+                Some(lease) => {
+                    lease.ends = now + lease.ttl_ms;
                     StoreReply::LeaseRenewed
                 }
                 None => StoreReply::LeaseExpired,
@@ -212,56 +227,64 @@
 }
 
 impl Simulation {
-    fn reply(&mut self, node: usize, life: u64, request_id: RequestId, reply: StoreReply, aside: bool) {
-        let input = Event::Input(node, life, Input::Store { request_id, reply });
-        if self.state_slow > 0 {
-            let ms = self.rng_ms(0, self.state_slow);
-            return self.after(ms, Event::Slow(node, Box::new(input)));
+    fn store_reply(&mut self, caller: Caller, reply: StoreReply, delay: Delay) {
+        let node = caller.node;
+        let answer = caller.input(Input::Store { request_id: caller.request_id, reply });
+        let slow_ms = self.faults.slow_store_ms;
+        if slow_ms > 0 {
+            let ms = self.rng_ms(0, slow_ms);
+            return self.after(ms, Event::SlowStoreAnswer { node, answer: Box::new(answer) });
+        }
+        self.send_with_delay(Host::Store, Host::Node(node), answer, delay);
+    }
+
+    /// The delay of a request and its answer. Those that only follow an extension's records take no draw, so that
+    /// all else goes the same way whether a job came through an extension or not.
+    pub(super) fn store_delay(&self, request: &StoreRequest) -> Delay {
+        match request {
+            StoreRequest::Range { prefix, .. } | StoreRequest::Watch { prefix, .. } => {
+                self.delay_under(prefix)
+            }
+            _ => Delay::Drawn,
         }
-        self.send_aside(Host::State, Host::Node(node), input, aside);
     }
 
-    /// Whether a request only follows a feature's records. Such have delays of their own, so that all else
-    /// goes the same way whether a job came through a feature or not.
-    pub(super) fn is_aside(&self, request: &StoreRequest) -> bool {
-        let prefix = match request {
-            StoreRequest::Range { prefix, .. } | StoreRequest::Watch { prefix, .. } => prefix,
-            _ => return false,
-        };
-        self.feature_prefix.as_ref().is_some_and(|own| own == prefix)
+    fn delay_under(&self, prefix: &str) -> Delay {
+        if self.feature_prefix == Some(prefix) { Delay::Fixed } else { Delay::Drawn }
     }
 
-    pub fn state_request(&mut self, from: usize, life: u64, request_id: RequestId, request: StoreRequest) {
+    /// Carries out a node's request, now or later, and answers it, unless a fault has it otherwise.
+    pub(super) fn store_request(&mut self, caller: Caller, request: StoreRequest) {
         let now = self.now;
-        let aside = self.is_aside(&request);
+        let delay = self.store_delay(&request);
         self.state.expire(now);
-        if self.state.away || self.state.refused.contains(&from) {
-            return self.reply(from, life, request_id, StoreReply::Refused, aside);
+        if self.state.away || self.state.refused.contains(&caller.node) {
+            return self.store_reply(caller, StoreReply::Refused, delay);
         }
         if let StoreRequest::Watch { prefix, from: since, block_ms } = &request
             && *block_ms > 0
             && self.state.since(prefix, *since).is_empty()
         {
-            self.state.next += 1;
-            let id = self.state.next;
-            self.state.watches.insert(id, Open { from, life, request_id, prefix, since: *since });
+            self.state.last_id += 1;
+            let id = self.state.last_id;
+            self.state.watches.insert(id, Watch { caller, prefix, since: *since });
             return self.after(*block_ms, Event::WatchEnds(id));
         }
-        if self.late_writes > 0.0
+        if self.faults.late_writes > 0.0
             && matches!(request, StoreRequest::Commit { .. })
-            && self.rng.random_bool(self.late_writes)
+            && self.rng.random_bool(self.faults.late_writes)
         {
             let ms = self.rng_ms(2_000, 12_000);
             return self.after(ms, Event::LateWrite(request));
         }
-        let lost = self.lost_answers > 0.0
+        let lost = self.faults.lost_store_answers > 0.0
             && matches!(request, StoreRequest::Commit { .. })
-            && self.rng.random_bool(self.lost_answers);
+            && self.rng.random_bool(self.faults.lost_store_answers);
         let answer = self.state.answer(request, now);
         if lost {
-            *self.met.entry("only the answer lost").or_default() += 1;
+            self.count("only the answer lost");
         } else {
-            self.reply(from, life, request_id, answer, aside);
+            self.store_reply(caller, answer, delay);
         }
         self.changed();
     }
@@ -279,15 +302,15 @@
     /// Ends the watches for which there is something new.
     fn changed(&mut self) {
         self.upload_descriptions();
-        let due: Vec<u64> = self
+        let ended: Vec<u64> = self
             .state
             .watches
             .iter()
-            .filter(|(_, w)| !self.state.refused.contains(&w.from))
-            .filter(|(_, w)| !self.state.since(w.prefix, w.since).is_empty())
+            .filter(|(_, watch)| !self.state.refused.contains(&watch.caller.node))
+            .filter(|(_, watch)| !self.state.since(watch.prefix, watch.since).is_empty())
             .map(|(id, _)| *id)
             .collect();
-        due.into_iter().for_each(|id| self.watch_ends(id));
+        ended.into_iter().for_each(|id| self.watch_ends(id));
     }
 
     /// Users who come through a feature upload their jobs' descriptions for the workers, as others do.
@@ -313,11 +336,11 @@
         if self.state.away {
             return self.after(200, Event::WatchEnds(id));
         }
-        if let Some(w) = self.state.watches.remove(&id) {
-            let events = self.state.since(w.prefix, w.since);
+        if let Some(watch) = self.state.watches.remove(&id) {
+            let events = self.state.since(watch.prefix, watch.since);
             let store_revision = self.state.store_revision;
-            let aside = self.feature_prefix.as_ref().is_some_and(|own| *own == w.prefix);
-            self.reply(w.from, w.life, w.request_id, StoreReply::Events { store_revision, events }, aside);
+            let delay = self.delay_under(watch.prefix);
+            self.store_reply(watch.caller, StoreReply::Events { store_revision, events }, delay);
         }
     }
 }
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -251,7 +251,7 @@
         body["awaits"] = awaits;
         let at = w.now;
         w.add_user(at, body, None);
-        w.users.last_mut().expect("just added").submits = Submits::Rashly;
+        w.users.last_mut().expect("just added").submits = Submits::AtOnce;
         w.run_until(at + 1_000);
         w.users.last().expect("just added").announced.clone()
     };
--- a/crates/scheduler/src/simulation/waiting.rs
+++ b/crates/scheduler/src/simulation/waiting.rs
@@ -3,7 +3,7 @@
 
 #![cfg(test)]
 
-use super::workers::{State, Worker};
+use super::workers::{Task, Worker};
 use super::{Simulation, Stage, User};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 impl Waiting {
     /// Looks again; a job that has waited for too long.
     pub fn close_read(&mut self, w: &Simulation) -> Option<String> {
-        let fits = |u: &&User| u.stage != Stage::Over && w.rules.accepted(&u.id) && w.could_start(u);
+        let fits = |u: &&User| u.stage != Stage::Finished && w.rules.accepted(&u.id) && w.could_start(u);
         let now: Vec<&str> = w.users.iter().filter(fits).map(|u| u.id.as_str()).collect();
         self.since.retain(|id, _| now.contains(&id.as_str()));
         for id in now {
@@ -49,7 +49,7 @@
         }
         let all = body["shards"].as_u64().unwrap_or(1);
         let somewhere = |task: &str| {
-            let there = |t: &super::workers::Task| t.name == task && !matches!(t.state, State::Exited { .. });
+            let there = |t: &Task| t.name == task && !t.has_exited();
             self.workers.iter().any(|w| w.tasks.iter().any(there))
         };
         let lacks = (0..all).map(|i| format!("{id}/{i}"));
@@ -63,7 +63,7 @@
         let used: f64 = self
             .workers
             .iter()
-            .map(|w| w.on_resources(|j| self.rules.body(j).filter(|b| b["owner"] == body["owner"])).1)
+            .map(|w| w.used_resources(|j| self.rules.body(j).filter(|b| b["owner"] == body["owner"])).gpus)
             .sum();
         if used + gpus * wanted as f64 > self.rules.limit(body["owner"].as_str().unwrap_or_default()) {
             return false;
@@ -74,16 +74,16 @@
                 body["flavors"].as_array().is_none_or(|f| f.iter().any(|f| f == w.type_name.as_str()))
                     && body["region"].as_str().is_none_or(|z| z == w.zone)
                     && (!w.spot || body["preemptible"] == true);
-            let ((all_cpus, all_gpus), (on_cpus, on_gpus)) =
-                (w.resources(), w.on_resources(|j| self.rules.body(j)));
+            let total = w.resources();
+            let used = w.used_resources(|job| self.rules.body(job));
             let slots =
                 |free: f64, each: f64| if each > 0.0 { (free / each + 1e-9) as u64 } else { u64::MAX };
-            let slots = slots(all_cpus - on_cpus, cpus).min(slots(all_gpus - on_gpus, gpus));
+            let slots = slots(total.cpus - used.cpus, cpus).min(slots(total.gpus - used.gpus, gpus));
             *zones.entry(&w.zone).or_default() += if allowed { slots } else { 0 };
         }
         let mates = |zone: &str| {
             let here = self.workers.iter().filter(|w| w.zone == zone).flat_map(|w| &w.tasks);
-            here.filter(|t| t.job() == id && !matches!(t.state, State::Exited { .. })).count() as u64
+            here.filter(|t| t.job() == id && !t.has_exited()).count() as u64
         };
         let cap = all.div_ceil(2);
         match (body["together"] == true, body["spread"] == true) {
@@ -105,7 +105,7 @@
         self.up
             && self.taken_at.is_none()
             && now >= self.hung_until
-            && now >= self.deaf_until
-            && now >= self.muted_until
+            && now >= self.commands_lost_until
+            && now >= self.heartbeats_lost_until
     }
 }
