--- a/crates/scheduler/src/simulation/bad_records.rs
+++ b/crates/scheduler/src/simulation/bad_records.rs
@@ -1,9 +1,9 @@
-//! Records that can't be read or say the impossible, messages from strangers, reports that contradict themselves.
+//! Records that can't be read or say the impossible, messages from unknown senders, heartbeats that contradict themselves.
 
 #![cfg(test)]
 
 use super::days::bad_records::{
-    BAD, contradicting_reports, impossible_job_records, unreadable_job_record, unreadable_machine_records,
+    BAD, contradicting_heartbeats, impossible_job_records, unreadable_job_record, unreadable_machine_records,
 };
 use super::days::ordinary::day;
 use super::tests::run;
@@ -16,8 +16,8 @@
 fn a_job_whose_record_cannot_be_read_is_never_called_unknown_and_goes_on_once_it_can() {
     for (n, bad) in BAD.iter().enumerate() {
         let seed = 9_200 + n as u64;
-        let w = run(seed, unreadable_job_record(seed, bad));
-        assert_eq!(w.rules.terminal_status("req-000000"), Some("done"), "{bad}");
+        let simulation = run(seed, unreadable_job_record(seed, bad));
+        assert_eq!(simulation.rules.terminal_status("req-000000"), Some("done"), "{bad}");
     }
 }
 
@@ -33,17 +33,21 @@
 /// Records that are whole JSON and say what nobody can have stored.
 #[test]
 fn impossible_job_records_take_no_node_down() {
-    let w = impossible_job_records(9_240);
-    assert!(w.answers.iter().all(|a| a.status == 503) && w.answers.len() == 4, "{:?}", w.answers);
-    run(9_240, w);
+    let simulation = impossible_job_records(9_240);
+    assert!(
+        simulation.answers.iter().all(|a| a.status == 503) && simulation.answers.len() == 4,
+        "{:?}",
+        simulation.answers
+    );
+    run(9_240, simulation);
 }
 
 /// What comes from no peer, or under a leader's name from one that does not lead, changes nothing and is counted.
 #[test]
-fn messages_of_strangers_are_dropped_and_counted() {
-    let mut w = day(9_250, |_| {});
-    w.run_until(10_000);
-    let leader = w.leader().expect("somebody leads");
+fn messages_of_unknown_senders_are_dropped_and_counted() {
+    let mut simulation = day(9_250, |_| {});
+    simulation.run_until(10_000);
+    let leader = simulation.leader().expect("somebody leads");
     for (n, from) in ["n9", "", "stranger"].into_iter().enumerate() {
         let message = PeerMessage::StatusSnapshot {
             position: BroadcastPosition { fencing_token: FencingToken(u64::MAX - n as u64), sequence: 1 },
@@ -52,27 +56,27 @@
         };
         let bytes = peer_messages::encode(&from.into(), message);
         let envelope = peer_messages::decode(&bytes).expect("well formed");
-        for i in 0..NODES {
-            let incarnation = w.nodes[i].incarnation;
+        for node in 0..NODES {
+            let incarnation = simulation.nodes[node].incarnation;
             let input = Input::Peer(envelope.clone());
-            w.at(w.now, Event::Input { node: i, incarnation, input });
+            simulation.at(simulation.now, Event::Input { node, incarnation, input });
         }
     }
     assert!(peer_messages::decode(b"no envelope").is_none() && peer_messages::decode(&[]).is_none());
-    w.run_until(11_000);
-    assert_eq!(w.leader(), Some(leader));
-    let metrics = w.nodes[leader].controller.as_ref().map(|c| c.metrics()).unwrap_or_default();
+    simulation.run_until(11_000);
+    assert_eq!(simulation.leader(), Some(leader));
+    let metrics = simulation.nodes[leader].controller.as_ref().map(|c| c.metrics()).unwrap_or_default();
     assert!(metrics.contains("pearford_peer_messages_dropped 3"), "{metrics}");
-    run(9_250, w);
+    run(9_250, simulation);
 }
 
-/// The same task twice in a report, one of a job nobody submitted, names that are none: stopped or passed over, and
+/// The same task twice in a heartbeat, one of a job nobody submitted, names that are none: stopped or ignored, and
 /// nothing else moves.
 #[test]
-fn reports_that_contradict_themselves_prove_nothing() {
-    let w = contradicting_reports(9_260);
-    assert_eq!(w.answers.len(), 1);
-    assert!(matches!(w.answers[0].status, 200 | 400 | 421), "{:?}", w.answers[0]);
-    let w = run(9_260, w);
-    assert!(w.state.key("j/req-999998").is_none());
+fn heartbeats_that_contradict_themselves_prove_nothing() {
+    let simulation = contradicting_heartbeats(9_260);
+    assert_eq!(simulation.answers.len(), 1);
+    assert!(matches!(simulation.answers[0].status, 200 | 400 | 421), "{:?}", simulation.answers[0]);
+    let simulation = run(9_260, simulation);
+    assert!(simulation.state.key("j/req-999998").is_none());
 }
--- a/crates/scheduler/src/simulation/close_reads.rs
+++ b/crates/scheduler/src/simulation/close_reads.rs
@@ -1,4 +1,5 @@
-//! Users who look closely: at all nodes within milliseconds, with repeats and cancellations; and who ask oddly.
+//! Users beyond the usual ones: close reads, which are requests to all nodes within milliseconds, with repeats and
+//! cancellations; requests that are malformed or impossible; and cancellations at chosen moments.
 
 use super::events::Event;
 use super::links::Host;
@@ -13,6 +14,9 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 
+/// The number of the first job that can never be accepted.
+const IMPOSSIBLE_JOBS: usize = 900_000;
+
 /// A request beside a user's own, at one node.
 #[derive(Debug, Clone)]
 pub struct CloseRead {
@@ -97,12 +101,12 @@
             (true, None, _) => "a close read after the acceptance",
             _ => "a close read before any answer",
         });
-        let was = self.rules.broken.len();
+        let broken_before = self.rules.broken.len();
         let repeat = matches!(close_read.request, CloseReadRequest::Repeat(_));
         self.rules.answered(self.now, &close_read.id, before, repeat, status, phase);
-        if self.rules.broken.len() > was {
+        if self.rules.broken.len() > broken_before {
             let now = self.now;
-            self.rules.fail(now, format!("(that was a look: {close_read:?}, answered by node {node})"));
+            self.rules.fail(now, format!("(that was a close read: {close_read:?}, answered by node {node})"));
         }
     }
 
@@ -206,39 +210,36 @@
                 self.count("a cancellation of what is done");
                 self.close_read(CloseRead { node, id, request: CloseReadRequest::Cancel });
             }
-            _ => {
-                self.impossible_requests += 1;
-                let n = 900_000 + self.impossible_requests as usize;
-                let mut body = job(n, "array", 1);
-                let id = body["id"].as_str().unwrap_or_default().to_string();
-                let asked = match self.impossible_requests % 6 {
-                    0 => None,
-                    1 => Some(self.corrupt(&body)).filter(|b| !b.contains("padding")),
-                    2 => {
-                        body["accelerators"] = json!(64.0);
-                        Some(body.to_string())
-                    }
-                    3 => {
-                        body["flavors"] = json!(["none-such"]);
-                        Some(body.to_string())
-                    }
-                    4 => {
-                        body["region"] = json!("nowhere");
-                        Some(body.to_string())
-                    }
+            _ => self.send_impossible_request(node),
+        }
+    }
+
+    /// A question about an unknown job, or a submission that lacks a field or can never run.
+    fn send_impossible_request(&mut self, node: usize) {
+        self.impossible_requests += 1;
+        let mut body = job(IMPOSSIBLE_JOBS + self.impossible_requests as usize, "array", 1);
+        let id = body["id"].as_str().unwrap_or_default().to_string();
+        let submission = match self.impossible_requests % 6 {
+            0 => None,
+            1 => Some(self.corrupt(&body)).filter(|body| !body.contains("padding")),
+            kind => {
+                match kind {
+                    2 => body["accelerators"] = json!(64.0),
+                    3 => body["flavors"] = json!(["none-such"]),
+                    4 => body["region"] = json!("nowhere"),
                     _ => {
-                        let job_type = json!("ensemble");
-                        (body["shape"], body["shards"]) = (job_type, json!(5_000));
-                        Some(body.to_string())
+                        body["shape"] = json!("ensemble");
+                        body["shards"] = json!(5_000);
                     }
-                };
-                self.count("an impossible request");
-                self.close_read(CloseRead { node, id, request: CloseReadRequest::AdmissionError(asked) });
+                }
+                Some(body.to_string())
             }
-        }
+        };
+        self.count("an impossible request");
+        self.close_read(CloseRead { node, id, request: CloseReadRequest::AdmissionError(submission) });
     }
 
-    /// A start must not leave a node that knows its job to be over. (What had left before is allowed, and gone in time.)
+    /// A start must not leave a node that knows its job to have finished. (What had left before is allowed, and gone in time.)
     pub fn check_commands(&mut self, node: usize, body: &str) {
         if !body.contains("\"start\"") {
             return;
@@ -254,8 +255,10 @@
             }
         }
         for task in wrong {
-            self.rules
-                .fail(self.now, format!("node {node} lets a start of {task} go and knows its job is over"));
+            self.rules.fail(
+                self.now,
+                format!("node {node} lets a start of {task} go and knows its job has finished"),
+            );
         }
     }
 }
--- a/crates/scheduler/src/simulation/days/bad_records.rs
+++ b/crates/scheduler/src/simulation/days/bad_records.rs
@@ -1,76 +1,89 @@
-//! Days with records that can't be read or say the impossible, and with reports that contradict themselves.
+//! Days with records that can't be read or say the impossible, and with heartbeats that contradict themselves.
 
 use super::ordinary::day;
+use super::{crash_all_nodes, schedule_period};
 use crate::node::Method;
-use crate::simulation::{Event, Fault, NODES, Simulation, job};
+use crate::simulation::{Fault, NODES, Simulation, job};
 use serde_json::{Value, json};
 
+/// Records that can't be read.
 pub const BAD: [&str; 5] = ["{\"open\":{\"spec\":7}}", "torn {", "{\"later\":{\"form\":2}}", "", "[]"];
 
 /// A long job's record becomes unreadable while it runs, all nodes begin anew, and the record is put back later.
 pub fn unreadable_job_record(seed: u64, bad: &str) -> Simulation {
-    let mut w = Simulation::new(seed);
+    let mut simulation = Simulation::new(seed);
     let mut body = job(0, "array", 2);
     body["expected_s"] = 30.0.into();
-    w.add_user(1_000, body, None);
-    w.add_user(1_500, job(1, "array", 3), None);
-    w.run_until(12_000);
-    let good = w.state.key("j/req-000000").expect("accepted").to_string();
-    w.state.overwrite("j/req-000000", bad);
-    (0..NODES).for_each(|i| w.at(12_100 + i as u64, Event::Fault(Fault::Crash(i))));
-    w.run_until(24_000);
-    for i in 0..NODES {
-        let tag = i as u64;
-        assert!(w.ask(i, tag, Method::Get, "/submissions/req-000000", ""));
-        assert!(w.ask(i, 10 + tag, Method::Post, "/submissions/req-000000/withdraw", ""));
-        assert!(w.ask(i, 20 + tag, Method::Post, "/submissions", &job(0, "array", 2).to_string()));
+    simulation.add_user(1_000, body, None);
+    simulation.add_user(1_500, job(1, "array", 3), None);
+    simulation.run_until(12_000);
+    let good = simulation.state.key("j/req-000000").expect("accepted").to_string();
+    simulation.state.overwrite("j/req-000000", bad);
+    crash_all_nodes(&mut simulation, 12_100);
+    simulation.run_until(24_000);
+    for node in 0..NODES {
+        let tag = node as u64;
+        assert!(simulation.ask(node, tag, Method::Get, "/submissions/req-000000", ""));
+        assert!(simulation.ask(node, 10 + tag, Method::Post, "/submissions/req-000000/withdraw", ""));
+        assert!(simulation.ask(
+            node,
+            20 + tag,
+            Method::Post,
+            "/submissions",
+            &job(0, "array", 2).to_string()
+        ));
     }
-    w.run_until(26_000);
-    assert_eq!(w.answers.len(), 3 * NODES);
-    for a in &w.answers {
-        assert!(a.status == 503 && a.body.contains("j/req-000000"), "{a:?}");
+    simulation.run_until(26_000);
+    assert_eq!(simulation.answers.len(), 3 * NODES);
+    for answer in &simulation.answers {
+        assert!(answer.status == 503 && answer.body.contains("j/req-000000"), "{answer:?}");
     }
-    assert_eq!(w.state.key("j/req-000000"), Some(bad), "left for whoever looks into it");
-    let stays = w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.job() == "req-000000" && t.present());
+    assert_eq!(simulation.state.key("j/req-000000"), Some(bad), "left for operators");
+    let stays =
+        simulation.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.job() == "req-000000" && t.present());
     assert!(stays.count() > 0, "what runs is not stopped on a guess");
-    w.state.overwrite("j/req-000000", &good);
-    w
+    simulation.state.overwrite("j/req-000000", &good);
+    simulation
 }
 
-/// Two machines' records become unreadable while they work and reach nobody, and all nodes begin anew.
+/// Two machines' records become unreadable while they work and their heartbeats reach nobody, and all nodes begin anew.
 pub fn unreadable_machine_records(seed: u64, bad: &str) -> Simulation {
-    let mut w = Simulation::new(seed);
-    w.keeps_images = true;
+    let mut simulation = Simulation::new(seed);
+    simulation.keeps_images = true;
     for k in 0..6 {
         let mut body = job(k, "array", 2);
         body["expected_s"] = 25.0.into();
-        w.add_user(1_000, body, None);
+        simulation.add_user(1_000, body, None);
     }
-    // These leave room behind.
+    // These leave free resources behind.
     for k in 10..14 {
         let mut body = job(k, "array", 2);
         body["expected_s"] = 2.0.into();
-        w.add_user(1_100, body, None);
+        simulation.add_user(1_100, body, None);
     }
-    w.run_until(15_000);
-    let keys: Vec<String> = w.state.under("m/").map(|(key, _)| key.to_string()).collect();
+    simulation.run_until(15_000);
+    let keys: Vec<String> = simulation.state.under("m/").map(|(key, _)| key.to_string()).collect();
     assert!(keys.len() > 1, "several machines have records");
-    keys.iter().take(2).for_each(|key| w.state.overwrite(key, bad));
+    keys.iter().take(2).for_each(|key| simulation.state.overwrite(key, bad));
     // Their workers reach nobody meanwhile, and the cloud answers late.
-    w.workers.iter_mut().filter(|m| keys.iter().take(2).any(|k| k.ends_with(m.id.as_str()))).for_each(|m| {
-        m.heartbeats_lost_until = 40_000;
-    });
-    w.at(15_050, Event::Fault(Fault::CloudOutage(true)));
-    w.at(27_000, Event::Fault(Fault::CloudOutage(false)));
-    (0..NODES).for_each(|i| w.at(15_100 + i as u64, Event::Fault(Fault::Crash(i))));
-    w
+    simulation
+        .workers
+        .iter_mut()
+        .filter(|m| keys.iter().take(2).any(|k| k.ends_with(m.id.as_str())))
+        .for_each(|m| {
+            m.heartbeats_lost_until = 40_000;
+        });
+    schedule_period(&mut simulation, 15_050, 27_000, Fault::CloudOutage(true), Fault::CloudOutage(false));
+    crash_all_nodes(&mut simulation, 15_100);
+    simulation
 }
 
 /// Records that are whole JSON and say what nobody can have stored; all nodes begin anew and are asked for them.
 pub fn impossible_job_records(seed: u64) -> Simulation {
-    let mut w = day(seed, |w| w.add_user(1_000, job(50, "array", 2), None));
-    w.run_until(10_000);
-    let good: Value = serde_json::from_str(w.state.key("j/req-000050").expect("accepted")).expect("whole");
+    let mut simulation = day(seed, |simulation| simulation.add_user(1_000, job(50, "array", 2), None));
+    simulation.run_until(10_000);
+    let good: Value =
+        serde_json::from_str(simulation.state.key("j/req-000050").expect("accepted")).expect("whole");
     for (n, (path, value)) in [
         ("/open/spec/tasks", json!(4_000_000_000_u32)),
         ("/open/spec/tasks", json!(0)),
@@ -82,22 +95,22 @@
     {
         let mut record = good.clone();
         *record.pointer_mut(path).unwrap_or_else(|| panic!("{path} in {good}")) = value;
-        w.state.overwrite(&format!("j/req-00070{n}"), &record.to_string());
+        simulation.state.overwrite(&format!("j/req-00070{n}"), &record.to_string());
     }
-    (0..NODES).for_each(|i| w.at(10_100 + i as u64, Event::Fault(Fault::Crash(i))));
-    w.run_until(16_000);
+    crash_all_nodes(&mut simulation, 10_100);
+    simulation.run_until(16_000);
     for n in 0..4 {
-        assert!(w.ask(0, n, Method::Get, &format!("/submissions/req-00070{n}"), ""));
+        assert!(simulation.ask(0, n, Method::Get, &format!("/submissions/req-00070{n}"), ""));
     }
-    w.run_until(18_000);
-    w
+    simulation.run_until(18_000);
+    simulation
 }
 
-/// A report with the same task twice, one of a job nobody submitted, and names that are none.
-pub fn contradicting_reports(seed: u64) -> Simulation {
-    let mut w = day(seed, |_| {});
-    w.run_until(12_000);
-    let leader = w.leader().expect("somebody leads");
+/// A heartbeat with the same task twice, one of a job nobody submitted, and names that are none.
+pub fn contradicting_heartbeats(seed: u64) -> Simulation {
+    let mut simulation = day(seed, |_| {});
+    simulation.run_until(12_000);
+    let leader = simulation.leader().expect("somebody leads");
     let task = |name: &str, attempt: u64, phase: &str| json!({"shard": name, "try": attempt, "phase": phase, "cause": "done"});
     let shards = json!([
         task("req-000000/0", 1, "running"),
@@ -109,10 +122,10 @@
         task("req-000000/4000000000", 1, "running"),
         task("req-000000/", 1, "ended"),
     ]);
-    let fencing_token = w.state.revision(crate::election::LEADER_KEY).map_or(0, |s| s.0);
+    let fencing_token = simulation.state.revision(crate::election::LEADER_KEY).map_or(0, |s| s.0);
     let body = json!({"host": "m-999999", "addr": "10.9.9.9:1", "flavor": "small", "region": "z0", "preemptible": false,
         "tenure": 1, "serial": 1, "fence": fencing_token, "shards": shards});
-    assert!(w.ask(leader, 1, Method::Post, "/v1/report", &body.to_string()));
-    w.run_until(13_000);
-    w
+    assert!(simulation.ask(leader, 1, Method::Post, "/v1/report", &body.to_string()));
+    simulation.run_until(13_000);
+    simulation
 }
--- a/crates/scheduler/src/simulation/days/combined_faults.rs
+++ b/crates/scheduler/src/simulation/days/combined_faults.rs
@@ -1,195 +1,229 @@
-//! Days on which two troubles overlap, drawn by the seed.
+//! Days on which two faults overlap, drawn by the seed.
 
-use super::TROUBLE_ENDS;
 use super::ordinary::day;
-use crate::simulation::{Event, Fault, Host, LeaderFault, NODES, Simulation, job};
+use super::{TROUBLE_ENDS, crash_all_nodes, schedule_fault, schedule_period};
+use crate::simulation::{Fault, Host, LeaderFault, NODES, Simulation, job};
 use rand::RngExt;
+use std::ops::Range;
 
 /// The rows of `docs/design/combined_failures.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    HeldOrders,
+pub enum DrawnFault {
+    CommandsHeld,
     LateWrites,
-    LateReports,
-    LeaderApart,
-    HandOvers,
+    LateHeartbeats,
+    LeaderIsolated,
+    RepeatedFailovers,
     LeaderEnds,
-    Deaf,
-    Slow,
-    RefusedThenAway,
-    AllAway,
-    CalledOffNow,
-    CalledOffAtEnd,
-    Mute,
+    CommandsLost,
+    SlowStore,
+    RefusedThenOutage,
+    AllNodesRestart,
+    CancelledNow,
+    CancelledAtEnd,
+    HeartbeatsLost,
     OddRequests,
     CloseReads,
-    LostAnswers,
-    CopiesForNext,
+    LostStoreAnswers,
+    HeartbeatCopiesForNextLeader,
     FastBoots,
 }
 
-const ALL: [Trouble; 18] = [
-    Trouble::HeldOrders,
-    Trouble::LateWrites,
-    Trouble::LateReports,
-    Trouble::LeaderApart,
-    Trouble::HandOvers,
-    Trouble::LeaderEnds,
-    Trouble::Deaf,
-    Trouble::Slow,
-    Trouble::RefusedThenAway,
-    Trouble::AllAway,
-    Trouble::CalledOffNow,
-    Trouble::CalledOffAtEnd,
-    Trouble::Mute,
-    Trouble::OddRequests,
-    Trouble::CloseReads,
-    Trouble::LostAnswers,
-    Trouble::CopiesForNext,
-    Trouble::FastBoots,
+/// All faults, in the order in which the seed's draws name them.
+const ALL: [DrawnFault; 18] = [
+    DrawnFault::CommandsHeld,
+    DrawnFault::LateWrites,
+    DrawnFault::LateHeartbeats,
+    DrawnFault::LeaderIsolated,
+    DrawnFault::RepeatedFailovers,
+    DrawnFault::LeaderEnds,
+    DrawnFault::CommandsLost,
+    DrawnFault::SlowStore,
+    DrawnFault::RefusedThenOutage,
+    DrawnFault::AllNodesRestart,
+    DrawnFault::CancelledNow,
+    DrawnFault::CancelledAtEnd,
+    DrawnFault::HeartbeatsLost,
+    DrawnFault::OddRequests,
+    DrawnFault::CloseReads,
+    DrawnFault::LostStoreAnswers,
+    DrawnFault::HeartbeatCopiesForNextLeader,
+    DrawnFault::FastBoots,
 ];
 
-/// Brings a trouble about from `from` to `to` at the latest.
-fn bring(w: &mut Simulation, trouble: Trouble, from: u64, to: u64) {
-    let fault = Event::Fault;
-    match trouble {
-        Trouble::HeldOrders => {
-            for _ in 0..8 {
-                let (i, m) = (w.rng.random_range(0..NODES), w.rng.random_range(0..12));
-                let (a, b) = (Host::Node(i), Host::Machine(m));
-                let (a, b) = if w.rng.random_bool(0.4) { (b, a) } else { (a, b) };
-                let at = w.rng_ms(from, to - 2_000);
-                let until = (at + w.rng_ms(1_000, 30_000)).min(to);
-                w.at(at, fault(Fault::Hold { a, b, on: true }));
-                w.at(until, fault(Fault::Hold { a, b, on: false }));
-            }
-        }
-        Trouble::LateWrites => {
-            let share = w.rng.random_range(0.1..0.5);
-            w.at(from, fault(Fault::LateWrites(share)));
-            w.at(to, fault(Fault::LateWrites(0.0)));
-        }
-        Trouble::LateReports => {
-            let share = w.rng.random_range(0.2..0.6);
-            w.at(from, fault(Fault::LateHeartbeats(share)));
-            w.at(to, fault(Fault::LateHeartbeats(0.0)));
-        }
-        Trouble::LeaderApart => w.at(from, fault(Fault::Leader(LeaderFault::Isolated, to - from))),
-        Trouble::HandOvers => {
-            let mut at = from;
-            while at < to {
-                let all = w.rng.random_bool(0.2);
-                match all {
-                    true => (0..NODES).for_each(|i| w.at(at + i as u64, fault(Fault::Crash(i)))),
-                    false => w.at(at, fault(Fault::Leader(LeaderFault::Ends, 0))),
-                }
-                at += w.rng_ms(2_000, 12_000);
-            }
-        }
-        Trouble::LeaderEnds => w.at(from, fault(Fault::Leader(LeaderFault::Ends, 0))),
-        Trouble::Deaf => {
-            for _ in 0..4 {
-                let at = w.rng_ms(from, to);
-                let ms = w.rng.random_range(2_000..40_000).min(TROUBLE_ENDS - at);
-                w.at(at, fault(Fault::CommandsLost(ms)));
-            }
-        }
-        Trouble::Slow => {
-            let ms = w.rng.random_range(200..4_000);
-            w.at(from, fault(Fault::SlowStore(ms)));
-            w.at(to, fault(Fault::SlowStore(0)));
-        }
-        Trouble::AllAway => {
-            let every = w.rng.random_range(2_000..4_000);
-            let until = to.min(from + 22_000);
-            for at in (from..until).step_by(every) {
-                (0..NODES).for_each(|i| w.at(at + i as u64, fault(Fault::Crash(i))));
-            }
-        }
-        Trouble::CalledOffNow => {
-            for _ in 0..2 {
-                let at = w.rng_ms(from, to);
-                let (count, hang) = (w.rng.random_range(2..8), w.rng.random_range(0..30_000));
-                w.at(at, fault(Fault::CancelNow(count, hang.min(TROUBLE_ENDS - at))));
-            }
-        }
-        Trouble::CalledOffAtEnd => {
-            w.at(from, fault(Fault::CancelAtEnd(0.5)));
-            w.at(to, fault(Fault::CancelAtEnd(0.0)));
-        }
-        Trouble::Mute => {
-            for n in 0..4 {
-                let at = w.rng_ms(from, to);
-                let ms = w.rng.random_range(2_000..40_000).min(TROUBLE_ENDS - at);
-                w.at(
-                    at,
-                    fault(if n == 0 { Fault::AllHeartbeatsLost(ms) } else { Fault::HeartbeatsLost(ms) }),
-                );
-            }
-        }
-        Trouble::OddRequests => {
-            w.at(from, fault(Fault::OddRequests(true)));
-            w.at(to, fault(Fault::OddRequests(false)));
-        }
-        Trouble::CloseReads => {
-            w.at(from, fault(Fault::CloseReads(true)));
-            w.at(to, fault(Fault::CloseReads(false)));
-        }
-        Trouble::LostAnswers => {
-            let share = w.rng.random_range(0.1..0.5);
-            w.at(from, fault(Fault::LostStoreAnswers(share)));
-            w.at(to, fault(Fault::LostStoreAnswers(0.0)));
-        }
-        Trouble::CopiesForNext => {
-            let share = w.rng.random_range(0.2..0.6);
-            w.at(from, fault(Fault::HeartbeatCopiesForNextLeader(share)));
-            w.at(to, fault(Fault::HeartbeatCopiesForNextLeader(0.0)));
-        }
-        Trouble::FastBoots => {
-            w.at(from, fault(Fault::FastBoots(true)));
-            w.at(to, fault(Fault::FastBoots(false)));
-        }
-        Trouble::RefusedThenAway => {
-            w.at(from, fault(Fault::Leader(LeaderFault::Refused, 9_000)));
-            let down = from + w.rng_ms(500, 8_000);
-            w.at(down, fault(Fault::StoreOutage(true)));
-            w.at(to.max(down + 1_000), fault(Fault::StoreOutage(false)));
-        }
+/// A part of a day in which a fault lasts or takes place, in milliseconds.
+#[derive(Clone, Copy)]
+struct Period {
+    from: u64,
+    to: u64,
+}
+
+impl Period {
+    fn draw(self, simulation: &mut Simulation) -> u64 {
+        simulation.rng_ms(self.from, self.to)
     }
 }
 
-/// A day on which two troubles overlap, twice, while at least three machines fail.
-pub fn meeting_day(seed: u64) -> (Simulation, Vec<Trouble>) {
-    let mut met = Vec::new();
-    let w = day(seed, |w| {
-        w.keeps_images = true;
-        w.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
-        w.drift_ppm = vec![500, -500, 0];
-        // Jobs of two or three tasks, some of which end far apart.
-        for n in 20..30 {
-            let job_type = ["array", "ensemble", "array"][n % 3];
-            let mut body = job(n, job_type, 2 + n as u32 % 2);
-            body["expected_s"] = w.rng.random_range(1.0..6.0).into();
-            let at = w.rng_ms(500, 60_000);
-            let gone = w.rng.random_bool(0.3).then(|| at + w.rng_ms(500, 15_000));
-            w.add_user(at, body, gone);
-        }
+/// Brings a fault about within a period.
+fn schedule(simulation: &mut Simulation, fault: DrawnFault, period: Period) {
+    let Period { from, to } = period;
+    let mut lasting = |on, off| schedule_period(simulation, from, to, on, off);
+    match fault {
+        DrawnFault::CancelledAtEnd => lasting(Fault::CancelAtEnd(0.5), Fault::CancelAtEnd(0.0)),
+        DrawnFault::OddRequests => lasting(Fault::OddRequests(true), Fault::OddRequests(false)),
+        DrawnFault::CloseReads => lasting(Fault::CloseReads(true), Fault::CloseReads(false)),
+        DrawnFault::FastBoots => lasting(Fault::FastBoots(true), Fault::FastBoots(false)),
+        DrawnFault::LateWrites => schedule_share(simulation, period, 0.1..0.5, Fault::LateWrites),
+        DrawnFault::LateHeartbeats => schedule_share(simulation, period, 0.2..0.6, Fault::LateHeartbeats),
+        DrawnFault::LostStoreAnswers => {
+            schedule_share(simulation, period, 0.1..0.5, Fault::LostStoreAnswers);
+        }
+        DrawnFault::HeartbeatCopiesForNextLeader => {
+            schedule_share(simulation, period, 0.2..0.6, Fault::HeartbeatCopiesForNextLeader);
+        }
+        DrawnFault::SlowStore => {
+            let ms = simulation.rng.random_range(200..4_000);
+            schedule_period(simulation, from, to, Fault::SlowStore(ms), Fault::SlowStore(0));
+        }
+        DrawnFault::LeaderEnds => schedule_fault(simulation, from, Fault::Leader(LeaderFault::Ends, 0)),
+        DrawnFault::LeaderIsolated => {
+            schedule_fault(simulation, from, Fault::Leader(LeaderFault::Isolated, to - from));
+        }
+        DrawnFault::CommandsHeld => hold_commands(simulation, period),
+        DrawnFault::RepeatedFailovers => repeat_failovers(simulation, period),
+        DrawnFault::RefusedThenOutage => refuse_leader_then_all(simulation, period),
+        DrawnFault::AllNodesRestart => restart_all_repeatedly(simulation, period),
+        DrawnFault::CommandsLost => lose_commands(simulation, period),
+        DrawnFault::HeartbeatsLost => lose_heartbeats(simulation, period),
+        DrawnFault::CancelledNow => cancel_running_jobs(simulation, period),
+    }
+}
+
+/// A fault that concerns a share of all messages, drawn from a range.
+fn schedule_share(
+    simulation: &mut Simulation,
+    period: Period,
+    shares: Range<f64>,
+    fault: impl Fn(f64) -> Fault,
+) {
+    let share = simulation.rng.random_range(shares);
+    schedule_period(simulation, period.from, period.to, fault(share), fault(0.0));
+}
+
+/// Links between nodes and machines are held one way, most of them the commands' way.
+fn hold_commands(simulation: &mut Simulation, period: Period) {
+    for _ in 0..8 {
+        let node = Host::Node(simulation.rng.random_range(0..NODES));
+        let machine = Host::Machine(simulation.rng.random_range(0..12));
+        let (a, b) = if simulation.rng.random_bool(0.4) { (machine, node) } else { (node, machine) };
+        let from = simulation.rng_ms(period.from, period.to - 2_000);
+        let until = (from + simulation.rng_ms(1_000, 30_000)).min(period.to);
+        let hold = |on| Fault::Hold { a, b, on };
+        schedule_period(simulation, from, until, hold(true), hold(false));
+    }
+}
+
+/// Leaders end every few seconds, now and then all nodes at once.
+fn repeat_failovers(simulation: &mut Simulation, period: Period) {
+    let mut at = period.from;
+    while at < period.to {
+        if simulation.rng.random_bool(0.2) {
+            crash_all_nodes(simulation, at);
+        } else {
+            schedule_fault(simulation, at, Fault::Leader(LeaderFault::Ends, 0));
+        }
+        at += simulation.rng_ms(2_000, 12_000);
+    }
+}
+
+/// The key-value store refuses the leader, and is then down for everybody.
+fn refuse_leader_then_all(simulation: &mut Simulation, period: Period) {
+    schedule_fault(simulation, period.from, Fault::Leader(LeaderFault::Refused, 9_000));
+    let down = period.from + simulation.rng_ms(500, 8_000);
+    let up = period.to.max(down + 1_000);
+    schedule_period(simulation, down, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
+}
+
+fn restart_all_repeatedly(simulation: &mut Simulation, period: Period) {
+    let every = simulation.rng.random_range(2_000..4_000);
+    let until = period.to.min(period.from + 22_000);
+    for at in (period.from..until).step_by(every) {
+        crash_all_nodes(simulation, at);
+    }
+}
+
+fn lose_commands(simulation: &mut Simulation, period: Period) {
+    for _ in 0..4 {
+        let at = period.draw(simulation);
+        let ms = simulation.rng.random_range(2_000..40_000).min(TROUBLE_ENDS - at);
+        schedule_fault(simulation, at, Fault::CommandsLost(ms));
+    }
+}
+
+/// Heartbeats are lost: once those of all machines, and of some machines later or before.
+fn lose_heartbeats(simulation: &mut Simulation, period: Period) {
+    for repetition in 0..4 {
+        let at = period.draw(simulation);
+        let ms = simulation.rng.random_range(2_000..40_000).min(TROUBLE_ENDS - at);
+        let fault = if repetition == 0 { Fault::AllHeartbeatsLost(ms) } else { Fault::HeartbeatsLost(ms) };
+        schedule_fault(simulation, at, fault);
+    }
+}
+
+fn cancel_running_jobs(simulation: &mut Simulation, period: Period) {
+    for _ in 0..2 {
+        let at = period.draw(simulation);
+        let count = simulation.rng.random_range(2..8);
+        let hang_ms = simulation.rng.random_range(0..30_000).min(TROUBLE_ENDS - at);
+        schedule_fault(simulation, at, Fault::CancelNow(count, hang_ms));
+    }
+}
+
+/// A day on which two faults overlap, twice, while at least three machines fail; and which faults they are.
+pub fn day_of_combined_faults(seed: u64) -> (Simulation, Vec<DrawnFault>) {
+    let mut drawn = Vec::new();
+    let simulation = day(seed, |simulation| {
+        simulation.keeps_images = true;
+        simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
+        simulation.drift_ppm = vec![500, -500, 0];
+        add_short_jobs(simulation);
         for part in [10_000..45_000, 48_000..TROUBLE_ENDS - 1_000] {
-            let first = w.rng.random_range(0..ALL.len());
-            let second = (first + w.rng.random_range(1..ALL.len())) % ALL.len();
-            for trouble in [ALL[first], ALL[second]] {
-                let from = w.rng_ms(part.start, part.start + 10_000);
-                let to = w.rng_ms(from + 10_000, part.end.max(from + 10_001)).min(TROUBLE_ENDS);
-                bring(w, trouble, from, to);
-                met.push(trouble);
+            let first = simulation.rng.random_range(0..ALL.len());
+            let second = (first + simulation.rng.random_range(1..ALL.len())) % ALL.len();
+            for fault in [ALL[first], ALL[second]] {
+                let from = simulation.rng_ms(part.start, part.start + 10_000);
+                let to = simulation.rng_ms(from + 10_000, part.end.max(from + 10_001)).min(TROUBLE_ENDS);
+                schedule(simulation, fault, Period { from, to });
+                drawn.push(fault);
             }
         }
-        for n in 0..w.rng.random_range(3..6) {
-            let (at, ms) = (w.rng_ms(8_000, 80_000), w.rng.random_range(2_000..30_000));
-            let fails =
-                [Fault::MachineDies, Fault::MachineHangs(ms), Fault::SpotNotice, Fault::MachineHangs(ms)];
-            w.at(at, Event::Fault(fails[n % 4].clone()));
-        }
+        fail_machines(simulation);
     });
-    (w, met)
+    (simulation, drawn)
+}
+
+/// Jobs of two or three tasks, some of which end far apart.
+fn add_short_jobs(simulation: &mut Simulation) {
+    for number in 20..30 {
+        let job_type = ["array", "ensemble", "array"][number % 3];
+        let mut body = job(number, job_type, 2 + number as u32 % 2);
+        body["expected_s"] = simulation.rng.random_range(1.0..6.0).into();
+        let at = simulation.rng_ms(500, 60_000);
+        let is_cancelled = simulation.rng.random_bool(0.3);
+        let cancel_at = is_cancelled.then(|| at + simulation.rng_ms(500, 15_000));
+        simulation.add_user(at, body, cancel_at);
+    }
+}
+
+fn fail_machines(simulation: &mut Simulation) {
+    for number in 0..simulation.rng.random_range(3..6) {
+        let at = simulation.rng_ms(8_000, 80_000);
+        let ms = simulation.rng.random_range(2_000..30_000);
+        let fault = match number % 4 {
+            0 => Fault::MachineDies,
+            2 => Fault::SpotNotice,
+            _ => Fault::MachineHangs(ms),
+        };
+        schedule_fault(simulation, at, fault);
+    }
 }
--- a/crates/scheduler/src/simulation/days/fields.rs
+++ b/crates/scheduler/src/simulation/days/fields.rs
@@ -1,164 +1,225 @@
 //! Submissions with each field wrong in turn.
 
+use super::{crash_all_nodes, schedule_fault};
 use crate::node::Method;
-use crate::simulation::{Event, Fault, NODES, Simulation, job};
+use crate::simulation::{Fault, NODES, Simulation, job};
 use serde_json::{Value, json};
 
-/// Asks node `i`; the answer's status.
-pub fn ask(w: &mut Simulation, i: usize, method: Method, path: &str, body: &str) -> u16 {
-    let tag = w.answers.len() as u64 + 1_000;
-    assert!(w.ask(i, tag, method, path, body));
+/// Sends a request to a node; the answer's status, or 0 if there is none within 2 s.
+pub fn ask(simulation: &mut Simulation, node: usize, method: Method, path: &str, body: &str) -> u16 {
+    let tag = simulation.answers.len() as u64 + 1_000;
+    assert!(simulation.ask(node, tag, method, path, body));
     for _ in 0..40 {
-        w.run_until(w.now + 50);
-        if let Some(answer) = w.answers.iter().find(|a| a.tag == tag) {
+        simulation.run_until(simulation.now + 50);
+        if let Some(answer) = simulation.answers.iter().find(|a| a.tag == tag) {
             return answer.status;
         }
     }
     0
 }
 
-pub fn submit(w: &mut Simulation, i: usize, body: &str) -> u16 {
-    ask(w, i, Method::Post, "/submissions", body)
-}
-
-/// Each field with what it may not be: that, and the status. `Null` stands for null; a field is also left out.
-fn faults() -> Vec<(&'static str, Vec<(Value, u16)>)> {
-    let amount = |fits: Value| {
-        vec![
-            (json!(-1.0), 400),
-            (json!("8"), 400),
-            (json!(2e9), 400),
-            (json!([1]), 400),
-            (json!({}), 400),
-            (fits, 422),
-        ]
-    };
-    let text = |unknown: Option<Value>| {
-        let mut bad =
-            vec![(json!(""), 400), (json!(7), 400), (json!("x".repeat(200)), 400), (json!(["a"]), 400)];
-        bad.extend(unknown.map(|u| (u, 422)));
-        bad
-    };
-    let span = || vec![(json!(-0.5), 400), (json!("2"), 400), (json!(true), 400), (json!(1e300), 400)];
-    let flag = || vec![(json!(0), 400), (json!("true"), 400), (json!([]), 400)];
+/// Sends a submission to a node; the answer's status.
+pub fn submit(simulation: &mut Simulation, node: usize, body: &str) -> u16 {
+    ask(simulation, node, Method::Post, "/submissions", body)
+}
+
+/// A value that a submission's field may not have, and the status that refuses it.
+struct BadValue {
+    value: Value,
+    status: u16,
+}
+
+fn malformed(value: Value) -> BadValue {
+    BadValue { value, status: 400 }
+}
+
+/// A value that is well formed and asks for what there is not.
+fn unsatisfiable(value: Value) -> BadValue {
+    BadValue { value, status: 422 }
+}
+
+fn all_malformed(values: impl IntoIterator<Item = Value>) -> Vec<BadValue> {
+    values.into_iter().map(malformed).collect()
+}
+
+/// Bad values of a resource amount; no machine has as much as `too_much`.
+fn bad_amounts(too_much: Value) -> Vec<BadValue> {
+    let mut bad = all_malformed([json!(-1.0), json!("8"), json!(2e9), json!([1]), json!({})]);
+    bad.push(unsatisfiable(too_much));
+    bad
+}
+
+fn bad_texts() -> Vec<BadValue> {
+    all_malformed([json!(""), json!(7), json!("x".repeat(200)), json!(["a"])])
+}
+
+fn bad_durations() -> Vec<BadValue> {
+    all_malformed([json!(-0.5), json!("2"), json!(true), json!(1e300)])
+}
+
+fn bad_flags() -> Vec<BadValue> {
+    all_malformed([json!(0), json!("true"), json!([])])
+}
+
+fn bad_owners() -> Vec<BadValue> {
+    let mut bad = bad_texts();
+    bad.push(unsatisfiable(json!("nobody")));
+    bad
+}
+
+fn bad_task_counts() -> Vec<BadValue> {
+    all_malformed([json!(0), json!(-2), json!(1.5), json!("3"), json!(100_001), json!(1e30)])
+}
+
+fn bad_cpus() -> Vec<BadValue> {
+    let mut bad = bad_amounts(json!(17.0));
+    bad.push(malformed(json!(0.0)));
+    bad
+}
+
+fn bad_machine_types() -> Vec<BadValue> {
+    let mut bad = all_malformed([json!("small"), json!([1]), json!([""]), json!(vec!["small"; 65])]);
+    bad.push(unsatisfiable(json!(["none"])));
+    bad.push(unsatisfiable(json!([])));
+    bad
+}
+
+fn bad_zones() -> Vec<BadValue> {
+    let mut bad = all_malformed([json!(1), json!(""), json!(["z0"])]);
+    bad.push(unsatisfiable(json!("nowhere")));
+    bad
+}
+
+/// Each field with what it may not be. A field is also left out, and null.
+fn bad_values() -> Vec<(&'static str, Vec<BadValue>)> {
     vec![
-        ("id", vec![(json!("job-1"), 400), (json!("req-"), 400), (json!("req-1/2"), 400), (json!(12), 400)]),
-        ("job_class", text(None)),
-        ("owner", text(Some(json!("nobody")))),
-        ("shape", vec![(json!("swarm"), 400), (json!("Array"), 400), (json!(1), 400)]),
-        ("urgency", vec![(json!("soon"), 400), (json!(3), 400)]),
-        (
-            "shards",
-            vec![
-                (json!(0), 400),
-                (json!(-2), 400),
-                (json!(1.5), 400),
-                (json!("3"), 400),
-                (json!(100_001), 400),
-                (json!(1e30), 400),
-            ],
-        ),
-        ("vcpus", {
-            let mut bad = amount(json!(17.0));
-            bad.push((json!(0.0), 400));
-            bad
-        }),
-        ("accelerators", amount(json!(5.0))),
-        ("memory_gb", amount(json!(65.0))),
-        ("bundle", text(None)),
-        ("image_gb", span()),
-        (
-            "flavors",
-            vec![
-                (json!("small"), 400),
-                (json!([1]), 400),
-                (json!([""]), 400),
-                (json!(vec!["small"; 65]), 400),
-                (json!(["none"]), 422),
-                (json!([]), 422),
-            ],
-        ),
-        ("region", vec![(json!(1), 400), (json!(""), 400), (json!(["z0"]), 400), (json!("nowhere"), 422)]),
-        ("together", flag()),
-        ("spread", flag()),
-        ("preemptible", flag()),
-        ("expected_s", span()),
-        ("snapshot_every_s", span()),
-        ("snapshot_s", span()),
-        ("due_s", vec![(json!(0), 400), (json!(-3.0), 400), (json!("9"), 400), (json!(1e300), 400)]),
+        ("id", all_malformed([json!("job-1"), json!("req-"), json!("req-1/2"), json!(12)])),
+        ("job_class", bad_texts()),
+        ("owner", bad_owners()),
+        ("shape", all_malformed([json!("swarm"), json!("Array"), json!(1)])),
+        ("urgency", all_malformed([json!("soon"), json!(3)])),
+        ("shards", bad_task_counts()),
+        ("vcpus", bad_cpus()),
+        ("accelerators", bad_amounts(json!(5.0))),
+        ("memory_gb", bad_amounts(json!(65.0))),
+        ("bundle", bad_texts()),
+        ("image_gb", bad_durations()),
+        ("flavors", bad_machine_types()),
+        ("region", bad_zones()),
+        ("together", bad_flags()),
+        ("spread", bad_flags()),
+        ("preemptible", bad_flags()),
+        ("expected_s", bad_durations()),
+        ("snapshot_every_s", bad_durations()),
+        ("snapshot_s", bad_durations()),
+        ("due_s", all_malformed([json!(0), json!(-3.0), json!("9"), json!(1e300)])),
     ]
 }
 
+/// Fields that a submission may hold as null, or leave out.
 pub const MAY_BE_NULL: [&str; 3] = ["flavors", "region", "due_s"];
 
-/// Bodies that must be refused, with the status.
-pub fn refused() -> Vec<(String, u16)> {
+/// A submission that must be refused, with the status.
+pub struct RefusedSubmission {
+    pub body: String,
+    pub status: u16,
+}
+
+impl RefusedSubmission {
+    fn new(body: impl ToString, status: u16) -> Self {
+        Self { body: body.to_string(), status }
+    }
+}
+
+/// All submissions that must be refused.
+pub fn refused() -> Vec<RefusedSubmission> {
+    let mut refused = refused_fields();
+    refused.extend(malformed_texts());
+    refused.extend(over_the_limit());
+    refused.push(impossible_combination());
+    refused
+}
+
+/// One field wrong, null or left out.
+fn refused_fields() -> Vec<RefusedSubmission> {
     let good = job(1, "array", 2);
-    let mut out = Vec::new();
-    for (field, values) in faults() {
-        for (value, status) in values {
+    let mut refused = Vec::new();
+    for (field, values) in bad_values() {
+        for BadValue { value, status } in values {
             let mut body = good.clone();
             body[field] = value;
-            out.push((body.to_string(), status));
+            refused.push(RefusedSubmission::new(body, status));
         }
         if MAY_BE_NULL.contains(&field) {
             continue;
         }
         let mut body = good.clone();
         body[field] = Value::Null;
-        out.push((body.to_string(), 400));
+        refused.push(RefusedSubmission::new(&body, 400));
         body.as_object_mut().expect("an object").remove(field);
-        out.push((body.to_string(), 400));
-    }
-    for number in ["1e999", "NaN", "Infinity", "-", "0x10"] {
-        out.push((good.to_string().replace("\"vcpus\":2.0", &format!("\"vcpus\":{number}")), 400));
+        refused.push(RefusedSubmission::new(body, 400));
     }
-    for text in ["", "[]", "null", "7", "\"req-1\"", "{", "{\"id\":\"req-000001\"}", "\u{0}"] {
-        out.push((text.to_string(), 400));
-    }
-    // More than its team may have at once, as a whole; in one zone and in two.
-    for (job_type, shards, spread) in
-        [("ensemble", 13, false), ("daemon", 13, false), ("daemon", 2, true), ("ensemble", 3, true)]
-    {
-        let mut body = job(1, job_type, shards);
-        (body["spread"], body["together"]) = (spread.into(), spread.into());
-        out.push((body.to_string(), 422));
-    }
-    // Types and zones that don't go together: the big type is not in z2.
-    let mut body = good.clone();
-    (body["flavors"], body["region"]) = (json!(["big"]), json!("z2"));
-    out.push((body.to_string(), 422));
-    out
+    refused
+}
+
+/// Texts that are no JSON, or no submission.
+fn malformed_texts() -> Vec<RefusedSubmission> {
+    let good = job(1, "array", 2).to_string();
+    let numbers = ["1e999", "NaN", "Infinity", "-", "0x10"];
+    let with_number = |number| good.replace("\"vcpus\":2.0", &format!("\"vcpus\":{number}"));
+    let texts = ["", "[]", "null", "7", "\"req-1\"", "{", "{\"id\":\"req-000001\"}", "\u{0}"];
+    let bodies = numbers.map(with_number).into_iter().chain(texts.map(String::from));
+    bodies.map(|body| RefusedSubmission::new(body, 400)).collect()
+}
+
+/// More than its team may have at once, as a whole; in one zone and in two.
+fn over_the_limit() -> Vec<RefusedSubmission> {
+    let jobs = [("ensemble", 13, false), ("daemon", 13, false), ("daemon", 2, true), ("ensemble", 3, true)];
+    let bodies = jobs.map(|(job_type, tasks, spread)| {
+        let mut body = job(1, job_type, tasks);
+        body["spread"] = spread.into();
+        body["together"] = spread.into();
+        body
+    });
+    bodies.map(|body| RefusedSubmission::new(body, 422)).into()
+}
+
+/// Types and zones that don't go together: the big type is not in z2.
+fn impossible_combination() -> RefusedSubmission {
+    let mut body = job(1, "array", 2);
+    body["flavors"] = json!(["big"]);
+    body["region"] = json!("z2");
+    RefusedSubmission::new(body, 422)
 }
 
 /// All nodes restart while the cloud is away.
-pub fn restart_without_machine_types(w: &mut Simulation) {
-    w.run_until(5_000);
-    w.at(5_000, Event::Fault(Fault::CloudOutage(true)));
-    (0..NODES).for_each(|i| w.at(5_001 + i as u64, Event::Fault(Fault::Crash(i))));
-    w.run_until(14_000);
+pub fn restart_without_machine_types(simulation: &mut Simulation) {
+    simulation.run_until(5_000);
+    schedule_fault(simulation, 5_000, Fault::CloudOutage(true));
+    crash_all_nodes(simulation, 5_001);
+    simulation.run_until(14_000);
 }
 
-fn submit_refused(w: &mut Simulation) {
-    for (body, _) in refused() {
-        for i in 0..NODES {
-            submit(w, i, &body);
+fn submit_refused(simulation: &mut Simulation) {
+    for RefusedSubmission { body, .. } in refused() {
+        for node in 0..NODES {
+            submit(simulation, node, &body);
         }
     }
 }
 
 /// All refused submissions at all nodes.
 pub fn day_of_refused_submissions(seed: u64) -> Simulation {
-    let mut w = Simulation::new(seed);
-    w.run_until(5_000);
-    submit_refused(&mut w);
-    w
+    let mut simulation = Simulation::new(seed);
+    simulation.run_until(5_000);
+    submit_refused(&mut simulation);
+    simulation
 }
 
 /// The same at nodes that do not know the machine types.
 pub fn day_without_machine_types(seed: u64) -> Simulation {
-    let mut w = Simulation::new(seed);
-    restart_without_machine_types(&mut w);
-    submit_refused(&mut w);
-    w
+    let mut simulation = Simulation::new(seed);
+    restart_without_machine_types(&mut simulation);
+    submit_refused(&mut simulation);
+    simulation
 }
--- a/crates/scheduler/src/simulation/days/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/days/isolated_leader.rs
@@ -1,131 +1,167 @@
-//! Days on which the state service refuses the leader alone, and is then down for everybody.
+//! Days on which the key-value store refuses the leader, and is then down for everybody.
 
-use crate::simulation::{Event, Fault, Host, LeaderFault, NODES, Simulation, job};
+use super::{schedule_fault, schedule_period};
+use crate::simulation::{Fault, Host, LeaderFault, NODES, Simulation, job};
 use rand::RngExt;
 
-/// When the troubles begin.
-const T: u64 = 30_000;
+/// When the faults begin, in milliseconds.
+const FAULTS_BEGIN: u64 = 30_000;
 
 /// Clocks at the ends of their drift, and images that stay where they are.
-fn world(seed: u64, gpus: u32) -> Simulation {
-    let mut w = Simulation::of(seed, NODES, gpus);
-    w.cloud.generous = 30;
-    w.keeps_images = true;
-    w.drift_ppm = (0..NODES as u64).map(|i| if (seed >> i) & 1 == 0 { -500 } else { 500 }).collect();
-    w
+fn drifting_simulation(seed: u64, gpus: u32) -> Simulation {
+    let mut simulation = Simulation::of(seed, NODES, gpus);
+    simulation.cloud.generous = 30;
+    simulation.keeps_images = true;
+    simulation.drift_ppm =
+        (0..NODES as u64).map(|node| if (seed >> node) & 1 == 0 { -500 } else { 500 }).collect();
+    simulation
 }
 
-/// Long jobs of all shapes, most of them cancelled around the refusal. Gives when the last trouble is over.
-pub fn gap_day(seed: u64) -> (Simulation, u64) {
-    let mut w = world(seed, 60);
-    for n in 0..36 {
-        let job_type = ["daemon", "array", "ensemble", "daemon"][n % 4];
-        let tasks = w.rng.random_range(1..3);
-        let mut body = job(n, job_type, tasks);
+/// Long jobs of all shapes, most of them cancelled around the refusal. Gives when the last fault has ended.
+pub fn isolated_leader_day(seed: u64) -> (Simulation, u64) {
+    let mut simulation = drifting_simulation(seed, 60);
+    add_long_jobs(&mut simulation);
+    let first = simulation.rng_ms(FAULTS_BEGIN, FAULTS_BEGIN + 2_000);
+    isolate_leader(&mut simulation, first);
+    disturb_takeover(&mut simulation, first);
+    let outage_ends = schedule_outages(&mut simulation, seed, first);
+    let ends = hold_links(&mut simulation).max(outage_ends);
+    for number in 0..simulation.rng.random_range(3..7) {
+        let at = simulation.rng_ms(FAULTS_BEGIN - 3_000, FAULTS_BEGIN + 20_000);
+        let ms = simulation.rng.random_range(2_000..30_000);
+        let fault =
+            [Fault::MachineHangs(ms), Fault::CommandsLost(ms), Fault::MachineDies][number % 3].clone();
+        schedule_fault(&mut simulation, at, fault);
+    }
+    (simulation, ends)
+}
+
+fn add_long_jobs(simulation: &mut Simulation) {
+    for number in 0..36 {
+        let job_type = ["daemon", "array", "ensemble", "daemon"][number % 4];
+        let tasks = simulation.rng.random_range(1..3);
+        let mut body = job(number, job_type, tasks);
         body["expected_s"] = 400.0.into();
         body["vcpus"] = 1.0.into();
-        let at = w.rng_ms(500, 14_000);
-        let gone = w.rng.random_bool(0.8).then(|| w.rng_ms(T - 8_000, T + 16_000));
-        w.add_user(at, body, gone);
+        let at = simulation.rng_ms(500, 14_000);
+        let is_cancelled = simulation.rng.random_bool(0.8);
+        let cancel_at = is_cancelled.then(|| simulation.rng_ms(FAULTS_BEGIN - 8_000, FAULTS_BEGIN + 16_000));
+        simulation.add_user(at, body, cancel_at);
     }
     // New work all along, so that starts are on their way at every moment.
-    for n in 36..70 {
-        let mut body = job(n, "array", 1);
+    for number in 36..70 {
+        let mut body = job(number, "array", 1);
         body["expected_s"] = 400.0.into();
         body["vcpus"] = 1.0.into();
-        let at = w.rng_ms(T - 4_000, T + 14_000);
-        let gone = at + w.rng_ms(300, 6_000);
-        w.add_user(at, body, Some(gone));
+        let at = simulation.rng_ms(FAULTS_BEGIN - 4_000, FAULTS_BEGIN + 14_000);
+        let cancel_at = at + simulation.rng_ms(300, 6_000);
+        simulation.add_user(at, body, Some(cancel_at));
     }
-    // What the leader meets first.
-    let first = w.rng_ms(T, T + 2_000);
-    let long = w.rng_ms(2_000, 20_000);
-    let what = match w.rng.random_range(0..4) {
+}
+
+/// The first fault: of the leader alone.
+fn isolate_leader(simulation: &mut Simulation, at_ms: u64) {
+    let lasts_ms = simulation.rng_ms(2_000, 20_000);
+    let fault = match simulation.rng.random_range(0..4) {
         0 => LeaderFault::Isolated,
         1 => LeaderFault::Ends,
         _ => LeaderFault::Refused,
     };
-    w.at(first, Event::Fault(Fault::Leader(what, long)));
-    // A change of the lead, or all nodes ending, in the midst.
-    w.away_ms = if w.rng.random_bool(0.5) { 20..300 } else { 1_000..9_000 };
-    let at = w.rng_ms(first, first + 8_000);
-    match w.rng.random_range(0..4) {
-        0 => (0..NODES).for_each(|i| w.at(at + 30 * i as u64, Event::Fault(Fault::Crash(i)))),
-        1 => w.at(at, Event::Fault(Fault::Leader(LeaderFault::Ends, 0))),
+    schedule_fault(simulation, at_ms, Fault::Leader(fault, lasts_ms));
+}
+
+/// A change of the leader, all nodes ending, or a slow key-value store in the midst.
+fn disturb_takeover(simulation: &mut Simulation, first: u64) {
+    simulation.away_ms = if simulation.rng.random_bool(0.5) { 20..300 } else { 1_000..9_000 };
+    let at = simulation.rng_ms(first, first + 8_000);
+    match simulation.rng.random_range(0..4) {
+        0 => {
+            for node in 0..NODES {
+                schedule_fault(simulation, at + 30 * node as u64, Fault::Crash(node));
+            }
+        }
+        1 => schedule_fault(simulation, at, Fault::Leader(LeaderFault::Ends, 0)),
         2 => {
-            let slow = w.rng.random_range(100..2_500);
-            w.at(at, Event::Fault(Fault::SlowStore(slow)));
-            w.at(at + 20_000, Event::Fault(Fault::SlowStore(0)));
+            let slow_ms = simulation.rng.random_range(100..2_500);
+            schedule_period(simulation, at, at + 20_000, Fault::SlowStore(slow_ms), Fault::SlowStore(0));
         }
         _ => {}
     }
-    // Then nobody reaches the state service, for longer than `cancel_s`.
-    let down = w.rng_ms(first, first + 16_000);
-    let up = down + w.rng_ms(49_000, 75_000);
-    w.at(down, Event::Fault(Fault::StoreOutage(true)));
-    w.at(up, Event::Fault(Fault::StoreOutage(false)));
-    let mut over = up;
-    if seed.is_multiple_of(3) {
-        // Grants have their full time again, so the leader before may lead on; and it is refused again at once.
-        let again = up + w.rng_ms(0, 1_500);
-        w.at(again, Event::Fault(Fault::Leader(LeaderFault::Refused, 14_000)));
-        w.at(again + 1_500, Event::Fault(Fault::StoreOutage(true)));
-        over = again + 65_000;
-        w.at(over, Event::Fault(Fault::StoreOutage(false)));
+}
+
+/// Nobody reaches the key-value store for longer than `cancel_s`. Gives when it is up again for good.
+fn schedule_outages(simulation: &mut Simulation, seed: u64, first: u64) -> u64 {
+    let down = simulation.rng_ms(first, first + 16_000);
+    let up = down + simulation.rng_ms(49_000, 75_000);
+    schedule_period(simulation, down, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
+    if !seed.is_multiple_of(3) {
+        return up;
     }
-    // Orders to some machines are held up, from a node or from all; answers to others.
-    for _ in 0..w.rng.random_range(0..5) {
-        let (m, only) = (w.rng.random_range(0..14), w.rng.random_range(0..2 * NODES));
-        let (from, back) = (w.rng_ms(T - 3_000, T + 14_000), w.rng.random_bool(0.2));
-        let to = from + w.rng_ms(2_000, 90_000);
-        for i in (0..NODES).filter(|i| only >= NODES || *i == only) {
-            let (a, b) = (Host::Node(i), Host::Machine(m));
-            let (a, b) = if back { (b, a) } else { (a, b) };
-            w.at(from, Event::Fault(Fault::Hold { a, b, on: true }));
-            w.at(to, Event::Fault(Fault::Hold { a, b, on: false }));
+    // Leases have their full time again, so the leader before may lead on; and it is refused again at once.
+    let again = up + simulation.rng_ms(0, 1_500);
+    schedule_fault(simulation, again, Fault::Leader(LeaderFault::Refused, 14_000));
+    let up_again = again + 65_000;
+    let outage = Fault::StoreOutage;
+    schedule_period(simulation, again + 1_500, up_again, outage(true), outage(false));
+    up_again
+}
+
+/// Commands to some machines are held up, from a node or from all; answers to others. Gives when the last hold ends.
+fn hold_links(simulation: &mut Simulation) -> u64 {
+    let mut ends = 0;
+    for _ in 0..simulation.rng.random_range(0..5) {
+        let machine = Host::Machine(simulation.rng.random_range(0..14));
+        let only = simulation.rng.random_range(0..2 * NODES);
+        let from = simulation.rng_ms(FAULTS_BEGIN - 3_000, FAULTS_BEGIN + 14_000);
+        let holds_answers = simulation.rng.random_bool(0.2);
+        let to = from + simulation.rng_ms(2_000, 90_000);
+        for index in (0..NODES).filter(|index| only >= NODES || *index == only) {
+            let node = Host::Node(index);
+            let (a, b) = if holds_answers { (machine, node) } else { (node, machine) };
+            let hold = |on| Fault::Hold { a, b, on };
+            schedule_period(simulation, from, to, hold(true), hold(false));
         }
-        over = over.max(to);
-    }
-    for n in 0..w.rng.random_range(3..7) {
-        let at = w.rng_ms(T - 3_000, T + 20_000);
-        let ms = w.rng.random_range(2_000..30_000);
-        let fault = [Fault::MachineHangs(ms), Fault::CommandsLost(ms), Fault::MachineDies][n % 3].clone();
-        w.at(at, Event::Fault(fault));
+        ends = ends.max(to);
     }
-    (w, over)
+    ends
 }
 
 /// Starts are held up on their way from the leader, longer than their jobs' cancellations may take, while their workers
 /// are answered by other nodes; and the cloud does not answer the leader that would return those machines, before the
-/// state service goes away too.
-pub fn held_day(seed: u64) -> (Simulation, u64) {
-    let mut w = world(seed, 200);
-    // These leave room behind on machines that all nodes have heard.
-    for n in 0..24 {
-        let mut body = job(n, "array", 2);
-        let at = w.rng_ms(500, 8_000);
-        body["expected_s"] = ((T - 8_000 - at) as f64 / 1000.0).into();
-        w.add_user(at, body, None);
+/// key-value store goes away too. Gives when the last fault has ended.
+pub fn held_starts_day(seed: u64) -> (Simulation, u64) {
+    let mut simulation = drifting_simulation(seed, 200);
+    add_jobs_around_the_hold(&mut simulation);
+    let held = simulation.rng_ms(FAULTS_BEGIN - 500, FAULTS_BEGIN + 500);
+    let for_ms = simulation.rng_ms(48_500, 57_000);
+    schedule_fault(&mut simulation, held, Fault::Leader(LeaderFault::CommandsHeld, for_ms));
+    let down = simulation.rng_ms(FAULTS_BEGIN + 5_000, FAULTS_BEGIN + 14_000);
+    let up = down + 70_000;
+    schedule_period(&mut simulation, down, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
+    schedule_period(&mut simulation, FAULTS_BEGIN, up, Fault::CloudOutage(true), Fault::CloudOutage(false));
+    for number in 0..simulation.rng.random_range(3..6) {
+        let at = simulation.rng_ms(FAULTS_BEGIN - 3_000, FAULTS_BEGIN + 20_000);
+        let ms = simulation.rng.random_range(2_000..20_000);
+        let fault =
+            [Fault::MachineHangs(ms), Fault::MachineDies, Fault::CommandsLost(ms)][number % 3].clone();
+        schedule_fault(&mut simulation, at, fault);
     }
-    for n in 24..90 {
-        let mut body = job(n, "array", 1);
-        body["expected_s"] = 400.0.into();
-        let at = w.rng_ms(T - 3_000, T + 1_500);
-        let gone = w.rng_ms(T - 1_500, T + 1_000);
-        w.add_user(at, body, Some(gone));
+    (simulation, up)
+}
+
+fn add_jobs_around_the_hold(simulation: &mut Simulation) {
+    // These end before the hold, and leave free capacity on machines whose heartbeats all nodes have received.
+    for number in 0..24 {
+        let mut body = job(number, "array", 2);
+        let at = simulation.rng_ms(500, 8_000);
+        body["expected_s"] = ((FAULTS_BEGIN - 8_000 - at) as f64 / 1000.0).into();
+        simulation.add_user(at, body, None);
     }
-    let held = w.rng_ms(T - 500, T + 500);
-    let for_ms = w.rng_ms(48_500, 57_000);
-    w.at(held, Event::Fault(Fault::Leader(LeaderFault::CommandsHeld, for_ms)));
-    let down = w.rng_ms(T + 5_000, T + 14_000);
-    w.at(down, Event::Fault(Fault::StoreOutage(true)));
-    w.at(down + 70_000, Event::Fault(Fault::StoreOutage(false)));
-    w.at(T, Event::Fault(Fault::CloudOutage(true)));
-    w.at(down + 70_000, Event::Fault(Fault::CloudOutage(false)));
-    for n in 0..w.rng.random_range(3..6) {
-        let (at, ms) = (w.rng_ms(T - 3_000, T + 20_000), w.rng.random_range(2_000..20_000));
-        let fault = [Fault::MachineHangs(ms), Fault::MachineDies, Fault::CommandsLost(ms)][n % 3].clone();
-        w.at(at, Event::Fault(fault));
+    for number in 24..90 {
+        let mut body = job(number, "array", 1);
+        body["expected_s"] = 400.0.into();
+        let at = simulation.rng_ms(FAULTS_BEGIN - 3_000, FAULTS_BEGIN + 1_500);
+        let cancel_at = simulation.rng_ms(FAULTS_BEGIN - 1_500, FAULTS_BEGIN + 1_000);
+        simulation.add_user(at, body, Some(cancel_at));
     }
-    (w, down + 70_000)
 }
--- a/crates/scheduler/src/simulation/days/kinds.rs
+++ b/crates/scheduler/src/simulation/days/kinds.rs
@@ -1,12 +1,12 @@
 //! All kinds of days that the tests of the simulation play, for a comparison of two builds.
 
 use super::bad_records::{
-    BAD, contradicting_reports, impossible_job_records, unreadable_job_record, unreadable_machine_records,
+    BAD, contradicting_heartbeats, impossible_job_records, unreadable_job_record, unreadable_machine_records,
 };
-use super::combined_faults::meeting_day;
+use super::combined_faults::day_of_combined_faults;
 use super::directed::ROWS;
 use super::fields::{day_of_refused_submissions, day_without_machine_types};
-use super::isolated_leader::{gap_day, held_day};
+use super::isolated_leader::{held_starts_day, isolated_leader_day};
 use super::ordinary;
 use super::recovery::{self, Down};
 use super::{DAY_ENDS, troubles};
@@ -16,7 +16,7 @@
 use crate::types::Duration;
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
 
-/// How long a day goes on after its last trouble, where that has no set time.
+/// How long a day goes on after its last fault, where that has no set time, in milliseconds.
 const CALM_MS: u64 = 120_000;
 /// Jobs on a day of recovery with a usual number of machines.
 const RECOVERY_JOBS: usize = 40;
@@ -66,6 +66,7 @@
         Self::new(name, first_seed, move |seed| until(build(seed), DAY_ENDS))
     }
 
+    /// A day of a larger fleet, played to its end.
     fn recovery(
         name: &str,
         first_seed: u64,
@@ -74,26 +75,26 @@
         Self::new(name, first_seed, move |seed| until(build(seed), recovery::ENDS))
     }
 
-    /// An ordinary day with troubles, in a world that `corrupt` changes.
+    /// An ordinary day with faults, in a simulation that `corrupt` changes.
     fn with_fault_injected(name: &str, corrupt: fn(&mut Simulation)) -> Self {
         Self::usual(name, 300, move |seed| {
-            let mut w = ordinary::day(seed, troubles);
-            corrupt(&mut w);
-            w
+            let mut simulation = ordinary::day(seed, troubles);
+            corrupt(&mut simulation);
+            simulation
         })
     }
 
-    /// A day that goes on until some time after its last trouble, with a guard out of the core.
-    fn gap(
+    /// A day that goes on until some time after its last fault, with a check of the controllers disabled.
+    fn isolated_leader(
         name: &str,
         first_seed: u64,
         day: fn(u64) -> (Simulation, u64),
         injected_fault: Option<fn(&mut Controller, u64)>,
     ) -> Self {
         Self::new(name, first_seed, move |seed| {
-            let (mut w, over) = day(seed);
-            w.injected_fault = injected_fault;
-            until(w, over + CALM_MS)
+            let (mut simulation, last_fault_ends) = day(seed);
+            simulation.injected_fault = injected_fault;
+            until(simulation, last_fault_ends + CALM_MS)
         })
     }
 
@@ -120,9 +121,9 @@
     }
 }
 
-fn until(mut w: Simulation, end_ms: u64) -> Simulation {
-    w.run_until(end_ms);
-    w
+fn until(mut simulation: Simulation, end_ms: u64) -> Simulation {
+    simulation.run_until(end_ms);
+    simulation
 }
 
 /// All kinds, in an order that stays: those that take longest first, so that threads end together.
@@ -130,7 +131,7 @@
     let mut kinds = recovery_kinds();
     kinds.extend(ordinary_kinds());
     kinds.extend(kinds_with_faults_injected());
-    kinds.extend(gap_kinds());
+    kinds.extend(isolated_leader_kinds());
     kinds.extend(bad_input_kinds());
     kinds.extend(directed_kinds());
     kinds
@@ -142,7 +143,7 @@
         DayKind::usual("troubles", 100, |seed| ordinary::day(seed, troubles)),
         DayKind::usual("crash-of-all-in-an-outage", 200, ordinary::crash_of_all_in_an_outage),
         DayKind::usual("dead-majority", 390, ordinary::dead_majority),
-        DayKind::usual("withdrawals", 400, ordinary::withdrawals),
+        DayKind::usual("withdrawals", 400, ordinary::cancellations),
         DayKind::usual("refused-leader", 500, ordinary::day_of_a_refused_leader),
         DayKind::new("large-fleet", 600, |seed| {
             until(ordinary::day_of_a_large_fleet(seed), LARGE_FLEET_ENDS_MS)
@@ -152,16 +153,16 @@
         DayKind::usual("upgrade", 800, |seed| ordinary::upgrade_day(seed, seed % 4 != 0)),
         DayKind::usual("mixed-versions", 850, ordinary::day_of_a_mixed_version),
         DayKind::usual("cut-off-zone", 910, ordinary::cut_off_zone),
-        DayKind::usual("parted-zone", 920, |seed| ordinary::parted_day(seed, None).0),
-        DayKind::usual("pair-of-troubles", 4_000, |seed| meeting_day(seed).0),
+        DayKind::usual("parted-zone", 920, |seed| ordinary::day_of_a_partitioned_zone(seed, None).0),
+        DayKind::usual("pair-of-troubles", 4_000, |seed| day_of_combined_faults(seed).0),
     ]
 }
 
-/// Days with a guard out of the core, or a stand-in that breaks its word.
+/// Days with a check of the controllers disabled, or a stand-in that does not do what it answers.
 fn kinds_with_faults_injected() -> Vec<DayKind> {
     fn pipelines_without(check: DependencyCheck, seed: u64) -> Simulation {
-        let mut w = ordinary::pipelined_day(seed);
-        w.injected_fault = Some(match check {
+        let mut simulation = ordinary::pipelined_day(seed);
+        simulation.injected_fault = Some(match check {
             DependencyCheck::Order => |controller: &mut Controller, _| {
                 controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Order))
             },
@@ -169,21 +170,22 @@
                 controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Cancellation))
             },
         });
-        w
+        simulation
     }
-    let apart: fn(&mut Controller, u64) =
+    let without_isolation_reports: fn(&mut Controller, u64) =
         |controller, _| controller.disable_check(DisabledCheck::IsolationReports);
     vec![
-        DayKind::with_fault_injected("forget-silent", |w| {
-            w.injected_fault = Some(|controller, _| {
+        DayKind::with_fault_injected("forget-silent", |simulation| {
+            simulation.injected_fault = Some(|controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
             })
         }),
-        DayKind::with_fault_injected("done-early", |w| {
-            w.injected_fault = Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
+        DayKind::with_fault_injected("done-early", |simulation| {
+            simulation.injected_fault =
+                Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
         }),
-        DayKind::with_fault_injected("lazy-cloud", |w| w.cloud.lazy = true),
-        DayKind::with_fault_injected("careless-state", |w| w.state.careless = true),
+        DayKind::with_fault_injected("lazy-cloud", |simulation| simulation.cloud.lazy = true),
+        DayKind::with_fault_injected("careless-state", |simulation| simulation.state.careless = true),
         DayKind::usual("pipelines-without-order", 700, |seed| {
             pipelines_without(DependencyCheck::Order, seed)
         }),
@@ -191,32 +193,38 @@
             pipelines_without(DependencyCheck::Cancellation, seed)
         }),
         DayKind::usual("mixed-versions-without-level", 850, |seed| {
-            let mut w = ordinary::day_of_a_mixed_version(seed);
-            w.injected_fault = Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion));
-            w
+            let mut simulation = ordinary::day_of_a_mixed_version(seed);
+            simulation.injected_fault =
+                Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion));
+            simulation
         }),
         DayKind::usual("parted-zone-without-word", 920, move |seed| {
-            ordinary::parted_day(seed, Some(apart)).0
+            ordinary::day_of_a_partitioned_zone(seed, Some(without_isolation_reports)).0
         }),
     ]
 }
 
-fn gap_kinds() -> Vec<DayKind> {
-    let stops: fn(&mut Controller, u64) =
+fn isolated_leader_kinds() -> Vec<DayKind> {
+    let without_stops: fn(&mut Controller, u64) =
         |controller, _| controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
-    let margin: fn(&mut Controller, u64) = |controller, _| {
+    let with_longer_margin: fn(&mut Controller, u64) = |controller, _| {
         controller
             .disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Margin(Duration::from_millis(15_000))))
     };
-    let doubt: fn(&mut Controller, u64) = |controller, _| {
+    let without_unacknowledged: fn(&mut Controller, u64) = |controller, _| {
         controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts))
     };
     vec![
-        DayKind::gap("gap", 3_000, gap_day, None),
-        DayKind::gap("gap-without-stops", 3_238, gap_day, Some(stops)),
-        DayKind::gap("gap-without-margin", 3_000, gap_day, Some(margin)),
-        DayKind::gap("held-starts", 3_500, held_day, None),
-        DayKind::gap("held-starts-without-doubt", 3_500, held_day, Some(doubt)),
+        DayKind::isolated_leader("gap", 3_000, isolated_leader_day, None),
+        DayKind::isolated_leader("gap-without-stops", 3_238, isolated_leader_day, Some(without_stops)),
+        DayKind::isolated_leader("gap-without-margin", 3_000, isolated_leader_day, Some(with_longer_margin)),
+        DayKind::isolated_leader("held-starts", 3_500, held_starts_day, None),
+        DayKind::isolated_leader(
+            "held-starts-without-doubt",
+            3_500,
+            held_starts_day,
+            Some(without_unacknowledged),
+        ),
     ]
 }
 
@@ -244,17 +252,17 @@
         DayKind::recovery("lost-leases", 2_400, recovery::day_of_lost_leases),
         DayKind::recovery("quick-returns", 2_600, |seed| recovery::day_of_quick_returns(seed, 30)),
         DayKind::recovery("unheard-machines", 2_500, |seed| {
-            let mut w = recovery::day(seed, Down::InARow, 30);
-            w.injected_fault =
+            let mut simulation = recovery::day(seed, Down::InARow, 30);
+            simulation.injected_fault =
                 Some(|controller, _| controller.disable_check(DisabledCheck::HeartbeatCollection));
-            w
+            simulation
         }),
         DayKind::recovery("forgotten-attempts", 5_000, |seed| {
-            let mut w = recovery::day_of_quick_returns(seed, 30);
-            w.again = 0.3;
-            w.injected_fault =
+            let mut simulation = recovery::day_of_quick_returns(seed, 30);
+            simulation.again = 0.3;
+            simulation.injected_fault =
                 Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
-            w
+            simulation
         }),
     ]
 }
@@ -274,13 +282,13 @@
         })
         .at_most(each),
         DayKind::usual("impossible-job-records", 9_240, impossible_job_records).at_most(1),
-        DayKind::usual("contradicting-reports", 9_260, contradicting_reports).at_most(1),
+        DayKind::usual("contradicting-reports", 9_260, contradicting_heartbeats).at_most(1),
         DayKind::new("refused-submissions", 9_100, day_of_refused_submissions).at_most(1),
         DayKind::new("submissions-without-machine-types", 9_102, day_without_machine_types).at_most(1),
     ]
 }
 
-/// Each directed row as it is, and with its guard out.
+/// Each directed row as it is, and with its check disabled.
 fn directed_kinds() -> Vec<DayKind> {
     const FIRST_SEED: u64 = 6_000;
     let mut kinds = Vec::new();
@@ -288,9 +296,9 @@
         let name = row.name.replace([' ', ','], "-");
         kinds.push(DayKind::usual(format!("directed-{name}"), FIRST_SEED, row.day));
         kinds.push(DayKind::usual(format!("directed-{name}-without-guard"), FIRST_SEED, |seed| {
-            let mut w = (row.day)(seed);
-            (row.without)(&mut w);
-            w
+            let mut simulation = (row.day)(seed);
+            (row.without)(&mut simulation);
+            simulation
         }));
     }
     kinds
--- a/crates/scheduler/src/simulation/days/mod.rs
+++ b/crates/scheduler/src/simulation/days/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded days by kind, and troubles for them.
+//! Seeded days by kind, and faults for them.
 
 pub mod bad_records;
 pub mod combined_faults;
@@ -12,53 +12,64 @@
 use super::{Event, Fault, Host, NODES, Simulation};
 use rand::RngExt;
 
+/// When a usual day's last fault has ended, in milliseconds.
 pub const TROUBLE_ENDS: u64 = 90_000;
+/// When a usual day ends, in milliseconds.
 pub const DAY_ENDS: u64 = 190_000;
 
-fn for_a_while(w: &mut Simulation, most: u64, on: Fault, off: Fault) {
-    let from = w.rng_ms(5_000, 70_000);
-    let to = (from + w.rng.random_range(1_000..most)).min(TROUBLE_ENDS);
-    w.at(from, Event::Fault(on));
-    w.at(to, Event::Fault(off));
+/// Schedules a fault at a time in milliseconds.
+fn schedule_fault(simulation: &mut Simulation, at_ms: u64, fault: Fault) {
+    simulation.at(at_ms, Event::Fault(fault));
 }
 
-/// Troubles of all kinds at random times, the last over by `TROUBLE_ENDS`.
-pub fn troubles(w: &mut Simulation) {
-    for _ in 0..w.rng.random_range(3..9) {
-        let i = w.rng.random_range(0..NODES);
-        let j = (i + w.rng.random_range(1..NODES)) % NODES;
-        let late = w.rng.random_bool(0.5);
-        let cut = |a, b, on| Fault::Cut { a, b, on, late };
-        let at = w.rng_ms(5_000, 80_000);
-        match w.rng.random_range(0..10) {
-            0 => w.at(at, Event::Fault(Fault::Crash(i))),
-            1 => (0..NODES).for_each(|i| w.at(at + i as u64, Event::Fault(Fault::Crash(i)))),
-            2 => for_a_while(w, 25_000, Fault::StoreOutage(true), Fault::StoreOutage(false)),
-            3 => for_a_while(w, 40_000, Fault::StoreRefuses(i, true), Fault::StoreRefuses(i, false)),
-            4 => for_a_while(
-                w,
-                40_000,
-                cut(Host::Node(i), Host::Store, true),
-                cut(Host::Node(i), Host::Store, false),
-            ),
-            5 => for_a_while(
-                w,
-                40_000,
-                cut(Host::Node(i), Host::Node(j), true),
-                cut(Host::Node(i), Host::Node(j), false),
-            ),
-            6 => (0..20).for_each(|m| {
-                let (a, b) = (Host::Node(i), Host::Machine(m));
-                w.at(at, Event::Fault(cut(a, b, true)));
-                w.at((at + 30_000).min(TROUBLE_ENDS), Event::Fault(cut(a, b, false)));
-            }),
-            7 => w.at(at, Event::Fault(Fault::MachineDies)),
-            8 => {
-                let ms = w.rng.random_range(2_000..40_000);
-                w.at(at, Event::Fault(Fault::MachineHangs(ms)));
-            }
-            _ => w.at(at, Event::Fault(Fault::SpotNotice)),
+/// Schedules the begin and the end of a fault that lasts.
+fn schedule_period(simulation: &mut Simulation, from_ms: u64, to_ms: u64, on: Fault, off: Fault) {
+    schedule_fault(simulation, from_ms, on);
+    schedule_fault(simulation, to_ms, off);
+}
+
+/// Ends the usual nodes' processes, one a millisecond.
+fn crash_all_nodes(simulation: &mut Simulation, at_ms: u64) {
+    (0..NODES).for_each(|node| schedule_fault(simulation, at_ms + node as u64, Fault::Crash(node)));
+}
+
+/// Schedules a fault for a part of the day that the seed draws, for `most_ms` at most.
+fn schedule_drawn_period(simulation: &mut Simulation, most_ms: u64, fault: impl Fn(bool) -> Fault) {
+    let from = simulation.rng_ms(5_000, 70_000);
+    let to = (from + simulation.rng.random_range(1_000..most_ms)).min(TROUBLE_ENDS);
+    schedule_period(simulation, from, to, fault(true), fault(false));
+}
+
+/// Faults of all kinds at random times, the last over by `TROUBLE_ENDS`.
+pub fn troubles(simulation: &mut Simulation) {
+    for _ in 0..simulation.rng.random_range(3..9) {
+        schedule_any_fault(simulation);
+    }
+    schedule_drawn_period(simulation, 20_000, Fault::CloudOutage);
+}
+
+fn schedule_any_fault(simulation: &mut Simulation) {
+    let node = simulation.rng.random_range(0..NODES);
+    let peer = (node + simulation.rng.random_range(1..NODES)) % NODES;
+    let late = simulation.rng.random_bool(0.5);
+    let cut = |other, on| Fault::Cut { a: Host::Node(node), b: other, on, late };
+    let at = simulation.rng_ms(5_000, 80_000);
+    match simulation.rng.random_range(0..10) {
+        0 => schedule_fault(simulation, at, Fault::Crash(node)),
+        1 => crash_all_nodes(simulation, at),
+        2 => schedule_drawn_period(simulation, 25_000, Fault::StoreOutage),
+        3 => schedule_drawn_period(simulation, 40_000, |on| Fault::StoreRefuses(node, on)),
+        4 => schedule_drawn_period(simulation, 40_000, |on| cut(Host::Store, on)),
+        5 => schedule_drawn_period(simulation, 40_000, |on| cut(Host::Node(peer), on)),
+        6 => (0..20).map(Host::Machine).for_each(|machine| {
+            let to = (at + 30_000).min(TROUBLE_ENDS);
+            schedule_period(simulation, at, to, cut(machine, true), cut(machine, false));
+        }),
+        7 => schedule_fault(simulation, at, Fault::MachineDies),
+        8 => {
+            let ms = simulation.rng.random_range(2_000..40_000);
+            schedule_fault(simulation, at, Fault::MachineHangs(ms));
         }
+        _ => schedule_fault(simulation, at, Fault::SpotNotice),
     }
-    for_a_while(w, 20_000, Fault::CloudOutage(true), Fault::CloudOutage(false));
 }
--- a/crates/scheduler/src/simulation/days/recovery.rs
+++ b/crates/scheduler/src/simulation/days/recovery.rs
@@ -1,138 +1,165 @@
 //! Days on which all controllers of a larger fleet go down while several machines fail.
 
-use crate::simulation::{Event, Fault, Host, Simulation, job};
+use super::{schedule_fault, schedule_period};
+use crate::simulation::{Fault, Host, Simulation, job};
 use rand::RngExt;
 
+/// How many nodes these days have.
 pub const NODES: usize = 5;
 
-const LAST: u64 = 70_000;
+/// When the last fault of a day has ended, in milliseconds.
+const LAST_FAULT_ENDS: u64 = 70_000;
 
+/// When these days end, in milliseconds.
 pub const ENDS: u64 = 170_000;
 
-/// What a day is to be like; the seed draws the rest.
+/// When all nodes crash; the seed draws the rest.
 #[derive(Debug, Clone, Copy)]
 pub enum Down {
     Once,
     /// Every few seconds, until leases have run out.
     InARow,
-    /// Again so long after each return: in the midst of reading, gathering, squaring.
+    /// Again so long after each return: in the midst of loading records, collecting heartbeats, reconciling.
     Midst,
 }
 
-pub fn crash_all(w: &mut Simulation, at: u64) {
-    for i in 0..NODES {
-        let after = w.rng_ms(0, 400);
-        w.at(at + after, Event::Fault(Fault::Crash(i)));
+/// Ends all nodes' processes within 400 ms.
+pub fn crash_all(simulation: &mut Simulation, at: u64) {
+    for node in 0..NODES {
+        let after = simulation.rng_ms(0, 400);
+        schedule_fault(simulation, at + after, Fault::Crash(node));
     }
 }
 
-/// Jobs of all shapes and both teams, and the day's crashes and troubles.
+/// Jobs of all shapes and both teams, and the day's crashes and faults.
 pub fn day(seed: u64, down: Down, jobs: usize) -> Simulation {
-    let mut w = Simulation::of(seed, NODES, 400);
-    w.cloud.generous = 50;
-    for n in 0..jobs {
-        let job_type = ["array", "ensemble", "daemon", "array", "daemon"][n % 5];
-        let most = match job_type {
-            "array" => 26,
-            "ensemble" => 6,
-            _ => 9,
-        };
-        let tasks = w.rng.random_range(2..most);
-        let mut body = job(n, job_type, tasks);
-        body["together"] = (job_type == "ensemble" && n % 2 == 0).into();
-        body["spread"] = (job_type == "daemon").into();
-        body["expected_s"] = w.rng.random_range(6.0..25.0).into();
-        let at = w.rng_ms(500, 20_000);
-        let gone = w.rng.random_bool(0.15).then(|| at + w.rng_ms(15_000, 60_000));
-        w.add_user(at, body, gone);
+    let mut simulation = Simulation::of(seed, NODES, 400);
+    simulation.cloud.generous = 50;
+    for number in 0..jobs {
+        add_job(&mut simulation, number);
     }
-    let mut at = w.rng_ms(24_000, 30_000);
+    schedule_crashes(&mut simulation, down);
+    fail_machines(&mut simulation);
+    schedule_drawn_fault(&mut simulation);
+    simulation
+}
+
+fn add_job(simulation: &mut Simulation, number: usize) {
+    let job_type = ["array", "ensemble", "daemon", "array", "daemon"][number % 5];
+    let most_tasks = match job_type {
+        "array" => 26,
+        "ensemble" => 6,
+        _ => 9,
+    };
+    let tasks = simulation.rng.random_range(2..most_tasks);
+    let mut body = job(number, job_type, tasks);
+    body["together"] = (job_type == "ensemble" && number.is_multiple_of(2)).into();
+    body["spread"] = (job_type == "daemon").into();
+    body["expected_s"] = simulation.rng.random_range(6.0..25.0).into();
+    let at = simulation.rng_ms(500, 20_000);
+    let is_cancelled = simulation.rng.random_bool(0.15);
+    let cancel_at = is_cancelled.then(|| at + simulation.rng_ms(15_000, 60_000));
+    simulation.add_user(at, body, cancel_at);
+}
+
+fn schedule_crashes(simulation: &mut Simulation, down: Down) {
+    let mut at = simulation.rng_ms(24_000, 30_000);
     match down {
-        Down::Once => crash_all(&mut w, at),
+        Down::Once => crash_all(simulation, at),
         Down::InARow => {
             while at < 52_000 {
-                crash_all(&mut w, at);
-                at += w.rng_ms(2_000, 5_000);
+                crash_all(simulation, at);
+                at += simulation.rng_ms(2_000, 5_000);
             }
         }
         Down::Midst => {
             for _ in 0..4 {
-                crash_all(&mut w, at);
+                crash_all(simulation, at);
                 // Nodes take 1 to 4 s to come back.
-                at += w.rng_ms(4_500, 12_000);
+                at += simulation.rng_ms(4_500, 12_000);
             }
         }
     }
-    // At least five machines fail, of kinds drawn by the seed.
-    for _ in 0..w.rng.random_range(5..12) {
-        let at = w.rng_ms(23_000, 60_000);
-        let fault = match w.rng.random_range(0..4) {
+}
+
+/// At least five machines fail, in ways drawn by the seed.
+fn fail_machines(simulation: &mut Simulation) {
+    for _ in 0..simulation.rng.random_range(5..12) {
+        let at = simulation.rng_ms(23_000, 60_000);
+        let fault = match simulation.rng.random_range(0..4) {
             0 => Fault::MachineDies,
             // Some longer than a lease: their tasks are gone when they go on.
-            1 | 2 => Fault::MachineHangs(w.rng.random_range(2_000..35_000)),
+            1 | 2 => Fault::MachineHangs(simulation.rng.random_range(2_000..35_000)),
             _ => Fault::SpotNotice,
         };
-        w.at(at, Event::Fault(fault));
+        schedule_fault(simulation, at, fault);
     }
-    let at = w.rng_ms(22_000, 55_000);
-    match w.rng.random_range(0..4) {
+}
+
+/// An outage of the key-value store, a node cut off from machines, a node that the store refuses, or nothing.
+fn schedule_drawn_fault(simulation: &mut Simulation) {
+    let at = simulation.rng_ms(22_000, 55_000);
+    match simulation.rng.random_range(0..4) {
         0 => {
-            w.at(at, Event::Fault(Fault::StoreOutage(true)));
-            w.at(at + 8_000, Event::Fault(Fault::StoreOutage(false)));
+            let outage = Fault::StoreOutage;
+            schedule_period(simulation, at, at + 8_000, outage(true), outage(false));
         }
         1 => {
-            let i = w.rng.random_range(0..NODES);
-            for m in 0..20 {
-                let cut = |on| Fault::Cut { a: Host::Node(i), b: Host::Machine(m), on, late: true };
-                w.at(at, Event::Fault(cut(true)));
-                w.at((at + 15_000).min(LAST), Event::Fault(cut(false)));
+            let node = Host::Node(simulation.rng.random_range(0..NODES));
+            let until = (at + 15_000).min(LAST_FAULT_ENDS);
+            for machine in (0..20).map(Host::Machine) {
+                let cut = |on| Fault::Cut { a: node, b: machine, on, late: true };
+                schedule_period(simulation, at, until, cut(true), cut(false));
             }
         }
         2 => {
-            let i = w.rng.random_range(0..NODES);
-            w.at(at, Event::Fault(Fault::StoreRefuses(i, true)));
-            w.at((at + 12_000).min(LAST), Event::Fault(Fault::StoreRefuses(i, false)));
+            let node = simulation.rng.random_range(0..NODES);
+            let until = (at + 12_000).min(LAST_FAULT_ENDS);
+            let refuse = |on| Fault::StoreRefuses(node, on);
+            schedule_period(simulation, at, until, refuse(true), refuse(false));
         }
         _ => {}
     }
-    w
 }
 
-/// Nodes are back within a fraction of a second, alone, all at once and several times in a row, while the old run's
-/// sockets, grant and transactions live on; what was sent comes again up to 20 s later.
+/// Nodes are back within a fraction of a second, alone, all at once and several times in a row, while the connections,
+/// lease and transactions of the process before live on; what was sent comes again up to 20 s later.
 pub fn day_of_quick_returns(seed: u64, jobs: usize) -> Simulation {
-    let mut w = day(seed, Down::Once, jobs);
-    w.away_ms = if seed.is_multiple_of(3) { 20..5_000 } else { 20..300 };
-    w.again = if seed.is_multiple_of(2) { 0.05 } else { 0.3 };
-    let mut at = w.rng_ms(8_000, 12_000);
+    let mut simulation = day(seed, Down::Once, jobs);
+    simulation.away_ms = if seed.is_multiple_of(3) { 20..5_000 } else { 20..300 };
+    simulation.again = if seed.is_multiple_of(2) { 0.05 } else { 0.3 };
+    let mut at = simulation.rng_ms(8_000, 12_000);
     while at < 60_000 {
-        let i = w.rng.random_range(0..NODES);
-        match w.rng.random_range(0..3) {
-            0 => w.at(at, Event::Fault(Fault::Crash(i))),
-            1 => (0..4).for_each(|n| w.at(at + 350 * n, Event::Fault(Fault::Crash(i)))),
-            _ => crash_all(&mut w, at),
+        let node = simulation.rng.random_range(0..NODES);
+        match simulation.rng.random_range(0..3) {
+            0 => schedule_fault(&mut simulation, at, Fault::Crash(node)),
+            1 => {
+                for repetition in 0..4 {
+                    schedule_fault(&mut simulation, at + 350 * repetition, Fault::Crash(node));
+                }
+            }
+            _ => crash_all(&mut simulation, at),
         }
-        at += w.rng_ms(300, 9_000);
+        at += simulation.rng_ms(300, 9_000);
     }
-    w
+    simulation
 }
 
-/// When all nodes go down on the day of lost leases.
+/// When all nodes go down on the day of lost leases, in milliseconds.
 pub const DOWN_MS: u64 = 30_000;
 
 /// Services only; all leases run out while nobody leads.
 pub fn day_of_lost_leases(seed: u64) -> Simulation {
-    let mut w = Simulation::of(seed, NODES, 400);
-    w.cloud.generous = 50;
-    for n in 0..20 {
-        let mut body = job(n, "daemon", 4);
-        body["spread"] = (n % 2 == 0).into();
-        w.add_user(500 + 50 * n as u64, body, None);
+    let mut simulation = Simulation::of(seed, NODES, 400);
+    simulation.cloud.generous = 50;
+    for number in 0..20 {
+        let mut body = job(number, "daemon", 4);
+        body["spread"] = number.is_multiple_of(2).into();
+        simulation.add_user(500 + 50 * number as u64, body, None);
     }
-    let down = DOWN_MS;
-    // Without the state service the nodes that come back can't answer anybody.
-    crash_all(&mut w, down);
-    w.at(down, Event::Fault(Fault::StoreOutage(true)));
-    w.at(down + 24_000, Event::Fault(Fault::StoreOutage(false)));
-    w
+    // Without the key-value store the nodes that come back can't answer anybody.
+    crash_all(&mut simulation, DOWN_MS);
+    let up = DOWN_MS + 24_000;
+    schedule_period(&mut simulation, DOWN_MS, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
+    simulation
 }
--- a/crates/scheduler/src/simulation/fields.rs
+++ b/crates/scheduler/src/simulation/fields.rs
@@ -2,33 +2,35 @@
 
 #![cfg(test)]
 
-use super::days::fields::{MAY_BE_NULL, ask, refused, restart_without_machine_types, submit};
+use super::days::fields::{
+    MAY_BE_NULL, RefusedSubmission, ask, refused, restart_without_machine_types, submit,
+};
 use super::{Event, Fault, NODES, Simulation, job};
 use crate::node::Method;
 use serde_json::Value;
 
 #[test]
 fn nothing_that_cannot_run_or_lacks_a_field_is_accepted_by_any_node() {
-    let mut w = Simulation::new(9_100);
-    w.run_until(5_000);
-    for (body, status) in refused() {
+    let mut simulation = Simulation::new(9_100);
+    simulation.run_until(5_000);
+    for RefusedSubmission { body, status } in refused() {
         for i in 0..NODES {
-            let announced = submit(&mut w, i, &body);
+            let announced = submit(&mut simulation, i, &body);
             assert_eq!(announced, status, "node {i}: {body:.400}");
         }
     }
-    assert!(w.state.key("j/req-000001").is_none());
+    assert!(simulation.state.key("j/req-000001").is_none());
     // One that fits the limits exactly, and what may be null or left out.
     let mut n = 10;
     for i in 0..NODES {
         let mut body = job(n, "ensemble", 12);
         body["owner"] = "red".into();
-        assert_eq!(submit(&mut w, i, &body.to_string()), 201, "{body}");
+        assert_eq!(submit(&mut simulation, i, &body.to_string()), 201, "{body}");
         let mut bare = job(n + 1, "array", 1);
         for field in MAY_BE_NULL {
             bare.as_object_mut().expect("an object").remove(field);
         }
-        assert_eq!(submit(&mut w, i, &bare.to_string()), 201, "{bare}");
+        assert_eq!(submit(&mut simulation, i, &bare.to_string()), 201, "{bare}");
         n += 2;
     }
 }
@@ -36,17 +38,16 @@
 /// A repeat gets its job's state whatever is wrong with it now, at every node.
 #[test]
 fn a_repeat_of_a_known_job_is_never_refused_whatever_it_says() {
-    let mut w = Simulation::new(9_101);
-    w.run_until(5_000);
-    assert_eq!(submit(&mut w, 0, &job(1, "array", 2).to_string()), 201);
-    for (body, _) in
-        refused().into_iter().filter(|(body, _)| body.contains("\"req-000001\"") && body.starts_with('{'))
-    {
+    let mut simulation = Simulation::new(9_101);
+    simulation.run_until(5_000);
+    assert_eq!(submit(&mut simulation, 0, &job(1, "array", 2).to_string()), 201);
+    let bodies = refused().into_iter().map(|submission| submission.body);
+    for body in bodies.filter(|body| body.contains("\"req-000001\"") && body.starts_with('{')) {
         if serde_json::from_str::<Value>(&body).is_err() {
             continue; // without JSON there is no id
         }
         for i in 0..NODES {
-            assert_eq!(submit(&mut w, i, &body), 200, "node {i}: {body:.400}");
+            assert_eq!(submit(&mut simulation, i, &body), 200, "node {i}: {body:.400}");
         }
     }
 }
@@ -55,28 +56,28 @@
 /// depends on them, and accepts nothing.
 #[test]
 fn a_node_without_the_machine_types_accepts_nothing() {
-    let mut w = Simulation::new(9_102);
-    restart_without_machine_types(&mut w);
+    let mut simulation = Simulation::new(9_102);
+    restart_without_machine_types(&mut simulation);
     for i in 0..NODES {
-        assert_eq!(submit(&mut w, i, &job(1, "array", 2).to_string()), 503);
-        for (body, status) in refused() {
-            let announced = submit(&mut w, i, &body);
+        assert_eq!(submit(&mut simulation, i, &job(1, "array", 2).to_string()), 503);
+        for RefusedSubmission { body, status } in refused() {
+            let announced = submit(&mut simulation, i, &body);
             let undecided = status == 422 && announced == 503;
             assert!(announced == status || undecided, "node {i}: {announced} for {body:.300}");
         }
     }
-    assert!(w.state.key("j/req-000001").is_none());
-    w.at(w.now, Event::Fault(Fault::CloudOutage(false)));
-    w.run_until(w.now + 20_000);
-    assert_eq!(submit(&mut w, 0, &job(1, "array", 2).to_string()), 201);
+    assert!(simulation.state.key("j/req-000001").is_none());
+    simulation.at(simulation.now, Event::Fault(Fault::CloudOutage(false)));
+    simulation.run_until(simulation.now + 20_000);
+    assert_eq!(submit(&mut simulation, 0, &job(1, "array", 2).to_string()), 201);
 }
 
 #[test]
 fn questions_about_unknown_jobs_get_404_and_what_is_done_stays_done() {
-    let mut w = Simulation::new(9_103);
-    w.add_user(2_000, job(1, "array", 1), None);
-    w.run_until(30_000);
-    assert_eq!(w.rules.terminal_status("req-000001"), Some("done"));
+    let mut simulation = Simulation::new(9_103);
+    simulation.add_user(2_000, job(1, "array", 1), None);
+    simulation.run_until(30_000);
+    assert_eq!(simulation.rules.terminal_status("req-000001"), Some("done"));
     for i in 0..NODES {
         for path in [
             "/submissions/req-777",
@@ -84,14 +85,14 @@
             "/submissions/req-1%2f2",
             "/submissions/req-000001x",
         ] {
-            assert_eq!(ask(&mut w, i, Method::Get, path, ""), 404, "{path}");
-            assert_eq!(ask(&mut w, i, Method::Post, &format!("{path}/withdraw"), ""), 404, "{path}");
+            assert_eq!(ask(&mut simulation, i, Method::Get, path, ""), 404, "{path}");
+            assert_eq!(ask(&mut simulation, i, Method::Post, &format!("{path}/withdraw"), ""), 404, "{path}");
         }
         for (method, path) in
             [(Method::Post, "/submissions/req-000001/withdraw"), (Method::Get, "/submissions/req-000001")]
         {
-            assert_eq!(ask(&mut w, i, method, path, ""), 200);
-            assert!(w.answers.last().is_some_and(|a| a.body.contains("\"done\"")), "{path}");
+            assert_eq!(ask(&mut simulation, i, method, path, ""), 200);
+            assert!(simulation.answers.last().is_some_and(|a| a.body.contains("\"done\"")), "{path}");
         }
     }
 }
--- a/crates/scheduler/src/simulation/golden.rs
+++ b/crates/scheduler/src/simulation/golden.rs
@@ -12,32 +12,32 @@
 /// Tasks beyond what the team may have at a time: some of them wait.
 const MANY: u32 = 40;
 
-/// A world in which one job waits for room and another for that one.
+/// A simulation in which one job waits for resources and another for that one.
 fn with_waiting_jobs() -> Simulation {
-    let mut w = Simulation::new(3);
-    w.add_user(500, job(0, "array", MANY), None);
+    let mut simulation = Simulation::new(3);
+    simulation.add_user(500, job(0, "array", MANY), None);
     let mut dependent = job(1, "array", 1);
-    dependent["awaits"] = serde_json::json!([dependent_on(&w)]);
-    w.add_user(600, dependent, None);
-    w.run_until(20_000);
-    w
+    dependent["awaits"] = serde_json::json!([dependent_on(&simulation)]);
+    simulation.add_user(600, dependent, None);
+    simulation.run_until(20_000);
+    simulation
 }
 
-fn dependent_on(w: &Simulation) -> String {
-    w.users[0].id.clone()
+fn dependent_on(simulation: &Simulation) -> String {
+    simulation.users[0].id.clone()
 }
 
-fn leading(w: &Simulation) -> &crate::node::Controller {
-    let leader = w.leader().expect("a node leads");
-    w.nodes[leader].controller.as_ref().expect("it runs")
+fn leading(simulation: &Simulation) -> &crate::node::Controller {
+    let leader = simulation.leader().expect("a node leads");
+    simulation.nodes[leader].controller.as_ref().expect("it runs")
 }
 
 #[test]
 fn golden_list_of_waiting_jobs() {
-    let w = with_waiting_jobs();
-    let list: Value = serde_json::from_str(&leading(&w).waiting_report()).expect("JSON");
+    let simulation = with_waiting_jobs();
+    let list: Value = serde_json::from_str(&leading(&simulation).waiting_report()).expect("JSON");
     let of = |n: usize| {
-        let id = w.users[n].id.as_str();
+        let id = simulation.users[n].id.as_str();
         let line = list.as_array().into_iter().flatten().find(|line| line["id"] == id);
         line.cloned().unwrap_or_else(|| panic!("{id} is listed in {list}"))
     };
@@ -46,13 +46,13 @@
     assert_eq!(members(&first), ["id", "waiting", "why"]);
     assert!(first["waiting"].is_u64() && first["why"].is_string());
     assert_eq!(members(&dependent), ["awaits", "id", "waiting", "why"]);
-    assert_eq!(dependent["awaits"], serde_json::json!([w.users[0].id]));
+    assert_eq!(dependent["awaits"], serde_json::json!([simulation.users[0].id]));
 }
 
 #[test]
 fn golden_names_of_metrics() {
-    let w = with_waiting_jobs();
-    let text = leading(&w).metrics();
+    let simulation = with_waiting_jobs();
+    let text = leading(&simulation).metrics();
     // Without the values of labels: they name nodes and say what the run met.
     let names: BTreeSet<&str> = text.lines().filter_map(|line| line.split(['{', ' ']).next()).collect();
     let mut group = golden_group!("metrics.txt");
--- a/crates/scheduler/src/simulation/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/isolated_leader.rs
@@ -1,10 +1,10 @@
-//! The gap: the state service refuses the leader alone while another node confirms cancellations, and then it is down
-//! for everybody for longer than a cancelled task may live, while workers go on reporting.
+//! An isolated leader: the key-value store refuses the leader alone while another node confirms cancellations, and is
+//! then down for everybody for longer than a cancelled task may live, while workers go on sending heartbeats.
 
 #![cfg(test)]
 
 use super::Simulation;
-use super::days::isolated_leader::{gap_day, held_day};
+use super::days::isolated_leader::{held_starts_day, isolated_leader_day};
 use super::recovery::seeds;
 use crate::node::{Controller, DisabledCheck};
 use crate::types::Duration;
@@ -13,13 +13,13 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What is wrong with each of some seeds' days, on all processors.
+/// What is wrong with each of some seeds' days, played on all processors.
 pub fn of_seeds(seeds: Range<u64>, play: impl Fn(u64) -> Option<String> + Sync) -> Vec<String> {
     let next = AtomicU64::new(seeds.start);
     let wrong = Mutex::new(Vec::new());
-    std::thread::scope(|s| {
+    std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(1, |n| n.get()) {
-            s.spawn(|| {
+            scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= seeds.end {
@@ -35,53 +35,60 @@
     wrong.into_inner().expect("no thread panicked")
 }
 
-/// Plays a day, until two minutes after its last trouble.
-fn broken(
+/// Plays a day until two minutes after its last fault; the first rule that breaks.
+fn first_broken_rule(
     day: fn(u64) -> (Simulation, u64),
     seed: u64,
     injected_fault: Option<fn(&mut Controller, u64)>,
 ) -> Option<String> {
-    let (mut w, over) = day(seed);
-    w.injected_fault = injected_fault;
-    w.run_until(over + 120_000);
-    w.rules.broken.first().cloned()
+    let (mut simulation, last_fault_ends) = day(seed);
+    simulation.injected_fault = injected_fault;
+    simulation.run_until(last_fault_ends + 120_000);
+    simulation.rules.broken.first().cloned()
 }
 
 #[test]
-fn cancelled_tasks_are_gone_in_time_though_the_state_service_refuses_the_leader_and_then_everybody() {
-    let wrong = of_seeds(seeds(3_000, 24), |seed| broken(gap_day, seed, None));
+fn cancelled_tasks_are_gone_in_time_though_the_store_refuses_the_leader_and_then_everybody() {
+    let wrong = of_seeds(seeds(3_000, 24), |seed| first_broken_rule(isolated_leader_day, seed, None));
     assert!(wrong.is_empty(), "{} broken:\n{}", wrong.len(), wrong.join("\n"));
 }
 
 #[test]
-fn starts_held_up_for_longer_than_a_cancellation_may_take_reach_no_living_session() {
-    let wrong = of_seeds(seeds(3_500, 16), |seed| broken(held_day, seed, None));
+fn starts_held_up_for_longer_than_a_cancellation_may_take_reach_no_living_worker_epoch() {
+    let wrong = of_seeds(seeds(3_500, 16), |seed| first_broken_rule(held_starts_day, seed, None));
     assert!(wrong.is_empty(), "{} broken:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// Guards taken out after every step of a core.
+/// Checks are disabled after every step of a controller.
 #[test]
-fn the_checker_notices_each_guard_of_the_gap_taken_out() {
-    fn stops(controller: &mut Controller, _: u64) {
+fn the_rules_notice_each_disabled_check_of_lease_renewal() {
+    fn ignore_stops(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
     }
-    fn longer(controller: &mut Controller, _: u64) {
+    fn renew_for_longer(controller: &mut Controller, _: u64) {
         controller
             .disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Margin(Duration::from_millis(15_000))));
     }
-    fn doubt(controller: &mut Controller, _: u64) {
+    fn ignore_unacknowledged_starts(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts));
     }
     assert!(
-        !of_seeds(3_238..3_250, |seed| broken(gap_day, seed, Some(stops))).is_empty(),
+        !of_seeds(3_238..3_250, |seed| first_broken_rule(isolated_leader_day, seed, Some(ignore_stops)))
+            .is_empty(),
         "answers that stop nothing"
     );
     assert!(
-        !of_seeds(3_000..3_032, |seed| broken(gap_day, seed, Some(longer))).is_empty(),
+        !of_seeds(3_000..3_032, |seed| first_broken_rule(isolated_leader_day, seed, Some(renew_for_longer)))
+            .is_empty(),
         "renewed for longer"
     );
     assert!(
-        !of_seeds(3_500..3_532, |seed| broken(held_day, seed, Some(doubt))).is_empty(),
-        "starts in doubt"
+        !of_seeds(3_500..3_532, |seed| first_broken_rule(
+            held_starts_day,
+            seed,
+            Some(ignore_unacknowledged_starts)
+        ))
+        .is_empty(),
+        "unacknowledged starts"
     );
 }
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -3,8 +3,9 @@
 #![cfg(test)]
 
 use super::days::ordinary::{
-    crash_of_all_in_an_outage, cut_off_zone, day, day_of_a_large_fleet, day_of_a_mixed_version,
-    day_of_a_refused_leader, dead_majority, parted_day, pipelined_day, pipelines, upgrade_day, withdrawals,
+    cancellations, crash_of_all_in_an_outage, cut_off_zone, day, day_of_a_large_fleet,
+    day_of_a_mixed_version, day_of_a_partitioned_zone, day_of_a_refused_leader, dead_majority, pipelined_day,
+    pipelines, upgrade_day,
 };
 use super::days::{DAY_ENDS, troubles};
 use super::recovery::seeds;
@@ -14,34 +15,41 @@
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::{StoreReply, StoreRequest};
 
-pub(super) fn run(seed: u64, mut w: Simulation) -> Simulation {
-    w.run_until(DAY_ENDS);
-    assert!(w.rules.broken.is_empty(), "seed {seed}: {:?}", w.rules.broken);
-    assert!(w.rules.started > 0, "seed {seed}: nothing ran");
+/// Plays a day to its end, which must find no rule broken and every job served.
+pub(super) fn run(seed: u64, mut simulation: Simulation) -> Simulation {
+    simulation.run_until(DAY_ENDS);
+    assert!(simulation.rules.broken.is_empty(), "seed {seed}: {:?}", simulation.rules.broken);
+    assert!(simulation.rules.started > 0, "seed {seed}: nothing ran");
     // Printed when the assertion below fails.
-    for node in w.nodes.iter().filter_map(|n| n.controller.as_ref()) {
+    for node in simulation.nodes.iter().filter_map(|n| n.controller.as_ref()) {
         println!("seed {seed}: waiting: {}\n{}", node.waiting_report(), node.metrics());
     }
-    let wrong = judged(&w);
+    let wrong = judged(&simulation);
     assert!(wrong.is_none(), "seed {seed}: {wrong:?}");
-    w
+    simulation
 }
 
 /// What is wrong at a day's end: jobs that are not done, services that lack replicas.
-pub(super) fn judged(w: &Simulation) -> Option<String> {
-    let open: Vec<&str> = w
+pub(super) fn judged(simulation: &Simulation) -> Option<String> {
+    let open: Vec<&str> = simulation
         .users
         .iter()
-        .filter(|u| u.body["shape"] != "daemon" && w.rules.accepted(&u.id))
-        .filter(|u| w.rules.terminal_status(&u.id).is_none())
+        .filter(|u| u.body["shape"] != "daemon" && simulation.rules.accepted(&u.id))
+        .filter(|u| simulation.rules.terminal_status(&u.id).is_none())
         .map(|u| u.id.as_str())
         .collect();
     if !open.is_empty() {
-        return Some(format!("not done long after the last trouble: {open:?}"));
+        return Some(format!("not done long after the last fault: {open:?}"));
     }
-    let services = w.users.iter().filter(|u| u.body["shape"] == "daemon" && u.stage == Stage::Polling);
+    let services =
+        simulation.users.iter().filter(|u| u.body["shape"] == "daemon" && u.stage == Stage::Polling);
     let mut lacking = services.filter(|u| {
-        let up = w.workers.iter().flat_map(|w| &w.tasks).filter(|t| t.job() == u.id && t.present()).count();
+        let up = simulation
+            .workers
+            .iter()
+            .flat_map(|worker| &worker.tasks)
+            .filter(|t| t.job() == u.id && t.present())
+            .count();
         up as u64 != u.body["shards"].as_u64().unwrap_or(0)
     });
     lacking.next().map(|u| format!("{} lacks replicas", u.id))
@@ -50,13 +58,17 @@
 #[test]
 fn quiet_days_keep_the_rules_and_finish_everything() {
     for seed in 0..6 {
-        let w = run(seed, day(seed, |_| {}));
+        let simulation = run(seed, day(seed, |_| {}));
         // A job whose record the watch saw before its commit was answered was not counted: every second one.
         let metrics: String =
-            w.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::metrics).collect();
+            simulation.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::metrics).collect();
         let counts = metrics.lines().filter(|l| l.starts_with("pearford_jobs_done{"));
         let counted: usize = counts.filter_map(|l| l.rsplit(' ').next()?.parse::<usize>().ok()).sum();
-        let done = w.users.iter().filter(|u| w.rules.terminal_status(&u.id) == Some("done")).count();
+        let done = simulation
+            .users
+            .iter()
+            .filter(|u| simulation.rules.terminal_status(&u.id) == Some("done"))
+            .count();
         assert_eq!(counted, done, "seed {seed}");
     }
 }
@@ -84,25 +96,25 @@
     }
 }
 
-/// A withdrawal learned by watching, while "done" waited to be written, lent that write its
-/// version: the verdict told to the user was overwritten (seed 247).
+/// A cancellation learned by watching, while "done" waited to be written, lent that write its
+/// revision: the terminal status that the user had been told was overwritten (seed 247).
 #[test]
-fn withdrawals_that_meet_the_last_task_are_final() {
+fn cancellations_at_the_end_of_the_last_task_are_final() {
     run(247, day(247, troubles));
     for seed in 400..406 {
-        run(seed, withdrawals(seed));
+        run(seed, cancellations(seed));
     }
 }
 
 /// Each seed's day goes the same way every time. With `--nocapture` the digests are printed: a change
-/// that is to leave the core's behaviour as it is leaves them as they are.
+/// that is to leave the controllers' behaviour as it is leaves them as they are.
 #[test]
 fn a_seed_plays_the_same_day_again() {
     for seed in seeds(1000, 3) {
         let play = || {
-            let mut w = if seed % 3 == 0 { upgrade_day(seed, true) } else { day(seed, troubles) };
-            w.run_until(DAY_ENDS);
-            w.digest()
+            let mut simulation = if seed % 3 == 0 { upgrade_day(seed, true) } else { day(seed, troubles) };
+            simulation.run_until(DAY_ENDS);
+            simulation.digest()
         };
         let digest = play();
         println!("seed {seed}: {digest:016x}");
@@ -110,64 +122,70 @@
     }
 }
 
-/// A follower that nobody asked anything took its own idleness for a lost state service.
+/// A follower that got no requests took its own idleness for a lost key-value store.
 #[test]
 fn idle_nodes_stay_fit_for_requests() {
-    let mut w = Simulation::new(7);
+    let mut simulation = Simulation::new(7);
     for second in 10..30 {
-        w.run_until(second * 1000);
+        simulation.run_until(second * 1000);
         for i in 0..NODES {
             let now = Now {
-                steady: MonotonicTime::from_millis(1_000_000 + w.now),
-                wall_time: WallTime(w.now),
+                steady: MonotonicTime::from_millis(1_000_000 + simulation.now),
+                wall_time: WallTime(simulation.now),
                 took: Duration::from_millis(0),
             };
-            let ask = Input::Http {
+            let request = Input::Http {
                 request: RequestId(u64::from(u32::MAX)),
                 method: Method::Get,
                 path: "/up".into(),
                 body: Vec::new(),
             };
-            let Some(controller) = &mut w.nodes[i].controller else { continue };
-            let fit =
-                controller.step(now, ask).iter().any(|e| matches!(e, Effect::Answer { status: 200, .. }));
+            let Some(controller) = &mut simulation.nodes[i].controller else { continue };
+            let fit = controller
+                .step(now, request)
+                .iter()
+                .any(|effect| matches!(effect, Effect::Answer { status: 200, .. }));
             assert!(fit, "node {i} calls itself unfit at {second} s");
         }
     }
 }
 
-/// A leader that the state service refused went on telling its peers that it leads, and none of
-/// them took over for as long as the trouble lasted (tremorline, troubles, 238 to 273 s).
+/// A leader that the key-value store refused went on announcing to its peers that it leads, and none of
+/// them took over for as long as the fault lasted (a faulty day on the bench, 238 to 273 s).
 #[test]
-fn a_leader_without_the_state_service_is_replaced() {
+fn a_leader_without_the_key_value_store_is_replaced() {
     for seed in 500..504 {
         run(seed, day_of_a_refused_leader(seed));
     }
 }
 
-/// The leader on one side heard nothing of the other, and returned all its machines with the work on them once their
+/// The leader on one side received nothing from the other, and returned all its machines with the work on them once their
 /// leases would have ended, while a node there answered them all along.
 #[test]
-fn a_zone_that_reaches_the_state_service_lives_on_apart_from_the_others() {
+fn a_partitioned_zone_that_reaches_the_key_value_store_lives_on() {
     // Of 120 seeds from 920 on, one returns a machine (976); five did while new leaders resigned one after the other
     // (928 and 940 among them).
-    live_on_apart((920..934).chain([940]));
+    keeps_living_machines((920..934).chain([940]));
 }
 
-fn live_on_apart(seeds: impl Iterator<Item = u64>) {
+fn keeps_living_machines(seeds: impl Iterator<Item = u64>) {
     let mut returned = 0;
     for seed in seeds {
-        let (w, gone) = parted_day(seed, None);
-        returned += gone;
-        run(seed, w);
+        let (simulation, returned_now) = day_of_a_partitioned_zone(seed, None);
+        returned += returned_now;
+        run(seed, simulation);
     }
     assert_eq!(returned, 0, "living machines");
 }
 
 #[test]
-fn the_checkers_notice_machines_returned_in_a_parted_zone() {
+fn the_rules_notice_machines_returned_in_a_partitioned_zone() {
     let returned = (920..926).map(|seed| {
-        parted_day(seed, Some(|controller, _| controller.disable_check(DisabledCheck::IsolationReports))).1
+        day_of_a_partitioned_zone(
+            seed,
+            Some(|controller, _| controller.disable_check(DisabledCheck::IsolationReports)),
+        )
+        .1
     });
     assert!(returned.sum::<usize>() > 0);
 }
@@ -180,12 +198,12 @@
     }
 }
 
-/// However many users ask at once, reads for them stay within the node's part of the rate.
+/// However many users send requests at once, reads for them stay within the node's part of the rate.
 #[test]
 fn a_rush_of_questions_shares_few_reads() {
-    let mut w = day(8, |_| {});
-    w.run_until(15_000);
-    let controller = w.nodes[0].controller.as_mut().expect("node 0 runs");
+    let mut simulation = day(8, |_| {});
+    simulation.run_until(15_000);
+    let controller = simulation.nodes[0].controller.as_mut().expect("node 0 runs");
     let mut reads = 0;
     for ms in 0..1000 {
         let now = Now {
@@ -194,9 +212,9 @@
             took: Duration::from_millis(0),
         };
         let path = format!("/submissions/req-{}", 900_000 + ms);
-        let ask =
+        let request =
             Input::Http { request: RequestId(1_000_000 + ms), method: Method::Get, path, body: Vec::new() };
-        let mut inputs = vec![ask];
+        let mut inputs = vec![request];
         while let Some(input) = inputs.pop() {
             for effect in controller.step(now, input) {
                 if let Effect::Store {
@@ -212,7 +230,7 @@
             }
         }
     }
-    let rate = w.settings[0].state.rps;
+    let rate = simulation.settings[0].state.rps;
     assert!(reads >= 10 && f64::from(reads) <= rate / 2.0 / NODES as f64 + 2.0, "{reads} reads in a second");
 }
 
@@ -220,14 +238,15 @@
 /// checked against a recount after every step, as in all runs.
 #[test]
 fn a_large_fleet_keeps_the_rules_through_a_crash_of_all_nodes() {
-    let mut w = day_of_a_large_fleet(600);
-    w.run_until(34_000);
-    let up = w.workers.iter().filter(|m| m.up).count();
+    let mut simulation = day_of_a_large_fleet(600);
+    simulation.run_until(34_000);
+    let up = simulation.workers.iter().filter(|m| m.up).count();
     assert!(up > 100, "{up} machines");
-    w.run_until(110_000);
-    assert!(w.rules.broken.is_empty(), "{:?}", w.rules.broken);
-    let open = |u: &&super::User| u.body["shape"] != "daemon" && w.rules.terminal_status(&u.id).is_none();
-    let open: Vec<&str> = w.users.iter().filter(open).map(|u| u.id.as_str()).collect();
+    simulation.run_until(110_000);
+    assert!(simulation.rules.broken.is_empty(), "{:?}", simulation.rules.broken);
+    let open =
+        |u: &&super::User| u.body["shape"] != "daemon" && simulation.rules.terminal_status(&u.id).is_none();
+    let open: Vec<&str> = simulation.users.iter().filter(open).map(|u| u.id.as_str()).collect();
     assert!(open.is_empty(), "not done: {open:?}");
 }
 
@@ -238,22 +257,22 @@
     }
 }
 
-/// What a job names decides only if its id is unknown; the answer says what is wrong with which name.
+/// A job's dependencies decide only if its ID is unknown; the answer says what is wrong with which of them.
 #[test]
-fn a_submission_is_told_what_is_wrong_with_what_it_names() {
-    let mut w = Simulation::new(760);
-    w.add_user(2_000, job(0, "array", 1), None);
-    w.add_user(2_000, job(1, "daemon", 1), None);
-    w.add_user(2_000, job(3, "array", 1), Some(4_000));
-    w.run_until(9_000);
-    let mut ask = |n: usize, awaits: serde_json::Value| {
+fn the_refusal_of_a_submission_says_what_is_wrong_with_its_dependencies() {
+    let mut simulation = Simulation::new(760);
+    simulation.add_user(2_000, job(0, "array", 1), None);
+    simulation.add_user(2_000, job(1, "daemon", 1), None);
+    simulation.add_user(2_000, job(3, "array", 1), Some(4_000));
+    simulation.run_until(9_000);
+    let mut submit = |n: usize, awaits: serde_json::Value| {
         let mut body = job(n, "array", 1);
         body["awaits"] = awaits;
-        let at = w.now;
-        w.add_user(at, body, None);
-        w.users.last_mut().expect("just added").submits = Submits::AtOnce;
-        w.run_until(at + 1_000);
-        w.users.last().expect("just added").announced.clone()
+        let at = simulation.now;
+        simulation.add_user(at, body, None);
+        simulation.users.last_mut().expect("just added").submits = Submits::AtOnce;
+        simulation.run_until(at + 1_000);
+        simulation.users.last().expect("just added").announced.clone()
     };
     let list = |names: &[&str]| serde_json::json!(names);
     let many: Vec<String> = (0..2000).map(|n| format!("req-{n:06}")).collect();
@@ -265,79 +284,87 @@
         (serde_json::json!("req-000000"), 400, "awaits"),
         (serde_json::json!(many), 422, "state service stores"),
     ] {
-        let (announced, why) = ask(20, awaits.clone());
-        assert!(announced == status && why.contains(says), "{awaits:.60}: {announced} {why}");
+        let (announced, reason) = submit(20, awaits.clone());
+        assert!(announced == status && reason.contains(says), "{awaits:.60}: {announced} {reason}");
     }
-    assert_eq!(ask(21, serde_json::Value::Null).0, 201, "null is an ordinary job");
-    let (announced, phase) = ask(22, list(&["req-000003", "req-000000"]));
+    assert_eq!(submit(21, serde_json::Value::Null).0, 201, "null is an ordinary job");
+    let (announced, phase) = submit(22, list(&["req-000003", "req-000000"]));
     assert!(announced == 200 || announced == 201, "a withdrawn job may be named: {announced}");
     assert!(phase.contains("withdrawn"), "{phase}");
-    assert_eq!(ask(22, list(&["req-000777"])).0, 200, "a retry gets its state whatever it names");
+    assert_eq!(submit(22, list(&["req-000777"])).0, 200, "a retry gets its state whatever it names");
 }
 
 #[test]
 fn an_upgrade_one_by_one_keeps_the_rules_and_ends_within_the_lower_limits() {
     for seed in seeds(800, 24) {
-        let w = upgrade_day(seed, seed % 4 != 0);
-        let w = run(seed, w);
-        assert!(w.state.too_large.is_empty(), "seed {seed}: over the limits: {:?}", w.state.too_large);
+        let simulation = upgrade_day(seed, seed % 4 != 0);
+        let simulation = run(seed, simulation);
+        assert!(
+            simulation.state.too_large.is_empty(),
+            "seed {seed}: over the limits: {:?}",
+            simulation.state.too_large
+        );
     }
 }
 
 /// A node that never shows up with the new version holds back what it could not understand, and
 /// nothing else.
 #[test]
-fn dependent_jobs_are_taken_only_once_every_node_is_new() {
-    let taken_early = |injected_fault: Option<fn(&mut Controller, u64)>| {
-        let mut w = day_of_a_mixed_version(850);
-        w.injected_fault = injected_fault;
-        w.run_until(60_000);
-        let early = w.rules.accepted("req-000002");
-        assert_eq!(early, w.state.key("j/req-000002").is_some());
-        assert_eq!(w.rules.terminal_status("req-000000"), Some("done"), "what both understand is served");
-        w.at(60_000, Event::Fault(Fault::Upgrade(2)));
-        w.run_until(100_000);
-        assert_eq!(w.rules.terminal_status("req-000002"), Some("done"), "then it is taken");
+fn dependent_jobs_are_accepted_only_once_every_node_is_upgraded() {
+    let accepted_early = |injected_fault: Option<fn(&mut Controller, u64)>| {
+        let mut simulation = day_of_a_mixed_version(850);
+        simulation.injected_fault = injected_fault;
+        simulation.run_until(60_000);
+        let early = simulation.rules.accepted("req-000002");
+        assert_eq!(early, simulation.state.key("j/req-000002").is_some());
+        assert_eq!(
+            simulation.rules.terminal_status("req-000000"),
+            Some("done"),
+            "what both understand is served"
+        );
+        simulation.at(60_000, Event::Fault(Fault::Upgrade(2)));
+        simulation.run_until(100_000);
+        assert_eq!(simulation.rules.terminal_status("req-000002"), Some("done"), "then it is taken");
         early
     };
-    assert!(!taken_early(None));
+    assert!(!accepted_early(None));
     assert!(
-        taken_early(Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion))),
-        "the mark is what holds it back"
+        accepted_early(Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion))),
+        "the cluster version is what holds it back"
     );
 }
 
-/// Whether some seed of a few breaks a rule under `faults` and a spoilt `world`.
-fn checker_notices(corrupt: impl Fn(&mut Simulation)) -> bool {
+/// Whether some seed of a few breaks a rule on a faulty day in a simulation that `corrupt` changes.
+fn rules_notice(corrupt: impl Fn(&mut Simulation)) -> bool {
     (300..420).any(|seed| {
-        let mut w = day(seed, troubles);
-        corrupt(&mut w);
-        w.run_until(DAY_ENDS);
-        !w.rules.broken.is_empty()
+        let mut simulation = day(seed, troubles);
+        corrupt(&mut simulation);
+        simulation.run_until(DAY_ENDS);
+        !simulation.rules.broken.is_empty()
     })
 }
 
 #[test]
-fn the_checker_notices_a_guard_taken_out_of_the_core() {
-    // Proof by silence: entries of a machine silent for 4 s are dropped as if they were gone.
-    fn forget_silent(controller: &mut Controller, _: u64) {
+fn the_rules_notice_a_disabled_check_of_the_controllers() {
+    // Assignments to a machine that was silent for 4 s are dropped as if its lease had expired.
+    fn expire_leases_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
     }
-    assert!(checker_notices(|w| w.injected_fault = Some(forget_silent)));
+    assert!(rules_notice(|simulation| simulation.injected_fault = Some(expire_leases_early)));
     // Done as soon as half of the tasks are.
-    fn done_early(controller: &mut Controller, _: u64) {
+    fn finish_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::TaskCompletion);
     }
-    assert!(checker_notices(|w| w.injected_fault = Some(done_early)));
-    // Dependent jobs get a run at once; or a cancellation does not carry on to them.
+    assert!(rules_notice(|simulation| simulation.injected_fault = Some(finish_early)));
+    // Dependent jobs start at once; or a cancellation does not carry on to them.
     let with_pipelines = |corrupt: fn(&mut Controller, u64)| {
         (300..340).any(|seed| {
-            let mut w = Simulation::new(seed);
-            pipelines(&mut w, 2_000, 30_000);
-            (0..5).for_each(|n| w.add_user(500, job(n, "array", 3), (n == 0).then_some(4_000)));
-            w.injected_fault = Some(corrupt);
-            w.run_until(DAY_ENDS);
-            !w.rules.broken.is_empty()
+            let mut simulation = Simulation::new(seed);
+            pipelines(&mut simulation, 2_000, 30_000);
+            (0..5).for_each(|n| simulation.add_user(500, job(n, "array", 3), (n == 0).then_some(4_000)));
+            simulation.injected_fault = Some(corrupt);
+            simulation.run_until(DAY_ENDS);
+            !simulation.rules.broken.is_empty()
         })
     };
     assert!(with_pipelines(
@@ -350,7 +377,7 @@
 }
 
 #[test]
-fn the_checker_notices_stand_ins_that_break_the_protocol() {
-    assert!(checker_notices(|w| w.cloud.lazy = true), "released machines that go on");
-    assert!(checker_notices(|w| w.state.careless = true), "transactions without conditions");
+fn the_rules_notice_stand_ins_that_break_the_protocol() {
+    assert!(rules_notice(|simulation| simulation.cloud.lazy = true), "released machines that go on");
+    assert!(rules_notice(|simulation| simulation.state.careless = true), "transactions without conditions");
 }
--- a/crates/scheduler/src/simulation/waiting.rs
+++ b/crates/scheduler/src/simulation/waiting.rs
@@ -1,4 +1,4 @@
-//! No job is left waiting: once the troubles are over, none waits for long while a machine that fits has room and its
+//! No job is left waiting: once the troubles are over, none waits for long while a machine that fits has free resources and its
 //! team is under its limit. Judged by what the stand-ins see.
 
 #![cfg(test)]
@@ -22,8 +22,8 @@
 }
 
 impl Waiting {
-    /// Looks again; a job that has waited for too long.
-    pub fn close_read(&mut self, w: &Simulation) -> Option<String> {
+    /// Takes note of the jobs that wait now; one that has waited for too long.
+    pub fn overdue_job(&mut self, w: &Simulation) -> Option<String> {
         let fits = |u: &&User| u.stage != Stage::Finished && w.rules.accepted(&u.id) && w.could_start(u);
         let now: Vec<&str> = w.users.iter().filter(fits).map(|u| u.id.as_str()).collect();
         self.since.retain(|id, _| now.contains(&id.as_str()));
