--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -8,7 +8,7 @@
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::node::Method;
 use pearford_scheduler::simulation::days::{DAY_ENDS, troubles};
-use pearford_scheduler::simulation::{NODES, Simulation};
+use pearford_scheduler::simulation::{NODES, Simulation, Start};
 use pearford_scheduler::types::MachineId;
 use pearford_scheduler::wire::users;
 use rand::rngs::StdRng;
@@ -77,7 +77,7 @@
     through_api: bool,
     troubled: bool,
     change: fn(&mut Value),
-) -> Vec<(u64, String, MachineId)> {
+) -> Vec<Start> {
     let mut w = Simulation::new(seed).with_feature(api);
     if troubled {
         troubles(&mut w);
--- a/crates/scheduler/src/simulation/mod.rs
+++ b/crates/scheduler/src/simulation/mod.rs
@@ -6,6 +6,7 @@
 //! builds days; the tests of this folder, of other packages and the example `simulation_digest` play them.
 
 mod bad_records;
+mod cancellations;
 mod close_reads;
 mod cloud;
 mod combined_faults;
@@ -20,6 +21,8 @@
 mod isolated_leader;
 mod links;
 mod nodes;
+mod occurrences;
+mod odd_requests;
 mod recovery;
 mod rules;
 mod settings;
@@ -33,6 +36,7 @@
 pub use faults::{Fault, LeaderFault};
 pub use links::Host;
 pub use nodes::{Answered, Node};
+pub use rules::Start;
 pub use settings::job;
 pub use users::{Stage, Submits, User};
 
@@ -220,11 +224,6 @@
         self.request(node, requester, Host::Machine(machine), Method::Post, path, body)
     }
 
-    /// Counts a situation that took place.
-    fn count(&mut self, situation: &'static str) {
-        *self.occurrences.entry(situation).or_default() += 1;
-    }
-
     /// A hash over all that the nodes did, and when, and over what the key-value store holds now.
     pub fn digest(&self) -> u64 {
         let mut digest = self.effects.clone();
--- a/crates/scheduler/src/simulation/rules.rs
+++ b/crates/scheduler/src/simulation/rules.rs
@@ -1,9 +1,9 @@
-//! Every rule of the protocol, checked from what stand-ins see.
+//! Every rule of the protocol, checked from what the stand-ins see. Texts of failures begin with the rule's name.
 
 use super::Simulation;
-use super::workers::Worker;
+use super::workers::{Task, Worker};
 use crate::settings::Team;
-use crate::types::{MachineId, TeamName};
+use crate::types::{JobId, MachineId, TeamName};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,138 +14,183 @@
     pub terminal_status: Option<String>,
 }
 
+/// What users asked for and were told of a job so far.
 #[derive(Debug, Default)]
-struct Told {
+struct JobHistory {
     accepted: bool,
     terminal_status: Option<String>,
+    /// When a user was told first that the job is cancelled, in milliseconds.
     cancelled_at: Option<u64>,
     cancel_requested: bool,
 }
 
+/// By how much a team may be over its limit for rounding.
+const QUOTA_TOLERANCE: f64 = 1e-6;
+
+/// What the rules need to know of jobs, and which rules broke.
 pub struct Rules {
+    /// What broke, and when; the simulation stops at the first.
     pub broken: Vec<String>,
+    /// How long a cancelled job's tasks may go on, in milliseconds.
     cancel_ms: u64,
+    /// The accelerators that each team may take.
     limits: BTreeMap<String, f64>,
+    /// The submissions by job.
     bodies: BTreeMap<String, Value>,
+    /// The indices of the tasks that are done, by job.
     done: BTreeMap<String, BTreeSet<u64>>,
-    announced: BTreeMap<String, Told>,
+    histories: BTreeMap<String, JobHistory>,
+    /// How many tasks started.
     pub started: u64,
-    /// Every start: when, task, machine.
-    pub starts: Vec<(u64, String, MachineId)>,
+    pub starts: Vec<Start>,
+}
+
+/// A task that started.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Start {
+    /// In milliseconds.
+    pub at: u64,
+    pub task: String,
+    pub machine: MachineId,
+}
+
+/// A task that is on a machine.
+#[derive(Clone, Copy)]
+struct PresentTask<'a> {
+    worker: &'a Worker,
+    task: &'a Task,
+}
+
+fn present_tasks(workers: &[Worker]) -> impl Iterator<Item = PresentTask<'_>> {
+    let all =
+        workers.iter().flat_map(|worker| worker.tasks.iter().map(move |task| PresentTask { worker, task }));
+    all.filter(|present| present.task.present())
 }
 
+/// A task's job and its index.
 fn split(task: &str) -> (&str, u64) {
     let (job, index) = task.rsplit_once('/').unwrap_or((task, "0"));
     (job, index.parse().unwrap_or(0))
 }
 
 impl Rules {
+    /// Rules for teams with their limits; a cancelled job's tasks may go on for `cancel_s` seconds.
     pub fn new(cancel_s: f64, teams: &BTreeMap<TeamName, Team>) -> Self {
         Self {
             broken: Vec::new(),
             cancel_ms: (cancel_s * 1000.0) as u64,
-            limits: teams.iter().map(|(n, t)| (n.to_string(), t.max_gpus.unwrap_or(f64::MAX))).collect(),
+            limits: teams
+                .iter()
+                .map(|(name, team)| (name.to_string(), team.max_gpus.unwrap_or(f64::MAX)))
+                .collect(),
             bodies: BTreeMap::new(),
             done: BTreeMap::new(),
-            announced: BTreeMap::new(),
+            histories: BTreeMap::new(),
             started: 0,
             starts: Vec::new(),
         }
     }
 
+    /// A job's submission, if somebody submitted it.
     pub fn body(&self, job: &str) -> Option<Value> {
         self.bodies.get(job).cloned()
     }
+
+    /// A user submits a job.
     pub fn submitted(&mut self, id: &str, body: &Value) {
         self.bodies.insert(id.into(), body.clone());
     }
+
+    /// A user asks for a job's cancellation.
     pub fn asked_to_cancel(&mut self, id: &str) {
-        self.announced.entry(id.into()).or_default().cancel_requested = true;
+        self.histories.entry(id.into()).or_default().cancel_requested = true;
     }
+
+    /// Whether a task has completed.
     pub fn task_done(&self, task: &str) -> bool {
         let (job, index) = split(task);
-        self.done.get(job).is_some_and(|d| d.contains(&index))
+        self.done.get(job).is_some_and(|done| done.contains(&index))
     }
+
+    /// A task completes; with `gang`, all of its job's.
     pub fn completes(&mut self, task: &str, gang: bool) {
         let (job, index) = split(task);
-        let n = self.bodies[job]["shards"].as_u64().unwrap_or(1);
+        let tasks = self.bodies[job]["shards"].as_u64().unwrap_or(1);
         let done = self.done.entry(job.into()).or_default();
         if gang {
-            done.extend(0..n);
+            done.extend(0..tasks);
         } else {
             done.insert(index);
         }
     }
+
+    /// Whether all tasks of a job have completed.
     pub fn all_done(&self, job: &str) -> bool {
-        let n = self.bodies.get(job).and_then(|b| b["shards"].as_u64()).unwrap_or(u64::MAX);
-        self.done.get(job).is_some_and(|d| d.len() as u64 >= n)
+        let tasks = self.bodies.get(job).and_then(|body| body["shards"].as_u64()).unwrap_or(u64::MAX);
+        self.done.get(job).is_some_and(|done| done.len() as u64 >= tasks)
     }
 
-    fn needs(&self, job: &str) -> Vec<String> {
-        let named = self.bodies.get(job).and_then(|b| b["awaits"].as_array());
-        named.into_iter().flatten().filter_map(|n| n.as_str().map(String::from)).collect()
+    /// The jobs that a job depends on directly.
+    fn dependencies(&self, job: &str) -> Vec<String> {
+        let named = self.bodies.get(job).and_then(|body| body["awaits"].as_array());
+        named.into_iter().flatten().filter_map(|id| id.as_str().map(String::from)).collect()
     }
 
-    /// The job and all that it needs, directly or through others.
-    fn line(&self, job: &str) -> BTreeSet<String> {
-        let (mut seen, mut next) = (BTreeSet::new(), vec![job.to_string()]);
+    /// The job and all that it depends on, directly or through others.
+    fn with_dependencies(&self, job: &str) -> BTreeSet<String> {
+        let mut seen = BTreeSet::new();
+        let mut next = vec![job.to_string()];
         while let Some(job) = next.pop() {
             if seen.insert(job.clone()) {
-                next.extend(self.needs(&job));
+                next.extend(self.dependencies(&job));
             }
         }
         seen
     }
 
+    fn cancelled_too_long_ago(&self, job: &str, now: u64) -> bool {
+        let cancelled_at = self.histories.get(job).and_then(|history| history.cancelled_at);
+        cancelled_at.is_some_and(|at| now > at + self.cancel_ms)
+    }
+
+    /// Notes that a rule broke.
     pub fn fail(&mut self, now: u64, what: String) {
         self.broken.push(format!("at {now} ms: {what}"));
     }
 
-    /// A task has its image on a machine and starts.
+    /// A task has its image on a machine and starts: checks its dependencies, its place and its job's state.
     pub fn starts(&mut self, now: u64, worker: &Worker, task: &str, workers: &[Worker]) {
-        let Worker { id: machine, type_name, zone, spot, .. } = worker;
         self.started += 1;
-        self.starts.push((now, task.into(), machine.clone()));
+        self.starts.push(Start { at: now, task: task.into(), machine: worker.id.clone() });
         let (job, _) = split(task);
         let Some(body) = self.body(job) else {
             return self.fail(now, format!("invented: {task} starts, nobody submitted it"));
         };
-        let early: Vec<String> = self.needs(job).into_iter().filter(|n| !self.all_done(n)).collect();
-        for need in early {
-            self.fail(now, format!("too_early: {task} starts, {need} is not done"));
+        for dependency in self.dependencies(job) {
+            if !self.all_done(&dependency) {
+                self.fail(now, format!("too_early: {task} starts, {dependency} is not done"));
+            }
         }
-        let others = |f: &dyn Fn(&Worker, &super::workers::Task) -> bool| {
-            workers
-                .iter()
-                .flat_map(|w| w.tasks.iter().map(move |t| (w, t)))
-                .filter(|(w, t)| t.present() && f(w, t))
-                .count() as u64
-        };
-        if others(&|w, t| t.name == task && w.id != *machine) > 0 {
+        let Worker { id: machine, type_name, zone, spot, .. } = worker;
+        let runs_elsewhere =
+            present_tasks(workers).any(|other| other.task.name == task && other.worker.id != *machine);
+        if runs_elsewhere {
             self.fail(now, format!("ran_twice: {task} on {machine} and elsewhere"));
         }
-        let allowed = body["flavors"].as_array().is_none_or(|f| f.iter().any(|f| f == type_name.as_str()))
-            && body["region"].as_str().is_none_or(|r| r == zone)
-            && (!*spot || body["preemptible"] == true);
-        let mates = |z: bool| others(&|w, t| t.job() == job && t.name != task && (w.zone == *zone) == z);
-        let cap = body["shards"].as_u64().unwrap_or(1).div_ceil(2);
-        let spread_ok = body["spread"] != true || mates(true) < cap;
-        let together_ok = body["together"] != true || mates(false) == 0;
-        if !allowed || !spread_ok || !together_ok {
+        if !is_allowed_on(&body, worker) || !is_allowed_with_others(&body, worker, task, workers) {
             self.fail(now, format!("wrong_place: {task} on {machine} ({type_name}, {zone}, spot {spot})"));
         }
-        if let Some(at) = self.announced.get(job).and_then(|t| t.cancelled_at)
-            && now > at + self.cancel_ms
-        {
+        if self.cancelled_too_long_ago(job, now) {
             self.fail(now, format!("ran_cancelled: {task} starts"));
         }
     }
 
+    /// What users have been told of a job so far.
     pub fn known(&self, id: &str) -> Known {
-        let announced = self.announced.get(id);
-        announced.map_or(Known::default(), |t| Known {
-            accepted: t.accepted,
-            terminal_status: t.terminal_status.clone(),
+        let history = self.histories.get(id);
+        history.map_or(Known::default(), |history| Known {
+            accepted: history.accepted,
+            terminal_status: history.terminal_status.clone(),
         })
     }
 
@@ -160,83 +205,133 @@
         status: u16,
         phase: &str,
     ) {
-        let all_done = self.all_done(id);
-        let line: Vec<&Told> = self.line(id).iter().filter_map(|j| self.announced.get(j)).collect();
-        let cancel_requested = line.iter().any(|t| t.cancel_requested);
-        let orphan = line.iter().filter_map(|t| t.cancelled_at).any(|at| now > at + self.cancel_ms);
-        let named = self.needs(id);
-        let service = |n: &String| self.bodies.get(n).is_some_and(|b| b["shape"] == "daemon");
-        let known = named.iter().all(|n| self.accepted(n) && !service(n) && n != id);
-        let t = self.announced.entry(id.into()).or_default();
-        let mut bad = Vec::new();
         match status {
-            422 if submitting && !named.is_empty() && known => {
-                bad.push(format!("refused: {id}, though all that it names was accepted"));
+            422 if submitting && self.depends_only_on_accepted_jobs(id) => {
+                self.fail(now, format!("refused: {id}, though all that it names was accepted"));
             }
-            200 | 201 => {
-                t.accepted = true;
-                let last = matches!(phase, "done" | "withdrawn");
-                if let Some(v) = if last { &t.terminal_status } else { &before.terminal_status }
-                    && v != phase
-                {
-                    bad.push(format!("went_back: {id} was {v}, is now {phase}"));
-                }
-                if phase == "done" && !all_done {
-                    bad.push(format!("not_done: {id}"));
-                }
-                if phase == "withdrawn" && !cancel_requested {
-                    bad.push(format!("went_back: nobody withdrew {id}, nor what it needs"));
-                }
-                if orphan && phase != "withdrawn" {
-                    bad.push(format!("orphaned: {id} is called {phase}"));
-                }
-                if matches!(phase, "done" | "withdrawn") {
-                    t.terminal_status = Some(phase.into());
-                    if phase == "withdrawn" {
-                        t.cancelled_at.get_or_insert(now);
-                    }
-                }
+            200 | 201 => self.state_told(now, id, before, phase),
+            404 if before.accepted => self.fail(now, format!("forgotten: {id} got 404")),
+            400 | 422 if before.accepted && submitting => {
+                self.fail(now, format!("forgotten: {id} got {status}"));
             }
-            404 if before.accepted => bad.push(format!("forgotten: {id} got 404")),
-            400 | 422 if before.accepted && submitting => bad.push(format!("forgotten: {id} got {status}")),
             _ => {}
         }
-        bad.into_iter().for_each(|b| self.fail(now, b));
     }
 
+    /// Whether a job has dependencies, and all of them are accepted jobs that can end.
+    fn depends_only_on_accepted_jobs(&self, id: &str) -> bool {
+        let dependencies = self.dependencies(id);
+        let is_daemon = |job: &String| self.bodies.get(job).is_some_and(|body| body["shape"] == "daemon");
+        !dependencies.is_empty()
+            && dependencies.iter().all(|job| self.accepted(job) && !is_daemon(job) && job != id)
+    }
+
+    /// A user was told a job's state: it must be possible, and agree with what was told before.
+    fn state_told(&mut self, now: u64, id: &str, before: &Known, phase: &str) {
+        let all_done = self.all_done(id);
+        let jobs = self.with_dependencies(id);
+        let cancel_requested =
+            jobs.iter().any(|job| self.histories.get(job).is_some_and(|history| history.cancel_requested));
+        let is_orphan = jobs.iter().any(|job| self.cancelled_too_long_ago(job, now));
+        let is_terminal = matches!(phase, "done" | "withdrawn");
+        let history = self.histories.entry(id.into()).or_default();
+        history.accepted = true;
+        let told_before = if is_terminal { &history.terminal_status } else { &before.terminal_status };
+        let mut failures = Vec::new();
+        if let Some(status) = told_before
+            && status != phase
+        {
+            failures.push(format!("went_back: {id} was {status}, is now {phase}"));
+        }
+        if is_terminal {
+            history.terminal_status = Some(phase.into());
+        }
+        if phase == "withdrawn" {
+            history.cancelled_at.get_or_insert(now);
+        }
+        if phase == "done" && !all_done {
+            failures.push(format!("not_done: {id}"));
+        }
+        if phase == "withdrawn" && !cancel_requested {
+            failures.push(format!("went_back: nobody withdrew {id}, nor what it needs"));
+        }
+        if is_orphan && phase != "withdrawn" {
+            failures.push(format!("orphaned: {id} is called {phase}"));
+        }
+        failures.into_iter().for_each(|failure| self.fail(now, failure));
+    }
+
+    /// The terminal status that users were told, if any.
     pub fn terminal_status(&self, id: &str) -> Option<&str> {
-        self.announced.get(id).and_then(|t| t.terminal_status.as_deref())
+        self.histories.get(id).and_then(|history| history.terminal_status.as_deref())
     }
+
     /// Accelerators that a team may take.
     pub fn limit(&self, team: &str) -> f64 {
         self.limits.get(team).copied().unwrap_or(0.0)
     }
+
+    /// Whether a user was told that the job is accepted.
     pub fn accepted(&self, id: &str) -> bool {
-        self.announced.get(id).is_some_and(|t| t.accepted)
+        self.histories.get(id).is_some_and(|history| history.accepted)
     }
 }
 
+/// Whether a job's constraints allow a machine.
+fn is_allowed_on(body: &Value, worker: &Worker) -> bool {
+    let allows_type = |types: &Vec<Value>| types.iter().any(|name| name == worker.type_name.as_str());
+    body["flavors"].as_array().is_none_or(allows_type)
+        && body["region"].as_str().is_none_or(|zone| zone == worker.zone)
+        && (!worker.spot || body["preemptible"] == true)
+}
+
+/// Whether a job's spread or colocation allows a task beside the job's others.
+fn is_allowed_with_others(body: &Value, worker: &Worker, task: &str, workers: &[Worker]) -> bool {
+    let (job, _) = split(task);
+    let others = || present_tasks(workers).filter(|other| other.task.job() == job && other.task.name != task);
+    let in_zone = others().filter(|other| other.worker.zone == worker.zone).count() as u64;
+    let in_other_zones = others().filter(|other| other.worker.zone != worker.zone).count();
+    let most_in_zone = body["shards"].as_u64().unwrap_or(1).div_ceil(2);
+    (body["spread"] != true || in_zone < most_in_zone) && (body["together"] != true || in_other_zones == 0)
+}
+
 impl Simulation {
-    /// Quota and withdrawal, over all tasks that are on a machine now.
+    /// Quota and cancellation, over all tasks that are on a machine now.
     pub fn check_present(&mut self) {
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
-        let mut late = Vec::new();
-        for (w, t) in
-            self.workers.iter().flat_map(|w| w.tasks.iter().map(move |t| (w, t))).filter(|(_, t)| t.present())
-        {
-            let Some(body) = self.rules.bodies.get(t.job()) else { continue };
+        let mut failures = Vec::new();
+        for PresentTask { worker, task } in present_tasks(&self.workers) {
+            let Some(body) = self.rules.bodies.get(task.job()) else { continue };
             let owner = body["owner"].as_str().unwrap_or_default().to_string();
             *used.entry(owner).or_default() += body["accelerators"].as_f64().unwrap_or(0.0);
-            let announced = self.rules.announced.get(t.job()).and_then(|t| t.cancelled_at);
-            if announced.is_some_and(|at| self.now > at + self.rules.cancel_ms) {
-                late.push(format!("ran_cancelled: {} on {}", t.name, w.id));
+            if self.rules.cancelled_too_long_ago(task.job(), self.now) {
+                failures.push(format!("ran_cancelled: {} on {}", task.name, worker.id));
             }
         }
-        let now = self.now;
-        late.into_iter().for_each(|l| self.rules.fail(now, l));
         for (team, used) in used {
-            if used > self.rules.limits.get(&team).copied().unwrap_or(0.0) + 1e-6 {
-                self.rules.fail(now, format!("quota: {team} uses {used}"));
+            if used > self.rules.limit(&team) + QUOTA_TOLERANCE {
+                failures.push(format!("quota: {team} uses {used}"));
+            }
+        }
+        let now = self.now;
+        failures.into_iter().for_each(|failure| self.rules.fail(now, failure));
+    }
+
+    /// A start command must not leave a node that knows its job to have finished. (What had left before is allowed, and
+    /// gone in time.)
+    pub(super) fn check_commands(&mut self, node: usize, body: &str) {
+        if !body.contains("\"start\"") {
+            return;
+        }
+        let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
+        let commands = value["orders"].as_array().into_iter().flatten();
+        for command in commands.filter(|command| command["verb"] == "start") {
+            let task = command["shard"].as_str().unwrap_or_default();
+            let (job, _) = task.split_once('/').unwrap_or((task, ""));
+            let controller = self.nodes[node].controller.as_ref();
+            if controller.is_some_and(|controller| controller.knows_finished(&JobId::from(job))) {
+                let failure = format!("node {node} lets a start of {task} go and knows its job has finished");
+                self.rules.fail(self.now, failure);
             }
         }
     }
