--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -9,7 +9,6 @@
 use pearford_scheduler::node::Method;
 use pearford_scheduler::simulation::days::{DAY_ENDS, troubles};
 use pearford_scheduler::simulation::{NODES, Simulation, Start};
-use pearford_scheduler::types::MachineId;
 use pearford_scheduler::wire::users;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -72,12 +71,7 @@
 }
 
 /// Plays a day; every submission is repeated at other nodes until it is accepted.
-fn starts(
-    seed: u64,
-    through_api: bool,
-    troubled: bool,
-    change: fn(&mut Value),
-) -> Vec<Start> {
+fn starts(seed: u64, through_api: bool, troubled: bool, change: fn(&mut Value)) -> Vec<Start> {
     let mut w = Simulation::new(seed).with_feature(api);
     if troubled {
         troubles(&mut w);
