--- a/crates/scheduler/src/simulation/combined_faults.rs
+++ b/crates/scheduler/src/simulation/combined_faults.rs
@@ -67,7 +67,7 @@
     );
     assert!(
         !broken(&|simulation| simulation.injected_fault = Some(finish_early)).is_empty(),
-        "done told early"
+        "done answered early"
     );
     assert!(
         !broken(&|simulation| simulation.state.careless = true).is_empty(),
@@ -92,7 +92,7 @@
             assert!(simulation.ask(node, tag as u64, Method::Post, "/v1/report", &body.to_string()));
         }
         simulation.run_until(simulation.now + 1_000);
-        assert_eq!(simulation.leader(), Some(leader), "fence {fencing_token}");
+        assert_eq!(simulation.leader(), Some(leader), "fencing token {fencing_token}");
     }
     let refused = simulation.answers.iter().filter(|a| a.tag < 2);
     assert!(refused.clone().count() == 2 * NODES && refused.clone().all(|a| a.status == 400));
--- a/crates/scheduler/src/simulation/days/directed.rs
+++ b/crates/scheduler/src/simulation/days/directed.rs
@@ -1,11 +1,11 @@
-//! Days that bring about one combination of faults each. `docs/design/combined_failures.md` has the rows.
+//! Combinations of faults, each with a day that brings it about and a check that the day needs.
+//! `docs/design/combined_failures.md` has the rows.
+
+mod scenarios;
 
-use super::ordinary::{cut_zone, day};
-use super::{DAY_ENDS, TROUBLE_ENDS, schedule_fault, schedule_period};
 use crate::node::{Controller, DisabledCheck};
-use crate::simulation::{Fault, Host, LeaderFault, NODES, Simulation, job};
+use crate::simulation::Simulation;
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
-use rand::RngExt;
 
 /// A combination of faults: its day, what must have taken place, and a check that its day needs.
 pub struct Row {
@@ -17,339 +17,6 @@
     pub without: fn(&mut Simulation),
 }
 
-/// Leaders end every so often, and are back within a fraction of a second on every second seed.
-fn leaders_end(simulation: &mut Simulation, seed: u64, from: u64, to: u64, every: u64) {
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
-    let mut ms = from;
-    while ms < to {
-        schedule_fault(simulation, ms, Fault::Leader(LeaderFault::Ends, 0));
-        ms += simulation.rng_ms(every / 2, every * 3 / 2);
-    }
-}
-
-/// Several machines fail, in different ways.
-fn machines_fail(simulation: &mut Simulation, count: usize) {
-    for number in 0..count {
-        let at = simulation.rng_ms(8_000, 75_000);
-        let lasts_ms = simulation.rng.random_range(3_000..30_000).min(14_000);
-        let fault = match number % 3 {
-            0 => Fault::MachineDies,
-            1 => Fault::MachineHangs(lasts_ms),
-            _ => Fault::CommandsLost(lasts_ms),
-        };
-        schedule_fault(simulation, at, fault);
-    }
-}
-
-/// Jobs of one or two tasks that come all along, some of which are cancelled.
-fn stream(simulation: &mut Simulation, first: usize, jobs: usize, to: u64, cancelled_share: f64) {
-    for number in first..first + jobs {
-        let tasks = simulation.rng.random_range(1..3);
-        let mut body = job(number, "array", tasks);
-        body["expected_s"] = simulation.rng.random_range(1.0..4.0).into();
-        body["vcpus"] = 1.0.into();
-        let when = simulation.rng_ms(2_000, to);
-        let is_cancelled = simulation.rng.random_bool(cancelled_share);
-        let cancel_at = is_cancelled.then(|| when + simulation.rng.random_range(300..6_000));
-        simulation.add_user(when, body, cancel_at);
-    }
-}
-
-/// Users send requests to all nodes around acceptances, ends and cancellations, while leaders end.
-fn close_reads(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 40, 70_000, 0.3);
-        leaders_end(simulation, seed, 20_000, 80_000, 20_000);
-        machines_fail(simulation, 3);
-    });
-    schedule_period(&mut simulation, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
-    schedule_period(&mut simulation, 10_000, 50_000, Fault::SlowStore(900), Fault::SlowStore(0));
-    schedule_period(&mut simulation, 55_000, 80_000, Fault::LateWrites(0.3), Fault::LateWrites(0.0));
-    simulation
-}
-
-/// The answers to many transactions are lost, and some transactions are carried out late.
-fn lost_answers(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 30, 70_000, 0.4);
-        leaders_end(simulation, seed, 15_000, 80_000, 15_000);
-        machines_fail(simulation, 3);
-    });
-    schedule_period(&mut simulation, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
-    schedule_period(
-        &mut simulation,
-        4_000,
-        85_000,
-        Fault::LostStoreAnswers(0.4),
-        Fault::LostStoreAnswers(0.0),
-    );
-    schedule_period(&mut simulation, 30_000, 60_000, Fault::LateWrites(0.2), Fault::LateWrites(0.0));
-    simulation
-}
-
-/// Every team is at its limit; many jobs are cancelled while their machines hang or can't be asked, and the leader ends.
-fn full_teams(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 6);
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
-    for number in 0..40 {
-        let mut body = job(number, "array", 1);
-        body["expected_s"] = simulation.rng.random_range(15.0..30.0).into();
-        let when = simulation.rng_ms(500, 20_000);
-        simulation.add_user(when, body, None);
-    }
-    simulation.keeps_images = true;
-    for k in 0..3 {
-        let ms = 25_000 + 20_000 * k;
-        schedule_fault(&mut simulation, ms, Fault::CancelNow(5, 13_000));
-        (0..3).for_each(|_| schedule_fault(&mut simulation, ms - 200, Fault::CommandsLost(12_000)));
-        let ends = ms + simulation.rng_ms(0, 4_000);
-        schedule_fault(&mut simulation, ends, Fault::Leader(LeaderFault::Ends, 0));
-    }
-    simulation
-}
-
-/// Cancellations fall into the seconds in which nodes take work over from one another.
-fn failovers(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        for number in 20..110 {
-            let mut body = job(number, "array", 1);
-            body["expected_s"] = 3.0.into();
-            (body["vcpus"], body["accelerators"]) = (0.5.into(), 0.1.into());
-            let when = simulation.rng_ms(2_000, 80_000);
-            let cancel_at =
-                simulation.rng.random_bool(0.6).then(|| when + simulation.rng.random_range(150..2_500));
-            simulation.add_user(when, body, cancel_at);
-        }
-        leaders_end(simulation, seed, 12_000, 85_000, 8_000);
-        machines_fail(simulation, 3);
-    });
-    // What follows the records lags, so that nodes know different things.
-    schedule_period(&mut simulation, 5_000, TROUBLE_ENDS, Fault::SlowStore(600), Fault::SlowStore(0));
-    simulation
-}
-
-/// New machines are up at once and get work while writes lag, and the leader ends.
-fn fast_boots(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 50, 75_000, 0.2);
-        leaders_end(simulation, seed, 8_000, 80_000, 9_000);
-        machines_fail(simulation, 6);
-    });
-    simulation.keeps_images = true;
-    schedule_period(&mut simulation, 1, DAY_ENDS, Fault::FastBoots(true), Fault::FastBoots(false));
-    schedule_period(&mut simulation, 5_000, 85_000, Fault::SlowStore(1_500), Fault::SlowStore(0));
-    schedule_period(&mut simulation, 5_000, 80_000, Fault::LateWrites(0.25), Fault::LateWrites(0.0));
-    simulation
-}
-
-/// Copies of heartbeats arrive late, many of them at a leader that has just begun.
-fn old_heartbeats(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 40, 75_000, 0.3);
-        leaders_end(simulation, seed, 12_000, 85_000, 9_000);
-        machines_fail(simulation, 6);
-    });
-    simulation.keeps_images = true;
-    schedule_period(
-        &mut simulation,
-        5_000,
-        85_000,
-        Fault::HeartbeatCopiesForNextLeader(0.4),
-        Fault::HeartbeatCopiesForNextLeader(0.0),
-    );
-    schedule_period(&mut simulation, 5_000, 85_000, Fault::LateHeartbeats(0.3), Fault::LateHeartbeats(0.0));
-    simulation
-}
-
-/// One-task jobs, four a second for over a minute, a quarter of them cancelled.
-fn small_jobs(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 60);
-    simulation.cloud.generous = 12;
-    for number in 0..280 {
-        let mut body = job(number, "array", 1);
-        body["expected_s"] = 2.0.into();
-        body["vcpus"] = 1.0.into();
-        body["accelerators"] = 0.25.into();
-        let when = 2_000 + 250 * number as u64;
-        let cancel_at = number.is_multiple_of(4).then(|| when + simulation.rng_ms(200, 4_000));
-        if cancel_at.is_some() {
-            body["expected_s"] = 100.0.into();
-        }
-        simulation.add_user(when, body, cancel_at);
-    }
-    leaders_end(&mut simulation, seed, 30_000, 60_000, 20_000);
-    machines_fail(&mut simulation, 3);
-    simulation
-}
-
-/// Jobs are cancelled at the very end, or while running with a hang: with no other fault on every second seed.
-fn cancelled(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 50, 75_000, 0.0);
-        for number in 70..90 {
-            let mut body = job(number, ["array", "daemon"][number % 2], 1);
-            body["expected_s"] = 150.0.into();
-            body["accelerators"] = 0.25.into();
-            simulation.add_user(1_000 + number as u64, body, Some(TROUBLE_ENDS));
-        }
-        if !seed.is_multiple_of(2) {
-            leaders_end(simulation, seed, 20_000, 80_000, 20_000);
-            machines_fail(simulation, 3);
-        }
-    });
-    schedule_period(&mut simulation, 1_000, 85_000, Fault::CancelAtEnd(0.7), Fault::CancelAtEnd(0.0));
-    schedule_fault(&mut simulation, 20_000, Fault::CancelNow(6, 0));
-    schedule_fault(&mut simulation, 30_000, Fault::CancelNow(8, 80_000));
-    simulation
-}
-
-/// The heartbeats of all machines reach no node for a while, those of some for longer; direct commands reach them.
-fn heartbeats_lost(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 30, 75_000, 0.3);
-        machines_fail(simulation, 3);
-    });
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
-    schedule_fault(&mut simulation, 20_000, Fault::AllHeartbeatsLost(25_000));
-    schedule_fault(&mut simulation, 22_000, Fault::Leader(LeaderFault::Ends, 0));
-    schedule_fault(&mut simulation, 26_000, Fault::CancelNow(6, 10_000));
-    (0..5).for_each(|k| schedule_fault(&mut simulation, 52_000 + 10 * k, Fault::HeartbeatsLost(30_000)));
-    schedule_fault(&mut simulation, 60_000, Fault::Leader(LeaderFault::Ends, 0));
-    simulation
-}
-
-/// Ten leaders in two minutes, some of them in an outage; jobs of two or three tasks that end far apart.
-fn ten_leaders(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        for number in 20..40 {
-            let mut body = job(number, ["array", "ensemble"][number % 2], 2 + number as u32 % 2);
-            body["expected_s"] = simulation.rng.random_range(1.0..14.0).into();
-            body["accelerators"] = 0.5.into();
-            let when = simulation.rng_ms(500, 60_000);
-            simulation.add_user(when, body, None);
-        }
-        leaders_end(simulation, seed, 5_000, 88_000, 7_000);
-        machines_fail(simulation, 3);
-    });
-    schedule_period(&mut simulation, 30_000, 55_000, Fault::StoreOutage(true), Fault::StoreOutage(false));
-    for node in 0..NODES {
-        // All end; one is back at once.
-        schedule_fault(&mut simulation, 60_000 + node as u64, Fault::Crash(node));
-    }
-    simulation
-}
-
-/// Far more work than resources, urgent and not, over slow links; and odd requests all along.
-fn overload(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 8);
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
-    for number in 0..80 {
-        let mut body = job(number, ["array", "ensemble", "array"][number % 3], 1 + number as u32 % 4);
-        body["urgency"] = ["urgent", "idle", "normal", "production"][number % 4].into();
-        body["expected_s"] = simulation.rng.random_range(1.0..3.0).into();
-        let when = simulation.rng_ms(500, 40_000);
-        simulation.add_user(when, body, None);
-    }
-    schedule_period(&mut simulation, 1_000, 85_000, Fault::OddRequests(true), Fault::OddRequests(false));
-    schedule_period(&mut simulation, 5_000, 60_000, Fault::SlowStore(700), Fault::SlowStore(0));
-    leaders_end(&mut simulation, seed, 20_000, 70_000, 25_000);
-    machines_fail(&mut simulation, 3);
-    simulation
-}
-
-/// Jobs bound to one zone, arrays too, lose machines there.
-fn bound_to_a_zone(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 40);
-    for number in 0..20 {
-        let mut body = job(number, ["array", "daemon", "ensemble"][number % 3], 3);
-        body["region"] = ["z0", "z1"][number % 2].into();
-        body["expected_s"] = simulation.rng.random_range(4.0..15.0).into();
-        let when = simulation.rng_ms(500, 40_000);
-        simulation.add_user(when, body, None);
-    }
-    leaders_end(&mut simulation, seed, 25_000, 70_000, 25_000);
-    for k in 0..9 {
-        let ms = 12_000 + 6_000 * k;
-        schedule_fault(
-            &mut simulation,
-            ms,
-            [Fault::MachineDies, Fault::MachineHangs(20_000), Fault::SpotNotice][k as usize % 3].clone(),
-        );
-    }
-    simulation
-}
-
-/// A zone with workers and a node is cut off for longer than a lease, while jobs are cancelled.
-fn cut_off_zone(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 40, 80_000, 0.5);
-        machines_fail(simulation, 3);
-    });
-    simulation.run_until(25_000);
-    cut_zone(&mut simulation, seed as usize % NODES, true);
-    schedule_fault(&mut simulation, 27_000, Fault::CancelNow(6, 0));
-    schedule_fault(&mut simulation, 40_000, Fault::Leader(LeaderFault::Ends, 0));
-    simulation.run_until(70_000);
-    simulation.count("a zone cut off");
-    cut_zone(&mut simulation, seed as usize % NODES, false);
-    simulation
-}
-
-/// All nodes are away for longer than a lease, and come back one after the other.
-fn all_away(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 30, 70_000, 0.3);
-        machines_fail(simulation, 3);
-    });
-    simulation.away_ms = 19_000..30_000;
-    for node in 0..NODES {
-        schedule_fault(&mut simulation, 25_000 + 40 * node as u64, Fault::Crash(node));
-    }
-    schedule_fault(&mut simulation, 24_900, Fault::CancelNow(6, 0));
-    schedule_period(
-        &mut simulation,
-        15_000,
-        60_000,
-        Fault::HeartbeatCopiesForNextLeader(0.5),
-        Fault::HeartbeatCopiesForNextLeader(0.0),
-    );
-    simulation
-}
-
-/// Commands, their answers and messages between nodes are held up; the leader is isolated while the cloud does not answer.
-fn held_messages(seed: u64) -> Simulation {
-    let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 60, 75_000, 0.5);
-        machines_fail(simulation, 3);
-    });
-    simulation.keeps_images = true;
-    for k in 0..12 {
-        let index = simulation.rng.random_range(0..NODES);
-        let machine = Host::Machine(simulation.rng.random_range(0..10));
-        let node = Host::Node(index);
-        let peer = Host::Node((index + 1 + k % 2) % NODES);
-        let (a, b) = match k % 3 {
-            0 => (node, peer),
-            1 => (node, machine),
-            _ => (machine, node),
-        };
-        let from = simulation.rng_ms(8_000, 55_000);
-        let to = from + simulation.rng_ms(3_000, 30_000);
-        schedule_period(
-            &mut simulation,
-            from,
-            to,
-            Fault::Hold { a, b, on: true },
-            Fault::Hold { a, b, on: false },
-        );
-        simulation.count("a link held");
-    }
-    schedule_fault(&mut simulation, 30_000, Fault::Leader(LeaderFault::Isolated, 25_001));
-    schedule_period(&mut simulation, 30_000, 55_000, Fault::CloudOutage(true), Fault::CloudOutage(false));
-    schedule_fault(&mut simulation, 32_000, Fault::CancelNow(6, 0));
-    simulation
-}
-
 fn injected_fault(simulation: &mut Simulation, fault: fn(&mut Controller, u64)) {
     simulation.injected_fault = Some(fault);
 }
@@ -358,7 +25,7 @@
 pub static ROWS: [Row; 15] = [
     Row {
         name: "held words",
-        day: held_messages,
+        day: scenarios::held_messages,
         occurrences: &[("a link held", 10), ("cancelled now", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -368,7 +35,7 @@
     },
     Row {
         name: "close looks",
-        day: close_reads,
+        day: scenarios::close_reads,
         occurrences: &[
             ("a close read after the terminal status", 1),
             ("a close read after the acceptance", 1),
@@ -382,13 +49,13 @@
     },
     Row {
         name: "only the answer of a transaction is lost",
-        day: lost_answers,
+        day: scenarios::lost_answers,
         occurrences: &[("only the answer lost", 1), ("a close read after the terminal status", 1)],
         without: |simulation| simulation.state.careless = true,
     },
     Row {
         name: "every team at its limit",
-        day: full_teams,
+        day: scenarios::full_teams,
         occurrences: &[("cancelled and hung", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks))
@@ -396,7 +63,7 @@
     },
     Row {
         name: "work changes hands",
-        day: failovers,
+        day: scenarios::failovers,
         occurrences: &[("a terminal status within two seconds of a new leader", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::RelayFilter))
@@ -404,7 +71,7 @@
     },
     Row {
         name: "new machines at once",
-        day: fast_boots,
+        day: scenarios::fast_boots,
         occurrences: &[("a start within three seconds of the boot", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -414,7 +81,7 @@
     },
     Row {
         name: "old reports for a new leader",
-        day: old_heartbeats,
+        day: scenarios::old_heartbeats,
         occurrences: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -424,7 +91,7 @@
     },
     Row {
         name: "four jobs a second",
-        day: small_jobs,
+        day: scenarios::small_jobs,
         occurrences: &[("accepted", 800)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -435,7 +102,7 @@
     },
     Row {
         name: "called off at the end and now",
-        day: cancelled,
+        day: scenarios::cancelled,
         occurrences: &[("cancelled at the end", 1), ("cancelled now", 1), ("cancelled and hung", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -445,7 +112,7 @@
     },
     Row {
         name: "mute machines",
-        day: heartbeats_lost,
+        day: scenarios::heartbeats_lost,
         occurrences: &[("heartbeats lost", 1), ("a direct start at a machine whose heartbeats are lost", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -455,7 +122,7 @@
     },
     Row {
         name: "ten leaders",
-        day: ten_leaders,
+        day: scenarios::ten_leaders,
         occurrences: &[("a new leader", 40)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -465,7 +132,7 @@
     },
     Row {
         name: "more work than room, odd requests",
-        day: overload,
+        day: scenarios::overload,
         occurrences: &[
             ("an impossible request", 1),
             ("a cancellation of what is done", 1),
@@ -477,7 +144,7 @@
     },
     Row {
         name: "bound to a zone",
-        day: bound_to_a_zone,
+        day: scenarios::bound_to_a_zone,
         occurrences: &[("a machine lost with tasks bound to its zone", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -487,7 +154,7 @@
     },
     Row {
         name: "a zone cut off",
-        day: cut_off_zone,
+        day: scenarios::cut_off_zone,
         occurrences: &[("a zone cut off", 1), ("cancelled now", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
@@ -497,7 +164,7 @@
     },
     Row {
         name: "all nodes away",
-        day: all_away,
+        day: scenarios::all_away,
         occurrences: &[("copy for the next leader", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
--- a/crates/scheduler/src/simulation/days/mod.rs
+++ b/crates/scheduler/src/simulation/days/mod.rs
@@ -40,7 +40,7 @@
     schedule_period(simulation, from, to, fault(true), fault(false));
 }
 
-/// Faults of all kinds at random times, the last over by `TROUBLE_ENDS`.
+/// Faults of all kinds at random times, the last of which ends by `TROUBLE_ENDS`.
 pub fn troubles(simulation: &mut Simulation) {
     for _ in 0..simulation.rng.random_range(3..9) {
         schedule_any_fault(simulation);
--- a/crates/scheduler/src/simulation/digest.rs
+++ b/crates/scheduler/src/simulation/digest.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Adds a value that the state service holds, with its revision and the lease that it is bound to.
+    /// Adds a value that the key-value store holds, with its revision and the lease that it is bound to.
     pub fn stored(&mut self, key: &str, value: &str, revision: Revision, lease: Option<LeaseId>) {
         self.section(Section::StoredValue);
         self.bytes(key.as_bytes());
--- a/crates/scheduler/src/simulation/rules.rs
+++ b/crates/scheduler/src/simulation/rules.rs
@@ -278,7 +278,7 @@
 }
 
 /// Whether a job's constraints allow a machine.
-fn is_allowed_on(body: &Value, worker: &Worker) -> bool {
+pub(super) fn is_allowed_on(body: &Value, worker: &Worker) -> bool {
     let allows_type = |types: &Vec<Value>| types.iter().any(|name| name == worker.type_name.as_str());
     body["flavors"].as_array().is_none_or(allows_type)
         && body["region"].as_str().is_none_or(|zone| zone == worker.zone)
--- a/crates/scheduler/src/simulation/store.rs
+++ b/crates/scheduler/src/simulation/store.rs
@@ -13,6 +13,7 @@
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A lease that keys may be bound to.
 #[derive(Debug)]
 struct Lease {
     /// When it runs out, in milliseconds.
@@ -21,23 +22,37 @@
     ttl_ms: u64,
 }
 
+/// A request that is answered once something under a prefix changes.
 #[derive(Debug)]
 struct Watch {
     caller: Caller,
     prefix: &'static str,
+    /// The revision after which changes count.
     since: u64,
 }
 
+/// A key's value, the revision of its last change, and the lease that it is bound to.
+#[derive(Debug)]
+struct StoredValue {
+    value: String,
+    revision: Revision,
+    lease: Option<LeaseId>,
+}
+
+/// The store's keys, leases and watches, and its faults.
 #[derive(Debug)]
 pub struct Service {
     store_revision: u64,
-    keys: BTreeMap<String, (String, Revision, Option<LeaseId>)>,
+    keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<LeaseId, Lease>,
+    /// All changes so far.
     history: Vec<StoreEvent>,
     watches: BTreeMap<u64, Watch>,
     /// The last number given to a lease or a watch.
     last_id: u64,
-    away: bool,
+    /// An outage: nobody is served.
+    down: bool,
+    /// Nodes that are not served.
     pub refused: BTreeSet<usize>,
     pub limits: StoreLimits,
     /// Values and transactions that were refused for being over the limits.
@@ -46,14 +61,28 @@
     pub careless: bool,
 }
 
-fn event_key(n: &StoreEvent) -> (&str, Revision) {
-    match n {
-        StoreEvent::Put(p) => (&p.key, p.revision),
-        StoreEvent::Delete { key, revision } => (key, *revision),
+impl StoredValue {
+    fn pair(&self, key: String) -> Pair {
+        Pair { key, value: self.value.clone(), revision: self.revision }
+    }
+}
+
+fn key_of(event: &StoreEvent) -> &str {
+    match event {
+        StoreEvent::Put(pair) => &pair.key,
+        StoreEvent::Delete { key, .. } => key,
+    }
+}
+
+fn revision_of(event: &StoreEvent) -> Revision {
+    match event {
+        StoreEvent::Put(pair) => pair.revision,
+        StoreEvent::Delete { revision, .. } => *revision,
     }
 }
 
 impl Service {
+    /// An empty store.
     pub fn new(limits: StoreLimits) -> Self {
         Self {
             store_revision: 0,
@@ -62,7 +91,7 @@
             history: Vec::new(),
             watches: BTreeMap::new(),
             last_id: 0,
-            away: false,
+            down: false,
             refused: BTreeSet::new(),
             limits,
             too_large: Vec::new(),
@@ -70,38 +99,38 @@
         }
     }
 
+    /// A key's value.
     pub fn key(&self, key: &str) -> Option<&str> {
-        self.keys.get(key).map(|(value, ..)| value.as_str())
+        self.keys.get(key).map(|stored| stored.value.as_str())
     }
 
     /// Somebody writes a value past all conditions.
     pub fn overwrite(&mut self, key: &str, value: &str) {
         self.store_revision += 1;
-        let revision = Revision(self.store_revision);
-        self.keys.insert(key.into(), (value.into(), revision, None));
-        self.history.push(StoreEvent::Put(Pair { key: key.into(), value: value.into(), revision }));
+        self.put(key.into(), value.into(), None);
     }
 
+    /// The revision of a key's last change.
     pub fn revision(&self, key: &str) -> Option<Revision> {
-        self.keys.get(key).map(|(_, revision, _)| *revision)
+        self.keys.get(key).map(|stored| stored.revision)
     }
 
     /// How many changes were made under a prefix so far.
     pub fn changes(&self, prefix: &str) -> usize {
-        self.history.iter().filter(|n| event_key(n).0.starts_with(prefix)).count()
+        self.history.iter().filter(|event| key_of(event).starts_with(prefix)).count()
     }
 
     /// All pairs under a prefix.
     pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
-        let all = self.keys.range(prefix.to_string()..).take_while(move |(k, _)| k.starts_with(prefix));
-        all.map(|(k, v)| (k.as_str(), v.0.as_str()))
+        let all = self.keys.range(prefix.to_string()..).take_while(move |(key, _)| key.starts_with(prefix));
+        all.map(|(key, stored)| (key.as_str(), stored.value.as_str()))
     }
 
-    /// All keys in their order, with values, revisions and the grants that they are bound to.
+    /// All keys in their order, with values, revisions and the leases that they are bound to.
     pub fn stored(&self) -> impl Iterator<Item = (&str, &str, Revision, Option<LeaseId>)> {
         self.keys
             .iter()
-            .map(|(key, (value, revision, lease))| (key.as_str(), value.as_str(), *revision, *lease))
+            .map(|(key, stored)| (key.as_str(), stored.value.as_str(), stored.revision, stored.lease))
     }
 
     /// Refuses a node's requests from now on, or serves them again.
@@ -115,95 +144,112 @@
 
     /// Begins or ends an outage; after it, all leases have their full time again.
     pub fn outage(&mut self, on: bool, now: u64) {
-        self.away = on;
+        self.down = on;
         if !on {
             self.leases.values_mut().for_each(|lease| lease.ends = now + lease.ttl_ms);
         }
     }
 
+    /// Removes expired leases with their keys.
     fn expire(&mut self, now: u64) {
-        if self.away {
+        if self.down {
             return;
         }
-        let ended: Vec<LeaseId> = self.leases.iter().filter(|(_, g)| g.ends < now).map(|(p, _)| *p).collect();
-        for lease in ended {
+        let is_expired = |lease: &Lease| lease.ends < now;
+        let expired: Vec<LeaseId> =
+            self.leases.iter().filter(|(_, lease)| is_expired(lease)).map(|(id, _)| *id).collect();
+        for lease in expired {
             self.leases.remove(&lease);
-            let keys: Vec<String> =
-                self.keys.iter().filter(|(_, v)| v.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
+            let bound = self.keys.iter().filter(|(_, stored)| stored.lease == Some(lease));
+            let keys: Vec<String> = bound.map(|(key, _)| key.clone()).collect();
             if !keys.is_empty() {
                 self.store_revision += 1;
             }
             for key in keys {
-                self.keys.remove(&key);
-                self.history.push(StoreEvent::Delete { key, revision: Revision(self.store_revision) });
+                self.delete(key);
             }
         }
     }
 
+    fn put(&mut self, key: String, value: String, lease: Option<LeaseId>) {
+        let revision = Revision(self.store_revision);
+        self.keys.insert(key.clone(), StoredValue { value: value.clone(), revision, lease });
+        self.history.push(StoreEvent::Put(Pair { key, value, revision }));
+    }
+
+    fn delete(&mut self, key: String) {
+        self.keys.remove(&key);
+        self.history.push(StoreEvent::Delete { key, revision: Revision(self.store_revision) });
+    }
+
+    /// The changes under a prefix after a revision.
     fn since(&self, prefix: &str, from: u64) -> Vec<StoreEvent> {
-        let start = self.history.partition_point(|n| event_key(n).1.0 <= from);
-        self.history[start..].iter().filter(|n| event_key(n).0.starts_with(prefix)).cloned().collect()
+        let start = self.history.partition_point(|event| revision_of(event).0 <= from);
+        self.history[start..].iter().filter(|event| key_of(event).starts_with(prefix)).cloned().collect()
     }
 
+    /// Carries out a transaction if its conditions hold: keys with the revisions that they must have.
     fn commit(&mut self, conditions: &[(String, Revision)], changes: Vec<Change>) -> StoreReply {
-        let over = changes.iter().find_map(|c| match c {
-            Change::Put { key, value, .. } if value.len() > self.limits.value_bytes => Some(key.clone()),
-            _ => None,
-        });
-        let many = changes.len() > self.limits.txn_ops || conditions.len() > 4 * self.limits.txn_ops;
-        if let Some(what) = over.or(many.then(|| format!("a transaction of {}", changes.len()))) {
+        if let Some(what) = self.over_the_limits(conditions.len(), &changes) {
             self.too_large.push(what);
             return StoreReply::Malformed;
         }
-        let revision = |k: &String| self.keys.get(k).map(|v| v.1).unwrap_or_default();
-        let failed: Vec<String> =
-            conditions.iter().filter(|(k, s)| revision(k) != *s).map(|(k, _)| k.clone()).collect();
-        let no_lease = changes
-            .iter()
-            .any(|c| matches!(c, Change::Put { lease: Some(p), .. } if !self.leases.contains_key(p)));
-        if no_lease {
+        let names_unknown_lease = |change: &Change| matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
+        if changes.iter().any(names_unknown_lease) {
             return StoreReply::LeaseExpired;
         }
+        let holds = |key: &str, revision: Revision| self.revision(key).unwrap_or_default() == revision;
+        let failed: Vec<String> = conditions
+            .iter()
+            .filter(|(key, revision)| !holds(key, *revision))
+            .map(|(key, _)| key.clone())
+            .collect();
         if !failed.is_empty() && !self.careless {
             return StoreReply::Conflict { failed };
         }
         self.store_revision += 1;
-        let revision = Revision(self.store_revision);
         for change in changes {
             match change {
-                Change::Put { key, value, lease } => {
-                    self.keys.insert(key.clone(), (value.clone(), revision, lease));
-                    self.history.push(StoreEvent::Put(Pair { key, value, revision }));
-                }
-                Change::Delete { key } => {
-                    self.keys.remove(&key);
-                    self.history.push(StoreEvent::Delete { key, revision });
-                }
+                Change::Put { key, value, lease } => self.put(key, value, lease),
+                Change::Delete { key } => self.delete(key),
             }
         }
         StoreReply::Committed { store_revision: self.store_revision }
     }
 
+    /// What of a transaction is over the limits, if anything is.
+    fn over_the_limits(&self, conditions: usize, changes: &[Change]) -> Option<String> {
+        let too_large = changes.iter().find_map(|change| match change {
+            Change::Put { key, value, .. } if value.len() > self.limits.value_bytes => Some(key.clone()),
+            _ => None,
+        });
+        let too_many = changes.len() > self.limits.txn_ops || conditions > 4 * self.limits.txn_ops;
+        too_large.or(too_many.then(|| format!("a transaction of {}", changes.len())))
+    }
+
+    /// The pairs under a prefix after a key, up to a number of them.
+    fn range(&self, prefix: &str, after: &str, most: usize) -> StoreReply {
+        let mut pairs: Vec<Pair> = self
+            .keys
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
+            .take(most + 1)
+            .map(|(key, stored)| stored.pair(key.clone()))
+            .collect();
+        let more = pairs.len() > most;
+        pairs.truncate(most);
+        StoreReply::Pairs { pairs, more, store_revision: self.store_revision }
+    }
+
+    /// Carries out a request at once.
     fn answer(&mut self, request: StoreRequest, now: u64) -> StoreReply {
         match request {
             StoreRequest::Get { key } => match self.keys.get(&key) {
-                Some((value, revision, _)) => {
-                    StoreReply::Found(Pair { key, value: value.clone(), revision: *revision })
-                }
+                Some(stored) => StoreReply::Found(stored.pair(key)),
                 None => StoreReply::Missing { store_revision: self.store_revision },
             },
             StoreRequest::Range { prefix, after, most } => {
-                let after = after.unwrap_or_default();
-                let mut pairs: Vec<Pair> = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.starts_with(prefix) && **k > after)
-                    .take(most as usize + 1)
-                    .map(|(k, v)| Pair { key: k.clone(), value: v.0.clone(), revision: v.1 })
-                    .collect();
-                let more = pairs.len() > most as usize;
-                pairs.truncate(most as usize);
-                StoreReply::Pairs { pairs, more, store_revision: self.store_revision }
+                self.range(prefix, after.as_deref().unwrap_or_default(), most as usize)
             }
             StoreRequest::Commit { conditions, changes } => self.commit(&conditions, changes),
             StoreRequest::GrantLease { life_ms } => {
@@ -258,7 +304,7 @@
         let now = self.now;
         let delay = self.store_delay(&request);
         self.state.expire(now);
-        if self.state.away || self.state.refused.contains(&caller.node) {
+        if self.state.down || self.state.refused.contains(&caller.node) {
             return self.store_reply(caller, StoreReply::Refused, delay);
         }
         if let StoreRequest::Watch { prefix, from: since, block_ms } = &request
@@ -291,7 +337,7 @@
 
     /// Carries out what its sender has given up. An outage in between lets it wait on.
     pub fn late_write(&mut self, request: StoreRequest) {
-        if self.state.away {
+        if self.state.down {
             return self.after(500, Event::LateWrite(request));
         }
         self.state.expire(self.now);
@@ -333,7 +379,7 @@
     }
 
     pub fn watch_ends(&mut self, id: u64) {
-        if self.state.away {
+        if self.state.down {
             return self.after(200, Event::WatchEnds(id));
         }
         if let Some(watch) = self.state.watches.remove(&id) {
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -151,7 +151,7 @@
 }
 
 /// A leader that the key-value store refused went on announcing to its peers that it leads, and none of
-/// them took over for as long as the fault lasted (a faulty day on the bench, 238 to 273 s).
+/// them took over for as long as the fault lasted (bench run tremorline, day of faults, 238 to 273 s).
 #[test]
 fn a_leader_without_the_key_value_store_is_replaced() {
     for seed in 500..504 {
--- a/crates/scheduler/src/simulation/waiting.rs
+++ b/crates/scheduler/src/simulation/waiting.rs
@@ -1,14 +1,15 @@
-//! No job is left waiting: once the troubles are over, none waits for long while a machine that fits has free resources and its
-//! team is under its limit. Judged by what the stand-ins see.
+//! No job is left waiting: once the faults have ended, none waits for long while a machine that fits has free resources
+//! and its team is under its limit. Judged by what the stand-ins see.
 
 #![cfg(test)]
 
-use super::workers::{Task, Worker};
+use super::rules::is_allowed_on;
+use super::workers::{Amount, Task, Worker};
 use super::{Simulation, Stage, User};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How long a job may wait although something fits.
+/// How long a job may wait although something fits, in milliseconds.
 const WAITS_MS: u64 = 90_000;
 
 fn amount(body: &Value, key: &str) -> f64 {
@@ -17,19 +18,21 @@
 
 /// Since when each job has waited although something fits.
 #[derive(Default)]
-pub struct Waiting {
+pub(super) struct Waiting {
     since: BTreeMap<String, u64>,
 }
 
 impl Waiting {
     /// Takes note of the jobs that wait now; one that has waited for too long.
-    pub fn overdue_job(&mut self, w: &Simulation) -> Option<String> {
-        let fits = |u: &&User| u.stage != Stage::Finished && w.rules.accepted(&u.id) && w.could_start(u);
-        let now: Vec<&str> = w.users.iter().filter(fits).map(|u| u.id.as_str()).collect();
+    pub(super) fn overdue_job(&mut self, simulation: &Simulation) -> Option<String> {
+        let fits = |u: &&User| {
+            u.stage != Stage::Finished && simulation.rules.accepted(&u.id) && simulation.could_start(u)
+        };
+        let now: Vec<&str> = simulation.users.iter().filter(fits).map(|u| u.id.as_str()).collect();
         self.since.retain(|id, _| now.contains(&id.as_str()));
         for id in now {
-            let since = *self.since.entry(id.to_string()).or_insert(w.now);
-            if w.now - since > WAITS_MS {
+            let since = *self.since.entry(id.to_string()).or_insert(simulation.now);
+            if simulation.now - since > WAITS_MS {
                 return Some(format!("{id} has waited since {since} ms though something fits"));
             }
         }
@@ -37,66 +40,102 @@
     }
 }
 
+/// What a job needs to start: its next task's resources, or its whole gang's.
+struct Need<'a> {
+    id: &'a str,
+    body: &'a Value,
+    /// How many tasks the job has.
+    tasks: u64,
+    /// How many tasks must start together.
+    together: u64,
+    /// What a task takes.
+    task: Amount,
+}
+
+impl<'a> Need<'a> {
+    fn of(user: &'a User) -> Self {
+        let body = &user.body;
+        let tasks = body["shards"].as_u64().unwrap_or(1);
+        Self {
+            id: &user.id,
+            body,
+            tasks,
+            together: if body["shape"] == "ensemble" { tasks } else { 1 },
+            task: Amount { cpus: amount(body, "vcpus"), gpus: amount(body, "accelerators") },
+        }
+    }
+
+    fn is_gang(&self) -> bool {
+        self.body["shape"] == "ensemble"
+    }
+
+    /// How many of the job's tasks fit into what is free on a machine.
+    fn slots(&self, total: Amount, used: Amount) -> u64 {
+        let slots = |free: f64, each: f64| if each > 0.0 { (free / each + 1e-9) as u64 } else { u64::MAX };
+        slots(total.cpus - used.cpus, self.task.cpus).min(slots(total.gpus - used.gpus, self.task.gpus))
+    }
+}
+
 impl Simulation {
     /// Whether a task of the job that is nowhere could start now: a whole gang's, if it is one.
     fn could_start(&self, user: &User) -> bool {
-        let (id, body) = (&user.id, &user.body);
-        let needs = body["awaits"].as_array().into_iter().flatten().filter_map(Value::as_str);
-        if self.rules.terminal_status(id).is_some()
-            || needs.into_iter().any(|n| self.rules.terminal_status(n) != Some("done"))
+        let need = Need::of(user);
+        self.may_start(&need) && self.is_within_limit(&need) && self.fits(&need)
+    }
+
+    /// Whether the job's state allows a start: it is not finished, its dependencies are done, and tasks are missing.
+    fn may_start(&self, need: &Need) -> bool {
+        let mut dependencies = need.body["awaits"].as_array().into_iter().flatten().filter_map(Value::as_str);
+        if self.rules.terminal_status(need.id).is_some()
+            || dependencies.any(|job| self.rules.terminal_status(job) != Some("done"))
         {
             return false;
         }
-        let all = body["shards"].as_u64().unwrap_or(1);
-        let somewhere = |task: &str| {
-            let there = |t: &Task| t.name == task && !t.has_exited();
-            self.workers.iter().any(|w| w.tasks.iter().any(there))
+        let is_somewhere = |name: &str| {
+            let is_it = |task: &Task| task.name == name && !task.has_exited();
+            self.workers.iter().any(|worker| worker.tasks.iter().any(is_it))
         };
-        let lacks = (0..all).map(|i| format!("{id}/{i}"));
-        let lacks = lacks.filter(|t| !self.rules.task_done(t) && !somewhere(t)).count() as u64;
-        let gang = body["shape"] == "ensemble";
-        if lacks == 0 || gang && lacks < all {
-            return false; // a gang that is partly there makes way first
-        }
-        let (cpus, gpus) = (amount(body, "vcpus"), amount(body, "accelerators"));
-        let wanted = if gang { all } else { 1 };
-        let used: f64 = self
-            .workers
-            .iter()
-            .map(|w| w.used_resources(|j| self.rules.body(j).filter(|b| b["owner"] == body["owner"])).gpus)
-            .sum();
-        if used + gpus * wanted as f64 > self.rules.limit(body["owner"].as_str().unwrap_or_default()) {
-            return false;
-        }
-        let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for w in self.workers.iter().filter(|w| w.is_fit(self.now)) {
-            let allowed =
-                body["flavors"].as_array().is_none_or(|f| f.iter().any(|f| f == w.type_name.as_str()))
-                    && body["region"].as_str().is_none_or(|z| z == w.zone)
-                    && (!w.spot || body["preemptible"] == true);
-            let total = w.resources();
-            let used = w.used_resources(|job| self.rules.body(job));
-            let slots =
-                |free: f64, each: f64| if each > 0.0 { (free / each + 1e-9) as u64 } else { u64::MAX };
-            let slots = slots(total.cpus - used.cpus, cpus).min(slots(total.gpus - used.gpus, gpus));
-            *zones.entry(&w.zone).or_default() += if allowed { slots } else { 0 };
+        let names = (0..need.tasks).map(|index| format!("{}/{index}", need.id));
+        let missing = names.filter(|name| !self.rules.task_done(name) && !is_somewhere(name)).count() as u64;
+        // The tasks of a gang that is partly there end first.
+        missing > 0 && !(need.is_gang() && missing < need.tasks)
+    }
+
+    fn is_within_limit(&self, need: &Need) -> bool {
+        let team = &need.body["owner"];
+        let is_of_team = |job: &str| self.rules.body(job).filter(|body| body["owner"] == *team);
+        let used: f64 = self.workers.iter().map(|worker| worker.used_resources(is_of_team).gpus).sum();
+        let limit = self.rules.limit(team.as_str().unwrap_or_default());
+        used + need.task.gpus * need.together as f64 <= limit
+    }
+
+    /// Whether machines that are fit and allowed have the free resources, in zones that suit.
+    fn fits(&self, need: &Need) -> bool {
+        let mut slots: BTreeMap<&str, u64> = BTreeMap::new();
+        for worker in self.workers.iter().filter(|worker| worker.is_fit(self.now)) {
+            let used = worker.used_resources(|job| self.rules.body(job));
+            let is_allowed = is_allowed_on(need.body, worker);
+            *slots.entry(&worker.zone).or_default() +=
+                if is_allowed { need.slots(worker.resources(), used) } else { 0 };
         }
-        let mates = |zone: &str| {
-            let here = self.workers.iter().filter(|w| w.zone == zone).flat_map(|w| &w.tasks);
-            here.filter(|t| t.job() == id && !t.has_exited()).count() as u64
+        let running_in = |zone: &str| {
+            let tasks =
+                self.workers.iter().filter(|worker| worker.zone == zone).flat_map(|worker| &worker.tasks);
+            tasks.filter(|task| task.job() == need.id && !task.has_exited()).count() as u64
         };
-        let cap = all.div_ceil(2);
-        match (body["together"] == true, body["spread"] == true) {
-            (true, _) => zones.iter().any(|(zone, slots)| {
-                let elsewhere = zones.keys().any(|other| other != zone && mates(other) > 0);
-                !elsewhere && *slots >= wanted
-            }),
-            (_, true) => {
-                let left = zones.iter().map(|(zone, slots)| (*slots).min(cap.saturating_sub(mates(zone))));
-                left.sum::<u64>() >= wanted
-            }
-            _ => zones.values().sum::<u64>() >= wanted,
+        if need.body["together"] == true {
+            return slots.iter().any(|(zone, free)| {
+                let runs_elsewhere = slots.keys().any(|other| other != zone && running_in(other) > 0);
+                !runs_elsewhere && *free >= need.together
+            });
+        }
+        if need.body["spread"] == true {
+            let most_in_zone = need.tasks.div_ceil(2);
+            let left =
+                slots.iter().map(|(zone, slots)| (*slots).min(most_in_zone.saturating_sub(running_in(zone))));
+            return left.sum::<u64>() >= need.together;
         }
+        slots.values().sum::<u64>() >= need.together
     }
 }
 
