--- a/crates/scheduler/src/simulation/links.rs
+++ b/crates/scheduler/src/simulation/links.rs
@@ -15,9 +15,12 @@
 /// An end of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Host {
+    /// A node, by its index.
     Node(usize),
+    /// The key-value store.
     Store,
     Cloud,
+    /// A machine with its worker, by its number.
     Machine(usize),
     /// All users.
     User,
--- a/crates/scheduler/src/simulation/nodes.rs
+++ b/crates/scheduler/src/simulation/nodes.rs
@@ -24,7 +24,7 @@
 /// What a wall clock shows as the simulation begins, in milliseconds since 1970.
 const WALL_START_MS: u64 = 1_700_000_000_000;
 
-/// A node's process, or the gap between two of them.
+/// A node, with its process while it runs.
 pub struct Node {
     /// The running process; none while the node is down.
     pub controller: Option<Controller>,
--- a/crates/scheduler/src/simulation/workers.rs
+++ b/crates/scheduler/src/simulation/workers/mod.rs
@@ -1,14 +1,13 @@
 //! A stand-in of the workers, written from the protocol alone: it reads and writes JSON. The steps of tasks are in
-//! [`tasks`].
+//! [`tasks`], copies of heartbeats in [`copies`].
 
+mod copies;
 mod tasks;
 
 use super::Simulation;
 use super::events::Event;
-use super::faults::KeptCopy;
 use super::links::Host;
 use super::nodes::{Caller, Requester};
-use crate::election::LEADER_KEY;
 use crate::node::Input;
 use crate::types::MachineId;
 use crate::wire::cloud::ListedMachine;
@@ -37,14 +36,18 @@
 /// Processors and accelerators, of a machine or of what runs there.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Amount {
+    /// Processors.
     pub cpus: f64,
+    /// Accelerators.
     pub gpus: f64,
 }
 
 /// A machine with its worker.
 #[derive(Debug)]
 pub struct Worker {
+    /// The machine's ID, as the cloud gave it.
     pub id: MachineId,
+    /// Where the worker takes direct commands.
     pub addr: String,
     pub type_name: String,
     pub zone: String,
@@ -60,9 +63,12 @@
     pub heartbeats_lost_until: u64,
     /// When the cloud takes the machine back, if it has said so.
     pub taken_at: Option<u64>,
+    /// How often the worker's lease has expired, and one.
     worker_epoch: u64,
     epoch_began: u64,
+    /// The number of the last heartbeat or answer with a status.
     serial: u64,
+    /// The highest fencing token that it was given.
     pub fencing_token: u64,
     pub tasks: Vec<Task>,
     /// The node that its next heartbeat goes to.
@@ -166,6 +172,14 @@
         self.up && self.hung_until <= now && self.commands_lost_until <= now
     }
 
+    /// Takes a fencing token from a direct command; a new leader gets a heartbeat at once.
+    fn accept_token(&mut self, fencing_token: u64, now: u64) {
+        if fencing_token > self.fencing_token {
+            self.next_heartbeat = now;
+        }
+        self.fencing_token = fencing_token;
+    }
+
     /// Chooses when the next heartbeat goes out, and to which node.
     fn schedule_heartbeat(&mut self, at_ms: u64, node: usize) {
         self.in_flight = None;
@@ -272,48 +286,6 @@
         }
     }
 
-    /// Lets a copy of a heartbeat arrive late, or keeps one for the next leader.
-    fn copy_heartbeat(&mut self, machine: usize, body: &str) {
-        let late = self.faults.late_heartbeats;
-        if late > 0.0 && self.rng.random_bool(late) {
-            let ms = self.rng_ms(2_000, 2 * self.lease_ms());
-            let node = self.rng.random_range(0..self.settings.len());
-            self.after(ms, Event::HeartbeatCopy { machine, node, body: body.to_string() });
-        }
-        let kept = self.faults.copies_for_next_leader;
-        if kept > 0.0 && self.rng.random_bool(kept) {
-            let leader_key = self.state.revision(LEADER_KEY);
-            self.faults.kept_copies.push(KeptCopy { leader_key, machine, body: body.to_string() });
-        }
-    }
-
-    /// Copies of heartbeats that wait for the next leader are sent to it once it has acted.
-    pub(super) fn release_copies(&mut self) {
-        if self.faults.kept_copies.is_empty() {
-            return;
-        }
-        let Some(leader) = self.leader() else { return };
-        let leader_key = self.state.revision(LEADER_KEY);
-        let (released, kept) = std::mem::take(&mut self.faults.kept_copies)
-            .into_iter()
-            .partition(|copy| copy.leader_key != leader_key);
-        self.faults.kept_copies = kept;
-        let released: Vec<KeptCopy> = released;
-        for KeptCopy { machine, body, .. } in released {
-            if self.rng.random_bool(0.5) {
-                self.count("copy to every node as a leader begins");
-                for node in 0..self.nodes.len() {
-                    let ms = self.rng_ms(1, 100);
-                    self.after(ms, Event::HeartbeatCopy { machine, node, body: body.clone() });
-                }
-                continue;
-            }
-            self.count("copy for the next leader");
-            let ms = self.rng_ms(100, 6_000);
-            self.after(ms, Event::HeartbeatCopy { machine, node: leader, body });
-        }
-    }
-
     /// A worker whose heartbeat failed turns to the next node after a pause.
     fn try_next_node(&mut self, machine: usize) {
         let nodes = self.settings.len();
@@ -401,13 +373,3 @@
         self.send(Host::Machine(machine), Host::Node(caller.node), answer);
     }
 }
-
-impl Worker {
-    /// Takes a fencing token from a direct command; a new leader gets a heartbeat at once.
-    fn accept_token(&mut self, fencing_token: u64, now: u64) {
-        if fencing_token > self.fencing_token {
-            self.next_heartbeat = now;
-        }
-        self.fencing_token = fencing_token;
-    }
-}
