--- a/crates/scheduler/src/simulation/bad_records.rs
+++ b/crates/scheduler/src/simulation/bad_records.rs
@@ -8,7 +8,7 @@
 use super::days::ordinary::day;
 use super::tests::run;
 use super::{Event, NODES};
-use crate::node::Input;
+use crate::node::{Controller, Input};
 use crate::peer_messages::{self, BroadcastPosition, PeerMessage};
 use crate::types::FencingToken;
 
@@ -65,7 +65,7 @@
     assert!(peer_messages::decode(b"no envelope").is_none() && peer_messages::decode(&[]).is_none());
     simulation.run_until(11_000);
     assert_eq!(simulation.leader(), Some(leader));
-    let metrics = simulation.nodes[leader].controller.as_ref().map(|c| c.metrics()).unwrap_or_default();
+    let metrics = simulation.nodes[leader].controller.as_ref().map(Controller::metrics).unwrap_or_default();
     assert!(metrics.contains("pearford_peer_messages_dropped 3"), "{metrics}");
     run(9_250, simulation);
 }
--- a/crates/scheduler/src/simulation/days/directed/mod.rs
+++ b/crates/scheduler/src/simulation/days/directed/mod.rs
@@ -29,8 +29,8 @@
         occurrences: &[("a link held", 10), ("cancelled now", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
-            })
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+            });
         },
     },
     Row {
@@ -43,8 +43,8 @@
         ],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::ReadBeforeAnswer)
-            })
+                controller.disable_check(DisabledCheck::ReadBeforeAnswer);
+            });
         },
     },
     Row {
@@ -58,7 +58,9 @@
         day: scenarios::full_teams,
         occurrences: &[("cancelled and hung", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks))
+            injected_fault(simulation, |controller, _| {
+                controller.disable_check(DisabledCheck::StoppingTasks);
+            });
         },
     },
     Row {
@@ -66,7 +68,7 @@
         day: scenarios::failovers,
         occurrences: &[("a terminal status within two seconds of a new leader", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::RelayFilter))
+            injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::RelayFilter));
         },
     },
     Row {
@@ -75,8 +77,8 @@
         occurrences: &[("a start within three seconds of the boot", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::DurableBeforeStart)
-            })
+                controller.disable_check(DisabledCheck::DurableBeforeStart);
+            });
         },
     },
     Row {
@@ -85,8 +87,8 @@
         occurrences: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::HeartbeatOrder)
-            })
+                controller.disable_check(DisabledCheck::HeartbeatOrder);
+            });
         },
     },
     Row {
@@ -106,8 +108,8 @@
         occurrences: &[("cancelled at the end", 1), ("cancelled now", 1), ("cancelled and hung", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::SilenceDetection)
-            })
+                controller.disable_check(DisabledCheck::SilenceDetection);
+            });
         },
     },
     Row {
@@ -116,8 +118,8 @@
         occurrences: &[("heartbeats lost", 1), ("a direct start at a machine whose heartbeats are lost", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
-            })
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+            });
         },
     },
     Row {
@@ -126,8 +128,8 @@
         occurrences: &[("a new leader", 40)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::TaskCompletion)
-            })
+                controller.disable_check(DisabledCheck::TaskCompletion);
+            });
         },
     },
     Row {
@@ -139,7 +141,9 @@
             ("a repeat after the acceptance", 1),
         ],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::StoppingTasks))
+            injected_fault(simulation, |controller, _| {
+                controller.disable_check(DisabledCheck::StoppingTasks);
+            });
         },
     },
     Row {
@@ -148,8 +152,8 @@
         occurrences: &[("a machine lost with tasks bound to its zone", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::ZoneConstraint)
-            })
+                controller.disable_check(DisabledCheck::ZoneConstraint);
+            });
         },
     },
     Row {
@@ -158,8 +162,8 @@
         occurrences: &[("a zone cut off", 1), ("cancelled now", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
-            })
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+            });
         },
     },
     Row {
@@ -168,8 +172,8 @@
         occurrences: &[("copy for the next leader", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::HeartbeatOrder)
-            })
+                controller.disable_check(DisabledCheck::HeartbeatOrder);
+            });
         },
     },
 ];
--- a/crates/scheduler/src/simulation/days/kinds.rs
+++ b/crates/scheduler/src/simulation/days/kinds.rs
@@ -164,10 +164,10 @@
         let mut simulation = ordinary::pipelined_day(seed);
         simulation.injected_fault = Some(match check {
             DependencyCheck::Order => |controller: &mut Controller, _| {
-                controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Order))
+                controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Order));
             },
             DependencyCheck::Cancellation => |controller: &mut Controller, _| {
-                controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Cancellation))
+                controller.disable_check(DisabledCheck::JobGraph(DependencyCheck::Cancellation));
             },
         });
         simulation
@@ -177,12 +177,12 @@
     vec![
         DayKind::with_fault_injected("forget-silent", |simulation| {
             simulation.injected_fault = Some(|controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 })
-            })
+                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+            });
         }),
         DayKind::with_fault_injected("done-early", |simulation| {
             simulation.injected_fault =
-                Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion))
+                Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion));
         }),
         DayKind::with_fault_injected("lazy-cloud", |simulation| simulation.cloud.lazy = true),
         DayKind::with_fault_injected("careless-state", |simulation| simulation.state.careless = true),
@@ -209,10 +209,10 @@
         |controller, _| controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
     let with_longer_margin: fn(&mut Controller, u64) = |controller, _| {
         controller
-            .disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Margin(Duration::from_millis(15_000))))
+            .disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Margin(Duration::from_millis(15_000))));
     };
     let without_unacknowledged: fn(&mut Controller, u64) = |controller, _| {
-        controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts))
+        controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts));
     };
     vec![
         DayKind::isolated_leader("gap", 3_000, isolated_leader_day, None),
--- a/crates/scheduler/src/simulation/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/isolated_leader.rs
@@ -18,7 +18,7 @@
     let next = AtomicU64::new(seeds.start);
     let wrong = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..std::thread::available_parallelism().map_or(1, |n| n.get()) {
+        for _ in 0..std::thread::available_parallelism().map_or(1, std::num::NonZero::get) {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
