--- a/crates/scheduler/src/simulation/bad_records.rs
+++ b/crates/scheduler/src/simulation/bad_records.rs
@@ -14,18 +14,18 @@
 
 #[test]
 fn a_job_whose_record_cannot_be_read_is_never_called_unknown_and_goes_on_once_it_can() {
-    for (n, bad) in BAD.iter().enumerate() {
-        let seed = 9_200 + n as u64;
+    for (number, bad) in BAD.iter().enumerate() {
+        let seed = 9_200 + number as u64;
         let simulation = run(seed, unreadable_job_record(seed, bad));
         assert_eq!(simulation.rules.terminal_status("req-000000"), Some("done"), "{bad}");
     }
 }
 
-/// Tasks on a machine whose record can't be read were unknown to the next leader, and were started elsewhere.
+/// Tasks on answer machine whose record can't be read were unknown to the next leader, and were started elsewhere.
 #[test]
 fn nothing_starts_until_a_machine_whose_record_cannot_be_read_is_gone() {
-    for (n, bad) in BAD.iter().enumerate() {
-        let seed = 9_220 + n as u64;
+    for (number, bad) in BAD.iter().enumerate() {
+        let seed = 9_220 + number as u64;
         run(seed, unreadable_machine_records(seed, bad));
     }
 }
@@ -35,22 +35,25 @@
 fn impossible_job_records_take_no_node_down() {
     let simulation = impossible_job_records(9_240);
     assert!(
-        simulation.answers.iter().all(|a| a.status == 503) && simulation.answers.len() == 4,
+        simulation.answers.iter().all(|answer| answer.status == 503) && simulation.answers.len() == 4,
         "{:?}",
         simulation.answers
     );
     run(9_240, simulation);
 }
 
-/// What comes from no peer, or under a leader's name from one that does not lead, changes nothing and is counted.
+/// What comes from no peer, or under answer leader's name from one that does not lead, changes nothing and is counted.
 #[test]
 fn messages_of_unknown_senders_are_dropped_and_counted() {
     let mut simulation = day(9_250, |_| {});
     simulation.run_until(10_000);
     let leader = simulation.leader().expect("somebody leads");
-    for (n, from) in ["n9", "", "stranger"].into_iter().enumerate() {
+    for (number, from) in ["n9", "", "stranger"].into_iter().enumerate() {
         let message = PeerMessage::StatusSnapshot {
-            position: BroadcastPosition { fencing_token: FencingToken(u64::MAX - n as u64), sequence: 1 },
+            position: BroadcastPosition {
+                fencing_token: FencingToken(u64::MAX - number as u64),
+                sequence: 1,
+            },
             jobs: Vec::new(),
             success_counts: Default::default(),
         };
@@ -70,7 +73,7 @@
     run(9_250, simulation);
 }
 
-/// The same task twice in a heartbeat, one of a job nobody submitted, names that are none: stopped or ignored, and
+/// The same task twice in answer heartbeat, one of answer job nobody submitted, names that are none: stopped or ignored, and
 /// nothing else moves.
 #[test]
 fn heartbeats_that_contradict_themselves_prove_nothing() {
--- a/crates/scheduler/src/simulation/combined_faults.rs
+++ b/crates/scheduler/src/simulation/combined_faults.rs
@@ -12,18 +12,18 @@
 use crate::node::{Controller, DisabledCheck, Method};
 use serde_json::json;
 
-/// How long questions about a job may go without an answer once all faults have ended, in milliseconds.
+/// How long questions about answer job may go without an answer once all faults have ended, in milliseconds.
 const UNANSWERED_MS: u64 = 75_000;
 
 /// A job that was accepted and has no record, or of which questions go unanswered.
 pub(super) fn forgotten_job(simulation: &Simulation) -> Option<String> {
-    let accepted = simulation.users.iter().filter(|u| simulation.rules.accepted(&u.id));
-    let mut wrong = accepted.filter_map(|u| {
-        let silent = DAY_ENDS.saturating_sub(u.answered_at.max(TROUBLE_ENDS));
-        if simulation.state.key(&format!("j/{}", u.id)).is_none() {
-            return Some(format!("{} was accepted and has no record", u.id));
+    let accepted = simulation.users.iter().filter(|user| simulation.rules.accepted(&user.id));
+    let mut wrong = accepted.filter_map(|user| {
+        let silent = DAY_ENDS.saturating_sub(user.answered_at.max(TROUBLE_ENDS));
+        if simulation.state.key(&format!("j/{}", user.id)).is_none() {
+            return Some(format!("{} was accepted and has no record", user.id));
         }
-        (silent > UNANSWERED_MS).then(|| format!("{}: no question answered for {silent} ms", u.id))
+        (silent > UNANSWERED_MS).then(|| format!("{}: no question answered for {silent} ms", user.id))
     });
     wrong.next()
 }
@@ -44,7 +44,7 @@
     assert!(wrong.is_empty(), "{} broken:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// Checks of the controllers disabled, and a key-value store that ignores conditions, in the same days.
+/// Checks of the controllers disabled, and answer key-value store that ignores conditions, in the same days.
 #[test]
 fn the_rules_notice_injected_faults_on_days_of_combined_faults() {
     fn expire_leases_early(controller: &mut Controller, _: u64) {
@@ -75,7 +75,7 @@
     );
 }
 
-/// A heartbeat that names a fencing token, a serial number or an attempt which nobody can have given changes nothing for the others.
+/// A heartbeat that names answer fencing token, answer serial number or an attempt which nobody can have given changes nothing for the others.
 #[test]
 fn impossible_numbers_in_a_heartbeat_are_refused_and_move_no_fencing_token() {
     let mut simulation = day(4_990, |_| {});
@@ -94,8 +94,8 @@
         simulation.run_until(simulation.now + 1_000);
         assert_eq!(simulation.leader(), Some(leader), "fencing token {fencing_token}");
     }
-    let refused = simulation.answers.iter().filter(|a| a.tag < 2);
-    assert!(refused.clone().count() == 2 * NODES && refused.clone().all(|a| a.status == 400));
+    let refused = simulation.answers.iter().filter(|answer| answer.tag < 2);
+    assert!(refused.clone().count() == 2 * NODES && refused.clone().all(|answer| answer.status == 400));
     let simulation = run(4_990, simulation);
     assert!(forgotten_job(&simulation).is_none());
 }
--- a/crates/scheduler/src/simulation/days/bad_records.rs
+++ b/crates/scheduler/src/simulation/days/bad_records.rs
@@ -50,14 +50,14 @@
 pub fn unreadable_machine_records(seed: u64, bad: &str) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.keeps_images = true;
-    for k in 0..6 {
-        let mut body = job(k, "array", 2);
+    for repetition in 0..6 {
+        let mut body = job(repetition, "array", 2);
         body["expected_s"] = 25.0.into();
         simulation.add_user(1_000, body, None);
     }
     // These leave free resources behind.
-    for k in 10..14 {
-        let mut body = job(k, "array", 2);
+    for repetition in 10..14 {
+        let mut body = job(repetition, "array", 2);
         body["expected_s"] = 2.0.into();
         simulation.add_user(1_100, body, None);
     }
@@ -69,7 +69,7 @@
     simulation
         .workers
         .iter_mut()
-        .filter(|m| keys.iter().take(2).any(|k| k.ends_with(m.id.as_str())))
+        .filter(|m| keys.iter().take(2).any(|repetition| repetition.ends_with(m.id.as_str())))
         .for_each(|m| {
             m.heartbeats_lost_until = 40_000;
         });
@@ -84,7 +84,7 @@
     simulation.run_until(10_000);
     let good: Value =
         serde_json::from_str(simulation.state.key("j/req-000050").expect("accepted")).expect("whole");
-    for (n, (path, value)) in [
+    for (number, (path, value)) in [
         ("/open/spec/tasks", json!(4_000_000_000_u32)),
         ("/open/spec/tasks", json!(0)),
         ("/open/spec/room/cpus", json!(-5.0)),
@@ -95,12 +95,12 @@
     {
         let mut record = good.clone();
         *record.pointer_mut(path).unwrap_or_else(|| panic!("{path} in {good}")) = value;
-        simulation.state.overwrite(&format!("j/req-00070{n}"), &record.to_string());
+        simulation.state.overwrite(&format!("j/req-00070{number}"), &record.to_string());
     }
     crash_all_nodes(&mut simulation, 10_100);
     simulation.run_until(16_000);
-    for n in 0..4 {
-        assert!(simulation.ask(0, n, Method::Get, &format!("/submissions/req-00070{n}"), ""));
+    for number in 0..4 {
+        assert!(simulation.ask(0, number, Method::Get, &format!("/submissions/req-00070{number}"), ""));
     }
     simulation.run_until(18_000);
     simulation
--- a/crates/scheduler/src/simulation/days/directed/scenarios.rs
+++ b/crates/scheduler/src/simulation/days/directed/scenarios.rs
@@ -86,8 +86,8 @@
         simulation.add_user(when, body, None);
     }
     simulation.keeps_images = true;
-    for k in 0..3 {
-        let ms = 25_000 + 20_000 * k;
+    for repetition in 0..3 {
+        let ms = 25_000 + 20_000 * repetition;
         schedule_fault(&mut simulation, ms, Fault::CancelNow(5, 13_000));
         (0..3).for_each(|_| schedule_fault(&mut simulation, ms - 200, Fault::CommandsLost(12_000)));
         let ends = ms + simulation.rng_ms(0, 4_000);
@@ -201,7 +201,9 @@
     schedule_fault(&mut simulation, 20_000, Fault::AllHeartbeatsLost(25_000));
     schedule_fault(&mut simulation, 22_000, Fault::Leader(LeaderFault::Ends, 0));
     schedule_fault(&mut simulation, 26_000, Fault::CancelNow(6, 10_000));
-    (0..5).for_each(|k| schedule_fault(&mut simulation, 52_000 + 10 * k, Fault::HeartbeatsLost(30_000)));
+    (0..5).for_each(|repetition| {
+        schedule_fault(&mut simulation, 52_000 + 10 * repetition, Fault::HeartbeatsLost(30_000));
+    });
     schedule_fault(&mut simulation, 60_000, Fault::Leader(LeaderFault::Ends, 0));
     simulation
 }
@@ -256,12 +258,13 @@
         simulation.add_user(when, body, None);
     }
     leaders_end(&mut simulation, seed, 25_000, 70_000, 25_000);
-    for k in 0..9 {
-        let ms = 12_000 + 6_000 * k;
+    for repetition in 0..9 {
+        let ms = 12_000 + 6_000 * repetition;
         schedule_fault(
             &mut simulation,
             ms,
-            [Fault::MachineDies, Fault::MachineHangs(20_000), Fault::SpotNotice][k as usize % 3].clone(),
+            [Fault::MachineDies, Fault::MachineHangs(20_000), Fault::SpotNotice][repetition as usize % 3]
+                .clone(),
         );
     }
     simulation
@@ -311,12 +314,12 @@
         machines_fail(simulation, 3);
     });
     simulation.keeps_images = true;
-    for k in 0..12 {
+    for repetition in 0..12 {
         let index = simulation.rng.random_range(0..NODES);
         let machine = Host::Machine(simulation.rng.random_range(0..10));
         let node = Host::Node(index);
-        let peer = Host::Node((index + 1 + k % 2) % NODES);
-        let (a, b) = match k % 3 {
+        let peer = Host::Node((index + 1 + repetition % 2) % NODES);
+        let (a, b) = match repetition % 3 {
             0 => (node, peer),
             1 => (node, machine),
             _ => (machine, node),
--- a/crates/scheduler/src/simulation/days/ordinary.rs
+++ b/crates/scheduler/src/simulation/days/ordinary.rs
@@ -9,13 +9,13 @@
 /// A day with jobs of all shapes; `faults` adds its faults.
 pub fn day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Simulation {
     let mut simulation = Simulation::new(seed);
-    for n in 0..14 {
-        let job_type = ["array", "ensemble", "daemon"][n % 3];
+    for number in 0..14 {
+        let job_type = ["array", "ensemble", "daemon"][number % 3];
         let tasks = simulation.rng.random_range(1..5);
-        let mut body = job(n, job_type, tasks);
-        body["together"] = (n % 4 == 1).into();
-        body["spread"] = (n % 5 == 2 && n % 4 != 1).into();
-        body["preemptible"] = (n % 2 == 0).into();
+        let mut body = job(number, job_type, tasks);
+        body["together"] = (number % 4 == 1).into();
+        body["spread"] = (number % 5 == 2 && number % 4 != 1).into();
+        body["preemptible"] = (number % 2 == 0).into();
         body["expected_s"] = simulation.rng.random_range(2.0..15.0).into();
         let at = simulation.rng_ms(500, 50_000);
         let is_cancelled = simulation.rng.random_bool(0.35);
@@ -60,10 +60,13 @@
 /// Machines of a zone that are up and run a replica.
 fn at_work(simulation: &Simulation, zone: usize) -> Vec<usize> {
     let name = format!("z{zone}");
-    let is_service = |job: &str| simulation.users.iter().any(|u| u.id == job && u.body["shape"] == "daemon");
+    let is_service =
+        |job: &str| simulation.users.iter().any(|user| user.id == job && user.body["shape"] == "daemon");
     let works = |machine: &usize| {
         let worker = &simulation.workers[*machine];
-        worker.up && worker.zone == name && worker.tasks.iter().any(|t| t.present() && is_service(t.job()))
+        worker.up
+            && worker.zone == name
+            && worker.tasks.iter().any(|task| task.present() && is_service(task.job()))
     };
     (0..simulation.workers.len()).filter(works).collect()
 }
@@ -77,9 +80,9 @@
 ) -> (Simulation, usize) {
     let mut simulation = Simulation::of(seed, NODES, 40);
     simulation.injected_fault = injected_fault;
-    for n in 0..16 {
-        let mut body = job(n, ["daemon", "array"][n % 2], 4);
-        body["spread"] = (n % 2 == 0).into();
+    for number in 0..16 {
+        let mut body = job(number, ["daemon", "array"][number % 2], 4);
+        body["spread"] = (number % 2 == 0).into();
         body["preemptible"] = false.into();
         body["expected_s"] = 8.0.into();
         let at = simulation.rng_ms(500, 20_000);
@@ -87,7 +90,7 @@
     }
     simulation.run_until(30_000);
     // The first zone from the seed's on in which something runs.
-    let mut zones = (0..NODES).map(|k| (seed as usize + k) % NODES);
+    let mut zones = (0..NODES).map(|repetition| (seed as usize + repetition) % NODES);
     let zone = zones.find(|zone| !at_work(&simulation, *zone).is_empty()).expect("something runs");
     partition_zone(&mut simulation, zone, true, seed.is_multiple_of(2));
     simulation.run_until(31_000);
@@ -101,7 +104,7 @@
     }
     // Five machines hang, on the other side.
     let mut others: Vec<usize> =
-        (0..NODES).filter(|z| *z != zone).flat_map(|z| at_work(&simulation, z)).collect();
+        (0..NODES).filter(|other| *other != zone).flat_map(|other| at_work(&simulation, other)).collect();
     others.truncate(5);
     others.iter().for_each(|m| simulation.workers[*m].hung_until = 60_000);
     simulation.run_until(85_000);
@@ -121,30 +124,30 @@
 /// Pipelines of all forms: arrays, a gang between them, fan-out and fan-in, on earlier jobs, the last
 /// stage late, and some cancelled on the way.
 pub fn pipelines(simulation: &mut Simulation, from: u64, to: u64) {
-    for p in 0..6 {
-        let first = 100 + 10 * p;
-        let id = |n: usize| format!("req-{:06}", first + n);
+    for pipeline in 0..6 {
+        let first = 100 + 10 * pipeline;
+        let id = |number: usize| format!("req-{:06}", first + number);
         let at = simulation.rng_ms(from, to);
         let cancellation = simulation.rng.random_bool(0.4).then(|| Cancellation {
             stage: simulation.rng.random_range(0..5),
             at: at + simulation.rng_ms(500, 40_000),
         });
         // An ordinary job of the day, which may be of another team, done or cancelled by then.
-        let earlier = format!("req-{:06}", [0, 1, 3, 4][p % 4]);
+        let earlier = format!("req-{:06}", [0, 1, 3, 4][pipeline % 4]);
         let needs = [vec![earlier], vec![id(0)], vec![id(0)], vec![id(1), id(2)], vec![id(0), id(3), id(3)]];
-        for (n, needs) in needs.into_iter().enumerate() {
-            let job_type = if n == 3 { "ensemble" } else { "array" };
-            let tasks = simulation.rng.random_range(1..if n == 1 { 12 } else { 4 });
-            let mut body = job(first + n, job_type, tasks);
+        for (number, needs) in needs.into_iter().enumerate() {
+            let job_type = if number == 3 { "ensemble" } else { "array" };
+            let tasks = simulation.rng.random_range(1..if number == 1 { 12 } else { 4 });
+            let mut body = job(first + number, job_type, tasks);
             body["accelerators"] = 0.0.into();
             body["vcpus"] = 1.0.into();
             body["memory_gb"] = 0.5.into();
-            body["urgency"] = if n == 4 { "urgent" } else { "idle" }.into();
+            body["urgency"] = if number == 4 { "urgent" } else { "idle" }.into();
             body["expected_s"] = simulation.rng.random_range(1.0..6.0).into();
             body["awaits"] = serde_json::json!(needs);
-            let cancel_at = cancellation.filter(|it| it.stage == n).map(|it| it.at);
-            simulation.add_user(at + n as u64, body, cancel_at);
-            if let Some(user) = simulation.users.last_mut().filter(|_| n == 4 && p % 3 == 0) {
+            let cancel_at = cancellation.filter(|it| it.stage == number).map(|it| it.at);
+            simulation.add_user(at + number as u64, body, cancel_at);
+            if let Some(user) = simulation.users.last_mut().filter(|_| number == 4 && pipeline % 3 == 0) {
                 user.submits = Submits::OnceFinished;
             }
         }
@@ -203,8 +206,8 @@
 pub fn cancellations(seed: u64) -> Simulation {
     day(seed, |simulation| {
         troubles(simulation);
-        for n in 20..40 {
-            let mut body = job(n, "array", 1);
+        for number in 20..40 {
+            let mut body = job(number, "array", 1);
             body["expected_s"] = 3.0.into();
             let at = simulation.rng_ms(500, 60_000);
             let cancel_at = at + simulation.rng_ms(4_000, 14_000);
@@ -226,14 +229,14 @@
 pub fn day_of_a_refused_leader(seed: u64) -> Simulation {
     let mut simulation = day(seed, |_| {});
     simulation.run_until(20_000);
-    let leads = |simulation: &Simulation, i: usize| {
+    let leads = |simulation: &Simulation, node: usize| {
         let at = MonotonicTime::from_millis(1_000_000 + simulation.now);
-        simulation.nodes[i].controller.as_ref().is_some_and(|c| c.holds_lease(at))
+        simulation.nodes[node].controller.as_ref().is_some_and(|controller| controller.holds_lease(at))
     };
-    let old = (0..NODES).find(|i| leads(&simulation, *i)).expect("somebody leads");
+    let old = (0..NODES).find(|node| leads(&simulation, *node)).expect("somebody leads");
     schedule_fault(&mut simulation, 20_001, Fault::StoreRefuses(old, true));
     simulation.run_until(30_000);
-    assert!((0..NODES).any(|i| i != old && leads(&simulation, i)), "seed {seed}: nobody took over");
+    assert!((0..NODES).any(|node| node != old && leads(&simulation, node)), "seed {seed}: nobody took over");
     schedule_fault(&mut simulation, 60_000, Fault::StoreRefuses(old, false));
     simulation
 }
@@ -252,11 +255,11 @@
 pub fn day_of_a_large_fleet(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, 5, 300);
     simulation.cloud.generous = 50;
-    for n in 0..60 {
-        let job_type = ["array", "ensemble", "daemon"][n % 3];
+    for number in 0..60 {
+        let job_type = ["array", "ensemble", "daemon"][number % 3];
         let tasks = simulation.rng.random_range(2..if job_type == "array" { 24 } else { 9 });
-        let mut body = job(n, job_type, tasks);
-        body["together"] = (n % 2 == 1 && job_type == "ensemble").into();
+        let mut body = job(number, job_type, tasks);
+        body["together"] = (number % 2 == 1 && job_type == "ensemble").into();
         body["spread"] = (job_type == "daemon").into();
         body["expected_s"] = simulation.rng.random_range(4.0..20.0).into();
         let at = simulation.rng_ms(500, 15_000);
--- a/crates/scheduler/src/simulation/fields.rs
+++ b/crates/scheduler/src/simulation/fields.rs
@@ -1,4 +1,4 @@
-//! What a submission may hold, field by field, at every node; also at one that has just started and at a repeat.
+//! What answer submission may hold, field by field, at every node; also at one that has just started and at answer repeat.
 
 #![cfg(test)]
 
@@ -14,24 +14,24 @@
     let mut simulation = Simulation::new(9_100);
     simulation.run_until(5_000);
     for RefusedSubmission { body, status } in refused() {
-        for i in 0..NODES {
-            let announced = submit(&mut simulation, i, &body);
-            assert_eq!(announced, status, "node {i}: {body:.400}");
+        for node in 0..NODES {
+            let announced = submit(&mut simulation, node, &body);
+            assert_eq!(announced, status, "node {node}: {body:.400}");
         }
     }
     assert!(simulation.state.key("j/req-000001").is_none());
     // One that fits the limits exactly, and what may be null or left out.
-    let mut n = 10;
-    for i in 0..NODES {
-        let mut body = job(n, "ensemble", 12);
+    let mut number = 10;
+    for node in 0..NODES {
+        let mut body = job(number, "ensemble", 12);
         body["owner"] = "red".into();
-        assert_eq!(submit(&mut simulation, i, &body.to_string()), 201, "{body}");
-        let mut bare = job(n + 1, "array", 1);
+        assert_eq!(submit(&mut simulation, node, &body.to_string()), 201, "{body}");
+        let mut bare = job(number + 1, "array", 1);
         for field in MAY_BE_NULL {
             bare.as_object_mut().expect("an object").remove(field);
         }
-        assert_eq!(submit(&mut simulation, i, &bare.to_string()), 201, "{bare}");
-        n += 2;
+        assert_eq!(submit(&mut simulation, node, &bare.to_string()), 201, "{bare}");
+        number += 2;
     }
 }
 
@@ -46,8 +46,8 @@
         if serde_json::from_str::<Value>(&body).is_err() {
             continue; // without JSON there is no id
         }
-        for i in 0..NODES {
-            assert_eq!(submit(&mut simulation, i, &body), 200, "node {i}: {body:.400}");
+        for node in 0..NODES {
+            assert_eq!(submit(&mut simulation, node, &body), 200, "node {node}: {body:.400}");
         }
     }
 }
@@ -58,12 +58,12 @@
 fn a_node_without_the_machine_types_accepts_nothing() {
     let mut simulation = Simulation::new(9_102);
     restart_without_machine_types(&mut simulation);
-    for i in 0..NODES {
-        assert_eq!(submit(&mut simulation, i, &job(1, "array", 2).to_string()), 503);
+    for node in 0..NODES {
+        assert_eq!(submit(&mut simulation, node, &job(1, "array", 2).to_string()), 503);
         for RefusedSubmission { body, status } in refused() {
-            let announced = submit(&mut simulation, i, &body);
+            let announced = submit(&mut simulation, node, &body);
             let undecided = status == 422 && announced == 503;
-            assert!(announced == status || undecided, "node {i}: {announced} for {body:.300}");
+            assert!(announced == status || undecided, "node {node}: {announced} for {body:.300}");
         }
     }
     assert!(simulation.state.key("j/req-000001").is_none());
@@ -78,21 +78,28 @@
     simulation.add_user(2_000, job(1, "array", 1), None);
     simulation.run_until(30_000);
     assert_eq!(simulation.rules.terminal_status("req-000001"), Some("done"));
-    for i in 0..NODES {
+    for node in 0..NODES {
         for path in [
             "/submissions/req-777",
             "/submissions/job-1",
             "/submissions/req-1%2f2",
             "/submissions/req-000001x",
         ] {
-            assert_eq!(ask(&mut simulation, i, Method::Get, path, ""), 404, "{path}");
-            assert_eq!(ask(&mut simulation, i, Method::Post, &format!("{path}/withdraw"), ""), 404, "{path}");
+            assert_eq!(ask(&mut simulation, node, Method::Get, path, ""), 404, "{path}");
+            assert_eq!(
+                ask(&mut simulation, node, Method::Post, &format!("{path}/withdraw"), ""),
+                404,
+                "{path}"
+            );
         }
         for (method, path) in
             [(Method::Post, "/submissions/req-000001/withdraw"), (Method::Get, "/submissions/req-000001")]
         {
-            assert_eq!(ask(&mut simulation, i, method, path, ""), 200);
-            assert!(simulation.answers.last().is_some_and(|a| a.body.contains("\"done\"")), "{path}");
+            assert_eq!(ask(&mut simulation, node, method, path, ""), 200);
+            assert!(
+                simulation.answers.last().is_some_and(|answer| answer.body.contains("\"done\"")),
+                "{path}"
+            );
         }
     }
 }
--- a/crates/scheduler/src/simulation/recovery.rs
+++ b/crates/scheduler/src/simulation/recovery.rs
@@ -13,10 +13,10 @@
     // A return that a heartbeat on its way proves wrong.
     assert!(simulation.needless.is_empty(), "seed {seed}: needless: {:?}", simulation.needless);
     for class in ["c-array", "c-ensemble", "c-daemon"] {
-        served(seed, simulation, class, |u| u.body["job_class"] == class);
+        served(seed, simulation, class, |user| user.body["job_class"] == class);
     }
     for team in ["red", "blue"] {
-        served(seed, simulation, team, |u| u.body["owner"] == team);
+        served(seed, simulation, team, |user| user.body["owner"] == team);
     }
 }
 
@@ -25,7 +25,7 @@
     let all: Vec<&super::User> = simulation
         .users
         .iter()
-        .filter(|u| of(u) && u.cancel_at.is_none() && simulation.rules.accepted(&u.id))
+        .filter(|user| of(user) && user.cancel_at.is_none() && simulation.rules.accepted(&user.id))
         .collect();
     let is_served = |user: &super::User| {
         if user.body["shape"] != "daemon" {
@@ -97,8 +97,8 @@
             let id = m.id.to_string();
             m.tasks
                 .iter()
-                .filter(|t| t.present())
-                .map(move |t| (t.name.clone(), id.clone()))
+                .filter(|task| task.present())
+                .map(move |task| (task.name.clone(), id.clone()))
                 .collect::<Vec<_>>()
         };
         let mut all: Vec<_> = simulation.workers.iter().flat_map(of).collect();
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -21,7 +21,7 @@
     assert!(simulation.rules.broken.is_empty(), "seed {seed}: {:?}", simulation.rules.broken);
     assert!(simulation.rules.started > 0, "seed {seed}: nothing ran");
     // Printed when the assertion below fails.
-    for node in simulation.nodes.iter().filter_map(|n| n.controller.as_ref()) {
+    for node in simulation.nodes.iter().filter_map(|node| node.controller.as_ref()) {
         println!("seed {seed}: waiting: {}\n{}", node.waiting_report(), node.metrics());
     }
     let wrong = judged(&simulation);
@@ -34,25 +34,25 @@
     let open: Vec<&str> = simulation
         .users
         .iter()
-        .filter(|u| u.body["shape"] != "daemon" && simulation.rules.accepted(&u.id))
-        .filter(|u| simulation.rules.terminal_status(&u.id).is_none())
-        .map(|u| u.id.as_str())
+        .filter(|user| user.body["shape"] != "daemon" && simulation.rules.accepted(&user.id))
+        .filter(|user| simulation.rules.terminal_status(&user.id).is_none())
+        .map(|user| user.id.as_str())
         .collect();
     if !open.is_empty() {
         return Some(format!("not done long after the last fault: {open:?}"));
     }
     let services =
-        simulation.users.iter().filter(|u| u.body["shape"] == "daemon" && u.stage == Stage::Polling);
-    let mut lacking = services.filter(|u| {
+        simulation.users.iter().filter(|user| user.body["shape"] == "daemon" && user.stage == Stage::Polling);
+    let mut lacking = services.filter(|user| {
         let up = simulation
             .workers
             .iter()
             .flat_map(|worker| &worker.tasks)
-            .filter(|t| t.job() == u.id && t.present())
+            .filter(|task| task.job() == user.id && task.present())
             .count();
-        up as u64 != u.body["shards"].as_u64().unwrap_or(0)
+        up as u64 != user.body["shards"].as_u64().unwrap_or(0)
     });
-    lacking.next().map(|u| format!("{} lacks replicas", u.id))
+    lacking.next().map(|user| format!("{} lacks replicas", user.id))
 }
 
 #[test]
@@ -60,14 +60,18 @@
     for seed in 0..6 {
         let simulation = run(seed, day(seed, |_| {}));
         // A job whose record the watch saw before its commit was answered was not counted: every second one.
-        let metrics: String =
-            simulation.nodes.iter().filter_map(|n| n.controller.as_ref()).map(Controller::metrics).collect();
-        let counts = metrics.lines().filter(|l| l.starts_with("pearford_jobs_done{"));
-        let counted: usize = counts.filter_map(|l| l.rsplit(' ').next()?.parse::<usize>().ok()).sum();
+        let metrics: String = simulation
+            .nodes
+            .iter()
+            .filter_map(|node| node.controller.as_ref())
+            .map(Controller::metrics)
+            .collect();
+        let counts = metrics.lines().filter(|line| line.starts_with("pearford_jobs_done{"));
+        let counted: usize = counts.filter_map(|line| line.rsplit(' ').next()?.parse::<usize>().ok()).sum();
         let done = simulation
             .users
             .iter()
-            .filter(|u| simulation.rules.terminal_status(&u.id) == Some("done"))
+            .filter(|user| simulation.rules.terminal_status(&user.id) == Some("done"))
             .count();
         assert_eq!(counted, done, "seed {seed}");
     }
@@ -128,7 +132,7 @@
     let mut simulation = Simulation::new(7);
     for second in 10..30 {
         simulation.run_until(second * 1000);
-        for i in 0..NODES {
+        for node in 0..NODES {
             let now = Now {
                 steady: MonotonicTime::from_millis(1_000_000 + simulation.now),
                 wall_time: WallTime(simulation.now),
@@ -140,12 +144,12 @@
                 path: "/up".into(),
                 body: Vec::new(),
             };
-            let Some(controller) = &mut simulation.nodes[i].controller else { continue };
+            let Some(controller) = &mut simulation.nodes[node].controller else { continue };
             let fit = controller
                 .step(now, request)
                 .iter()
                 .any(|effect| matches!(effect, Effect::Answer { status: 200, .. }));
-            assert!(fit, "node {i} calls itself unfit at {second} s");
+            assert!(fit, "node {node} calls itself unfit at {second} s");
         }
     }
 }
@@ -244,9 +248,10 @@
     assert!(up > 100, "{up} machines");
     simulation.run_until(110_000);
     assert!(simulation.rules.broken.is_empty(), "{:?}", simulation.rules.broken);
-    let open =
-        |u: &&super::User| u.body["shape"] != "daemon" && simulation.rules.terminal_status(&u.id).is_none();
-    let open: Vec<&str> = simulation.users.iter().filter(open).map(|u| u.id.as_str()).collect();
+    let open = |user: &&super::User| {
+        user.body["shape"] != "daemon" && simulation.rules.terminal_status(&user.id).is_none()
+    };
+    let open: Vec<&str> = simulation.users.iter().filter(open).map(|user| user.id.as_str()).collect();
     assert!(open.is_empty(), "not done: {open:?}");
 }
 
@@ -265,8 +270,8 @@
     simulation.add_user(2_000, job(1, "daemon", 1), None);
     simulation.add_user(2_000, job(3, "array", 1), Some(4_000));
     simulation.run_until(9_000);
-    let mut submit = |n: usize, awaits: serde_json::Value| {
-        let mut body = job(n, "array", 1);
+    let mut submit = |number: usize, awaits: serde_json::Value| {
+        let mut body = job(number, "array", 1);
         body["awaits"] = awaits;
         let at = simulation.now;
         simulation.add_user(at, body, None);
@@ -275,7 +280,7 @@
         simulation.users.last().expect("just added").announced.clone()
     };
     let list = |names: &[&str]| serde_json::json!(names);
-    let many: Vec<String> = (0..2000).map(|n| format!("req-{n:06}")).collect();
+    let many: Vec<String> = (0..2000).map(|number| format!("req-{number:06}")).collect();
     for (awaits, status, says) in [
         (list(&["req-000777"]), 422, "req-000777"),
         (list(&["req-000000", "req-000001"]), 422, "`req-000001` is a service"),
@@ -361,7 +366,9 @@
         (300..340).any(|seed| {
             let mut simulation = Simulation::new(seed);
             pipelines(&mut simulation, 2_000, 30_000);
-            (0..5).for_each(|n| simulation.add_user(500, job(n, "array", 3), (n == 0).then_some(4_000)));
+            (0..5).for_each(|number| {
+                simulation.add_user(500, job(number, "array", 3), (number == 0).then_some(4_000));
+            });
             simulation.injected_fault = Some(corrupt);
             simulation.run_until(DAY_ENDS);
             !simulation.rules.broken.is_empty()
--- a/crates/scheduler/src/simulation/waiting.rs
+++ b/crates/scheduler/src/simulation/waiting.rs
@@ -25,10 +25,12 @@
 impl Waiting {
     /// Takes note of the jobs that wait now; one that has waited for too long.
     pub(super) fn overdue_job(&mut self, simulation: &Simulation) -> Option<String> {
-        let fits = |u: &&User| {
-            u.stage != Stage::Finished && simulation.rules.accepted(&u.id) && simulation.could_start(u)
+        let fits = |user: &&User| {
+            user.stage != Stage::Finished
+                && simulation.rules.accepted(&user.id)
+                && simulation.could_start(user)
         };
-        let now: Vec<&str> = simulation.users.iter().filter(fits).map(|u| u.id.as_str()).collect();
+        let now: Vec<&str> = simulation.users.iter().filter(fits).map(|user| user.id.as_str()).collect();
         self.since.retain(|id, _| now.contains(&id.as_str()));
         for id in now {
             let since = *self.since.entry(id.to_string()).or_insert(simulation.now);
