--- a/crates/scheduler/src/assignments/commit_pipeline/tests.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline/tests.rs
@@ -54,7 +54,7 @@
         if keys.contains(&"m/b") {
             given_up.extend(pipeline.refused());
         } else {
-            written_keys.extend(keys.iter().map(|key| key.to_string()));
+            written_keys.extend(keys.iter().map(std::string::ToString::to_string));
             pipeline.committed(10);
         }
     }
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -51,7 +51,7 @@
     let hear_others =
         |leader: &mut Leader, heard: &BTreeMap<Zone, MonotonicTime>, at: MonotonicTime, serial: u64| {
             (4..9).for_each(|index| {
-                leader.process_heartbeat(&heartbeat(&format!("m-{index}"), "z1", serial), at)
+                leader.process_heartbeat(&heartbeat(&format!("m-{index}"), "z1", serial), at);
             });
             let silent = leader.machines.iter_mut().filter(|machine| machine.zone == "z0".into());
             silent.for_each(|machine| machine.unanswered = 9);
