--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,5 +1,7 @@
-//! pearford, a cluster scheduler: see `docs/design.md`.
+//! The scheduler as a state machine without I/O: [`node::Controller`] takes inputs and returns effects, which the program
+//! carries out. `docs/architecture.md` says where things are, `docs/design.md` why.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub use pearford_types as types;
 
@@ -19,6 +21,10 @@
 pub mod preemption;
 pub mod rate_limit;
 pub mod settings;
+#[allow(
+    missing_docs,
+    reason = "test code, whose events and faults are named by their variants; see docs/ROADMAP.md"
+)]
 #[cfg(any(test, feature = "simulation"))]
 pub mod simulation;
 pub mod wire;
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -14,7 +14,10 @@
 pub enum DisabledCheck {
     /// Tasks of a silent worker hold their resources until its lease has expired. Disabled, they are dropped after
     /// this silence, in ms.
-    LeaseExpiry { silence_ms: u64 },
+    LeaseExpiry {
+        /// The silence, in ms.
+        silence_ms: u64,
+    },
     /// A start that was sent directly may still arrive while it is unacknowledged.
     UnacknowledgedStarts,
     /// Isolation reports of nodes that are cut off keep their workers from being given up.
