--- a/crates/heartbeat/src/coordinator.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -178,7 +178,7 @@
     }
 
     /// The newest heartbeat of a machine.
-    pub fn known(&self, machine: &MachineId) -> Option<&KnownHeartbeat> {
+    pub fn known_heartbeat(&self, machine: &MachineId) -> Option<&KnownHeartbeat> {
         self.known.get(machine)
     }
 
@@ -195,7 +195,7 @@
 
     /// Another way than [`Self::route`], for a machine that did not answer that way: some responsive node, or
     /// `None` for directly from here.
-    pub fn detour(&self, machine: &MachineId, now: MonotonicTime) -> Option<&NodeName> {
+    pub fn alternative_route(&self, machine: &MachineId, now: MonotonicTime) -> Option<&NodeName> {
         if self.route(machine, now).is_some() {
             return None;
         }
--- a/crates/heartbeat/src/coordinator/tests.rs
+++ b/crates/heartbeat/src/coordinator/tests.rs
@@ -66,7 +66,7 @@
     let resent = digest(vec![full(3, "runs x")], vec![]);
     let received = coordinator.digest_received(&a, resent, at_ms(1_400));
     assert!(received[0].content_changed);
-    assert_eq!(coordinator.known(&"m".into()).expect("known").content, b"runs x");
+    assert_eq!(coordinator.known_heartbeat(&"m".into()).expect("known").content, b"runs x");
     let as_before = digest(vec![], vec![unchanged(4, "runs x")]);
     let received = coordinator.digest_received(&a, as_before.clone(), at_ms(1_500));
     assert!(!received[0].content_changed && received[0].position.serial == 4);
@@ -98,13 +98,13 @@
     coordinator.digest_received(&a, digest(vec![full(1, "x")], vec![]), at_ms(1_100));
     assert_eq!(coordinator.route(&machine, at_ms(1_200)), Some(&a));
     assert_eq!(coordinator.route(&machine, at_ms(4_000)), None, "a is silent");
-    assert_eq!(coordinator.detour(&machine, at_ms(1_200)), None, "directly, for once");
+    assert_eq!(coordinator.alternative_route(&machine, at_ms(1_200)), None, "directly, for once");
     coordinator.digest_received(&b, empty_digest(1), at_ms(4_000));
-    assert_eq!(coordinator.detour(&machine, at_ms(4_000)), Some(&b));
+    assert_eq!(coordinator.alternative_route(&machine, at_ms(4_000)), Some(&b));
     coordinator.digest_received(&b, empty_digest(1), at_ms(5_000));
-    assert_eq!(coordinator.detour(&machine, at_ms(5_000)), None, "b is heard, and hears nothing");
+    assert_eq!(coordinator.alternative_route(&machine, at_ms(5_000)), None, "b is heard, and hears nothing");
     coordinator.heartbeat_received_here(&machine, position(2), b"x".to_vec());
-    assert_eq!(coordinator.detour(&machine, at_ms(1_200)), Some(&a), "this node may have lost it");
+    assert_eq!(coordinator.alternative_route(&machine, at_ms(1_200)), Some(&a), "this node may have lost it");
     assert_eq!(coordinator.route(&machine, at_ms(1_200)), None);
     assert_eq!(coordinator.route(&"unheard".into(), at_ms(1_200)), None);
 }
--- a/crates/heartbeat/src/isolation.rs
+++ b/crates/heartbeat/src/isolation.rs
@@ -53,7 +53,13 @@
 
 impl IsolationReporter {
     /// This node has answered the heartbeat of a worker, whose lease now lasts for `lease`.
-    pub fn answered(&mut self, machine: &MachineId, zone: &Zone, lease: Duration, now: MonotonicTime) {
+    pub fn heartbeat_answered(
+        &mut self,
+        machine: &MachineId,
+        zone: &Zone,
+        lease: Duration,
+        now: MonotonicTime,
+    ) {
         self.answered.insert(machine.clone(), AnsweredWorker { zone: zone.clone(), answered_at: now });
         if now >= self.next_prune_at {
             self.next_prune_at = now + REPORT_INTERVAL;
@@ -111,7 +117,13 @@
 impl IsolationReports {
     /// Takes in a report as read from the key-value store at `revision`. A revision that was read before, or
     /// an older one, changes nothing: it does not become younger by being read again.
-    pub fn learn(&mut self, node: NodeName, revision: Revision, report: IsolationReport, now: MonotonicTime) {
+    pub fn update(
+        &mut self,
+        node: NodeName,
+        revision: Revision,
+        report: IsolationReport,
+        now: MonotonicTime,
+    ) {
         if self.0.get(&node).is_none_or(|known| known.revision < revision) {
             self.0.insert(node, StoredReport { revision, read_at: now, report });
         }
--- a/crates/heartbeat/src/lease_renewal.rs
+++ b/crates/heartbeat/src/lease_renewal.rs
@@ -64,15 +64,15 @@
     /// How old the read may be for leases to be renewed: `cancel_s` less the lease and a margin.
     pub answer_window: Duration,
     /// How old a leader's read may be for starts to leave.
-    pub fresh: Duration,
+    pub max_age_for_starts: Duration,
     /// A node whose read is as young has not lost the key-value store.
-    pub recent: Duration,
+    pub recent_age: Duration,
 }
 
 impl RenewalBounds {
     /// The service's bounds; `answer_window` follows from its settings.
     pub fn with_answer_window(answer_window: Duration) -> Self {
-        Self { answer_window, fresh: MAX_READ_AGE_FOR_STARTS, recent: RECENT_READ_AGE }
+        Self { answer_window, max_age_for_starts: MAX_READ_AGE_FOR_STARTS, recent_age: RECENT_READ_AGE }
     }
 }
 
@@ -134,13 +134,13 @@
 
     /// Whether this node's read has been too old for starts for at least `time`.
     pub fn is_stale_for(&self, time: Duration, now: MonotonicTime) -> bool {
-        self.last_read.is_none_or(|last_read| now.since(last_read) >= self.bounds.fresh + time)
+        self.last_read.is_none_or(|last_read| now.since(last_read) >= self.bounds.max_age_for_starts + time)
     }
 
     /// Whether this node's read is so young that it has not lost the key-value store: then whoever leads can
     /// still return a machine with an unacknowledged start.
     fn is_recent(&self, now: MonotonicTime) -> bool {
-        self.last_read.is_some_and(|last_read| now.since(last_read) < self.bounds.recent)
+        self.last_read.is_some_and(|last_read| now.since(last_read) < self.bounds.recent_age)
     }
 
     /// Whether leases may be renewed by what was known at `known_at`.
@@ -149,7 +149,7 @@
     }
 
     /// Whether this node may renew leases at all.
-    pub fn allows(&self, now: MonotonicTime) -> bool {
+    pub fn may_renew(&self, now: MonotonicTime) -> bool {
         match self.last_read {
             Some(last_read) => self.within_answer_window(last_read, now),
             None => !self.checks.performs(DisabledCheck::FirstRead),
@@ -160,7 +160,7 @@
     /// without the key-value store. `unacknowledged`: a start of its own may still arrive there.
     pub fn leader_may_renew(&self, unacknowledged: bool, now: MonotonicTime) -> bool {
         let start_may_arrive = unacknowledged && self.checks.performs(DisabledCheck::UnacknowledgedStarts);
-        self.allows(now) && (self.is_recent(now) || !start_may_arrive)
+        self.may_renew(now) && (self.is_recent(now) || !start_may_arrive)
     }
 
     /// Whether this node may renew a machine's lease in the name of the leader with `fencing_token`.
@@ -173,7 +173,7 @@
         leaders_announce: bool,
         now: MonotonicTime,
     ) -> bool {
-        if !self.allows(now) {
+        if !self.may_renew(now) {
             return false;
         }
         if !self.checks.performs(DisabledCheck::UnacknowledgedStarts) {
@@ -196,7 +196,7 @@
         announced: &AnnouncedStarts,
         now: MonotonicTime,
     ) -> bool {
-        let known_at = announced.received_at.before(self.bounds.fresh);
+        let known_at = announced.received_at.before(self.bounds.max_age_for_starts);
         let named = announced.machines.as_ref();
         named.is_some_and(|machines| !machines.contains(machine)) && self.within_answer_window(known_at, now)
     }
--- a/crates/heartbeat/src/lease_renewal/tests.rs
+++ b/crates/heartbeat/src/lease_renewal/tests.rs
@@ -14,10 +14,13 @@
 #[test]
 fn a_read_counts_from_when_it_was_begun_and_without_one_nothing_is_renewed() {
     let mut renewal = LeaseRenewal::new(RenewalBounds::with_answer_window(Duration::from_millis(26_000)));
-    assert!(!renewal.allows(at_ms(1_000)) && !renewal.leader_may_renew(false, at_ms(1_000)), "just started");
+    assert!(
+        !renewal.may_renew(at_ms(1_000)) && !renewal.leader_may_renew(false, at_ms(1_000)),
+        "just started"
+    );
     renewal.records_read(at_ms(2_000), at_ms(9_000));
     renewal.records_read(at_ms(1_000), at_ms(9_500));
-    assert!(renewal.allows(at_ms(27_999)) && !renewal.allows(at_ms(28_000)));
+    assert!(renewal.may_renew(at_ms(27_999)) && !renewal.may_renew(at_ms(28_000)));
 }
 
 /// A start was held up for longer than `cancel_s` and reached a worker epoch that other nodes had kept alive
--- a/crates/heartbeat/src/tests.rs
+++ b/crates/heartbeat/src/tests.rs
@@ -121,7 +121,8 @@
     fn deliver(mut self, k: usize) -> Step {
         let DigestInFlight { from, digest } = self.in_flight[k].clone();
         for received in self.coordinator.digest_received(&node(from), digest, self.now) {
-            let known = self.coordinator.known(&received.machine).ok_or("received and not known")?;
+            let known =
+                self.coordinator.known_heartbeat(&received.machine).ok_or("received and not known")?;
             let serial = received.position.serial;
             let reported = self.reported[serial as usize - 1];
             if known.content != [reported] {
--- a/crates/heartbeat/tests/outage_orders.rs
+++ b/crates/heartbeat/tests/outage_orders.rs
@@ -155,8 +155,8 @@
         let seconds = |seconds: u32| Duration::from_millis(u64::from(seconds) * 1_000);
         let mut renewal = LeaseRenewal::new(RenewalBounds {
             answer_window: seconds(ANSWER_WINDOW_S),
-            fresh: seconds(FRESH_S),
-            recent: seconds(RECENT_S),
+            max_age_for_starts: seconds(FRESH_S),
+            recent_age: seconds(RECENT_S),
         });
         if let Some(check) = self.disabled {
             renewal.disable(check);
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -9,7 +9,7 @@
 use crate::types::{Duration, FencingToken, MonotonicTime, NodeName, RequestId};
 use crate::wire::state::{Change, StoreRequest};
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
-use crate::workers::stop_finished;
+use crate::workers::stop_tasks_of_finished_jobs;
 use http::StatusCode;
 use pearford_heartbeat::{IncomingHeartbeat, OutgoingDigest, Routing};
 
@@ -89,7 +89,7 @@
     /// Remembers for isolation reports that this node's answer renews the worker's lease.
     fn note_lease_renewed(&mut self, heartbeat: &Heartbeat) {
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
-        self.isolation_reporter.answered(&heartbeat.machine, &heartbeat.zone, lease, self.now);
+        self.isolation_reporter.heartbeat_answered(&heartbeat.machine, &heartbeat.zone, lease, self.now);
     }
 
     /// Answers deferred heartbeats once there is a leader, and redirects those whose worker would soon give up.
@@ -150,7 +150,11 @@
         let mut commands = self.relay.take_queued(&heartbeat.machine, fencing_token);
         if self.lease_renewal.stops_finished_tasks() {
             let job_cache = &self.job_cache;
-            stop_finished(heartbeat, |job| job_cache.terminal_status(job).is_some(), &mut commands);
+            stop_tasks_of_finished_jobs(
+                heartbeat,
+                |job| job_cache.terminal_status(job).is_some(),
+                &mut commands,
+            );
         }
         commands
     }
--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -93,7 +93,7 @@
                 continue;
             }
             if !least.fits_in(&machine.free())
-                || !machine.open_for_tasks(now)
+                || !machine.is_schedulable(now)
                 || !machine.record_holds(record_bytes, record_limit)
             {
                 continue;
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -103,7 +103,7 @@
     /// Whether there are machines, and all of them have sent a heartbeat under this leadership.
     fn all_machines_heard(&self) -> bool {
         let mut up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).peekable();
-        up.peek().is_some() && up.all(Machine::has_been_heard)
+        up.peek().is_some() && up.all(Machine::has_reported)
     }
 
     /// Where starts of this leader may still arrive. `cancellations_unknown`: its own read of the
@@ -160,7 +160,7 @@
             return self.coordinator.forget(id);
         }
         if let Some(machine) = self.machines.get_mut(id)
-            && machine.has_been_heard()
+            && machine.has_reported()
             && machine.is_settled()
             && !heard.content_changed
         {
@@ -174,7 +174,7 @@
         }
         // A heartbeat is worth the same whoever has heard it: it carries the epoch, the serial and
         // the fencing token that the worker had seen.
-        let Some(known) = self.coordinator.known(id) else { return };
+        let Some(known) = self.coordinator.known_heartbeat(id) else { return };
         let Some(heartbeat) = Heartbeat::from_content(id, heard.position, &known.content) else {
             tracing::error!(machine = %id, node = %from, "a heartbeat heard by another node can't be read");
             return;
@@ -207,7 +207,7 @@
         if !queued.is_empty() && *from != self.settings.node {
             self.queued_commands.add(from, id, queued);
         }
-        if machine.has_starts() {
+        if machine.has_sendable_starts() {
             self.worker_calls.queue_commands(id.clone());
         }
         if direct_starts.is_empty() {
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -50,8 +50,8 @@
         if !self.loaded() {
             return;
         }
-        let unheard = self.machines.iter_mut().filter(|machine| !machine.has_been_heard());
-        unheard.for_each(|machine| machine.unanswered = MORE_UNANSWERED_THAN_ALLOWED);
+        let unheard = self.machines.iter_mut().filter(|machine| !machine.has_reported());
+        unheard.for_each(|machine| machine.unanswered_probes = MORE_UNANSWERED_THAN_ALLOWED);
         let workers = &self.settings.workers;
         self.heartbeat_collection = HeartbeatCollection::new(
             Duration::from_secs_f64(workers.report_s),
@@ -94,7 +94,7 @@
                 .values_mut()
                 .filter(|assignment| assignment.state == AssignmentState::Planned);
             planned.for_each(|assignment| assignment.state = AssignmentState::Ready);
-            if machine.has_starts() {
+            if machine.has_sendable_starts() {
                 self.worker_calls.queue_commands(machine.id.clone());
             }
         }
@@ -110,7 +110,7 @@
     pub(in crate::node) fn disable_silence_detection(&mut self, now: MonotonicTime) {
         for machine in self.machines.iter_mut().filter(|machine| machine.last_heartbeat.is_some()) {
             machine.last_heartbeat = Some(now);
-            machine.unanswered = 0;
+            machine.unanswered_probes = 0;
         }
     }
 
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -7,7 +7,9 @@
 use crate::types::{JobId, MachineId, MonotonicTime, RequestId, Resources, TaskId};
 use crate::wire::cloud::MachineType;
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
-use crate::workers::{GoneTask, HeartbeatOutcome, Machine, MachineStatus, TaskAttempt, stop_finished};
+use crate::workers::{
+    GoneTask, HeartbeatOutcome, Machine, MachineStatus, TaskAttempt, stop_tasks_of_finished_jobs,
+};
 use http::StatusCode;
 use pearford_recovery::RecordedState;
 
@@ -70,7 +72,7 @@
             }
         }
         if context.lease_renewal.stops_finished_tasks() {
-            stop_finished(heartbeat, is_finished, &mut commands);
+            stop_tasks_of_finished_jobs(heartbeat, is_finished, &mut commands);
         }
         commands
     }
@@ -165,7 +167,7 @@
 
     /// Applies what a machine's heartbeat has changed, or its loss.
     fn apply_heartbeat_outcome(&mut self, id: &MachineId, outcome: HeartbeatOutcome, now: MonotonicTime) {
-        for task in outcome.began {
+        for task in outcome.started {
             self.task_began(id, &task);
         }
         for task in outcome.fetched {
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -67,7 +67,7 @@
     /// Takes in a report that was read; gives the error of one that can't be parsed.
     fn learn(&mut self, node: &str, pair: &Pair, now: MonotonicTime) -> Result<(), serde_json::Error> {
         let report = serde_json::from_str::<IsolationReport>(&pair.value)?;
-        self.reports.learn(node.into(), pair.revision, report, now);
+        self.reports.update(node.into(), pair.revision, report, now);
         Ok(())
     }
 
@@ -119,7 +119,7 @@
             return false;
         }
         let heard = |machine: &&Machine| {
-            machine.has_been_heard() && machine.last_heartbeat.is_some_and(|at| now.since(at) <= interval)
+            machine.has_reported() && machine.last_heartbeat.is_some_and(|at| now.since(at) <= interval)
         };
         let count_heard = || self.machines.iter().filter(heard).count() as u32;
         self.isolation.reports.is_outnumbered(count_heard, self.fencing_token, now)
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -116,7 +116,7 @@
             };
             match finding {
                 Finding::Present => {}
-                Finding::AnsweredInside => machine.unanswered = 0,
+                Finding::AnsweredInside => machine.unanswered_probes = 0,
                 Finding::Lost => give_up(machine, &mut self.partitions),
             }
         }
@@ -193,10 +193,10 @@
             return false;
         }
         let Some(machine) = self.machines.get_mut(id) else { return false };
-        if !machine.failed.contains(job) && machine.failed.len() < MACHINE_AT_FAULT {
-            machine.failed.push(job.clone());
+        if !machine.failed_jobs.contains(job) && machine.failed_jobs.len() < MACHINE_AT_FAULT {
+            machine.failed_jobs.push(job.clone());
         }
-        if machine.failed.len() >= MACHINE_AT_FAULT && !machine.draining {
+        if machine.failed_jobs.len() >= MACHINE_AT_FAULT && !machine.draining {
             tracing::warn!(machine = %id, "fails one job after another; returning it once it is empty");
             machine.draining = true;
         }
@@ -225,7 +225,7 @@
 
 /// Whether a start on the machine that was never acknowledged is to be stopped for longer than `limit`.
 fn has_overdue_start(machine: &Machine, limit: Duration, now: MonotonicTime) -> bool {
-    machine.unacknowledged.keys().any(|TaskAttempt { task, attempt }| {
+    machine.unacknowledged_starts.keys().any(|TaskAttempt { task, attempt }| {
         machine.assignments.get(task).is_some_and(|assignment| {
             assignment.attempt == *attempt
                 && matches!(assignment.state, AssignmentState::Sent { .. })
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn set_unanswered(leader: &mut Leader, id: &str, probes: u32) {
-    leader.machines.get_mut(&MachineId::from(id)).expect("there").unanswered = probes;
+    leader.machines.get_mut(&MachineId::from(id)).expect("there").unanswered_probes = probes;
 }
 
 fn lost(leader: &Leader) -> Vec<&str> {
@@ -54,7 +54,7 @@
                 leader.process_heartbeat(&heartbeat(&format!("m-{index}"), "z1", serial), at);
             });
             let silent = leader.machines.iter_mut().filter(|machine| machine.zone == "z0".into());
-            silent.for_each(|machine| machine.unanswered = 9);
+            silent.for_each(|machine| machine.unanswered_probes = 9);
             leader.find_lost(heard, at);
         };
     let unknown = BTreeMap::new();
--- a/crates/scheduler/src/node/leader/machine_records.rs
+++ b/crates/scheduler/src/node/leader/machine_records.rs
@@ -34,7 +34,7 @@
         let version = self.commits.put(&key, Some(value), self.record_priority(&planned));
         let Some(machine) = self.machines.get_mut(id) else { return };
         for task in planned {
-            machine.planned.insert(task, version);
+            machine.planned_writes.insert(task, version);
         }
     }
 
@@ -57,10 +57,10 @@
     /// A version of a machine's record is durable: the starts that waited for it may leave.
     pub(super) fn record_durable(&mut self, id: &MachineId, version: WriteVersion) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let durable = machine.planned.iter().filter(|(_, needed)| **needed <= version);
+        let durable = machine.planned_writes.iter().filter(|(_, needed)| **needed <= version);
         let durable: Vec<TaskId> = durable.map(|(task, _)| task.clone()).collect();
         for task in durable {
-            machine.planned.remove(&task);
+            machine.planned_writes.remove(&task);
             if let Some(assignment) = machine.assignments.get_mut(&task)
                 && assignment.state == AssignmentState::Planned
             {
@@ -75,7 +75,7 @@
     pub(super) fn record_refused(&mut self, key: &str, now: MonotonicTime) {
         let Some(id) = key.strip_prefix(assignments::PREFIX).map(MachineId::from) else { return };
         let Some(machine) = self.machines.get_mut(&id) else { return };
-        machine.not_before = now + UNWRITABLE_PAUSE;
+        machine.no_placement_before = now + UNWRITABLE_PAUSE;
         let planned =
             machine.assignments.iter().filter(|(_, assignment)| assignment.state == AssignmentState::Planned);
         let planned: Vec<TaskId> = planned.map(|(task, _)| task.clone()).collect();
@@ -92,7 +92,7 @@
         .assignments
         .iter()
         .filter(|(task, assignment)| {
-            assignment.state == AssignmentState::Planned && !machine.planned.contains_key(*task)
+            assignment.state == AssignmentState::Planned && !machine.planned_writes.contains_key(*task)
         })
         .map(|(task, _)| task.clone())
         .collect()
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -132,8 +132,8 @@
             Assignment::new(task, attempt, team, spec.resources, AssignmentState::Planned, now);
         assignment.after_fetches = slow_fetch && machine.has_image(&spec.image);
         machine.assignments.insert(task.clone(), assignment);
-        if machine.held.as_ref().is_some_and(|hold| hold.job == task.job) {
-            machine.held = None;
+        if machine.capacity_hold.as_ref().is_some_and(|hold| hold.job == task.job) {
+            machine.capacity_hold = None;
         }
         self.commits.mark_changed(machine_id.clone());
         self.machines.recount(machine_id, now);
@@ -162,7 +162,7 @@
             && !job_state.placed().contains_key(&task.index)
             && !machine.assignments.contains_key(task)
             && !self.machines.any_reports_unknown(task);
-        let machine_takes_it = machine.open_for_tasks(now)
+        let machine_takes_it = machine.is_schedulable(now)
             && machine.held_for(now).is_none_or(|job| *job == task.job)
             && spec.resources.fits_in(&machine.free())
             && machine.record_holds(self.assignment_bytes(task, spec), self.settings.state.value_bytes);
--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -154,7 +154,7 @@
         let needs_image = matches!(preemption, Preemption::WithImage);
         let mut candidates = Vec::new();
         for machine in self.machines.iter() {
-            let suitable = machine.open_for_tasks(now)
+            let suitable = machine.is_schedulable(now)
                 && machine.held_for(now).is_none_or(|job| *job == request.job)
                 && self.health(machine, now) == Health::Healthy
                 && request.resources.fits_in(&machine.total)
@@ -221,7 +221,7 @@
             if (hold_all || victims.len() > 1)
                 && let Some(machine) = self.machines.get_mut(machine)
             {
-                machine.held = Some(CapacityHold { job: job.clone(), until });
+                machine.capacity_hold = Some(CapacityHold { job: job.clone(), until });
             }
         }
     }
--- a/crates/scheduler/src/node/leader/probing.rs
+++ b/crates/scheduler/src/node/leader/probing.rs
@@ -38,9 +38,9 @@
             // worker, that has lost it. (A leader that had lost the workers' network gave up those
             // whose heartbeats it answered itself, andina fleet, apart.)
             let repeated =
-                self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered % 2 == 1);
+                self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered_probes % 2 == 1);
             let via = if repeated {
-                self.coordinator.detour(&probe.machine, context.now)
+                self.coordinator.alternative_route(&probe.machine, context.now)
             } else {
                 self.coordinator.route(&probe.machine, context.now)
             };
@@ -61,7 +61,7 @@
             let is_late = now.since(last) > late_after;
             if (is_late
                 || self.is_probed_early(machine, last, late_after, now)
-                || !machine.has_been_heard() && is_to_stop(machine))
+                || !machine.has_reported() && is_to_stop(machine))
                 && !probed.contains(&machine.id)
             {
                 silent.push(machine);
@@ -92,7 +92,7 @@
         now: MonotonicTime,
     ) -> bool {
         let late_s = late_after.as_secs_f64();
-        let silence_s = now.since(last.max(machine.answered_at)).as_secs_f64();
+        let silence_s = now.since(last.max(machine.last_probe_answer)).as_secs_f64();
         if silence_s < MIN_PROBE_INTERVAL_S || late_s <= MIN_PROBE_INTERVAL_S {
             return false;
         }
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -62,7 +62,8 @@
             left = left.saturating_sub(view.free.count_of(&request.resources));
             view.held_for = Some(request.job.clone());
             if let Some(machine) = self.machines.get_mut(&view.id) {
-                machine.held = Some(CapacityHold { job: request.job.clone(), until: now + HOLD_FOR });
+                machine.capacity_hold =
+                    Some(CapacityHold { job: request.job.clone(), until: now + HOLD_FOR });
             }
         }
     }
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -103,8 +103,8 @@
         let mut groups = IncomingGroups::default();
         for machine in self.machines.iter() {
             // Just after a failover most have not been heard yet; their resources will be there.
-            let unheard = machine.status == MachineStatus::Up && !machine.has_been_heard();
-            let usable = machine.status == MachineStatus::Booting || unheard || machine.open_for_tasks(now);
+            let unheard = machine.status == MachineStatus::Up && !machine.has_reported();
+            let usable = machine.status == MachineStatus::Booting || unheard || machine.is_schedulable(now);
             if machine.free().gpus + GPU_TOLERANCE >= least_gpus && usable {
                 groups.add(offer_of(machine), machine.free(), 1);
             }
--- a/crates/scheduler/src/node/leader/silence_rules.rs
+++ b/crates/scheduler/src/node/leader/silence_rules.rs
@@ -36,7 +36,8 @@
         let late = machine.last_heartbeat.is_some_and(|at| now.since(at) > late_after);
         self.all += 1;
         self.silent += u32::from(late);
-        self.newest = self.newest.max(machine.last_heartbeat.unwrap_or_default()).max(machine.answered_at);
+        self.newest =
+            self.newest.max(machine.last_heartbeat.unwrap_or_default()).max(machine.last_probe_answer);
     }
 
     /// Whether the zone is cut off rather than its machines lost.
@@ -126,7 +127,7 @@
         finished_since: Option<MonotonicTime>,
     ) -> Finding {
         let zone_is_cut = self.cut.contains(&machine.zone);
-        if machine.unanswered >= PROBES_LOST
+        if machine.unanswered_probes >= PROBES_LOST
             && finished_since.is_some_and(|since| self.is_stop_overdue(since, zone_is_cut))
         {
             // Nobody may have it: what is cancelled must be gone in time, also from a machine that
@@ -143,11 +144,11 @@
         if zone_is_cut {
             return self.is_lost_in_cut_zone(&machine.zone, last, partitioned_until).into();
         }
-        if !machine.has_been_heard() && !self.gives_up_unheard {
+        if !machine.has_reported() && !self.gives_up_unheard {
             // Just after a failover it may be this leader that is not found yet.
             let lost = self.gives_up
                 && self.heard.contains(&machine.zone)
-                && machine.unanswered >= PROBES_LOST_UNHEARD;
+                && machine.unanswered_probes >= PROBES_LOST_UNHEARD;
             return lost.into();
         }
         self.is_lost_alone(machine, last, partitioned_until).into()
@@ -183,12 +184,12 @@
         // One that answers probes is there, though its heartbeats reach nobody just now: it was
         // returned with work on it where nodes crashed in turn (seed 5017). Its tasks live until
         // their lease ends.
-        let last_sign = last.max(machine.answered_at);
+        let last_sign = last.max(machine.last_probe_answer);
         let silent = self.now.since(last_sign) > self.lost_after
             || self.now.since(last) > self.lease_end.max(self.lost_after);
         // Before it is late, only where it is surely not the zone.
         let late = self.now.since(last) > self.late_after;
         let probes_count = self.heard.contains(&machine.zone) || late && self.isolation_known;
-        !self.suspect && (silent || probes_count && machine.unanswered >= PROBES_LOST)
+        !self.suspect && (silent || probes_count && machine.unanswered_probes >= PROBES_LOST)
     }
 }
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -181,7 +181,7 @@
         let mut heard = 0;
         let mut all = 0;
         for machine in self.machines.iter().filter(|machine| machine.status == MachineStatus::Up) {
-            heard += usize::from(machine.has_been_heard());
+            heard += usize::from(machine.has_reported());
             all += 1;
         }
         if let Some(phase) = self.heartbeat_collection.update(heard, all, now) {
--- a/crates/scheduler/src/node/leader/stops.rs
+++ b/crates/scheduler/src/node/leader/stops.rs
@@ -63,7 +63,7 @@
     fn stops_before_reclaim(&self, now: MonotonicTime) -> Vec<TaskStop> {
         let mut stops = Vec::new();
         for machine in self.machines.iter() {
-            let Some(taken_at) = machine.taken_at else { continue };
+            let Some(taken_at) = machine.spot_reclaim_at else { continue };
             let left = taken_at.since(now);
             let running = machine.assignments.iter();
             let running =
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -55,7 +55,7 @@
         let all_done = job_state.all_done();
         self.broadcaster.add_outcome(PlacementOutcome { machine: id.clone(), kind, success: true });
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.failed.clear();
+            machine.failed_jobs.clear();
         }
         let record = if all_done { self.record_job_done(&task.job) } else { self.record_progress(task) };
         let outcome = PendingOutcome { version: record.version, machine: id.clone(), task: task.clone() };
@@ -121,7 +121,7 @@
         if outcome == Outcome::Ended(TaskExit::InsufficientResources)
             && let Some(machine) = self.machines.get_mut(id)
         {
-            machine.not_before = now + NO_CAPACITY_PAUSE;
+            machine.no_placement_before = now + NO_CAPACITY_PAUSE;
         }
         let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
         job_state.unplace(task.index, id);
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -132,16 +132,16 @@
             _ if REFUSED_STATUSES.contains(&status) => DirectAnswer::Refused,
             _ => DirectAnswer::Missing,
         };
-        machine.direct_answered(call.starts, call.worker_epoch, answer);
+        machine.direct_starts_answered(call.starts, call.worker_epoch, answer);
     }
 
     fn probe_answered(&mut self, machine: &MachineId, status: u16, now: MonotonicTime) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         if status == STATUS_NO_ANSWER {
-            machine.unanswered += 1;
+            machine.unanswered_probes += 1;
         } else {
-            machine.unanswered = 0;
-            machine.answered_at = now;
+            machine.unanswered_probes = 0;
+            machine.last_probe_answer = now;
         }
     }
 
--- a/crates/scheduler/src/workers/commands.rs
+++ b/crates/scheduler/src/workers/commands.rs
@@ -51,7 +51,7 @@
 /// the read can't see; the tasks of those that it saw must not live on by that answer. (A leader that had not
 /// read the records as the key-value store went away renewed the leases of cancelled tasks without a stop
 /// until its answer window ended: simulation seeds 3182, 3284.)
-pub fn stop_finished(
+pub fn stop_tasks_of_finished_jobs(
     heartbeat: &Heartbeat,
     is_finished: impl Fn(&JobId) -> bool,
     commands: &mut Vec<WorkerCommand>,
@@ -71,7 +71,7 @@
     pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Assignment> {
         let assignment = self.assignments.get_mut(task)?;
         if assignment.unsent() {
-            self.planned.remove(task);
+            self.planned_writes.remove(task);
             return self.assignments.remove(task);
         }
         match &mut assignment.stop {
@@ -86,7 +86,7 @@
     }
 
     /// Whether starts could leave now.
-    pub fn has_starts(&self) -> bool {
+    pub fn has_sendable_starts(&self) -> bool {
         self.assignments.values().any(|assignment| {
             assignment.state == AssignmentState::Ready
                 && assignment.stop.is_none()
@@ -119,7 +119,7 @@
                 (AssignmentState::Ready, None) if assignment.after_fetches => {}
                 (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
                     let task_attempt = TaskAttempt::of(task, attempt);
-                    let unacknowledged = self.unacknowledged.contains_key(&task_attempt);
+                    let unacknowledged = self.unacknowledged_starts.contains_key(&task_attempt);
                     let serial = if unacknowledged { UNACKNOWLEDGED_SERIAL } else { heartbeat.serial };
                     assignment.state = AssignmentState::Sent { worker_epoch: heartbeat.worker_epoch, serial };
                     commands.push(task_attempt.into_start());
@@ -166,7 +166,7 @@
                     let task_attempt = TaskAttempt::of(task, attempt);
                     direct.commands.push(task_attempt.clone().into_start());
                     direct.starts.push(task_attempt.clone());
-                    self.sent.insert(task_attempt, now);
+                    self.sent_starts.insert(task_attempt, now);
                 }
                 (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
                 (_, Some(stop)) if !stop.sent => {
@@ -198,7 +198,7 @@
                     matches!(assignment.state, AssignmentState::Sent { serial: UNACKNOWLEDGED_SERIAL, .. });
                 if unacknowledged && assignment.stop.is_none() {
                     let task_attempt = TaskAttempt::of(task, assignment.attempt);
-                    self.sent.insert(task_attempt.clone(), now);
+                    self.sent_starts.insert(task_attempt.clone(), now);
                     direct_starts.push(task_attempt.into_start());
                 }
             }
@@ -207,7 +207,7 @@
     }
 
     /// The starts of a direct command to `worker_epoch` were answered, or won't be any more.
-    pub fn direct_answered(
+    pub fn direct_starts_answered(
         &mut self,
         starts: Vec<TaskAttempt>,
         worker_epoch: WorkerEpoch,
@@ -226,7 +226,7 @@
                 }
                 DirectAnswer::Refused => AssignmentState::Ready,
                 DirectAnswer::Missing => {
-                    self.unacknowledged.insert(task_attempt, worker_epoch);
+                    self.unacknowledged_starts.insert(task_attempt, worker_epoch);
                     AssignmentState::Sent { worker_epoch, serial: UNACKNOWLEDGED_SERIAL }
                 }
             };
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -39,7 +39,7 @@
     /// Tasks that are not there any more and start again right here.
     pub restarting: Vec<TaskId>,
     /// Tasks that began to run.
-    pub began: Vec<TaskId>,
+    pub started: Vec<TaskId>,
     /// Whether it was overtaken by a newer one, and says nothing.
     pub stale: bool,
 }
@@ -50,20 +50,20 @@
     /// This leader's.
     fencing_token: FencingToken,
     /// Tasks that are to start again right here if they are not there any more.
-    start_again: &'a [TaskId],
+    restart_here: &'a [TaskId],
     /// The machine may take tasks again.
     machine_is_open: bool,
     now: MonotonicTime,
 }
 
 impl Machine {
-    /// Takes in a heartbeat. `fencing_token` is this leader's; `start_again`: tasks that are to start again
+    /// Takes in a heartbeat. `fencing_token` is this leader's; `restart_here`: tasks that are to start again
     /// right here if they are not there any more.
     pub fn process_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         fencing_token: FencingToken,
-        start_again: &[TaskId],
+        restart_here: &[TaskId],
         now: MonotonicTime,
     ) -> HeartbeatOutcome {
         let mut outcome = HeartbeatOutcome::default();
@@ -75,11 +75,11 @@
         self.update_status(heartbeat, now);
         let listed = self.sort_reported_tasks(heartbeat);
         let machine_is_open = !self.draining
-            && self.taken_at.is_none()
+            && self.spot_reclaim_at.is_none()
             && self.status == MachineStatus::Up
             && self.unknown_tasks.is_empty()
             && self.epochs_ended <= MAX_EPOCHS_ENDED;
-        let reconciliation = Reconciliation { heartbeat, fencing_token, start_again, machine_is_open, now };
+        let reconciliation = Reconciliation { heartbeat, fencing_token, restart_here, machine_is_open, now };
         let tasks: Vec<TaskId> = self.assignments.keys().cloned().collect();
         for task in tasks {
             let reported = listed.get(&task).copied();
@@ -91,13 +91,13 @@
     /// Forgets sent starts that can't act any more, by the end of a worker epoch or by time.
     fn update_starts(&mut self, worker_epoch: WorkerEpoch, now: MonotonicTime) {
         if worker_epoch > self.worker_epoch {
-            self.unacknowledged.retain(|_, named_epoch| *named_epoch >= worker_epoch);
-            self.sent.clear();
+            self.unacknowledged_starts.retain(|_, named_epoch| *named_epoch >= worker_epoch);
+            self.sent_starts.clear();
             if self.worker_epoch > WorkerEpoch(0) {
                 self.epochs_ended += 1;
             }
         }
-        self.sent.retain(|_, sent_at| now.since(*sent_at) < START_REPEATS_WITHIN);
+        self.sent_starts.retain(|_, sent_at| now.since(*sent_at) < START_REPEATS_WITHIN);
     }
 
     fn update_status(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
@@ -106,12 +106,12 @@
         self.fencing_token = heartbeat.fencing_token;
         self.addr = Some(heartbeat.addr.clone());
         self.last_heartbeat = Some(now);
-        self.unanswered = 0;
+        self.unanswered_probes = 0;
         if self.status == MachineStatus::Booting {
             self.status = MachineStatus::Up;
             self.empty_since = Some(now);
         }
-        self.taken_at = heartbeat.notice_s.map(|notice_s| now + Duration::from_secs_f64(notice_s));
+        self.spot_reclaim_at = heartbeat.notice_s.map(|notice_s| now + Duration::from_secs_f64(notice_s));
     }
 
     /// The reported tasks that have an assignment. The others are unknown, or ended and kept listed.
@@ -133,7 +133,7 @@
                 _ => {}
             }
         }
-        self.listed = heartbeat.tasks.len() - kept;
+        self.reported_task_count = heartbeat.tasks.len() - kept;
         self.draining |= kept > MAX_KEPT_ATTEMPTS;
         listed
     }
@@ -150,8 +150,8 @@
         // Started again, a task that is done ends as soon as it has its image. One whose start had no answer
         // may be anything.
         let is_done = reported_state == ReportedState::Ended(TaskExit::Done);
-        let may_repeat = !is_done && self.sent.contains_key(&task_attempt);
-        let may_still_arrive = may_repeat || self.unacknowledged.contains_key(&task_attempt);
+        let may_repeat = !is_done && self.sent_starts.contains_key(&task_attempt);
+        let may_still_arrive = may_repeat || self.unacknowledged_starts.contains_key(&task_attempt);
         reconcile(&Observation::unrecorded(reported_state, may_still_arrive))
     }
 
@@ -170,7 +170,7 @@
             reported_state: reported.map_or(ReportedState::Absent, ReportedTask::reported_state),
             after_command: assignment.state.is_before(heartbeat.worker_epoch, heartbeat.serial),
             saw_fencing_token: heartbeat.fencing_token == reconciliation.fencing_token,
-            wanted_here: reconciliation.machine_is_open && reconciliation.start_again.contains(&task),
+            wanted_here: reconciliation.machine_is_open && reconciliation.restart_here.contains(&task),
             may_still_arrive: false,
         };
         match reconcile(&observation) {
@@ -193,7 +193,7 @@
                 if departure == Outcome::Ended(TaskExit::GangBroke) {
                     note_fetched(assignment, &task, outcome);
                 }
-                self.planned.remove(&task);
+                self.planned_writes.remove(&task);
                 self.assignments.remove(&task);
                 outcome.gone.push(GoneTask { task, outcome: departure });
             }
@@ -206,7 +206,7 @@
     pub fn is_settled(&self) -> bool {
         let reported = self.assignments.values().filter(|assignment| !assignment.unsent()).count();
         self.unknown_tasks.is_empty()
-            && reported == self.listed
+            && reported == self.reported_task_count
             && self.assignments.values().all(is_assignment_settled)
     }
 
@@ -220,7 +220,7 @@
         if worker_epoch == self.worker_epoch && serial > self.serial {
             self.serial = serial;
             self.last_heartbeat = self.last_heartbeat.max(Some(received_at));
-            self.unanswered = 0;
+            self.unanswered_probes = 0;
         }
     }
 }
@@ -229,7 +229,7 @@
 impl Machine {
     /// Leaves out the check that what was started directly is not forgotten.
     pub fn forget_sent_starts(&mut self) {
-        self.sent.clear();
+        self.sent_starts.clear();
     }
 }
 
@@ -264,7 +264,7 @@
     };
     if reported_state == ReportedState::Running && assignment.running_since.is_none() {
         assignment.running_since = Some(now);
-        outcome.began.push(task.clone());
+        outcome.started.push(task.clone());
     }
 }
 
--- a/crates/scheduler/src/workers/machine.rs
+++ b/crates/scheduler/src/workers/machine.rs
@@ -81,9 +81,9 @@
     /// When its worker's newest heartbeat was received.
     pub last_heartbeat: Option<MonotonicTime>,
     /// Probes in a row since the last heartbeat that the worker didn't answer.
-    pub unanswered: u32,
+    pub unanswered_probes: u32,
     /// When it last answered a probe.
-    pub answered_at: MonotonicTime,
+    pub last_probe_answer: MonotonicTime,
     /// The worker's epoch, by its newest heartbeat.
     pub worker_epoch: WorkerEpoch,
     /// Serial of its newest heartbeat; 0: this leader has not heard it.
@@ -91,7 +91,7 @@
     /// The highest fencing token that the worker had seen, by its newest heartbeat.
     pub fencing_token: FencingToken,
     /// When the cloud will take a spot instance back, if it has given notice.
-    pub taken_at: Option<MonotonicTime>,
+    pub spot_reclaim_at: Option<MonotonicTime>,
     /// What may be on the machine.
     pub assignments: BTreeMap<TaskId, Assignment>,
     pub(super) capacity_sums: CapacitySums,
@@ -102,26 +102,26 @@
     /// Since when it has had nothing to do.
     pub empty_since: Option<MonotonicTime>,
     /// Nothing is placed here before this time.
-    pub not_before: MonotonicTime,
+    pub no_placement_before: MonotonicTime,
     /// The worker epoch that a direct command should name, as far as an earlier leader knew it.
     pub last_known_epoch: WorkerEpoch,
     /// The write that makes each planned assignment durable.
-    pub planned: BTreeMap<TaskId, WriteVersion>,
+    pub planned_writes: BTreeMap<TaskId, WriteVersion>,
     /// Nothing new goes there, and it is returned once it is empty.
     pub draining: bool,
     /// Jobs that have failed here since one was done.
-    pub failed: Vec<JobId>,
+    pub failed_jobs: Vec<JobId>,
     /// The job that its free resources are held for.
-    pub held: Option<CapacityHold>,
+    pub capacity_hold: Option<CapacityHold>,
     /// Starts that were sent directly and never answered, with the worker epoch that they name: while that
     /// lasts they may still act. Their absence proves nothing, and one that has ended isn't forgotten, since
     /// the worker would then start it again.
-    pub unacknowledged: BTreeMap<TaskAttempt, WorkerEpoch>,
+    pub unacknowledged_starts: BTreeMap<TaskAttempt, WorkerEpoch>,
     /// Starts that were sent directly in its present epoch, and when: one that was answered may come again
     /// all the same, so what has ended without a result is not forgotten.
-    pub(super) sent: BTreeMap<TaskAttempt, MonotonicTime>,
+    pub(super) sent_starts: BTreeMap<TaskAttempt, MonotonicTime>,
     /// Tasks in its last heartbeat, but for those that have ended and are only kept listed.
-    pub(super) listed: usize,
+    pub(super) reported_task_count: usize,
     /// Epochs of its worker that have ended while this leader heard it.
     pub(super) epochs_ended: u32,
 }
@@ -146,26 +146,26 @@
             status: MachineStatus::Booting,
             rented_at: now,
             last_heartbeat: None,
-            unanswered: 0,
-            answered_at: MonotonicTime::default(),
+            unanswered_probes: 0,
+            last_probe_answer: MonotonicTime::default(),
             worker_epoch: WorkerEpoch(0),
             serial: 0,
             fencing_token: FencingToken(0),
-            taken_at: None,
+            spot_reclaim_at: None,
             assignments: BTreeMap::new(),
             capacity_sums: CapacitySums::of_empty_machine(total),
             unknown_tasks: BTreeSet::new(),
             images: ImageCache::default(),
             empty_since: Some(now),
-            not_before: MonotonicTime::default(),
+            no_placement_before: MonotonicTime::default(),
             last_known_epoch: WorkerEpoch(0),
-            planned: BTreeMap::new(),
+            planned_writes: BTreeMap::new(),
             draining: false,
-            failed: Vec::new(),
-            held: None,
-            unacknowledged: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            listed: 0,
+            failed_jobs: Vec::new(),
+            capacity_hold: None,
+            unacknowledged_starts: BTreeMap::new(),
+            sent_starts: BTreeMap::new(),
+            reported_task_count: 0,
             epochs_ended: 0,
         }
     }
@@ -211,30 +211,30 @@
 
     /// Whether this leader has heard the worker. The record of a machine that was returned may outlive the
     /// machine, where its removal was not written before a failover.
-    pub fn has_been_heard(&self) -> bool {
+    pub fn has_reported(&self) -> bool {
         self.serial > 0
     }
 
     /// Whether a start of this leader's may still arrive there, for all that is known.
     pub fn has_unacknowledged_starts(&self) -> bool {
-        !self.unacknowledged.is_empty()
+        !self.unacknowledged_starts.is_empty()
             || self.assignments.values().any(|assignment| assignment.state == AssignmentState::Direct)
     }
 
     /// Whether new tasks may go there.
-    pub fn open_for_tasks(&self, now: MonotonicTime) -> bool {
+    pub fn is_schedulable(&self, now: MonotonicTime) -> bool {
         self.status == MachineStatus::Up
-            && self.has_been_heard()
+            && self.has_reported()
             && !self.draining
-            && self.taken_at.is_none()
+            && self.spot_reclaim_at.is_none()
             && self.unknown_tasks.is_empty()
-            && now >= self.not_before
+            && now >= self.no_placement_before
             && self.assignments.len() < MAX_ASSIGNMENTS
     }
 
     /// The job that its free resources are held for, if the hold lasts.
     pub fn held_for(&self, now: MonotonicTime) -> Option<&JobId> {
-        self.held.as_ref().filter(|hold| now < hold.until).map(|hold| &hold.job)
+        self.capacity_hold.as_ref().filter(|hold| now < hold.until).map(|hold| &hold.job)
     }
 
     /// A task uses an image here. The machine keeps as many images as `cache_gb` holds.
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Machine`] is the leader's state of one machine and its worker: identity, health and capacity
 //! (`machine`, `capacity`, `images`), what a heartbeat changes (`heartbeats`), and the commands that follow
-//! (`commands`). The leader owns all machines; delegates use [`stop_finished`] only.
+//! (`commands`). The leader owns all machines; delegates use [`stop_tasks_of_finished_jobs`] only.
 
 mod capacity;
 mod commands;
@@ -10,7 +10,7 @@
 mod images;
 mod machine;
 
-pub use commands::{DelegateCommands, DirectAnswer, DirectCommands, stop_finished};
+pub use commands::{DelegateCommands, DirectAnswer, DirectCommands, stop_tasks_of_finished_jobs};
 pub use heartbeats::{GoneTask, HeartbeatOutcome};
 pub use images::ImageCache;
 pub use machine::{CapacityHold, Health, Machine, MachineStatus, TaskAttempt};
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -37,9 +37,9 @@
     let now = at_ms(9_000);
     machine.status = MachineStatus::Up;
     machine.last_heartbeat = Some(now);
-    assert!(!machine.open_for_tasks(now));
+    assert!(!machine.is_schedulable(now));
     machine.process_heartbeat(&heartbeat(1, 1, 9, ""), TOKEN, &[], now);
-    assert!(machine.open_for_tasks(now));
+    assert!(machine.is_schedulable(now));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     machine.process_heartbeat(&heartbeat(1, 5, 9, ""), TOKEN, &[], at_ms(1));
     let direct = machine.direct_commands(true, at_ms(1));
     assert_eq!(direct.commands.len(), 1);
-    machine.direct_answered(direct.starts, WorkerEpoch(1), DirectAnswer::Missing);
+    machine.direct_starts_answered(direct.starts, WorkerEpoch(1), DirectAnswer::Missing);
     machine.stop(&task, 0.0, at_ms(2));
     assert!(
         machine.process_heartbeat(&heartbeat(1, 7, 9, ""), TOKEN, &[], at_ms(3)).gone.is_empty(),
@@ -116,7 +116,7 @@
     let received = heartbeat(1, 1, 9, r#"{"shard":"req-1/0","try":6,"phase":"running"}"#);
     let outcome = machine.process_heartbeat(&received, TOKEN, &[], at_ms(1));
     assert_eq!(outcome.gone.len(), 1, "attempt 7 is not there");
-    assert!(!machine.open_for_tasks(at_ms(1)));
+    assert!(!machine.is_schedulable(at_ms(1)));
     assert!(matches!(
         machine.commands(&received, true, |_| false, true)[..],
         [WorkerCommand::Stop { attempt: Attempt(6), .. }]
