--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -204,7 +204,7 @@
             leads: fencing_token.filter(|_| leader.is_some()),
             admission: self.admission(),
             task_counts: &|id| self.counts_of(id),
-            waiting: &|id| leader.and_then(|leader| leader.waiting_of(id)),
+            waiting: &|id| leader.and_then(|leader| leader.waiting_task_count(id)),
             remaining_quota: &|team| leader.and_then(|leader| leader.remaining_quota(team)),
         };
         let actions = extension.step(&view, input);
@@ -274,7 +274,7 @@
             Share::Upkeep => {
                 conditions.push((election::LEADER_KEY.into(), Revision(self.election.fencing_token().0)));
                 self.election.valid(now)
-                    && self.leader.as_mut().is_some_and(|leader| leader.spare_writes(changes.len(), now))
+                    && self.leader.as_mut().is_some_and(|leader| leader.take_spare_writes(changes.len(), now))
             }
         };
         if !within_budget {
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -78,7 +78,7 @@
     /// Starts a read of the job records if one is needed and none is under way.
     pub(super) fn pump_job_watcher(&mut self) {
         let fresh_at = self.job_watcher.fresh_at();
-        let leader_loading = self.leader.as_ref().is_some_and(|leader| leader.wants_jobs(fresh_at));
+        let leader_loading = self.leader.as_ref().is_some_and(|leader| leader.needs_job_records(fresh_at));
         let wanted = self.pending_requests.needs_read() || leader_loading || self.extensions_want_read();
         if self.job_watcher.pump(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
             self.pending_requests.begin_read();
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether the key is stored, or a value of it is queued.
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn is_stored_or_queued(&self, key: &str) -> bool {
         self.pipeline.holds(key)
     }
 
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -189,7 +189,7 @@
         }
         for GoneTask { task, outcome } in outcome.gone {
             self.broadcaster.mark_changed(&task.job);
-            self.task_gone(id, &task, outcome, now);
+            self.task_ended_unfinished(id, &task, outcome, now);
         }
     }
 
--- a/crates/scheduler/src/node/leader/leadership_end.rs
+++ b/crates/scheduler/src/node/leader/leadership_end.rs
@@ -37,17 +37,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::node) enum ResignReason {
     /// It hears few workers while a peer hears some.
-    WorkersSilent,
+    HeartbeatsMissing,
     /// Isolated nodes hear many more workers.
-    Outnumbered,
+    IsolatedNodesReachMoreWorkers,
 }
 
 impl ResignReason {
     /// The reason as operators read it.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::WorkersSilent => "most workers are silent: the fault may be here",
-            Self::Outnumbered => "nodes that are apart from this one hear more workers",
+            Self::HeartbeatsMissing => "most workers are silent: the fault may be here",
+            Self::IsolatedNodesReachMoreWorkers => "nodes that are apart from this one hear more workers",
         }
     }
 }
--- a/crates/scheduler/src/node/leader/machine_records.rs
+++ b/crates/scheduler/src/node/leader/machine_records.rs
@@ -23,7 +23,7 @@
         let Some(machine) = self.machines.get(id) else { return };
         let key = assignments::key(id);
         // A machine without tasks needs no record: its heartbeats and the cloud's list show it.
-        if machine.assignments.is_empty() && !self.commits.holds(&key) {
+        if machine.assignments.is_empty() && !self.commits.is_stored_or_queued(&key) {
             return;
         }
         let Some(value) = machine.record().to_value(self.settings.state.value_bytes) else {
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -76,7 +76,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use worker_commands::WorkerCalls;
-use write_budget::ArrayTurns;
+use write_budget::PassAlternation;
 
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 /// How often waiting tasks are tried again though nothing is known to have changed: machines' health
@@ -154,7 +154,7 @@
     isolation: ZoneIsolation,
     silence: SilenceDetector,
     rounds: SchedulingRounds,
-    array_turns: ArrayTurns,
+    pass_alternation: PassAlternation,
     guarantees: Guarantees,
     broadcaster: StatusBroadcaster,
     cloud: CloudClient,
@@ -200,7 +200,7 @@
             isolation: ZoneIsolation::new(now),
             silence: SilenceDetector::default(),
             rounds: SchedulingRounds::new(now),
-            array_turns: ArrayTurns::default(),
+            pass_alternation: PassAlternation::default(),
             guarantees: Guarantees::default(),
             broadcaster: StatusBroadcaster::new(counts_save_interval, now),
             cloud: CloudClient::new(settings.cloud.rps, now),
@@ -268,11 +268,11 @@
         self.retry_waiting(now);
         self.machines.expire_tombstones(now);
         if self.is_cut_off(context.peers.hear_workers(now), now) {
-            return Some(LeadershipEnd::Resign(ResignReason::WorkersSilent));
+            return Some(LeadershipEnd::Resign(ResignReason::HeartbeatsMissing));
         }
         self.read_isolation_reports(context);
         if self.is_outnumbered(now) {
-            return Some(LeadershipEnd::Resign(ResignReason::Outnumbered));
+            return Some(LeadershipEnd::Resign(ResignReason::IsolatedNodesReachMoreWorkers));
         }
         self.update_failover_phase(now);
         self.drain_reclaimed(now);
@@ -298,7 +298,7 @@
         if !context.valid {
             return;
         }
-        self.records_loaded(context);
+        self.finish_loading(context);
         self.push_fencing_token(context);
         if !self.loaded() {
             return;
--- a/crates/scheduler/src/node/leader/scale_in.rs
+++ b/crates/scheduler/src/node/leader/scale_in.rs
@@ -39,12 +39,12 @@
         for (task, assignment) in &machine.assignments {
             // One that is done is being recorded; its outcome is known.
             if assignment.state != AssignmentState::Done {
-                self.task_gone(id, task, Outcome::Vanished, now);
+                self.task_ended_unfinished(id, task, Outcome::Vanished, now);
             }
         }
         self.commits.unmark_changed(id);
         let key = assignments::key(id);
-        if self.commits.holds(&key) {
+        if self.commits.is_stored_or_queued(&key) {
             self.commits.put(&key, None, CommitPriority::Normal);
         }
     }
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -41,13 +41,13 @@
     ) -> Vec<Round> {
         self.divide_partitions_if_due(live, me, now);
         let mut requests = self.waiting_requests(self.settings.operator.round_tasks, now);
-        let max_records = self.limit_to_write_budget(&mut requests);
+        let max_records = self.limit_requests_to_write_budget(&mut requests);
         if requests.is_empty() {
             return Vec::new();
         }
         let mut candidates = self.candidates(&requests, now);
         if let Some(records) = max_records {
-            self.narrow_to_records(&mut candidates, &requests, records);
+            self.limit_candidates_to_write_budget(&mut candidates, &requests, records);
         }
         let searches_left = PREEMPTIONS_PER_PASS;
         let mut pass = Pass { live, me, candidates, claims: Vec::new(), searches_left, now };
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -151,7 +151,7 @@
     }
 
     /// Whether a copy of the job records as of `fresh_at` is too old to build the job states from.
-    pub(in crate::node) fn wants_jobs(&self, fresh_at: MonotonicTime) -> bool {
+    pub(in crate::node) fn needs_job_records(&self, fresh_at: MonotonicTime) -> bool {
         !self.loaded() && fresh_at < self.since
     }
 
@@ -163,8 +163,8 @@
     /// Builds the job states once all records are read: machines, progress, and job records by a
     /// read that began under this leadership. With an older copy of the jobs, tasks of one accepted
     /// meanwhile would be taken for unknown ones, and placed a second time when it shows up.
-    pub(super) fn records_loaded(&mut self, context: &mut StepContext) {
-        if self.loaded() || !self.record_loading.is_complete() || self.wants_jobs(context.fresh_at) {
+    pub(super) fn finish_loading(&mut self, context: &mut StepContext) {
+        if self.loaded() || !self.record_loading.is_complete() || self.needs_job_records(context.fresh_at) {
             return;
         }
         self.heartbeat_collection.records_read(context.now);
--- a/crates/scheduler/src/node/leader/status.rs
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -19,7 +19,7 @@
     }
 
     /// How many tasks of a job have no machine yet.
-    pub(in crate::node) fn waiting_of(&self, id: &JobId) -> Option<u32> {
+    pub(in crate::node) fn waiting_task_count(&self, id: &JobId) -> Option<u32> {
         self.job_states.get(id).map(JobState::waiting_count)
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Takes `changes` writes for an extension: nothing while more urgent changes may need them.
-    pub(in crate::node) fn spare_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
+    pub(in crate::node) fn take_spare_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
         self.commits.take_spare_writes(changes, now)
     }
 
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -115,7 +115,13 @@
     }
 
     /// A task is proved gone without being done.
-    pub(super) fn task_gone(&mut self, id: &MachineId, task: &TaskId, outcome: Outcome, now: MonotonicTime) {
+    pub(super) fn task_ended_unfinished(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        outcome: Outcome,
+        now: MonotonicTime,
+    ) {
         self.commits.mark_changed(id.clone());
         self.capacity_version += 1;
         if outcome == Outcome::Ended(TaskExit::InsufficientResources)
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -24,12 +24,12 @@
 
 /// While writes are scarce, scheduling passes are for arrays and for all else in turn.
 #[derive(Debug, Default)]
-pub(super) struct ArrayTurns {
+pub(super) struct PassAlternation {
     /// The last such pass was for arrays.
     last_was_arrays: bool,
 }
 
-impl ArrayTurns {
+impl PassAlternation {
     /// Whether the next pass is for arrays; `any_other`: something else waits too.
     fn next_is_arrays(&mut self, any_other: bool) -> bool {
         self.last_was_arrays = !any_other || !self.last_was_arrays;
@@ -46,7 +46,10 @@
     /// resources, tasks waited up to 26 s for their machine's record, each with a change of its own,
     /// on machines that stood idle meanwhile (offshore deployment, steady: 0.69 changes a start, and
     /// the changes were spent all day).
-    pub(super) fn limit_to_write_budget(&mut self, requests: &mut Vec<PlacementRequest>) -> Option<usize> {
+    pub(super) fn limit_requests_to_write_budget(
+        &mut self,
+        requests: &mut Vec<PlacementRequest>,
+    ) -> Option<usize> {
         let is_array = |request: &PlacementRequest| request.job_type == JobType::Array;
         let array_tasks: usize =
             requests.iter().filter(|request| is_array(request)).map(|request| request.tasks.len()).sum();
@@ -55,7 +58,7 @@
             return None;
         }
         let any_other = requests.iter().any(|request| !is_array(request));
-        let arrays = self.array_turns.next_is_arrays(any_other);
+        let arrays = self.pass_alternation.next_is_arrays(any_other);
         requests.retain(|request| is_array(request) == arrays);
         arrays.then_some(records)
     }
@@ -63,7 +66,7 @@
     /// Keeps candidates whose record waits to be written anyway, and of the others as many as the
     /// requests need, at most `records`: cheap ones, if enough of them have free resources, else any;
     /// those first where one record starts most tasks.
-    pub(super) fn narrow_to_records(
+    pub(super) fn limit_candidates_to_write_budget(
         &self,
         candidates: &mut Candidates,
         requests: &[PlacementRequest],
