--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -89,7 +89,7 @@
         let mut open = Vec::new();
         for machine in self.machines.iter() {
             // Commands to a zone that is cut off arrive when the cut has ended, or never.
-            if machine.status != MachineStatus::Up || self.isolation.is_cut(&machine.zone) {
+            if machine.status != MachineStatus::Up || self.isolation.is_zone_unreachable(&machine.zone) {
                 continue;
             }
             if !least.fits_in(&machine.free())
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -42,7 +42,7 @@
 
     /// Ignores what isolated nodes report through the key-value store.
     pub(in crate::node) fn disable_isolation_reports(&mut self) {
-        self.isolation.forget_reports();
+        self.isolation.clear_reports();
     }
 
     /// Gives up machines at once that this leader has not heard yet.
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether the zone is cut off.
-    pub fn is_cut(&self, zone: &Zone) -> bool {
+    pub fn is_zone_unreachable(&self, zone: &Zone) -> bool {
         self.cut_zones.contains(zone)
     }
 
@@ -73,7 +73,7 @@
 
     /// Forgets all reports, for the simulation.
     #[cfg(any(test, feature = "simulation"))]
-    pub fn forget_reports(&mut self) {
+    pub fn clear_reports(&mut self) {
         self.reports = IsolationReports::default();
     }
 }
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -22,7 +22,7 @@
 /// seconds.
 const LEASE_MARGIN_S: f64 = 2.0;
 /// Failures of a job in a row from which on they speak of the job rather than of its machines.
-pub(super) const JOB_AT_FAULT: u32 = 4;
+pub(super) const JOB_FAULT_THRESHOLD: u32 = 4;
 /// Jobs that have to fail on a machine, with none done between, before it counts as faulty.
 const MACHINE_AT_FAULT: usize = 2;
 /// While most machines are silent, none is given up for this many report intervals.
@@ -38,12 +38,12 @@
 
 /// Whether most machines are silent, which rather speaks of this node than of them.
 #[derive(Debug, Default)]
-pub(super) struct SilenceDetector {
+pub(super) struct HeartbeatOutageDetector {
     /// Since when most machines are silent, if they are.
     since: Option<MonotonicTime>,
 }
 
-impl SilenceDetector {
+impl HeartbeatOutageDetector {
     /// Notes whether most machines are silent; gives since when.
     fn update(&mut self, most_silent: bool, now: MonotonicTime) -> Option<MonotonicTime> {
         if most_silent {
@@ -80,7 +80,7 @@
     /// Whether most machines fell silent at once: rather this node is cut off than all of them. But
     /// only if a peer hears workers meanwhile; else they are really gone, and another leader would
     /// only find the same.
-    pub(super) fn is_cut_off(&mut self, peers_hear: bool, now: MonotonicTime) -> bool {
+    pub(super) fn is_cut_off_from_workers(&mut self, peers_hear: bool, now: MonotonicTime) -> bool {
         let limit = self.heartbeat_interval().times(CUT_OFF_INTERVALS);
         let mut all = 0;
         let mut silent = 0;
@@ -95,7 +95,11 @@
 
     /// Gives up machines that fell silent or never came up. `zones_heard`: when a leader last heard a
     /// worker of each zone.
-    pub(super) fn find_lost(&mut self, zones_heard: &BTreeMap<Zone, MonotonicTime>, now: MonotonicTime) {
+    pub(super) fn return_lost_machines(
+        &mut self,
+        zones_heard: &BTreeMap<Zone, MonotonicTime>,
+        now: MonotonicTime,
+    ) {
         let rules = self.silence_rules(zones_heard, now);
         self.isolation.set_cut_zones(&rules.cut, &rules.alive, now);
         let boot_patience = self.settings.operator.boot_patience;
@@ -171,7 +175,11 @@
     /// Gives up machines where a start that may still act is to be stopped: it can't be stopped
     /// before it does, but the cloud can prove it gone, long before a cancellation's time is up. Nor
     /// can a leader that has not read the job records for as long know what is cancelled.
-    pub(super) fn find_unstoppable(&mut self, lease_renewal: &LeaseRenewal, now: MonotonicTime) {
+    pub(super) fn return_machines_with_overdue_stops(
+        &mut self,
+        lease_renewal: &LeaseRenewal,
+        now: MonotonicTime,
+    ) {
         let unstopped_limit = self.unstopped_limit();
         let cancellations_unknown = lease_renewal.is_stale_for(unstopped_limit, now);
         for machine in self.machines.iter_mut() {
@@ -188,8 +196,8 @@
 
     /// A task of `job`, which has failed `errors` times in a row, failed on the machine. Gives
     /// whether that makes the machine a faulty one, to be emptied and returned.
-    pub(super) fn blame(&mut self, id: &MachineId, job: &JobId, errors: u32) -> bool {
-        if errors >= JOB_AT_FAULT {
+    pub(super) fn record_failed_job(&mut self, id: &MachineId, job: &JobId, errors: u32) -> bool {
+        if errors >= JOB_FAULT_THRESHOLD {
             return false;
         }
         let Some(machine) = self.machines.get_mut(id) else { return false };
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -35,10 +35,10 @@
     let probes = leader.silent_workers(at);
     assert_eq!(probes.iter().map(|probe| probe.machine.as_str()).collect::<Vec<_>>(), ["m-0"]);
     set_unanswered(&mut leader, "m-0", PROBES_LOST - 1);
-    leader.find_lost(&BTreeMap::new(), at);
+    leader.return_lost_machines(&BTreeMap::new(), at);
     assert!(lost(&leader).is_empty(), "one lost answer proves little");
     set_unanswered(&mut leader, "m-0", PROBES_LOST);
-    leader.find_lost(&BTreeMap::new(), at);
+    leader.return_lost_machines(&BTreeMap::new(), at);
     assert_eq!(lost(&leader), ["m-0"]);
 }
 
@@ -55,7 +55,7 @@
             });
             let silent = leader.machines.iter_mut().filter(|machine| machine.zone == "z0".into());
             silent.for_each(|machine| machine.unanswered = 9);
-            leader.find_lost(heard, at);
+            leader.return_lost_machines(heard, at);
         };
     let unknown = BTreeMap::new();
     hear_others(&mut leader, &unknown, MonotonicTime::from_millis(1_000 + lease - 2_500), 2);
@@ -83,13 +83,13 @@
         leader.process_heartbeat(&heartbeat(&format!("m-{}", 5 + serial % 5), "z0", serial), at);
     }
     (0..5).for_each(|index| set_unanswered(&mut leader, &format!("m-{index}"), PROBES_LOST));
-    leader.find_lost(&BTreeMap::new(), at);
+    leader.return_lost_machines(&BTreeMap::new(), at);
     assert_eq!(lost(&leader), ["m-0", "m-1", "m-2", "m-3", "m-4"]);
     // The same five, and nobody heard any more: it may be the zone.
     let mut leader = cluster(&["z0"; 10]);
     (0..5).for_each(|index| set_unanswered(&mut leader, &format!("m-{index}"), PROBES_LOST));
     let at = MonotonicTime::from_millis(1_000 + interval * 2);
-    leader.find_lost(&BTreeMap::new(), at);
+    leader.return_lost_machines(&BTreeMap::new(), at);
     assert!(lost(&leader).is_empty());
 }
 
@@ -100,10 +100,10 @@
     let mut leader = cluster(&["z0", "z0"]);
     let bad = MachineId::from("m-0");
     let job = |number: usize| JobId::from(format!("req-{number}").as_str());
-    assert!(!leader.blame(&bad, &job(1), 1));
-    assert!(!leader.blame(&bad, &job(1), 2), "the same job again says nothing new");
-    assert!(!leader.blame(&bad, &job(2), JOB_AT_FAULT), "this one fails wherever it runs");
-    assert!(leader.blame(&bad, &job(3), 1));
+    assert!(!leader.record_failed_job(&bad, &job(1), 1));
+    assert!(!leader.record_failed_job(&bad, &job(1), 2), "the same job again says nothing new");
+    assert!(!leader.record_failed_job(&bad, &job(2), JOB_FAULT_THRESHOLD), "this one fails wherever it runs");
+    assert!(leader.record_failed_job(&bad, &job(3), 1));
     assert!(leader.machines.get(&bad).expect("there").draining);
     let call = leader.returns(MonotonicTime::from_millis(9_000)).expect("a call");
     assert!(matches!(&call.request, CloudRequest::Release { machines } if *machines == [bad]));
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -65,7 +65,7 @@
 use commits::CommitState;
 use delegation::{FailoverLog, QueuedCommands};
 use isolation::ZoneIsolation;
-use machine_health::SilenceDetector;
+use machine_health::HeartbeatOutageDetector;
 use machines::Machines;
 use pearford_heartbeat::{Coordinator, FullHeartbeat, LeaseRenewal};
 use pearford_recovery::{HeartbeatCollection, LeaderAction, Pacer};
@@ -152,7 +152,7 @@
     worker_calls: WorkerCalls,
     queued_commands: QueuedCommands,
     isolation: ZoneIsolation,
-    silence: SilenceDetector,
+    silence: HeartbeatOutageDetector,
     rounds: SchedulingRounds,
     array_turns: ArrayTurns,
     guarantees: Guarantees,
@@ -198,7 +198,7 @@
             worker_calls: WorkerCalls::default(),
             queued_commands: QueuedCommands::default(),
             isolation: ZoneIsolation::new(now),
-            silence: SilenceDetector::default(),
+            silence: HeartbeatOutageDetector::default(),
             rounds: SchedulingRounds::new(now),
             array_turns: ArrayTurns::default(),
             guarantees: Guarantees::default(),
@@ -267,7 +267,7 @@
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
         self.retry_waiting(now);
         self.machines.expire_tombstones(now);
-        if self.is_cut_off(context.peers.hear_workers(now), now) {
+        if self.is_cut_off_from_workers(context.peers.hear_workers(now), now) {
             return Some(LeadershipEnd::Resign(ResignReason::WorkersSilent));
         }
         self.read_isolation_reports(context);
@@ -277,8 +277,8 @@
         self.update_failover_phase(now);
         self.drain_reclaimed(now);
         self.stop_broken_gangs(now);
-        self.find_lost(context.peers.zones_heard(), now);
-        self.find_unstoppable(context.lease_renewal, now);
+        self.return_lost_machines(context.peers.zones_heard(), now);
+        self.return_machines_with_overdue_stops(context.lease_renewal, now);
         self.probe(context);
         self.call_cloud(context);
         None
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -92,8 +92,8 @@
 
     /// What is rented in a zone that is cut off can't be used: the request takes others, if it may.
     fn avoid_cut_zones(&self, request: &mut CapacityRequest) {
-        if request.zones.iter().any(|(zone, left)| *left > 0 && !self.isolation.is_cut(zone)) {
-            request.zones.retain(|(zone, _)| !self.isolation.is_cut(zone));
+        if request.zones.iter().any(|(zone, left)| *left > 0 && !self.isolation.is_zone_unreachable(zone)) {
+            request.zones.retain(|(zone, _)| !self.isolation.is_zone_unreachable(zone));
         }
     }
 
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -4,7 +4,7 @@
 use super::Leader;
 use super::commits::PendingOutcome;
 use super::job_changes::progress_key;
-use super::machine_health::JOB_AT_FAULT;
+use super::machine_health::JOB_FAULT_THRESHOLD;
 use crate::assignments::{self, AssignmentState, CommitPriority, WriteVersion};
 use crate::gangs;
 use crate::jobs::{self, JobType, Record};
@@ -132,7 +132,7 @@
                 job_state.consecutive_failures += 1;
                 job_state.not_before = now + failure_pause(job_state.consecutive_failures);
                 failures = Some(job_state.consecutive_failures);
-                if job_state.consecutive_failures < JOB_AT_FAULT {
+                if job_state.consecutive_failures < JOB_FAULT_THRESHOLD {
                     let kind = job_state.job.spec.kind.clone();
                     let outcome = PlacementOutcome { machine: id.clone(), kind, success: false };
                     self.broadcaster.add_outcome(outcome);
@@ -147,7 +147,7 @@
             self.stop_job(&task.job, 0.0, now);
         }
         if let Some(failures) = failures {
-            self.blame(id, &task.job, failures);
+            self.record_failed_job(id, &task.job, failures);
         }
     }
 }
