--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -124,14 +124,14 @@
         }
         DisabledCheck::UnacknowledgedStarts => leader.inject_forgetting_sent_starts(),
         DisabledCheck::IsolationReports => leader.disable_isolation_reports(),
-        DisabledCheck::HeartbeatCollection => leader.inject_loss_of_unheard_machines(),
+        DisabledCheck::HeartbeatCollection => leader.inject_loss_of_unreported_machines(),
         DisabledCheck::TaskCompletion => leader.inject_early_completion(),
         DisabledCheck::StoppingTasks => leader.inject_freeing_of_stopping_tasks(now),
         DisabledCheck::DurableBeforeStart => leader.disable_record_before_start(),
         DisabledCheck::SilenceDetection => leader.disable_silence_detection(now),
         DisabledCheck::StopCommands => leader.disable_stops(),
         DisabledCheck::HeartbeatOrder => leader.disable_heartbeat_order(),
-        DisabledCheck::ZoneConstraint => leader.disable_zone_binding(),
+        DisabledCheck::ZoneConstraint => leader.disable_zone_constraint(),
         DisabledCheck::JobGraph(_)
         | DisabledCheck::LeaseRenewal(_)
         | DisabledCheck::ClusterVersion
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -212,7 +212,7 @@
         self.now = now.steady;
         self.wall_time = now.wall_time;
         if let Some(leader) = &mut self.leader {
-            leader.took(now.took, self.now);
+            leader.record_step_cost(now.took, self.now);
         }
         if self.started_at.is_none() {
             self.started_at = Some(self.now);
@@ -242,9 +242,9 @@
         let leader = self.leader.as_mut()?;
         let context = StepContext {
             now: self.now,
-            valid: self.election.valid(self.now),
-            holds: self.election.leads(),
-            fresh_at: self.job_watcher.fresh_at(),
+            lease_valid: self.election.valid(self.now),
+            in_leader_role: self.election.leads(),
+            jobs_read_at: self.job_watcher.fresh_at(),
             lease_renewal: &self.lease_renewal,
             heartbeats_delegated: heartbeats_delegated(&self.settings, self.cluster_version.reached()),
             job_cache: &mut self.job_cache,
@@ -252,7 +252,7 @@
             peers: &mut self.peers,
             catalogue: &mut self.catalogue,
             rng: &mut self.rng,
-            out: &mut self.out,
+            outbox: &mut self.out,
         };
         Some((leader, context))
     }
@@ -297,7 +297,7 @@
         self.pump_job_watcher();
         self.pump_extensions();
         if let Some((leader, mut context)) = self.leading() {
-            leader.pump(&mut context);
+            leader.advance(&mut context);
         }
     }
 
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -74,7 +74,7 @@
             }
             PeerMessage::RoundProposals { fencing_token, partition, round, proposals } => {
                 if let Some((leader, mut context)) = self.leading() {
-                    leader.proposals(&mut context, &from, fencing_token, partition, round, proposals);
+                    leader.process_proposals(&mut context, &from, fencing_token, partition, round, proposals);
                 }
             }
             message => self.heartbeat_message(&from, message),
--- a/crates/scheduler/src/node/leader/broadcast.rs
+++ b/crates/scheduler/src/node/leader/broadcast.rs
@@ -82,7 +82,7 @@
     pub(super) fn broadcast(&mut self, context: &mut StepContext) {
         // A leader whose lease is no longer valid must not keep the others from taking over: they
         // may reach the key-value store that it has lost.
-        if !context.valid {
+        if !context.lease_valid {
             return;
         }
         let Some(sequence) = self.broadcaster.begin(context.now) else { return };
@@ -115,7 +115,7 @@
                     success_counts: context.success_counts.clone(),
                 }
             };
-            context.out.send(peer, message);
+            context.outbox.send(peer, message);
         }
         if save_counts {
             self.save_counts(context);
@@ -146,7 +146,7 @@
                 changes: parts.iter().map(put).collect(),
             };
             let pending = Pending::Leader(self.fencing_token, LeaderRequest::SaveCounts);
-            context.out.request_store(request, pending);
+            context.outbox.request_store(request, pending);
         }
     }
 }
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -135,7 +135,7 @@
     }
 
     fn send(&mut self, context: &mut StepContext, planned: PlannedCall) {
-        let request_id = context.out.request_cloud(planned.request);
+        let request_id = context.outbox.request_cloud(planned.request);
         self.open_calls.insert(request_id, planned.call);
     }
 
@@ -152,10 +152,10 @@
         let list_interval = Duration::from_secs_f64(self.settings.operator.list_every_s);
         let list = self.cloud.begin_listing(list_interval, now);
         if self.cloud.begin_types_read(now) {
-            context.catalogue.refresh(context.out);
+            context.catalogue.refresh(context.outbox);
         }
-        let returns = self.returns(now);
-        let rentals = if self.rental_pacer.is_due(now) { self.rentals(now) } else { Vec::new() };
+        let returns = self.plan_returns(now);
+        let rentals = if self.rental_pacer.is_due(now) { self.plan_rentals(now) } else { Vec::new() };
         if list {
             self.cloud.send_listing(context, None);
         }
@@ -181,7 +181,7 @@
             // No answer: what was rented after all shows in the list or by its heartbeats.
             (CloudCall::Rent { .. }, _) => self.cloud.rent_not_before = now + UNAVAILABLE_PAUSE,
             (CloudCall::Release { machines }, CloudReply::Released) => {
-                machines.iter().for_each(|id| self.released(id, now));
+                machines.iter().for_each(|id| self.process_released_machine(id, now));
             }
             (CloudCall::Release { machines }, _) => {
                 machines.iter().for_each(|id| self.cloud.release_ended(id));
@@ -206,7 +206,7 @@
             self.refuse_offer(offer.clone(), now);
         }
         for id in ids {
-            self.rented(id, &offer, now);
+            self.add_rented_machine(id, &offer, now);
         }
     }
 
@@ -219,7 +219,7 @@
     fn page_listed(&mut self, context: &mut StepContext, machines: Vec<ListedMachine>, more: bool) {
         let last = machines.last().map(|machine| machine.id.clone());
         for listed in machines {
-            self.listed(listed, context.now);
+            self.process_listed_machine(listed, context.now);
         }
         self.cloud.list_cursor = last.filter(|_| more);
         if let Some(last) = self.cloud.list_cursor.clone() {
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -186,7 +186,7 @@
     /// Sends the next transaction, if the last is finished and the write budget allows it.
     pub(super) fn commit(&mut self, context: &mut StepContext) {
         if let Some(request) = self.commits.next_transaction(self.settings.state.txn_ops, context.now) {
-            context.out.request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::Commit));
+            context.outbox.request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::Commit));
         }
     }
 
@@ -242,7 +242,7 @@
     fn reread(&self, context: &mut StepContext, key: String) {
         let request = StoreRequest::Get { key: key.clone() };
         let pending = Pending::Leader(self.fencing_token, LeaderRequest::Correct { key });
-        context.out.request_store(request, pending);
+        context.outbox.request_store(request, pending);
     }
 
     /// Reads records again whose read had failed.
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -73,7 +73,7 @@
     /// Lets the other nodes answer heartbeats. All of them are sent the delegation, also those that
     /// seem away: one that comes late changes nothing.
     pub(super) fn delegate(&mut self, context: &mut StepContext) {
-        if !context.heartbeats_delegated || !context.valid {
+        if !context.heartbeats_delegated || !context.lease_valid {
             return;
         }
         let nodes = self.live_nodes(context);
@@ -83,8 +83,8 @@
         let cancellations_unknown = !context.lease_renewal.is_fresh(context.now);
         let unacknowledged = self.unacknowledged_starts(delegation.sequence, cancellations_unknown);
         for peer in context.peers.names() {
-            context.out.send(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
-            context.out.send(peer, PeerMessage::Delegation(delegation.clone()));
+            context.outbox.send(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
+            context.outbox.send(peer, PeerMessage::Delegation(delegation.clone()));
         }
         if !self.failover_log.all_heard && self.loaded() && self.all_machines_heard() {
             self.failover_log.all_heard(context.now);
@@ -127,7 +127,7 @@
         from: &NodeName,
         digest: HeartbeatDigest,
     ) {
-        if !self.loaded() || !context.holds {
+        if !self.loaded() || !context.in_leader_role {
             return; // it comes again once all records are read
         }
         self.failover_log.digest_received(context.now);
@@ -136,7 +136,7 @@
         }
         for ResendRequest { node, machines } in self.coordinator.take_resend_requests() {
             let message = PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines };
-            context.out.send(&node, message);
+            context.outbox.send(&node, message);
         }
     }
 
@@ -228,7 +228,7 @@
         for (node, mut commands) in std::mem::take(&mut self.queued_commands.by_node) {
             while !commands.is_empty() {
                 let rest = commands.split_off(commands.len().min(COMMANDS_PER_MESSAGE));
-                context.out.send(&node, PeerMessage::QueuedCommands { fencing_token, commands });
+                context.outbox.send(&node, PeerMessage::QueuedCommands { fencing_token, commands });
                 commands = rest;
             }
         }
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -46,7 +46,7 @@
     }
 
     /// Gives up machines at once that this leader has not heard yet.
-    pub(in crate::node) fn inject_loss_of_unheard_machines(&mut self) {
+    pub(in crate::node) fn inject_loss_of_unreported_machines(&mut self) {
         if !self.loaded() {
             return;
         }
@@ -123,7 +123,7 @@
     }
 
     /// Places jobs that are bound to a zone in any zone.
-    pub(in crate::node) fn disable_zone_binding(&mut self) {
+    pub(in crate::node) fn disable_zone_constraint(&mut self) {
         let bound = self.job_states.values_mut().filter(|job_state| job_state.job.spec.zone.is_some());
         for job_state in bound {
             let mut job = (*job_state.job).clone();
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -34,13 +34,17 @@
             return false;
         }
         if self.machines.was_returned(&heartbeat.machine) {
-            context.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "this machine was returned");
+            context.outbox.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "this machine was returned");
             return true;
         }
         if context.heartbeats_delegated && self.loaded() {
             let assigned = self.coordinator.redirect_for(&heartbeat.machine, &heartbeat.zone, context.now);
             if let Some(node) = assigned {
-                context.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)));
+                context.outbox.answer(
+                    request,
+                    StatusCode::MISDIRECTED_REQUEST,
+                    workers::redirect(Some(&node)),
+                );
                 return true;
             }
             let position = heartbeat.position();
@@ -48,7 +52,7 @@
         }
         context.peers.heard_zone(&heartbeat.zone, context.now);
         let commands = self.commands_for(context, heartbeat);
-        context.out.answer(request, StatusCode::OK, workers::answer(self.fencing_token, &commands));
+        context.outbox.answer(request, StatusCode::OK, workers::answer(self.fencing_token, &commands));
         true
     }
 
@@ -80,7 +84,7 @@
         let machine = self.machines.get(id);
         let unacknowledged = machine.filter(|machine| machine.has_unacknowledged_starts());
         let returned = unacknowledged.is_some_and(|machine| machine.status == MachineStatus::Releasing);
-        context.holds
+        context.in_leader_role
             && !returned
             && context.lease_renewal.leader_may_renew(unacknowledged.is_some(), context.now)
     }
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -89,7 +89,7 @@
         self.isolation.next_read = context.now + READ_INTERVAL;
         let request = StoreRequest::Range { prefix: PREFIX, after: None, most: MAX_REPORTS };
         context
-            .out
+            .outbox
             .request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::IsolationReports));
     }
 
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -105,6 +105,6 @@
     assert!(!leader.blame(&bad, &job(2), JOB_AT_FAULT), "this one fails wherever it runs");
     assert!(leader.blame(&bad, &job(3), 1));
     assert!(leader.machines.get(&bad).expect("there").draining);
-    let call = leader.returns(MonotonicTime::from_millis(9_000)).expect("a call");
+    let call = leader.plan_returns(MonotonicTime::from_millis(9_000)).expect("a call");
     assert!(matches!(&call.request, CloudRequest::Release { machines } if *machines == [bad]));
 }
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -4,7 +4,7 @@
 //! The controller calls it with each input while the node leads. [`Leader`] owns what several
 //! concerns need (machines, job states, partitions) and one component for each concern, whose fields
 //! are private to its file; the methods on `Leader` in those files bring the components together.
-//! [`Leader::tick`] and [`Leader::pump`] are the order in which things happen. It knows its node only
+//! [`Leader::tick`] and [`Leader::advance`] are the order in which things happen. It knows its node only
 //! by the [`StepContext`] that it is given for a step, and returns a [`LeadershipEnd`] when the node
 //! is to lead no longer.
 
@@ -88,11 +88,11 @@
     /// When the step happens.
     pub now: MonotonicTime,
     /// The leadership lease is valid: commands, commits and rentals may leave.
-    pub valid: bool,
+    pub lease_valid: bool,
     /// The node leads as far as it knows, whether its lease is still valid or not.
-    pub holds: bool,
+    pub in_leader_role: bool,
     /// Start of the newest linearizable read of the job records.
-    pub fresh_at: MonotonicTime,
+    pub jobs_read_at: MonotonicTime,
     /// Until when workers' leases may be renewed.
     pub lease_renewal: &'a LeaseRenewal,
     /// All jobs as stored.
@@ -108,7 +108,7 @@
     /// The node's source of randomness.
     pub rng: &'a mut StdRng,
     /// Where the step's effects go.
-    pub out: &'a mut Outbox,
+    pub outbox: &'a mut Outbox,
 }
 
 /// Something to do again later.
@@ -217,8 +217,8 @@
     }
 
     /// The step that has ended took `cost`.
-    pub(in crate::node) fn took(&mut self, cost: Duration, now: MonotonicTime) {
-        self.rounds.add_cost(cost, now);
+    pub(in crate::node) fn record_step_cost(&mut self, cost: Duration, now: MonotonicTime) {
+        self.rounds.record_step_cost(cost, now);
         self.rental_pacer.record_cost(cost, now);
     }
 
@@ -256,7 +256,7 @@
         self.broadcast(context);
         self.delegate(context);
         self.expire_rounds(context.now);
-        if self.loaded() && context.now >= self.next_housekeeping && context.valid {
+        if self.loaded() && context.now >= self.next_housekeeping && context.lease_valid {
             return self.housekeeping(context);
         }
         None
@@ -294,8 +294,8 @@
 
     /// What any input may have made possible: schedules what waits, sends what is new to workers,
     /// and writes what has changed.
-    pub(super) fn pump(&mut self, context: &mut StepContext) {
-        if !context.valid {
+    pub(super) fn advance(&mut self, context: &mut StepContext) {
+        if !context.lease_valid {
             return;
         }
         self.records_loaded(context);
@@ -312,7 +312,7 @@
 
     /// Whether starts may leave: the lease is valid, all records are read, cancellations are known.
     fn may_start(&self, context: &StepContext) -> bool {
-        context.valid
+        context.lease_valid
             && self.heartbeat_collection.allows(LeaderAction::Start)
             && !self.machines.any_unreadable()
             && context.lease_renewal.is_fresh(context.now)
--- a/crates/scheduler/src/node/leader/scale_in.rs
+++ b/crates/scheduler/src/node/leader/scale_in.rs
@@ -10,7 +10,7 @@
 
 impl Leader {
     /// The call that returns machines now, if there are any to return.
-    pub(super) fn returns(&mut self, now: MonotonicTime) -> Option<PlannedCall> {
+    pub(super) fn plan_returns(&mut self, now: MonotonicTime) -> Option<PlannedCall> {
         if self.heartbeat_collection.allows(LeaderAction::ScaleIn) {
             self.begin_idle_returns(now);
         }
@@ -30,7 +30,7 @@
     }
 
     /// The cloud has confirmed that the machine and everything on it are gone.
-    pub(super) fn released(&mut self, id: &MachineId, now: MonotonicTime) {
+    pub(super) fn process_released_machine(&mut self, id: &MachineId, now: MonotonicTime) {
         self.cloud.release_ended(id);
         self.coordinator.forget(id);
         self.machines.mark_returned(id, now);
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -48,7 +48,7 @@
 
 impl Leader {
     /// The calls that rent machines now.
-    pub(super) fn rentals(&mut self, now: MonotonicTime) -> Vec<PlannedCall> {
+    pub(super) fn plan_rentals(&mut self, now: MonotonicTime) -> Vec<PlannedCall> {
         if !self.heartbeat_collection.allows(LeaderAction::ScaleOut)
             || !self.cloud.may_rent(now)
             || now.since(self.since) < RENT_AFTER_FAILOVER
@@ -198,7 +198,7 @@
     }
 
     /// The cloud has rented a machine, or lists one that is not known yet.
-    pub(super) fn rented(&mut self, id: MachineId, offer: &InstanceOffer, now: MonotonicTime) {
+    pub(super) fn add_rented_machine(&mut self, id: MachineId, offer: &InstanceOffer, now: MonotonicTime) {
         if self.machines.was_returned(&id) || self.machines.contains(&id) {
             return;
         }
@@ -210,13 +210,13 @@
     }
 
     /// The cloud lists a machine.
-    pub(super) fn listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
+    pub(super) fn process_listed_machine(&mut self, listed: ListedMachine, now: MonotonicTime) {
         if self.machines.was_returned(&listed.id) {
             return;
         }
         if !self.machines.contains(&listed.id) {
             let offer = InstanceOffer { type_name: listed.type_name, zone: listed.zone, spot: listed.spot };
-            self.rented(listed.id.clone(), &offer, now);
+            self.add_rented_machine(listed.id.clone(), &offer, now);
         }
         let Some(machine) = self.machines.get_mut(&listed.id) else { return };
         if machine.addr.is_none() {
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -59,7 +59,7 @@
     }
 
     /// The step that has ended took `cost`.
-    pub fn add_cost(&mut self, cost: Duration, now: MonotonicTime) {
+    pub fn record_step_cost(&mut self, cost: Duration, now: MonotonicTime) {
         self.passes.record_cost(cost, now);
     }
 
@@ -143,11 +143,11 @@
             machines: round.machines,
             requests: round.requests,
         };
-        context.out.send(&round.node, message);
+        context.outbox.send(&round.node, message);
     }
 
     /// A controller's proposals for a round.
-    pub(in crate::node) fn proposals(
+    pub(in crate::node) fn process_proposals(
         &mut self,
         context: &mut StepContext,
         from: &NodeName,
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -96,7 +96,7 @@
 
     fn load_page(&self, context: &mut StepContext, kind: RecordKind, after: Option<String>) {
         let request = StoreRequest::Range { prefix: kind.prefix(), after, most: PAGE };
-        context.out.request_store(request, Pending::Leader(self.fencing_token, kind.request()));
+        context.outbox.request_store(request, Pending::Leader(self.fencing_token, kind.request()));
     }
 
     /// A page of records was read, or the read failed.
@@ -164,7 +164,7 @@
     /// read that began under this leadership. With an older copy of the jobs, tasks of one accepted
     /// meanwhile would be taken for unknown ones, and placed a second time when it shows up.
     pub(super) fn records_loaded(&mut self, context: &mut StepContext) {
-        if self.loaded() || !self.record_loading.is_complete() || self.wants_jobs(context.fresh_at) {
+        if self.loaded() || !self.record_loading.is_complete() || self.wants_jobs(context.jobs_read_at) {
             return;
         }
         self.heartbeat_collection.records_read(context.now);
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -218,7 +218,7 @@
     timeout: Duration,
 ) -> RequestId {
     match via {
-        Some(node) => context.out.relay(node, addr, body, timeout, context.now),
-        None => context.out.command_worker(addr, body, timeout),
+        Some(node) => context.outbox.relay(node, addr, body, timeout, context.now),
+        None => context.outbox.command_worker(addr, body, timeout),
     }
 }
