--- a/crates/pearford/src/runtime/clock.rs
+++ b/crates/pearford/src/runtime/clock.rs
@@ -22,9 +22,9 @@
     pub(super) fn now(&self, last_step: Duration) -> Now {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
-            steady: MonotonicTime::from_millis(whole_millis(self.started.elapsed()) + MONOTONIC_START_MS),
+            monotonic: MonotonicTime::from_millis(whole_millis(self.started.elapsed()) + MONOTONIC_START_MS),
             wall_time: WallTime(since_epoch.map(whole_millis).unwrap_or(0)),
-            took: types::Duration::from_millis(whole_millis(last_step)),
+            last_step_duration: types::Duration::from_millis(whole_millis(last_step)),
         }
     }
 }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -209,10 +209,10 @@
     }
 
     fn start_step(&mut self, now: Now) {
-        self.now = now.steady;
+        self.now = now.monotonic;
         self.wall_time = now.wall_time;
         if let Some(leader) = &mut self.leader {
-            leader.took(now.took, self.now);
+            leader.took(now.last_step_duration, self.now);
         }
         if self.started_at.is_none() {
             self.started_at = Some(self.now);
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -17,7 +17,7 @@
             return;
         }
         self.next_ping = self.now + PING_EVERY;
-        let zones_heard = self.peers.zones_heard().iter();
+        let zones_heard = self.peers.last_heartbeat_by_zone().iter();
         let ping = PeerMessage::Ping {
             store_reachable: self.store_reachable(),
             fencing_token_seen: self.highest_fencing_token,
@@ -83,7 +83,7 @@
 
     fn note_zones_heard(&mut self, zones_heard: Vec<ZoneHeard>) {
         for ZoneHeard { zone, age } in zones_heard {
-            self.peers.heard_zone(&zone, self.now.before(age));
+            self.peers.record_zone_heartbeat(&zone, self.now.before(age));
         }
     }
 
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -241,7 +241,7 @@
     /// Reads a record whose revision was not the expected one.
     fn reread(&self, context: &mut StepContext, key: String) {
         let request = StoreRequest::Get { key: key.clone() };
-        let pending = Pending::Leader(self.fencing_token, LeaderRequest::Correct { key });
+        let pending = Pending::Leader(self.fencing_token, LeaderRequest::RereadRecord { key });
         context.out.request_store(request, pending);
     }
 
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -169,7 +169,7 @@
                 heard.position.serial,
                 heard.received_at,
             );
-            context.peers.heard_zone(&machine.zone, heard.received_at);
+            context.peers.record_zone_heartbeat(&machine.zone, heard.received_at);
             return;
         }
         // A heartbeat is worth the same whoever has heard it: it carries the epoch, the serial and
@@ -180,7 +180,7 @@
             return;
         };
         self.process_heartbeat(&heartbeat, context.now);
-        context.peers.heard_zone(&heartbeat.zone, heard.received_at);
+        context.peers.record_zone_heartbeat(&heartbeat.zone, heard.received_at);
         self.command_delegated_worker(context, from, &heartbeat, heard.received_at);
     }
 
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -46,7 +46,7 @@
             let position = heartbeat.position();
             self.coordinator.heartbeat_received_here(&heartbeat.machine, position, Vec::new());
         }
-        context.peers.heard_zone(&heartbeat.zone, context.now);
+        context.peers.record_zone_heartbeat(&heartbeat.zone, context.now);
         let commands = self.commands_for(context, heartbeat);
         context.out.answer(request, StatusCode::OK, workers::answer(self.fencing_token, &commands));
         true
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -242,7 +242,7 @@
             LeaderRequest::LoadMachines => self.page_loaded(context, RecordKind::Machines, reply),
             LeaderRequest::LoadProgress => self.page_loaded(context, RecordKind::Progress, reply),
             LeaderRequest::Commit => return self.commit_reply(context, reply),
-            LeaderRequest::Correct { key } => self.reread_reply(context, &key, reply),
+            LeaderRequest::RereadRecord { key } => self.reread_reply(context, &key, reply),
             LeaderRequest::IsolationReports => self.isolation_reports_read(context, reply),
             LeaderRequest::SaveCounts | LeaderRequest::Resign => {}
         }
@@ -267,7 +267,7 @@
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
         self.retry_waiting(now);
         self.machines.expire_tombstones(now);
-        if self.is_cut_off(context.peers.hear_workers(now), now) {
+        if self.is_cut_off(context.peers.any_has_unanswered_heartbeats(now), now) {
             return Some(LeadershipEnd::Resign(ResignReason::WorkersSilent));
         }
         self.read_isolation_reports(context);
@@ -277,7 +277,7 @@
         self.update_failover_phase(now);
         self.drain_reclaimed(now);
         self.stop_broken_gangs(now);
-        self.find_lost(context.peers.zones_heard(), now);
+        self.find_lost(context.peers.last_heartbeat_by_zone(), now);
         self.find_unstoppable(context.lease_renewal, now);
         self.probe(context);
         self.call_cloud(context);
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -28,11 +28,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
     /// The monotonic clock: for timeouts and leases.
-    pub steady: MonotonicTime,
+    pub monotonic: MonotonicTime,
     /// The wall clock: for users only.
     pub wall_time: WallTime,
     /// How long the step before this one took.
-    pub took: Duration,
+    pub last_step_duration: Duration,
 }
 
 /// HTTP method of a request.
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -110,7 +110,7 @@
     /// Commits changes of records.
     Commit,
     /// Reads a record anew after a commit that conflicted with it.
-    Correct {
+    RereadRecord {
         /// The record's key.
         key: String,
     },
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether workers that found no leader have lately turned to a live peer.
-    pub fn hear_workers(&self, now: MonotonicTime) -> bool {
+    pub fn any_has_unanswered_heartbeats(&self, now: MonotonicTime) -> bool {
         self.live_states(now).any(|(_, peer)| peer.hears_workers)
     }
 
@@ -82,12 +82,12 @@
     }
 
     /// When a leader last heard a worker of each zone.
-    pub fn zones_heard(&self) -> &BTreeMap<Zone, MonotonicTime> {
+    pub fn last_heartbeat_by_zone(&self) -> &BTreeMap<Zone, MonotonicTime> {
         &self.zones_heard
     }
 
     /// Notes that a worker of `zone` was heard at `at`, here or by an earlier leader.
-    pub fn heard_zone(&mut self, zone: &Zone, at: MonotonicTime) {
+    pub fn record_zone_heartbeat(&mut self, zone: &Zone, at: MonotonicTime) {
         match self.zones_heard.get_mut(zone) {
             Some(heard_at) => *heard_at = at.max(*heard_at),
             None => {
--- a/crates/scheduler/src/simulation/nodes.rs
+++ b/crates/scheduler/src/simulation/nodes.rs
@@ -215,9 +215,9 @@
     /// Gives a node an input and carries out the effects.
     fn step(&mut self, node: usize, input: Input) {
         let now = Now {
-            steady: self.monotonic_time(node),
+            monotonic: self.monotonic_time(node),
             wall_time: WallTime(WALL_START_MS + self.now),
-            took: Duration::from_millis(0),
+            last_step_duration: Duration::from_millis(0),
         };
         let incarnation = self.nodes[node].incarnation;
         let Some(controller) = &mut self.nodes[node].controller else { return };
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -134,9 +134,9 @@
         simulation.run_until(second * 1000);
         for node in 0..NODES {
             let now = Now {
-                steady: MonotonicTime::from_millis(1_000_000 + simulation.now),
+                monotonic: MonotonicTime::from_millis(1_000_000 + simulation.now),
                 wall_time: WallTime(simulation.now),
-                took: Duration::from_millis(0),
+                last_step_duration: Duration::from_millis(0),
             };
             let request = Input::Http {
                 request: RequestId(u64::from(u32::MAX)),
@@ -211,9 +211,9 @@
     let mut reads = 0;
     for ms in 0..1000 {
         let now = Now {
-            steady: MonotonicTime::from_millis(1_015_000 + ms),
+            monotonic: MonotonicTime::from_millis(1_015_000 + ms),
             wall_time: WallTime(ms),
-            took: Duration::from_millis(0),
+            last_step_duration: Duration::from_millis(0),
         };
         let path = format!("/submissions/req-{}", 900_000 + ms);
         let request =
