--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// The first sum that differs.
-    pub fn check_sums(&self) -> Result<(), String> {
+    pub fn check_totals(&self) -> Result<(), String> {
         self.leader.as_ref().map_or(Ok(()), Leader::check_totals)
     }
 
--- a/crates/scheduler/src/simulation/nodes.rs
+++ b/crates/scheduler/src/simulation/nodes.rs
@@ -228,7 +228,7 @@
         if let Some(injected_fault) = self.injected_fault {
             injected_fault(controller, self.now);
         }
-        if let Err(what) = controller.check_sums() {
+        if let Err(what) = controller.check_totals() {
             self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
         }
         for effect in effects {
