--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -164,7 +164,8 @@
     /// read that began under this leadership. With an older copy of the jobs, tasks of one accepted
     /// meanwhile would be taken for unknown ones, and placed a second time when it shows up.
     pub(super) fn finish_loading(&mut self, context: &mut StepContext) {
-        if self.loaded() || !self.record_loading.is_complete() || self.needs_job_records(context.jobs_read_at) {
+        if self.loaded() || !self.record_loading.is_complete() || self.needs_job_records(context.jobs_read_at)
+        {
             return;
         }
         self.heartbeat_collection.records_read(context.now);
