--- a/crates/scheduler/src/node/leader/adoption.rs
+++ b/crates/scheduler/src/node/leader/adoption.rs
@@ -1,5 +1,5 @@
-//! Adoption after a failover: what earlier leaders stored becomes this leader's job states and
-//! assignments, and what must not go on is stopped.
+//! Adoption after a failover: builds this leader's job states and assignments from the records of earlier
+//! leaders, and stops tasks that must not continue.
 
 use super::Leader;
 use crate::assignments::{Assignment, AssignmentState, CommitPriority, MachineRecord, RecordedAssignment};
@@ -20,7 +20,7 @@
 }
 
 impl Leader {
-    /// Takes a machine over from an earlier leader's record.
+    /// Adds a machine, with its assignments, from an earlier leader's record.
     pub(super) fn inherit(&mut self, id: MachineId, record: MachineRecord, now: MonotonicTime) {
         let machine_type = self.instance_offers.type_of(&record.type_name);
         let total = machine_type.map(MachineType::resources).unwrap_or_default();
@@ -32,7 +32,7 @@
             machine.addr = record.addr;
         }
         if machine.addr.is_some() && machine.last_heartbeat.is_none() {
-            // It has sent heartbeats before: a silence from now on means something.
+            // It has sent heartbeats to an earlier leader, so missing heartbeats count from now on.
             machine.status = MachineStatus::Up;
             machine.last_heartbeat = Some(now);
             machine.last_known_epoch = record.worker_epoch;
@@ -49,7 +49,7 @@
         self.machines.recount(&id, now);
     }
 
-    /// All records are read: builds the job states, and stops what must not go on.
+    /// Builds the job states once all records are read, and stops tasks that must not continue.
     pub(super) fn build_job_states(&mut self, job_cache: &JobCache, now: MonotonicTime) {
         for (id, _) in job_cache.iter().filter(|(_, known)| known.record.is_open()) {
             self.job_changed(job_cache, id, now);
@@ -63,7 +63,7 @@
             self.unreadable_jobs.entry(job).or_default();
         }
         self.adopt_assignments(None, now);
-        // All tasks may be recorded as done without the job being so.
+        // All tasks of a job may be recorded as done while the job itself is not.
         let done = self.job_states.iter().filter(|(_, job_state)| job_state.all_done());
         let done: Vec<JobId> = done.map(|(id, _)| id.clone()).collect();
         for id in done {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// A progress record as it was stored: goes to its job's state, waits for that to be readable, or
-    /// is deleted with its job.
+    /// Adds a stored progress record to its job's state. If the job's record can't be read, the progress
+    /// record is kept until it can; if there is no such job, it is deleted.
     fn adopt_progress(&mut self, job_cache: &JobCache, pair: Pair) {
         let key = pair.key.strip_prefix(PROGRESS_PREFIX).and_then(|key| key.rsplit_once('/'));
         let Some((id, _)) = key else { return };
@@ -86,19 +86,19 @@
         }
     }
 
-    /// Adds a progress record to its job's state; false: there is no such job, or no such chunk.
+    /// Adds a progress record to its job's state. Returns `false` if there is no such job or chunk.
     fn add_progress(&mut self, id: &JobId, pair: &Pair) -> bool {
         let Some(job_state) = self.job_states.get_mut(id) else { return false };
         let chunk = pair.key.rsplit_once('/').and_then(|(_, chunk)| chunk.parse().ok());
         let Some(chunk) = chunk else { return false };
         if let Err(error) = job_state.add_chunk(chunk, &pair.value) {
-            tracing::error!(key = pair.key, %error, "progress can't be read");
+            tracing::error!(key = pair.key, %error, "progress record can't be read; its tasks run again");
         }
         true
     }
 
-    /// A job's record can be read again, or the job is finished: what it has on machines and its
-    /// progress become its state's.
+    /// Adopts the assignments and progress records of a job whose own record could not be read, once it can
+    /// be read again or the job is finished.
     pub(super) fn adopt_unreadable_job(&mut self, id: &JobId, now: MonotonicTime) {
         let Some(pairs) = self.unreadable_jobs.remove(id) else { return };
         for pair in pairs {
@@ -124,10 +124,10 @@
 
     /// The newest attempt of each task that has an assignment.
     ///
-    /// A task is planned anew only once its old assignment is proved gone, but the records of the two
-    /// machines are written apart. Where the new one was in time and the old one's removal wasn't,
-    /// the lower attempt is that old assignment. Taken for a live one it hid the other, and its proof
-    /// of absence let the task start twice (tremorline grown, troubles).
+    /// A task gets a new assignment only once its old one is proved gone, but the records of the two machines
+    /// are written separately. If the leader fails after the new assignment was written and before the
+    /// removal of the old one was, both are stored, and the one with the lower attempt is the old one. When
+    /// it passed for the live one it hid the other, and the proof of its absence let the task start twice.
     fn newest_attempts(&self) -> BTreeMap<TaskId, Attempt> {
         let mut newest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
         for (task, assignment) in self.machines.iter().flat_map(|machine| &machine.assignments) {
@@ -166,9 +166,9 @@
             (Adoption::Keep, Some(job_state)) => {
                 job_state.place(task.index, machine.clone());
                 job_state.attempt = Some(attempt);
-                // It was started there, so its image is there or on its way. The record was written
-                // before the fetch: what ran in an epoch that has ended would be fetched anew
-                // elsewhere.
+                // The task was started there, so its image is on the machine or being fetched. The record
+                // was written before the fetch: without this, a task whose worker epoch has ended would
+                // start elsewhere and fetch the image again.
                 let job = job_state.job.clone();
                 let image = &job.spec.image;
                 if self.machines.get(&machine).is_some_and(|machine| !machine.has_image(image)) {
--- a/crates/scheduler/src/node/leader/adoption/tests.rs
+++ b/crates/scheduler/src/node/leader/adoption/tests.rs
@@ -22,10 +22,11 @@
     }
 }
 
-/// The removal of an old assignment had not been written when the leader crashed, the task's new
-/// assignment elsewhere had: the old one's absence then freed a task that was running.
+/// Guards against a second start of a running task: if the leader crashes after the task's new assignment
+/// was written and before the removal of its old one was, the old assignment must not pass for the live one,
+/// or the proof of its absence frees the task.
 #[test]
-fn an_assignment_left_over_from_an_earlier_attempt_does_not_hide_the_live_one() {
+fn newer_attempt_stays_placed_when_outdated_assignment_is_adopted() {
     for (first, second, live) in [(5, 7, "m-2"), (7, 5, "m-1")] {
         let now = MonotonicTime::from_millis(1);
         let mut leader = leader();
@@ -36,9 +37,13 @@
             OpenJob { spec: crate::jobs::tests::spec(), submitted: WallTime(1), assigned_node: "n0".into() };
         job_cache.learn("req-1".into(), Revision(1), Record::Open(Arc::new(job)));
         leader.build_job_states(&job_cache, now);
-        let dead = if live == "m-1" { "m-2" } else { "m-1" };
-        leader.process_heartbeat(&heartbeat(dead, "z0", 8), MonotonicTime::from_millis(2));
+        let outdated = if live == "m-1" { "m-2" } else { "m-1" };
+        leader.process_heartbeat(&heartbeat(outdated, "z0", 8), MonotonicTime::from_millis(2));
         let job_state = &leader.job_states[&JobId::from("req-1")];
-        assert_eq!(job_state.placed().get(&0), Some(&MachineId::from(live)), "it is still on {live}");
+        assert_eq!(
+            job_state.placed().get(&0),
+            Some(&MachineId::from(live)),
+            "the task must stay placed on {live}"
+        );
     }
 }
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -1,5 +1,6 @@
-//! Heartbeats that other nodes answer: delegations go out, digests come in, and commands go by way of
-//! whoever hears the worker. `pearford_heartbeat` decides; here its decisions meet the assignments.
+//! Heartbeats that other nodes answer: sends delegations to the nodes, processes their digests, and sends
+//! commands through the node that receives the worker's heartbeats. `pearford_heartbeat` decides which node
+//! answers which worker; here its decisions are applied to the machines and their assignments.
 
 use super::worker_commands::DirectCall;
 use super::{Leader, StepContext};
@@ -12,51 +13,57 @@
 use pearford_heartbeat::{HeartbeatDigest, LiveNode, ReceivedHeartbeat, ResendRequest, UnacknowledgedStarts};
 use std::collections::BTreeMap;
 
-/// Machines with commands in one message to a node.
-const COMMANDS_PER_MESSAGE: usize = 500;
+/// Maximum number of machines whose commands go in one message to a node.
+const MAX_MACHINES_PER_MESSAGE: usize = 500;
 
-/// How a failover goes on, for operators: each milestone is logged once.
+/// Logs each milestone of a failover once, for operators.
 #[derive(Debug)]
 pub(super) struct FailoverLog {
     fencing_token: FencingToken,
     since: MonotonicTime,
     digest_received: bool,
     command_sent: bool,
-    all_heard: bool,
+    all_machines_in_contact: bool,
 }
 
 impl FailoverLog {
-    /// Of a leadership that began at `since`.
+    /// The log of a leadership that began at `since`.
     pub fn new(fencing_token: FencingToken, since: MonotonicTime) -> Self {
-        Self { fencing_token, since, digest_received: false, command_sent: false, all_heard: false }
+        Self {
+            fencing_token,
+            since,
+            digest_received: false,
+            command_sent: false,
+            all_machines_in_contact: false,
+        }
     }
 
-    /// A command goes straight to a worker.
+    /// Records that a command was sent directly to a worker.
     pub fn command_sent(&mut self, now: MonotonicTime) {
         if !std::mem::replace(&mut self.command_sent, true) {
-            self.log("first command", now);
+            self.log("first command sent", now);
         }
     }
 
     fn digest_received(&mut self, now: MonotonicTime) {
         if !std::mem::replace(&mut self.digest_received, true) {
-            self.log("first digest", now);
+            self.log("first digest received", now);
         }
     }
 
-    fn all_heard(&mut self, now: MonotonicTime) {
-        if !std::mem::replace(&mut self.all_heard, true) {
-            self.log("all machines heard", now);
+    fn all_machines_in_contact(&mut self, now: MonotonicTime) {
+        if !std::mem::replace(&mut self.all_machines_in_contact, true) {
+            self.log("heartbeats of all machines received", now);
         }
     }
 
     fn log(&self, phase: &str, now: MonotonicTime) {
         let after_ms = now.since(self.since).0;
-        tracing::info!(fencing_token = %self.fencing_token, after_ms, phase, "failover");
+        tracing::info!(fencing_token = %self.fencing_token, after_ms, phase, "failover milestone reached");
     }
 }
 
-/// Commands that other nodes are to send with their answers to workers' next heartbeats.
+/// Commands for other nodes to send with their answers to the workers' next heartbeats.
 #[derive(Debug, Default)]
 pub(super) struct QueuedCommands {
     by_node: BTreeMap<NodeName, Vec<MachineCommands>>,
@@ -70,8 +77,8 @@
 }
 
 impl Leader {
-    /// Lets the other nodes answer heartbeats. All of them are sent the delegation, also those that
-    /// seem away: one that comes late changes nothing.
+    /// Sends all other nodes the delegation that lets them answer heartbeats, also to those that seem
+    /// unreachable: a delegation that arrives late changes nothing.
     pub(super) fn delegate(&mut self, context: &mut StepContext) {
         if !context.heartbeats_delegated || !context.valid {
             return;
@@ -86,12 +93,12 @@
             context.out.send(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
             context.out.send(peer, PeerMessage::Delegation(delegation.clone()));
         }
-        if !self.failover_log.all_heard && self.loaded() && self.all_machines_heard() {
-            self.failover_log.all_heard(context.now);
+        if !self.failover_log.all_machines_in_contact && self.loaded() && self.are_all_machines_in_contact() {
+            self.failover_log.all_machines_in_contact(context.now);
         }
     }
 
-    /// This node and the peers that are heard, with the zone of each.
+    /// This node and the live peers, with the zone of each.
     fn live_nodes(&self, context: &StepContext) -> Vec<LiveNode> {
         let live = context.peers.live(context.now);
         let peers = self.settings.peers.iter().filter(|peer| live.contains(&peer.name));
@@ -101,13 +108,14 @@
     }
 
     /// Whether there are machines, and all of them have sent a heartbeat under this leadership.
-    fn all_machines_heard(&self) -> bool {
-        let mut up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).peekable();
-        up.peek().is_some() && up.all(Machine::has_been_heard)
+    fn are_all_machines_in_contact(&self) -> bool {
+        let mut up_machines =
+            self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).peekable();
+        up_machines.peek().is_some() && up_machines.all(Machine::has_been_heard)
     }
 
-    /// Where starts of this leader may still arrive. `cancellations_unknown`: its own read of the
-    /// job records is too old to know what is cancelled.
+    /// The machines to which starts of this leader may still arrive. `cancellations_unknown`: the leader's
+    /// read of the job records is too old to tell which jobs are cancelled.
     fn unacknowledged_starts(&self, sequence: u64, cancellations_unknown: bool) -> UnacknowledgedStarts {
         let mut machines = Vec::new();
         let mut never_renew = Vec::new();
@@ -120,7 +128,7 @@
         UnacknowledgedStarts::new(self.fencing_token, sequence, machines, never_renew)
     }
 
-    /// What another node has heard of workers.
+    /// Processes another node's digest of the heartbeats that it received.
     pub(in crate::node) fn digest(
         &mut self,
         context: &mut StepContext,
@@ -128,11 +136,11 @@
         digest: HeartbeatDigest,
     ) {
         if !self.loaded() || !context.holds {
-            return; // it comes again once all records are read
+            return; // the node sends the heartbeats again once all records are read
         }
         self.failover_log.digest_received(context.now);
-        for heard in self.coordinator.digest_received(from, digest, context.now) {
-            self.process_delegated_heartbeat(context, from, heard);
+        for received in self.coordinator.digest_received(from, digest, context.now) {
+            self.process_delegated_heartbeat(context, from, received);
         }
         for ResendRequest { node, machines } in self.coordinator.take_resend_requests() {
             let message = PeerMessage::ResendHeartbeats { fencing_token: self.fencing_token, machines };
@@ -140,12 +148,12 @@
         }
     }
 
-    /// Takes in what this node heard before it led.
+    /// Processes the heartbeats that this node received before it became leader.
     pub(super) fn process_early_heartbeats(&mut self, context: &mut StepContext) {
         let me = self.settings.node.clone();
         let early = self.record_loading.take_early_heartbeats();
-        for heard in self.coordinator.seed(early, self.since, context.now) {
-            self.process_delegated_heartbeat(context, &me, heard);
+        for received in self.coordinator.seed(early, self.since, context.now) {
+            self.process_delegated_heartbeat(context, &me, received);
         }
     }
 
@@ -153,45 +161,45 @@
         &mut self,
         context: &mut StepContext,
         from: &NodeName,
-        heard: ReceivedHeartbeat,
+        received: ReceivedHeartbeat,
     ) {
-        let id = &heard.machine;
+        let id = &received.machine;
         if self.machines.was_returned(id) {
             return self.coordinator.forget(id);
         }
         if let Some(machine) = self.machines.get_mut(id)
             && machine.has_been_heard()
             && machine.is_settled()
-            && !heard.content_changed
+            && !received.content_changed
         {
             machine.heartbeat_unchanged(
-                heard.position.worker_epoch,
-                heard.position.serial,
-                heard.received_at,
+                received.position.worker_epoch,
+                received.position.serial,
+                received.received_at,
             );
-            context.peers.heard_zone(&machine.zone, heard.received_at);
+            context.peers.heard_zone(&machine.zone, received.received_at);
             return;
         }
-        // A heartbeat is worth the same whoever has heard it: it carries the epoch, the serial and
-        // the fencing token that the worker had seen.
+        // A heartbeat proves the same whichever node received it: it carries the epoch, the serial and the
+        // fencing token that the worker had seen.
         let Some(known) = self.coordinator.known(id) else { return };
-        let Some(heartbeat) = Heartbeat::from_content(id, heard.position, &known.content) else {
-            tracing::error!(machine = %id, node = %from, "a heartbeat heard by another node can't be read");
+        let Some(heartbeat) = Heartbeat::from_content(id, received.position, &known.content) else {
+            tracing::error!(machine = %id, node = %from, "heartbeat in a digest can't be read; ignoring it");
             return;
         };
         self.process_heartbeat(&heartbeat, context.now);
-        context.peers.heard_zone(&heartbeat.zone, heard.received_at);
-        self.command_delegated_worker(context, from, &heartbeat, heard.received_at);
+        context.peers.heard_zone(&heartbeat.zone, received.received_at);
+        self.command_delegated_worker(context, from, &heartbeat, received.received_at);
     }
 
-    /// What a worker is to do whose heartbeat another node has answered: some commands go with that
-    /// node's next answer, others directly.
+    /// Sends commands to a worker whose heartbeat another node has answered: some with that node's next
+    /// answer, others directly.
     fn command_delegated_worker(
         &mut self,
         context: &mut StepContext,
         from: &NodeName,
         heartbeat: &Heartbeat,
-        heard_at: MonotonicTime,
+        received_at: MonotonicTime,
     ) {
         let may_start = self.may_start(context);
         let id = &heartbeat.machine;
@@ -199,7 +207,7 @@
         if !is_newest(machine, heartbeat) {
             return;
         }
-        machine.last_heartbeat = Some(heard_at);
+        machine.last_heartbeat = Some(received_at);
         let job_cache = &context.job_cache;
         let finished = |task: &TaskId| job_cache.terminal_status(&task.job).is_some();
         let DelegateCommands { queued, direct_starts } =
@@ -214,7 +222,7 @@
             return;
         }
         let Some(addr) = machine.addr.clone() else { return };
-        // These starts stay unacknowledged until the worker's epoch ends, whatever this call's answer is.
+        // These starts stay unacknowledged until the worker's epoch ends, whatever the reply to this call is.
         let worker_epoch = machine.worker_epoch;
         let body = workers::command(self.fencing_token, worker_epoch, &direct_starts);
         let request_id = self.send_to_worker(context, id, addr, body);
@@ -222,12 +230,12 @@
         self.worker_calls.commands_sent(request_id, call);
     }
 
-    /// Sends the commands that go with other nodes' answers.
+    /// Sends the queued commands to the nodes that are to send them with their answers.
     pub(super) fn send_queued_commands(&mut self, context: &mut StepContext) {
         let fencing_token = self.fencing_token;
         for (node, mut commands) in std::mem::take(&mut self.queued_commands.by_node) {
             while !commands.is_empty() {
-                let rest = commands.split_off(commands.len().min(COMMANDS_PER_MESSAGE));
+                let rest = commands.split_off(commands.len().min(MAX_MACHINES_PER_MESSAGE));
                 context.out.send(&node, PeerMessage::QueuedCommands { fencing_token, commands });
                 commands = rest;
             }
@@ -235,13 +243,13 @@
     }
 }
 
-/// Whether the heartbeat is the newest one that the machine's state stands for.
+/// Whether the heartbeat is the one that the machine's state was last updated from.
 pub(super) fn is_newest(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     machine.worker_epoch == heartbeat.worker_epoch && machine.serial == heartbeat.serial
 }
 
-/// Whether other nodes answer heartbeats: all of them understand what is needed for it, and the
-/// operators want it.
+/// Whether other nodes answer heartbeats: the cluster's feature level includes it, and the operators have
+/// enabled it.
 pub(in crate::node) fn is_enabled(settings: &Settings, reached: FeatureLevel) -> bool {
     settings.operator.report_homes && reached >= cluster_version::HEARTBEAT_DELEGATION
 }
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats: the answer to one that arrives here, and what each one changes.
+//! Workers' heartbeats: answers those that arrive at the leader, and applies the changes that each one makes.
 
 use super::delegation::is_newest;
 use super::{Leader, StepContext};
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use pearford_recovery::RecordedState;
 
-/// A gang's task on its machine, as far as its start is concerned.
+/// What decides whether a gang's task may start on its machine.
 struct GangTask {
     task: TaskId,
     machine: MachineId,
@@ -20,10 +20,11 @@
 }
 
 impl Leader {
-    /// Takes a heartbeat and answers it; false: this node may not speak for the controllers now.
+    /// Processes a heartbeat and answers it. Returns `false`, without an answer, if this node may not renew
+    /// the worker's lease now.
     ///
-    /// 200 renews the worker's lease and may carry commands, 421 names the node that the worker is to
-    /// send its heartbeats to, 503 says nothing about its lease.
+    /// Status 200 renews the worker's lease and may carry commands, 421 names the node to which the worker is
+    /// to send its heartbeats, 503 leaves the lease as it is.
     pub(in crate::node) fn heartbeat(
         &mut self,
         context: &mut StepContext,
@@ -52,10 +53,10 @@
         true
     }
 
-    /// Takes a heartbeat in, and gives the commands that go with its answer.
+    /// Processes a heartbeat and returns the commands for its answer.
     ///
-    /// Before the records are read the worker's lease is renewed and it learns the fencing token;
-    /// what it says of its tasks can only be judged afterwards.
+    /// Until the records are read, the answer only renews the worker's lease, names the fencing token and
+    /// stops tasks of finished jobs: the reported tasks can't be reconciled without the records.
     fn commands_for(&mut self, context: &StepContext, heartbeat: &Heartbeat) -> Vec<WorkerCommand> {
         let may_start = self.may_start(context);
         let is_finished = |job: &JobId| context.job_cache.terminal_status(job).is_some();
@@ -85,7 +86,7 @@
             && context.lease_renewal.leader_may_renew(unacknowledged.is_some(), context.now)
     }
 
-    /// Takes in what a heartbeat says, whichever node has heard it.
+    /// Applies a heartbeat, whichever node received it.
     pub(super) fn process_heartbeat(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         let id = &heartbeat.machine;
         if !self.machines.contains(id) {
@@ -107,7 +108,7 @@
         self.apply_heartbeat_outcome(id, outcome, now);
     }
 
-    /// A rental was answered late or never: its machine is used like any other.
+    /// Adds a machine whose rental the cloud confirmed late or never; it is used like any other.
     fn add_unexpected_machine(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         let machine_type = self.instance_offers.type_of(&heartbeat.type_name);
         let total = machine_type.map(MachineType::resources).unwrap_or_default();
@@ -122,12 +123,12 @@
         self.commits.mark_changed(heartbeat.machine.clone());
     }
 
-    /// Tasks stored on a machine that, should they not be there any more, start again right there:
-    /// with the attempt that is stored, so that it costs no change, and where their image is.
+    /// Tasks with a stored assignment to the machine that start again on it if the worker no longer has them.
+    /// The restart uses the stored attempt, so it needs no write, and the image is on the machine.
     ///
-    /// Records may name more than was there: removals are written late. So what is stored must be
-    /// within the machine, the team's limit and the job's zones all together, or assignments that
-    /// have long made way would come back.
+    /// Records may name more tasks than the machine had, since removals are written late. So all stored
+    /// assignments together must fit the machine, the team's limit and the job's zone rules; otherwise
+    /// assignments that were replaced long ago would come back.
     fn restartable_tasks(&self, heartbeat: &Heartbeat) -> Vec<TaskId> {
         let Some(machine) = self.machines.get(&heartbeat.machine) else { return Vec::new() };
         let may_be_gone = |assignment: &Assignment| match assignment.state.recorded_state() {
@@ -146,7 +147,7 @@
     /// Whether the rules allow a stored task to start again on its machine.
     fn is_restartable(&self, machine: &Machine, task: &TaskId) -> bool {
         let Some(job_state) = self.job_states.get(&task.job) else { return false };
-        // A gang's tasks find one another by their attempt: it begins anew as a whole.
+        // A gang's tasks find each other by their common attempt, so a gang only restarts as a whole.
         if job_state.is_gang() || job_state.finishing || job_state.done().contains(task.index) {
             return false;
         }
@@ -163,7 +164,7 @@
             && !self.machines.any_reports_unknown(task)
     }
 
-    /// Applies what a machine's heartbeat has changed, or its loss.
+    /// Updates job states and queues commands after a heartbeat has changed its machine.
     fn apply_heartbeat_outcome(&mut self, id: &MachineId, outcome: HeartbeatOutcome, now: MonotonicTime) {
         for task in outcome.began {
             self.task_began(id, &task);
@@ -179,7 +180,7 @@
         }
         if !outcome.restarting.is_empty() {
             let tasks = outcome.restarting.len();
-            tracing::debug!(machine = %id, tasks, "not there any more; they start again here");
+            tracing::debug!(machine = %id, tasks, "tasks are gone from the worker; restarting them there");
             outcome.restarting.iter().for_each(|task| self.broadcaster.mark_changed(&task.job));
             self.worker_calls.queue_commands(id.clone());
         }
@@ -194,7 +195,7 @@
     }
 
     fn task_began(&mut self, machine: &MachineId, task: &TaskId) {
-        tracing::debug!(%task, %machine, "runs");
+        tracing::debug!(%task, %machine, "task is running");
         self.broadcaster.mark_changed(&task.job);
         let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
         if job_state.started {
@@ -206,7 +207,7 @@
         self.served.count(Stage::Started, spec);
     }
 
-    /// A task of a job got its image on the machine.
+    /// Records that the job's image is on the machine.
     pub(super) fn image_fetched(&mut self, id: &MachineId, spec: &JobSpec) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let machine_type = self.instance_offers.type_of(&machine.type_name);
@@ -214,7 +215,7 @@
         machine.remember_image(&spec.image, spec.image_gb, cache_gb);
     }
 
-    /// Once all tasks of a gang that had to fetch have their image, the others start too.
+    /// Starts a gang's tasks that waited for the others' fetches, once all of the others have their image.
     fn start_after_fetches(&mut self, job: &JobId) {
         let tasks = self.gang_tasks(job);
         if tasks.iter().any(|gang_task| !gang_task.has_image && !gang_task.after_fetches) {
--- a/crates/scheduler/src/node/leader/heartbeats/tests.rs
+++ b/crates/scheduler/src/node/leader/heartbeats/tests.rs
@@ -5,9 +5,10 @@
 use crate::types::{Attempt, WallTime};
 use std::sync::Arc;
 
-/// One slow fetch made the other tasks of a gang give up, again and again (andina apart).
+/// Guards against a gang that never runs because one task's fetch is slow: if the tasks that have their image
+/// start at once, they end again and again because the gang is not complete in time.
 #[test]
-fn a_gangs_tasks_with_their_image_start_after_the_others_fetches() {
+fn starts_gang_tasks_with_image_after_other_tasks_fetched() {
     let now = MonotonicTime::from_millis(1);
     let mut leader = leader();
     let mut spec = crate::jobs::tests::spec();
@@ -29,11 +30,11 @@
             now,
         );
         assignment.after_fetches = after_fetches;
-        leader.machines.get_mut(&id).expect("there").assignments.insert(task, assignment);
-        leader.job_states.get_mut(&JobId::from("req-1")).expect("there").place(index, id);
+        leader.machines.get_mut(&id).expect("known machine").assignments.insert(task, assignment);
+        leader.job_states.get_mut(&JobId::from("req-1")).expect("known job").place(index, id);
     }
     let starts = |leader: &mut Leader, id: &str| {
-        let machine = leader.machines.get_mut(&MachineId::from(id)).expect("there");
+        let machine = leader.machines.get_mut(&MachineId::from(id)).expect("known machine");
         machine.direct_commands(true, MonotonicTime::from_millis(1)).starts.len()
     };
     assert_eq!((starts(&mut leader, "m-0"), starts(&mut leader, "m-1")), (0, 1));
@@ -42,6 +43,6 @@
     leader.process_heartbeat(&serde_json::from_str(waiting).expect("valid"), now);
     assert!(leader.worker_calls.has_queued_commands(&MachineId::from("m-0")));
     assert_eq!(starts(&mut leader, "m-0"), 1);
-    let fetched = leader.machines.get(&MachineId::from("m-1")).expect("there");
+    let fetched = leader.machines.get(&MachineId::from("m-1")).expect("known machine");
     assert!(fetched.has_image(&"i".into()));
 }
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -1,5 +1,5 @@
-//! Isolated nodes: those that the leader can't reach while they reach the key-value store. They
-//! report there whose workers' heartbeats they answer; zones that are cut off are kept here too.
+//! Isolated nodes: those that reach the key-value store but not the leader. They report there how many
+//! workers of each zone they answer. The leader's list of unreachable zones is kept here too.
 
 use super::{Leader, StepContext};
 use crate::node::outbox::{LeaderRequest, Pending};
@@ -11,67 +11,76 @@
 
 /// Key prefix of isolated nodes' reports.
 pub(in crate::node) const PREFIX: &str = "apart/";
-/// How often the reports are read while some node isn't heard.
+/// How often the reports are read while some peer is not live.
 const READ_INTERVAL: Duration = Duration::from_millis(2000);
 /// Reports read at a time, at most.
 const MAX_REPORTS: u32 = 100;
-/// Report intervals after which each worker has been heard once, with some slack.
-const HEARD_WITHIN_INTERVALS: f64 = 1.25;
-/// After the first heartbeats, until others have come by way of other nodes as well.
-const SETTLE_TIME: Duration = Duration::from_millis(1000);
+/// Heartbeat intervals within which every reachable worker has sent a heartbeat, with some slack.
+const CONTACT_INTERVALS: f64 = 1.25;
+/// Additional time for a new leader to receive the heartbeats that come through other nodes.
+const DIGEST_DELAY: Duration = Duration::from_millis(1000);
 
-/// What isolated nodes report, and which zones are cut off as far as this node can tell.
+/// What isolated nodes report, and which zones the leader finds unreachable.
 #[derive(Debug)]
 pub(super) struct ZoneIsolation {
     reports: IsolationReports,
     next_read: MonotonicTime,
-    cut_zones: BTreeSet<Zone>,
-    /// When each zone was last found cut off with a node inside that answers its workers.
-    partitioned_until: BTreeMap<Zone, MonotonicTime>,
+    unreachable_zones: BTreeSet<Zone>,
+    /// When each zone was last found unreachable while an isolated node answered its workers.
+    last_partitioned_at: BTreeMap<Zone, MonotonicTime>,
 }
 
 impl ZoneIsolation {
-    /// No zone is cut off, and the first read may begin at once.
+    /// No zone is unreachable, and the first read of reports may begin at once.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             reports: IsolationReports::default(),
             next_read: now,
-            cut_zones: BTreeSet::new(),
-            partitioned_until: BTreeMap::new(),
+            unreachable_zones: BTreeSet::new(),
+            last_partitioned_at: BTreeMap::new(),
         }
     }
 
-    /// Whether the zone is cut off.
+    /// Whether the zone is unreachable.
     pub fn is_zone_unreachable(&self, zone: &Zone) -> bool {
-        self.cut_zones.contains(zone)
+        self.unreachable_zones.contains(zone)
     }
 
     /// Zones whose workers' leases are renewed by isolated nodes.
-    pub fn zones_alive(&self, now: MonotonicTime) -> BTreeSet<Zone> {
+    pub fn zones_served_by_isolated_nodes(&self, now: MonotonicTime) -> BTreeSet<Zone> {
         self.reports.live_zones(now)
     }
 
-    /// When the zone was last found cut off with a node inside that answers its workers.
-    pub fn partitioned_until(&self, zone: &Zone) -> Option<MonotonicTime> {
-        self.partitioned_until.get(zone).copied()
+    /// When the zone was last found unreachable while an isolated node answered its workers.
+    pub fn last_partitioned_at(&self, zone: &Zone) -> Option<MonotonicTime> {
+        self.last_partitioned_at.get(zone).copied()
     }
 
-    /// Notes the zones that are cut off now; `alive` as [`ZoneIsolation::zones_alive`] gives them.
-    pub fn set_cut_zones(&mut self, cut_zones: &BTreeSet<Zone>, alive: &BTreeSet<Zone>, now: MonotonicTime) {
-        for zone in cut_zones.intersection(alive) {
-            self.partitioned_until.insert(zone.clone(), now);
+    /// Sets the zones that are unreachable now. `served`: those whose workers' leases are renewed by isolated
+    /// nodes.
+    pub fn set_unreachable_zones(
+        &mut self,
+        unreachable: &BTreeSet<Zone>,
+        served: &BTreeSet<Zone>,
+        now: MonotonicTime,
+    ) {
+        for zone in unreachable.intersection(served) {
+            self.last_partitioned_at.insert(zone.clone(), now);
         }
-        self.cut_zones.clone_from(cut_zones);
+        self.unreachable_zones.clone_from(unreachable);
     }
 
-    /// Takes in a report that was read; gives the error of one that can't be parsed.
-    fn learn(&mut self, node: &str, pair: &Pair, now: MonotonicTime) -> Result<(), serde_json::Error> {
+    /// Adds a report that was read.
+    ///
+    /// # Errors
+    /// The report can't be parsed.
+    fn add_report(&mut self, node: &str, pair: &Pair, now: MonotonicTime) -> Result<(), serde_json::Error> {
         let report = serde_json::from_str::<IsolationReport>(&pair.value)?;
         self.reports.learn(node.into(), pair.revision, report, now);
         Ok(())
     }
 
-    /// Forgets all reports, for the simulation.
+    /// Drops all reports, for the simulation.
     #[cfg(any(test, feature = "simulation"))]
     pub fn clear_reports(&mut self) {
         self.reports = IsolationReports::default();
@@ -79,7 +88,7 @@
 }
 
 impl Leader {
-    /// Reads isolated nodes' reports while some node isn't heard.
+    /// Reads isolated nodes' reports while some peer is not live.
     pub(super) fn read_isolation_reports(&mut self, context: &mut StepContext) {
         if context.now < self.isolation.next_read
             || context.peers.live(context.now).len() >= context.peers.names().len()
@@ -93,36 +102,37 @@
             .request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::IsolationReports));
     }
 
-    /// The reply to a read of isolated nodes' reports.
+    /// Processes the reply to a read of isolated nodes' reports.
     pub(super) fn isolation_reports_read(&mut self, context: &mut StepContext, reply: StoreReply) {
         let StoreReply::Pairs { pairs, .. } = reply else { return };
         for pair in pairs {
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
-            // Written before this leadership, perhaps long before: taken as new, a report that was a
-            // minute old kept a zone that was cut off altogether for 20 s too long (andina grown, rough).
+            // A report from before this leadership may be long outdated. Taken as new, one that was a minute
+            // old delayed the return of a completely unreachable zone's machines by 20 s.
             if pair.revision.0 <= self.fencing_token.0 {
                 continue;
             }
-            if let Err(error) = self.isolation.learn(node, &pair, context.now) {
-                tracing::error!(key = pair.key, %error, "an isolated node's report can't be read");
+            if let Err(error) = self.isolation.add_report(node, &pair, context.now) {
+                tracing::error!(key = pair.key, %error, "isolated node's report can't be read; ignoring it");
             }
         }
     }
 
-    /// Whether an isolated node hears so many more workers that it should lead: this leader would
-    /// place work on the smaller side only for as long as the cut lasts.
+    /// Whether an isolated node answers so many more workers than this leader that a node on its side should
+    /// lead: while the network partition lasts, this leader can place tasks only on the smaller side.
     pub(super) fn is_outnumbered(&self, now: MonotonicTime) -> bool {
-        let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(HEARD_WITHIN_INTERVALS);
-        // A new leader has not heard its own side yet: compared too early each resigned in favour of
-        // the next, all held back, and nobody led for 14 s (partitioned days, seed 928).
-        if now.since(self.since) < interval + SETTLE_TIME {
+        let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(CONTACT_INTERVALS);
+        // A new leader has not received its own side's heartbeats yet. When it compared too early, each new
+        // leader resigned in favour of the next one, all held back from the election, and during a
+        // partition the cluster had no leader for 14 s.
+        if now.since(self.since) < interval + DIGEST_DELAY {
             return false;
         }
-        let heard = |machine: &&Machine| {
+        let is_in_contact = |machine: &&Machine| {
             machine.has_been_heard() && machine.last_heartbeat.is_some_and(|at| now.since(at) <= interval)
         };
-        let count_heard = || self.machines.iter().filter(heard).count() as u32;
-        self.isolation.reports.is_outnumbered(count_heard, self.fencing_token, now)
+        let count_own_workers = || self.machines.iter().filter(is_in_contact).count() as u32;
+        self.isolation.reports.is_outnumbered(count_own_workers, self.fencing_token, now)
     }
 }
 
--- a/crates/scheduler/src/node/leader/isolation/golden.rs
+++ b/crates/scheduler/src/node/leader/isolation/golden.rs
@@ -1,11 +1,11 @@
-//! Golden bytes of what a node that does not hear the leader says through the state service.
+//! Golden bytes of the report that an isolated node writes to the key-value store.
 
 use super::*;
 use crate::golden_group;
 use crate::types::FencingToken;
 
 #[test]
-fn golden_record_of_a_node_apart() {
+fn isolation_report_matches_golden_record() {
     let report = IsolationReport {
         fencing_token: FencingToken(412),
         workers_by_zone: [("z0".into(), 3), ("z1".into(), 0)].into(),
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -1,9 +1,10 @@
-//! Machines' health: which are silent, whether that is their fault or this node's, and which are given
-//! up. A machine that is given up is returned: the cloud's confirmation proves that its tasks are gone.
+//! Detects lost machines: whose heartbeats are missing, whether the cause is the machine or this node,
+//! and which machines are returned to the cloud. The cloud's confirmation of a return proves that the
+//! machine's tasks are gone.
 
 use super::Leader;
 use super::scale_in::begin_return;
-use super::silence_rules::{Finding, SilenceRules, ZoneSilence};
+use super::silence_rules::{LivenessRules, LivenessVerdict, ZoneHeartbeats};
 use crate::assignments::AssignmentState;
 use crate::autoscaler;
 use crate::jobs::JobState;
@@ -14,49 +15,52 @@
 use pearford_recovery::LeaderAction;
 use std::collections::BTreeMap;
 
-/// Report intervals of silence after which a worker is late, and probed.
+/// Heartbeat intervals without a heartbeat after which a worker is late, and probed.
 const LATE_INTERVALS: f64 = 1.35;
-/// After this long a new leader has read isolated nodes' reports, if there are any.
-const ISOLATION_KNOWN_AFTER: Duration = Duration::from_millis(7_000);
-/// A cut-off worker kills its tasks when its lease ends; shortly before, waiting gains no more. In
-/// seconds.
+/// Time after the start of a leadership by which the leader has read the isolated nodes' reports.
+const ISOLATION_REPORTS_READ_AFTER: Duration = Duration::from_millis(7_000);
+/// How long before a lease expires a machine may be returned, in seconds. An unreachable worker kills its
+/// tasks when its lease expires, so to wait for the last moments gains nothing.
 const LEASE_MARGIN_S: f64 = 2.0;
-/// Failures of a job in a row from which on they speak of the job rather than of its machines.
+/// Consecutive failures of a job from which on the job is assumed to be at fault, not its machines.
 pub(super) const JOB_FAULT_THRESHOLD: u32 = 4;
-/// Jobs that have to fail on a machine, with none done between, before it counts as faulty.
-const MACHINE_AT_FAULT: usize = 2;
-/// While most machines are silent, none is given up for this many report intervals.
-const SUSPECT_INTERVALS: f64 = 4.0;
-/// Report intervals of silence after which a machine counts as silent when the leader asks itself
-/// whether it is cut off, and for which that has to last.
+/// Different jobs that must fail on a machine, with no task done in between, for it to count as faulty.
+const MACHINE_FAULT_THRESHOLD: usize = 2;
+/// Heartbeat intervals after most machines' heartbeats stopped during which missing heartbeats don't prove
+/// a machine lost, since the cause may be this node.
+const OUTAGE_GRACE_INTERVALS: f64 = 4.0;
+/// For the leader's check whether it is cut off from the workers: heartbeat intervals without a heartbeat
+/// after which a machine's heartbeats count as missing, and for which those of most machines must then stay
+/// missing.
 const CUT_OFF_INTERVALS: f64 = 2.0;
-/// Report intervals after which a machine is returned where a start may still arrive that is to be
-/// stopped.
-const UNSTOPPED_INTERVALS: f64 = 4.0;
-/// The same as a part of the hold: see the inequality in the design ("Outages").
-const UNSTOPPED_HOLD_SHARE: f64 = 0.25;
+/// Heartbeat intervals after which a machine is returned if a start that is to be stopped may still reach
+/// it.
+const UNCONFIRMED_STOP_INTERVALS: f64 = 4.0;
+/// The same limit as a share of the answer window; the shorter of the two applies. The inequality behind it
+/// is in the design document, section "Outages".
+const UNCONFIRMED_STOP_WINDOW_SHARE: f64 = 0.25;
 
-/// Whether most machines are silent, which rather speaks of this node than of them.
+/// Detects that the heartbeats of most machines are missing, which points to this node rather than to them.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatOutageDetector {
-    /// Since when most machines are silent, if they are.
-    since: Option<MonotonicTime>,
+    /// Since when most machines' heartbeats are missing, if they are.
+    outage_since: Option<MonotonicTime>,
 }
 
 impl HeartbeatOutageDetector {
-    /// Notes whether most machines are silent; gives since when.
-    fn update(&mut self, most_silent: bool, now: MonotonicTime) -> Option<MonotonicTime> {
-        if most_silent {
-            self.since.get_or_insert(now);
+    /// Records whether most machines' heartbeats are missing. Returns since when they are.
+    fn update(&mut self, most_missing: bool, now: MonotonicTime) -> Option<MonotonicTime> {
+        if most_missing {
+            self.outage_since.get_or_insert(now);
         } else {
-            self.since = None;
+            self.outage_since = None;
         }
-        self.since
+        self.outage_since
     }
 
-    /// Whether most machines have fallen silent within `period`: then none is given up yet.
+    /// Whether most machines' heartbeats are missing, and stopped less than `period` ago.
     fn began_within(&self, period: Duration, now: MonotonicTime) -> bool {
-        self.since.is_some_and(|since| now.since(since) < period)
+        self.outage_since.is_some_and(|since| now.since(since) < period)
     }
 }
 
@@ -65,50 +69,56 @@
         Duration::from_secs_f64(self.settings.workers.report_s)
     }
 
-    /// Silence after which a worker is late.
+    /// Time since the last heartbeat after which a worker is late.
     pub(super) fn late_after(&self) -> Duration {
         self.heartbeat_interval().times(LATE_INTERVALS)
     }
 
-    /// How long what is cancelled may go without a proof that it is stopped: with a lease to run out
-    /// after it, should the cloud not answer either.
-    fn unstopped_limit(&self) -> Duration {
-        let hold = self.settings.workers.answer_window();
-        self.heartbeat_interval().times(UNSTOPPED_INTERVALS).min(hold.times(UNSTOPPED_HOLD_SHARE))
+    /// How long a cancelled task may lack a proof that it has stopped before its machine is returned. The
+    /// limit leaves time for the worker's lease to expire should the cloud not confirm the return.
+    fn unconfirmed_stop_limit(&self) -> Duration {
+        let answer_window = self.settings.workers.answer_window();
+        self.heartbeat_interval()
+            .times(UNCONFIRMED_STOP_INTERVALS)
+            .min(answer_window.times(UNCONFIRMED_STOP_WINDOW_SHARE))
     }
 
-    /// Whether most machines fell silent at once: rather this node is cut off than all of them. But
-    /// only if a peer hears workers meanwhile; else they are really gone, and another leader would
-    /// only find the same.
-    pub(super) fn is_cut_off_from_workers(&mut self, peers_hear: bool, now: MonotonicTime) -> bool {
+    /// Whether this node appears to be cut off from the workers: most machines' heartbeats are missing
+    /// here while workers contact a peer. If no peer is contacted either, the machines are really gone, and
+    /// another leader would find the same.
+    pub(super) fn is_cut_off_from_workers(&mut self, peers_are_contacted: bool, now: MonotonicTime) -> bool {
         let limit = self.heartbeat_interval().times(CUT_OFF_INTERVALS);
         let mut all = 0;
-        let mut silent = 0;
+        let mut missing = 0;
         for machine in self.machines.iter().filter(|machine| machine.status == MachineStatus::Up) {
             all += 1;
-            silent += u32::from(machine.last_heartbeat.is_none_or(|at| now.since(at) > limit));
+            missing += u32::from(machine.last_heartbeat.is_none_or(|at| now.since(at) > limit));
         }
-        let most_silent = all >= 2 && silent * 2 > all;
-        let since = self.silence.update(most_silent, now);
-        since.is_some_and(|since| peers_hear && now.since(since) >= limit)
+        let most_missing = all >= 2 && missing * 2 > all;
+        let since = self.silence.update(most_missing, now);
+        since.is_some_and(|since| peers_are_contacted && now.since(since) >= limit)
     }
 
-    /// Gives up machines that fell silent or never came up. `zones_heard`: when a leader last heard a
-    /// worker of each zone.
+    /// Returns machines whose heartbeats stopped or that never came up. `last_contact_by_zone`: when a leader
+    /// last received a heartbeat from each zone.
     pub(super) fn return_lost_machines(
         &mut self,
-        zones_heard: &BTreeMap<Zone, MonotonicTime>,
+        last_contact_by_zone: &BTreeMap<Zone, MonotonicTime>,
         now: MonotonicTime,
     ) {
-        let rules = self.silence_rules(zones_heard, now);
-        self.isolation.set_cut_zones(&rules.cut, &rules.alive, now);
+        let rules = self.liveness_rules(last_contact_by_zone, now);
+        self.isolation.set_unreachable_zones(
+            &rules.unreachable_zones,
+            &rules.zones_served_by_isolated_nodes,
+            now,
+        );
         let boot_patience = self.settings.operator.boot_patience;
         for machine in self.machines.iter_mut() {
-            let finding = match (machine.status, machine.last_heartbeat) {
-                (MachineStatus::Up, Some(last)) => {
-                    let partitioned_until = self.isolation.partitioned_until(&machine.zone);
-                    let finished_since = finished_since(machine, &self.job_states);
-                    rules.judge(machine, last, partitioned_until, finished_since)
+            let verdict = match (machine.status, machine.last_heartbeat) {
+                (MachineStatus::Up, Some(last_heartbeat)) => {
+                    let last_partitioned_at = self.isolation.last_partitioned_at(&machine.zone);
+                    let oldest_pending_stop = oldest_pending_stop(machine, &self.job_states);
+                    rules.assess(machine, last_heartbeat, last_partitioned_at, oldest_pending_stop)
                 }
                 (MachineStatus::Booting, _) => {
                     let machine_type = self.instance_offers.type_of(&machine.type_name);
@@ -116,111 +126,118 @@
                         machine_type.map(|machine_type| autoscaler::boot_limit(machine_type, boot_patience));
                     boot_limit.is_some_and(|limit| now.since(machine.rented_at) > limit).into()
                 }
-                (MachineStatus::Up, None) | (MachineStatus::Releasing, _) => Finding::Present,
+                (MachineStatus::Up, None) | (MachineStatus::Releasing, _) => LivenessVerdict::Keep,
             };
-            match finding {
-                Finding::Present => {}
-                Finding::AnsweredInside => machine.unanswered = 0,
-                Finding::Lost => give_up(machine, &mut self.partitions),
+            match verdict {
+                LivenessVerdict::Keep => {}
+                LivenessVerdict::ServedByIsolatedNode => machine.unanswered = 0,
+                LivenessVerdict::Lost => begin_lost_machine_return(machine, &mut self.partitions),
             }
         }
     }
 
-    fn silence_rules<'a>(
+    fn liveness_rules<'a>(
         &self,
-        zones_heard: &'a BTreeMap<Zone, MonotonicTime>,
+        last_contact_by_zone: &'a BTreeMap<Zone, MonotonicTime>,
         now: MonotonicTime,
-    ) -> SilenceRules<'a> {
-        let heartbeat = self.heartbeat_interval();
+    ) -> LivenessRules<'a> {
+        let heartbeat_interval = self.heartbeat_interval();
         let workers = &self.settings.workers;
-        let silence = self.silence_by_zone(now);
-        let heard = silence.iter().filter(|(_, silence)| silence.is_heard(now));
-        let heard = heard.map(|(zone, _)| (*zone).clone()).collect();
-        // Silence of a good part of every zone is ours: too few nodes, or overloaded ones, hear the
-        // workers.
-        let everywhere = silence.len() > 1 && silence.values().all(ZoneSilence::has_silent_part);
-        let alive = self.isolation.zones_alive(now);
-        let is_cut = |zone: &Zone, silence: &ZoneSilence| {
-            everywhere || silence.is_cut(heartbeat, now) || (alive.contains(zone) && !silence.is_heard(now))
+        let zones = self.heartbeats_by_zone(now);
+        let responsive_zones = zones.iter().filter(|(_, heartbeats)| heartbeats.has_recent_contact(now));
+        let responsive_zones = responsive_zones.map(|(zone, _)| (*zone).clone()).collect();
+        // If a good part of every zone is late, the nodes are the cause: too few of them, or overloaded
+        // ones, receive heartbeats.
+        let late_in_all_zones = zones.len() > 1 && zones.values().all(ZoneHeartbeats::has_many_late);
+        let zones_served_by_isolated_nodes = self.isolation.zones_served_by_isolated_nodes(now);
+        let is_unreachable = |zone: &Zone, heartbeats: &ZoneHeartbeats| {
+            late_in_all_zones
+                || heartbeats.is_unreachable(heartbeat_interval, now)
+                || (zones_served_by_isolated_nodes.contains(zone) && !heartbeats.has_recent_contact(now))
         };
-        let cut = silence.iter().filter(|(zone, silence)| is_cut(zone, silence));
-        let cut = cut.map(|(zone, _)| (*zone).clone()).collect();
-        SilenceRules {
+        let unreachable_zones = zones.iter().filter(|(zone, heartbeats)| is_unreachable(zone, heartbeats));
+        let unreachable_zones = unreachable_zones.map(|(zone, _)| (*zone).clone()).collect();
+        LivenessRules {
             now,
-            heartbeat,
+            heartbeat_interval,
             late_after: self.late_after(),
-            lost_after: heartbeat.times(self.settings.operator.lost_reports),
-            lease_end: Duration::from_secs_f64(workers.lease_s - LEASE_MARGIN_S),
-            unstopped_limit: self.unstopped_limit(),
-            suspect: self.silence.began_within(heartbeat.times(SUSPECT_INTERVALS), now),
-            isolation_known: now.since(self.since) >= ISOLATION_KNOWN_AFTER,
-            gives_up: self.heartbeat_collection.allows(LeaderAction::GiveUp),
-            gives_up_unheard: self.heartbeat_collection.may_give_up(now),
-            heard,
-            cut,
-            alive,
-            zones_heard,
+            lost_after: heartbeat_interval.times(self.settings.operator.lost_reports),
+            lease_expires_after: Duration::from_secs_f64(workers.lease_s - LEASE_MARGIN_S),
+            unconfirmed_stop_limit: self.unconfirmed_stop_limit(),
+            outage_began_recently: self
+                .silence
+                .began_within(heartbeat_interval.times(OUTAGE_GRACE_INTERVALS), now),
+            isolation_reports_read: now.since(self.since) >= ISOLATION_REPORTS_READ_AFTER,
+            may_return: self.heartbeat_collection.allows(LeaderAction::GiveUp),
+            may_return_uncontacted: self.heartbeat_collection.may_give_up(now),
+            responsive_zones,
+            unreachable_zones,
+            zones_served_by_isolated_nodes,
+            last_contact_by_zone,
         }
     }
 
-    fn silence_by_zone(&self, now: MonotonicTime) -> BTreeMap<&Zone, ZoneSilence> {
+    fn heartbeats_by_zone(&self, now: MonotonicTime) -> BTreeMap<&Zone, ZoneHeartbeats> {
         let late_after = self.late_after();
-        let mut zones: BTreeMap<&Zone, ZoneSilence> = BTreeMap::new();
+        let mut zones: BTreeMap<&Zone, ZoneHeartbeats> = BTreeMap::new();
         for machine in self.machines.iter().filter(|machine| machine.status == MachineStatus::Up) {
             zones.entry(&machine.zone).or_default().add(machine, late_after, now);
         }
         zones
     }
 
-    /// Gives up machines where a start that may still act is to be stopped: it can't be stopped
-    /// before it does, but the cloud can prove it gone, long before a cancellation's time is up. Nor
-    /// can a leader that has not read the job records for as long know what is cancelled.
+    /// Returns machines with a start that is to be stopped and that may still be carried out, since it was
+    /// never acknowledged. It can't be stopped before it arrives, but the cloud's confirmation of the return
+    /// proves it gone well before the cancellation deadline. A leader whose read of the job records has been
+    /// stale for as long can't tell which starts are cancelled, and returns all machines with unacknowledged
+    /// starts.
     pub(super) fn return_machines_with_overdue_stops(
         &mut self,
         lease_renewal: &LeaseRenewal,
         now: MonotonicTime,
     ) {
-        let unstopped_limit = self.unstopped_limit();
-        let cancellations_unknown = lease_renewal.is_stale_for(unstopped_limit, now);
+        let unconfirmed_stop_limit = self.unconfirmed_stop_limit();
+        let cancellations_unknown = lease_renewal.is_stale_for(unconfirmed_stop_limit, now);
         for machine in self.machines.iter_mut() {
             if machine.status == MachineStatus::Releasing {
                 continue;
             }
-            let unstoppable = has_overdue_start(machine, unstopped_limit, now)
+            let is_unstoppable = has_unstopped_start(machine, unconfirmed_stop_limit, now)
                 || cancellations_unknown && machine.has_unacknowledged_starts();
-            if unstoppable {
-                give_up(machine, &mut self.partitions);
+            if is_unstoppable {
+                begin_lost_machine_return(machine, &mut self.partitions);
             }
         }
     }
 
-    /// A task of `job`, which has failed `errors` times in a row, failed on the machine. Gives
-    /// whether that makes the machine a faulty one, to be emptied and returned.
-    pub(super) fn record_failed_job(&mut self, id: &MachineId, job: &JobId, errors: u32) -> bool {
-        if errors >= JOB_FAULT_THRESHOLD {
+    /// Records that a task of `job`, which has failed `failures` times in a row, failed on the machine. A
+    /// machine on which several jobs failed counts as faulty and is drained. Returns whether the machine is
+    /// draining.
+    pub(super) fn record_failed_job(&mut self, id: &MachineId, job: &JobId, failures: u32) -> bool {
+        if failures >= JOB_FAULT_THRESHOLD {
             return false;
         }
         let Some(machine) = self.machines.get_mut(id) else { return false };
-        if !machine.failed.contains(job) && machine.failed.len() < MACHINE_AT_FAULT {
+        if !machine.failed.contains(job) && machine.failed.len() < MACHINE_FAULT_THRESHOLD {
             machine.failed.push(job.clone());
         }
-        if machine.failed.len() >= MACHINE_AT_FAULT && !machine.draining {
-            tracing::warn!(machine = %id, "fails one job after another; returning it once it is empty");
+        if machine.failed.len() >= MACHINE_FAULT_THRESHOLD && !machine.draining {
+            tracing::warn!(machine = %id, "several jobs failed here; draining it, to be returned once empty");
             machine.draining = true;
         }
         machine.draining
     }
 }
 
-/// Gives a machine up: it is to be returned.
-fn give_up(machine: &mut Machine, partitions: &mut Partitions) {
+/// Begins the return of a machine that is lost or whose starts can't be stopped.
+fn begin_lost_machine_return(machine: &mut Machine, partitions: &mut Partitions) {
     let tasks = machine.assignments.len();
     tracing::warn!(machine = %machine.id, status = ?machine.status, tasks, "machine lost; returning it");
     begin_return(machine, partitions);
 }
 
-/// Since when the machine is to stop a task of a finished job without having said that it did.
-pub(super) fn finished_since(
+/// Since when the machine's oldest unconfirmed stop of a finished job's task has been pending.
+pub(super) fn oldest_pending_stop(
     machine: &Machine,
     job_states: &BTreeMap<JobId, JobState>,
 ) -> Option<MonotonicTime> {
@@ -231,8 +248,8 @@
     stopping.filter(|(task, _)| !job_states.contains_key(&task.job)).map(|(_, since)| since).min()
 }
 
-/// Whether a start on the machine that was never acknowledged is to be stopped for longer than `limit`.
-fn has_overdue_start(machine: &Machine, limit: Duration, now: MonotonicTime) -> bool {
+/// Whether the machine has a never acknowledged start whose stop has been pending for longer than `limit`.
+fn has_unstopped_start(machine: &Machine, limit: Duration, now: MonotonicTime) -> bool {
     machine.unacknowledged.keys().any(|TaskAttempt { task, attempt }| {
         machine.assignments.get(task).is_some_and(|assignment| {
             assignment.attempt == *attempt
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -1,9 +1,9 @@
-use super::super::silence_rules::PROBES_LOST;
+use super::super::silence_rules::UNANSWERED_PROBES_LIMIT;
 use super::super::test_support::{heartbeat, leader};
 use super::*;
 use crate::wire::cloud::CloudRequest;
 
-/// A leader that has heard a machine in each of `zones`, `m-0` in the first.
+/// A leader that has received a heartbeat from one machine in each of `zones`: `m-0` in the first, and so on.
 fn cluster(zones: &[&str]) -> Leader {
     let now = MonotonicTime::from_millis(1_000);
     let mut leader = leader();
@@ -16,95 +16,112 @@
 }
 
 fn set_unanswered(leader: &mut Leader, id: &str, probes: u32) {
-    leader.machines.get_mut(&MachineId::from(id)).expect("there").unanswered = probes;
+    leader.machines.get_mut(&MachineId::from(id)).expect("known machine").unanswered = probes;
 }
 
-fn lost(leader: &Leader) -> Vec<&str> {
+fn lost_machines(leader: &Leader) -> Vec<&str> {
     let lost = leader.machines.iter().filter(|machine| machine.status == MachineStatus::Releasing);
     lost.map(|machine| machine.id.as_str()).collect()
 }
 
-/// A lost machine was given up after four report intervals, and its replicas were down so long.
+/// Guards against a slow return of lost machines: without probes a lost machine is returned only after four
+/// heartbeat intervals, and its replicas are down for as long.
 #[test]
-fn a_silent_worker_is_probed_and_given_up_when_it_does_not_answer() {
+fn returns_machine_after_unanswered_probes() {
     let mut leader = cluster(&["z0", "z0", "z1"]);
     let interval = (leader.settings.workers.report_s * 1000.0) as u64;
     let at = MonotonicTime::from_millis(1_000 + interval * 14 / 10);
     leader.process_heartbeat(&heartbeat("m-1", "z0", 2), at);
     leader.process_heartbeat(&heartbeat("m-2", "z1", 2), at);
-    let probes = leader.silent_workers(at);
+    let probes = leader.due_probes(at);
     assert_eq!(probes.iter().map(|probe| probe.machine.as_str()).collect::<Vec<_>>(), ["m-0"]);
-    set_unanswered(&mut leader, "m-0", PROBES_LOST - 1);
+    set_unanswered(&mut leader, "m-0", UNANSWERED_PROBES_LIMIT - 1);
     leader.return_lost_machines(&BTreeMap::new(), at);
-    assert!(lost(&leader).is_empty(), "one lost answer proves little");
-    set_unanswered(&mut leader, "m-0", PROBES_LOST);
+    assert!(lost_machines(&leader).is_empty(), "one unanswered probe must not count as a loss");
+    set_unanswered(&mut leader, "m-0", UNANSWERED_PROBES_LIMIT);
     leader.return_lost_machines(&BTreeMap::new(), at);
-    assert_eq!(lost(&leader), ["m-0"]);
+    assert_eq!(lost_machines(&leader), ["m-0"]);
 }
 
-/// A cut-off zone's tasks ran on inside until their machines were returned (andina, a day with
-/// a zone cut alone).
+/// Guards against the return of machines of an unreachable zone while their tasks still run: if the network
+/// separates a whole zone, its workers keep their tasks until the leases expire.
 #[test]
-fn a_zone_silent_as_a_whole_is_kept_until_its_leases_end() {
+fn keeps_unreachable_zone_until_its_leases_expire() {
     let mut leader = cluster(&["z0", "z0", "z0", "z0", "z1", "z1", "z1", "z1", "z1"]);
     let lease = (leader.settings.workers.lease_s * 1000.0) as u64;
-    let hear_others =
-        |leader: &mut Leader, heard: &BTreeMap<Zone, MonotonicTime>, at: MonotonicTime, serial: u64| {
-            (4..9).for_each(|index| {
-                leader.process_heartbeat(&heartbeat(&format!("m-{index}"), "z1", serial), at);
-            });
-            let silent = leader.machines.iter_mut().filter(|machine| machine.zone == "z0".into());
-            silent.for_each(|machine| machine.unanswered = 9);
-            leader.return_lost_machines(heard, at);
-        };
-    let unknown = BTreeMap::new();
-    hear_others(&mut leader, &unknown, MonotonicTime::from_millis(1_000 + lease - 2_500), 2);
-    assert!(lost(&leader).is_empty());
-    // A peer knows that an earlier leader had not heard the zone for longer than this one leads.
-    let longer = BTreeMap::from([(Zone::from("z0"), MonotonicTime::from_millis(0))]);
-    hear_others(&mut leader, &longer, MonotonicTime::from_millis(1_000 + lease - 1_500), 3);
-    assert_eq!(lost(&leader).len(), 4);
+    let return_lost_with_z1_heartbeats = |leader: &mut Leader,
+                                          last_contact_by_zone: &BTreeMap<Zone, MonotonicTime>,
+                                          at: MonotonicTime,
+                                          serial: u64| {
+        (4..9).for_each(|index| {
+            leader.process_heartbeat(&heartbeat(&format!("m-{index}"), "z1", serial), at);
+        });
+        let unresponsive = leader.machines.iter_mut().filter(|machine| machine.zone == "z0".into());
+        unresponsive.for_each(|machine| machine.unanswered = 9);
+        leader.return_lost_machines(last_contact_by_zone, at);
+    };
+    let no_contacts = BTreeMap::new();
+    return_lost_with_z1_heartbeats(
+        &mut leader,
+        &no_contacts,
+        MonotonicTime::from_millis(1_000 + lease - 2_500),
+        2,
+    );
+    assert!(lost_machines(&leader).is_empty());
+    // The last contact that an earlier leader had with the zone is older than this leadership.
+    let earlier_contact = BTreeMap::from([(Zone::from("z0"), MonotonicTime::from_millis(0))]);
+    return_lost_with_z1_heartbeats(
+        &mut leader,
+        &earlier_contact,
+        MonotonicTime::from_millis(1_000 + lease - 1_500),
+        3,
+    );
+    assert_eq!(lost_machines(&leader).len(), 4);
     let mut leader = cluster(&["z0", "z0", "z0", "z0", "z1", "z1", "z1", "z1", "z1"]);
-    hear_others(&mut leader, &unknown, MonotonicTime::from_millis(1_000 + lease), 2);
-    assert_eq!(lost(&leader).len(), 4);
+    return_lost_with_z1_heartbeats(&mut leader, &no_contacts, MonotonicTime::from_millis(1_000 + lease), 2);
+    assert_eq!(lost_machines(&leader).len(), 4);
 }
 
-/// Machines that died together passed for a zone that is cut off, though the others there were heard.
+/// Guards against a late return of many machines of a zone that die together: they must not pass for an
+/// unreachable zone while the zone's other machines still send heartbeats.
 #[test]
-fn many_that_die_in_a_zone_whose_others_are_heard_are_given_up_at_once() {
+fn returns_dead_machines_at_once_if_others_of_their_zone_send_heartbeats() {
     let mut leader = cluster(&["z0"; 10]);
     let interval = (leader.settings.workers.report_s * 1000.0) as u64;
     let mut at = MonotonicTime::from_millis(1_000);
     let mut serial = 1;
-    // Five are silent, five go on, one after the other.
+    // Five machines send no heartbeats; the other five send heartbeats in turn.
     while at < MonotonicTime::from_millis(1_000 + interval * 2) {
         at = at + Duration::from_millis(interval / 5);
         serial += 1;
         leader.process_heartbeat(&heartbeat(&format!("m-{}", 5 + serial % 5), "z0", serial), at);
     }
-    (0..5).for_each(|index| set_unanswered(&mut leader, &format!("m-{index}"), PROBES_LOST));
+    (0..5).for_each(|index| set_unanswered(&mut leader, &format!("m-{index}"), UNANSWERED_PROBES_LIMIT));
     leader.return_lost_machines(&BTreeMap::new(), at);
-    assert_eq!(lost(&leader), ["m-0", "m-1", "m-2", "m-3", "m-4"]);
-    // The same five, and nobody heard any more: it may be the zone.
+    assert_eq!(lost_machines(&leader), ["m-0", "m-1", "m-2", "m-3", "m-4"]);
+    // The same five unanswered, but no heartbeats from the zone at all: it may be unreachable.
     let mut leader = cluster(&["z0"; 10]);
-    (0..5).for_each(|index| set_unanswered(&mut leader, &format!("m-{index}"), PROBES_LOST));
+    (0..5).for_each(|index| set_unanswered(&mut leader, &format!("m-{index}"), UNANSWERED_PROBES_LIMIT));
     let at = MonotonicTime::from_millis(1_000 + interval * 2);
     leader.return_lost_machines(&BTreeMap::new(), at);
-    assert!(lost(&leader).is_empty());
+    assert!(lost_machines(&leader).is_empty());
 }
 
-/// Faulty machines stand empty and so drew task after task; jobs that fail everywhere must not
-/// make good machines look faulty.
+/// Guards against faulty machines that attract one task after the other because they are empty, and against
+/// jobs that fail everywhere and make good machines count as faulty.
 #[test]
-fn a_machine_that_fails_several_jobs_is_drained_and_one_job_alone_blames_nobody() {
+fn drains_machine_on_which_several_jobs_failed_but_not_for_one_job() {
     let mut leader = cluster(&["z0", "z0"]);
-    let bad = MachineId::from("m-0");
+    let faulty = MachineId::from("m-0");
     let job = |number: usize| JobId::from(format!("req-{number}").as_str());
-    assert!(!leader.record_failed_job(&bad, &job(1), 1));
-    assert!(!leader.record_failed_job(&bad, &job(1), 2), "the same job again says nothing new");
-    assert!(!leader.record_failed_job(&bad, &job(2), JOB_FAULT_THRESHOLD), "this one fails wherever it runs");
-    assert!(leader.record_failed_job(&bad, &job(3), 1));
-    assert!(leader.machines.get(&bad).expect("there").draining);
-    let call = leader.returns(MonotonicTime::from_millis(9_000)).expect("a call");
-    assert!(matches!(&call.request, CloudRequest::Release { machines } if *machines == [bad]));
+    assert!(!leader.record_failed_job(&faulty, &job(1), 1));
+    assert!(!leader.record_failed_job(&faulty, &job(1), 2), "the same job must not count twice");
+    assert!(
+        !leader.record_failed_job(&faulty, &job(2), JOB_FAULT_THRESHOLD),
+        "a job that fails everywhere must not count"
+    );
+    assert!(leader.record_failed_job(&faulty, &job(3), 1));
+    assert!(leader.machines.get(&faulty).expect("known machine").draining);
+    let call = leader.returns(MonotonicTime::from_millis(9_000)).expect("machine to return");
+    assert!(matches!(&call.request, CloudRequest::Release { machines } if *machines == [faulty]));
 }
--- a/crates/scheduler/src/node/leader/machine_records.rs
+++ b/crates/scheduler/src/node/leader/machine_records.rs
@@ -1,4 +1,4 @@
-//! Machines' records: what is stored of each machine, and what a durable record allows.
+//! Machine records: writes what is stored of each machine, and sends starts once the record is durable.
 
 use super::Leader;
 use crate::assignments::{self, AssignmentState, CommitPriority, WriteVersion};
@@ -22,12 +22,12 @@
     fn write_record(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else { return };
         let key = assignments::key(id);
-        // A machine without tasks needs no record: its heartbeats and the cloud's list show it.
+        // A machine without tasks needs no record: its heartbeats and the cloud's list show that it exists.
         if machine.assignments.is_empty() && !self.commits.holds(&key) {
             return;
         }
         let Some(value) = machine.record().to_value(self.settings.state.value_bytes) else {
-            tracing::debug!(machine = %id, "its record is too large to be written anew; stays as stored");
+            tracing::debug!(machine = %id, "machine record is too large; keeping the stored version");
             return;
         };
         let planned = newly_planned(machine);
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Starts wait for a record with planned tasks; what has only left is proved gone again by
-    /// whoever reads the record.
+    /// A record with planned tasks is urgent, since their starts wait for it. A record from which tasks were
+    /// only removed is not: a later leader that reads the old version proves again that they are gone.
     fn record_priority(&self, planned: &[TaskId]) -> CommitPriority {
         let is_replica = |task: &TaskId| {
             let job_state = self.job_states.get(&task.job);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A version of a machine's record is durable: the starts that waited for it may leave.
+    /// A version of a machine's record is durable: the starts that waited for it may be sent.
     pub(super) fn record_durable(&mut self, id: &MachineId, version: WriteVersion) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let durable = machine.planned.iter().filter(|(_, needed)| **needed <= version);
@@ -70,8 +70,9 @@
         }
     }
 
-    /// The key-value store refuses a value for good. What is stored stays; starts that depended on
-    /// the new value are taken back, and nothing new goes to the machine for a while.
+    /// Handles a machine record that the key-value store refuses permanently. The stored version stays,
+    /// planned tasks, whose starts depend on the new version, are removed, and nothing is placed on the
+    /// machine for `UNWRITABLE_PAUSE`.
     pub(super) fn record_refused(&mut self, key: &str, now: MonotonicTime) {
         let Some(id) = key.strip_prefix(assignments::PREFIX).map(MachineId::from) else { return };
         let Some(machine) = self.machines.get_mut(&id) else { return };
@@ -86,7 +87,7 @@
     }
 }
 
-/// Planned tasks that no queued record of the machine has yet.
+/// Planned tasks that are not in any queued record of the machine yet.
 fn newly_planned(machine: &Machine) -> Vec<TaskId> {
     machine
         .assignments
--- a/crates/scheduler/src/node/leader/machines.rs
+++ b/crates/scheduler/src/node/leader/machines.rs
@@ -1,26 +1,26 @@
-//! The machines that the leader knows, with totals that are kept as their assignments change.
+//! The machines that the leader knows, with totals that are updated as their assignments change.
 //!
-//! Scheduling asks for teams' totals far more often than assignments change, so the totals are kept
-//! rather than summed up: whoever changes a machine's assignments calls [`Machines::recount`].
+//! Scheduling reads the teams' totals far more often than assignments change, so the totals are stored rather
+//! than summed up at each read: code that changes a machine's assignments must call [`Machines::recount`].
 
 use crate::types::{Duration, MachineId, MonotonicTime, Resources, TaskId, TeamName, TypeName};
 use crate::workers::Machine;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A returned machine's late heartbeats and listings are ignored for this long.
-const TOMBSTONE_LIFE: Duration = Duration::from_millis(600_000);
+/// How long late heartbeats and cloud listings of a returned machine are ignored.
+const TOMBSTONE_LIFETIME: Duration = Duration::from_millis(600_000);
 
 /// All machines of the cluster, by id.
 #[derive(Debug, Default)]
 pub(super) struct Machines {
     by_id: BTreeMap<MachineId, Machine>,
-    /// Resources that each team takes on all machines together.
+    /// Resources that each team uses on all machines together.
     used: BTreeMap<TeamName, Resources>,
     /// Machines that report tasks without an assignment.
     with_unknown_tasks: BTreeSet<MachineId>,
     /// Machines whose stored record can't be read.
     unreadable: BTreeSet<MachineId>,
-    /// When each machine was returned, for as long as that matters.
+    /// When each machine was returned; kept for `TOMBSTONE_LIFETIME`.
     tombstones: BTreeMap<MachineId, MonotonicTime>,
 }
 
@@ -30,7 +30,7 @@
         self.by_id.get(id)
     }
 
-    /// The machine to change; after a change of its assignments call [`Machines::recount`].
+    /// Mutable access to the machine. Call [`Machines::recount`] after a change of its assignments.
     pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.by_id.get_mut(id)
     }
@@ -50,7 +50,7 @@
         self.by_id.values()
     }
 
-    /// All machines to change, by id; after a change of assignments call [`Machines::recount`].
+    /// Mutable access to all machines, by id. Call [`Machines::recount`] after a change of assignments.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.by_id.values_mut()
     }
@@ -60,7 +60,7 @@
         self.by_id.len()
     }
 
-    /// Adds a machine, in place of one with the same id.
+    /// Adds a machine; replaces one with the same id.
     pub fn insert(&mut self, machine: Machine) {
         self.by_id.insert(machine.id.clone(), machine);
     }
@@ -70,7 +70,8 @@
         self.by_id.entry(id.clone()).or_insert_with(create)
     }
 
-    /// Removes a machine that is proved gone, without the resources that its tasks took.
+    /// Removes a machine that is proved gone, and its tasks' resources from the totals. The returned machine
+    /// still has its assignments.
     pub fn remove(&mut self, id: &MachineId, now: MonotonicTime) -> Option<Machine> {
         let mut machine = self.by_id.remove(id)?;
         let assignments = std::mem::take(&mut machine.assignments);
@@ -80,7 +81,7 @@
         Some(machine)
     }
 
-    /// Brings the totals in line after a change of a machine's assignments.
+    /// Updates the totals after a change of a machine's assignments.
     pub fn recount(&mut self, id: &MachineId, now: MonotonicTime) {
         let Some(machine) = self.by_id.get_mut(id) else { return };
         machine.recount(&mut self.used, now);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Sets the size of each machine whose type `size_of` knows.
+    /// Sets the total resources of each machine for whose type `size_of` returns them.
     pub fn resize(&mut self, size_of: impl Fn(&TypeName) -> Option<Resources>, now: MonotonicTime) {
         for machine in self.by_id.values_mut() {
             if let Some(total) = size_of(&machine.type_name) {
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Resources that each team takes on all machines together.
+    /// Resources that each team uses on all machines together.
     pub fn used_by_teams(&self) -> &BTreeMap<TeamName, Resources> {
         &self.used
     }
 
-    /// Resources that `team` takes on all machines together.
+    /// Resources that `team` uses on all machines together.
     pub fn used_by(&self, team: &TeamName) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
@@ -117,7 +118,7 @@
         machines.into_iter().any(|machine| machine.unknown_tasks.contains(task))
     }
 
-    /// Notes that the machine's stored record can't be read, so what runs there is not known.
+    /// Marks the machine's stored record as unreadable: it is unknown what runs on the machine.
     pub fn mark_unreadable(&mut self, id: MachineId) {
         self.unreadable.insert(id);
     }
@@ -132,7 +133,7 @@
         !self.unreadable.is_empty()
     }
 
-    /// Notes that the machine is returned: nothing about it counts from now on.
+    /// Marks the machine as returned: later heartbeats and listings of it are ignored.
     pub fn mark_returned(&mut self, id: &MachineId, now: MonotonicTime) {
         self.unreadable.remove(id);
         self.tombstones.insert(id.clone(), now);
@@ -143,8 +144,8 @@
         self.tombstones.contains_key(id)
     }
 
-    /// Forgets machines that were returned long ago.
+    /// Removes expired tombstones.
     pub fn expire_tombstones(&mut self, now: MonotonicTime) {
-        self.tombstones.retain(|_, returned_at| now.since(*returned_at) < TOMBSTONE_LIFE);
+        self.tombstones.retain(|_, returned_at| now.since(*returned_at) < TOMBSTONE_LIFETIME);
     }
 }
--- a/crates/scheduler/src/node/leader/probing.rs
+++ b/crates/scheduler/src/node/leader/probing.rs
@@ -1,6 +1,6 @@
-//! Probes: silent workers are asked whether they are there.
+//! Probes: commands without content that check whether a worker without recent heartbeats still answers.
 
-use super::machine_health::finished_since;
+use super::machine_health::oldest_pending_stop;
 use super::worker_commands::send_to_worker_via;
 use super::{Leader, StepContext};
 use crate::jobs::JobType;
@@ -11,15 +11,15 @@
 
 /// How long a worker has to answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Silent workers that are probed at a time, at least.
+/// Workers that may be probed at the same time in any case.
 const MIN_PROBES: usize = 16;
-/// One in so many of all machines may be probed at a time, if that is more.
+/// One in so many of all machines may be probed at the same time, if that allows more.
 const MACHINES_PER_PROBE: usize = 32;
-/// A worker with replicas that are to start sooner than its next heartbeat is probed in between, but
-/// not more often than this, in seconds.
+/// Seconds without contact after which a worker may be probed before its heartbeat is late, if it has
+/// replicas that must start sooner.
 const MIN_PROBE_INTERVAL_S: f64 = 5.0;
 
-/// A silent worker that is to be probed.
+/// A worker that is to be probed.
 #[derive(Debug)]
 pub(super) struct Probe {
     /// The worker's machine.
@@ -31,15 +31,15 @@
 }
 
 impl Leader {
-    /// Asks silent workers whether they are there.
+    /// Sends the probes that are due.
     pub(super) fn probe(&mut self, context: &mut StepContext) {
-        for probe in self.silent_workers(context.now) {
-            // The second probe takes another way: it may be this node, or the one that heard the
-            // worker, that has lost it. (A leader that had lost the workers' network gave up those
-            // whose heartbeats it answered itself, andina fleet, apart.)
-            let repeated =
+        for probe in self.due_probes(context.now) {
+            // Every second probe takes another route, since the connection to the worker may be lost only
+            // at this node or at the node that receives the worker's heartbeats. With one route, a leader
+            // that had lost the workers' network returned machines whose heartbeats it answered itself.
+            let takes_detour =
                 self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered % 2 == 1);
-            let via = if repeated {
+            let via = if takes_detour {
                 self.coordinator.detour(&probe.machine, context.now)
             } else {
                 self.coordinator.route(&probe.machine, context.now)
@@ -50,28 +50,28 @@
         }
     }
 
-    /// Workers that are to be probed now: those whose heartbeat is late or that must answer sooner.
-    pub(super) fn silent_workers(&self, now: MonotonicTime) -> Vec<Probe> {
+    /// Probes to send now: to workers whose heartbeat is late, and to those that must be probed earlier.
+    pub(super) fn due_probes(&self, now: MonotonicTime) -> Vec<Probe> {
         let late_after = self.late_after();
         let probed: BTreeSet<&MachineId> = self.worker_calls.probed();
-        let is_to_stop = |machine: &Machine| finished_since(machine, &self.job_states).is_some();
-        let mut silent: Vec<&Machine> = Vec::new();
+        let has_pending_stop = |machine: &Machine| oldest_pending_stop(machine, &self.job_states).is_some();
+        let mut to_probe: Vec<&Machine> = Vec::new();
         for machine in self.machines.iter().filter(|machine| machine.status == MachineStatus::Up) {
-            let Some(last) = machine.last_heartbeat else { continue };
-            let is_late = now.since(last) > late_after;
+            let Some(last_heartbeat) = machine.last_heartbeat else { continue };
+            let is_late = now.since(last_heartbeat) > late_after;
             if (is_late
-                || self.is_probed_early(machine, last, late_after, now)
-                || !machine.has_been_heard() && is_to_stop(machine))
+                || self.needs_early_probe(machine, last_heartbeat, late_after, now)
+                || !machine.has_been_heard() && has_pending_stop(machine))
                 && !probed.contains(&machine.id)
             {
-                silent.push(machine);
+                to_probe.push(machine);
             }
         }
-        // Those first that are to stop tasks of finished jobs.
-        silent.sort_by_cached_key(|machine| !is_to_stop(machine));
+        // Workers with pending stops of finished jobs' tasks come first.
+        to_probe.sort_by_cached_key(|machine| !has_pending_stop(machine));
         let max_probes = MIN_PROBES.max(self.machines.len() / MACHINES_PER_PROBE);
         let max_probes = max_probes.saturating_sub(probed.len());
-        silent.into_iter().filter_map(|machine| self.probe_of(machine)).take(max_probes).collect()
+        to_probe.into_iter().filter_map(|machine| self.probe_of(machine)).take(max_probes).collect()
     }
 
     fn probe_of(&self, machine: &Machine) -> Option<Probe> {
@@ -81,30 +81,30 @@
         Some(Probe { machine: machine.id.clone(), addr, body })
     }
 
-    /// Whether a worker is probed between its heartbeats: where they come seldom, replicas that
-    /// should start at once would wait for the next one before anybody knew that their machine is
-    /// gone (offshore deployment: heartbeats every 10 s, a start within 1 s; found after 7 to 17 s).
-    fn is_probed_early(
+    /// Whether a worker is probed before its heartbeat is late. With long heartbeat intervals, the loss of a
+    /// machine would be found too late to start its replicas elsewhere within their objective. With
+    /// heartbeats every 10 s and an objective of 1 s, it was found after 7 to 17 s.
+    fn needs_early_probe(
         &self,
         machine: &Machine,
-        last: MonotonicTime,
+        last_heartbeat: MonotonicTime,
         late_after: Duration,
         now: MonotonicTime,
     ) -> bool {
         let late_s = late_after.as_secs_f64();
-        let silence_s = now.since(last.max(machine.answered_at)).as_secs_f64();
-        if silence_s < MIN_PROBE_INTERVAL_S || late_s <= MIN_PROBE_INTERVAL_S {
+        let since_contact_s = now.since(last_heartbeat.max(machine.answered_at)).as_secs_f64();
+        if since_contact_s < MIN_PROBE_INTERVAL_S || late_s <= MIN_PROBE_INTERVAL_S {
             return false;
         }
         let mut occupying = machine.assignments.iter().filter(|(_, assignment)| assignment.occupies());
         occupying.any(|(task, _)| {
             let objective_s = self.replica_start_objective_s(task);
-            objective_s.is_some_and(|objective_s| objective_s < late_s && silence_s >= objective_s)
+            objective_s.is_some_and(|objective_s| objective_s < late_s && since_contact_s >= objective_s)
         })
     }
 
-    /// Seconds within which a task of a service is to start; `None` for other tasks, or without such
-    /// an objective.
+    /// Seconds within which a service's replica is to start; `None` for other tasks, or without such an
+    /// objective.
     fn replica_start_objective_s(&self, task: &TaskId) -> Option<f64> {
         let spec = &self.job_states.get(&task.job)?.job.spec;
         if spec.job_type != JobType::Service {
--- a/crates/scheduler/src/node/leader/silence_rules.rs
+++ b/crates/scheduler/src/node/leader/silence_rules.rs
@@ -1,194 +1,210 @@
-//! What follows from silence: whether a zone is cut off, and whether a machine is lost.
+//! Decides from missing heartbeats and unanswered probes whether a zone is unreachable and whether a machine
+//! is lost.
 
 use crate::types::{Duration, MonotonicTime, Zone};
 use crate::workers::Machine;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Heartbeats missed for a zone to count as quiet: by chance that hardly ever happens.
-const MISSED_HEARTBEATS: f64 = 6.0;
-/// Probes in a row without an answer after which a worker counts as lost.
-pub(super) const PROBES_LOST: u32 = 2;
-/// The same of one that a new leader has not heard yet, before it has waited for it long enough.
-const PROBES_LOST_UNHEARD: u32 = 4;
-/// Part of a zone's machines that, silent together, are cut off rather than lost, if nobody else
-/// there has been heard for `ZONE_QUIET` either.
-const ZONE_SILENT: f64 = 0.34;
-const ZONE_QUIET: Duration = Duration::from_millis(2000);
-/// Part of a zone's machines that, silent together, are cut off rather than lost in any case.
-const ZONE_MOSTLY: f64 = 0.67;
-/// Fewer silent machines say nothing about their zone.
-const MIN_SILENT_OF_ZONE: u32 = 3;
-/// Part of each zone that, silent together, speaks of the nodes and not of the machines.
-const CLUSTER_SILENT: f64 = 0.2;
+/// Expected heartbeats of a zone that must be missing in a row for the zone to count as unreachable. So many
+/// hardly ever fail to arrive by chance.
+const MIN_MISSED_ZONE_HEARTBEATS: f64 = 6.0;
+/// Consecutive unanswered probes after which a worker counts as lost.
+pub(super) const UNANSWERED_PROBES_LIMIT: u32 = 2;
+/// The same limit for a worker that has not sent this leader a heartbeat, while the leader has not waited
+/// long enough for one.
+const UNANSWERED_PROBES_LIMIT_UNCONTACTED: u32 = 4;
+/// If more than this share of a zone's machines is late and there was no contact with any machine of the
+/// zone for `ZONE_CONTACT_TIMEOUT`, the zone is unreachable rather than its machines lost.
+const UNREACHABLE_SHARE_WITHOUT_CONTACT: f64 = 0.34;
+/// Time since the last contact with any machine of a zone after which the zone counts as unresponsive.
+const ZONE_CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// If more than this share of a zone's machines is late, the zone is unreachable rather than its machines
+/// lost, even if there is contact with some of them.
+const UNREACHABLE_SHARE: f64 = 0.67;
+/// With fewer late machines than this, no share of them shows that their zone is unreachable.
+const MIN_LATE_MACHINES: u32 = 3;
+/// If more than this share of every zone's machines is late, the cause is the nodes and not the machines.
+const CLUSTER_WIDE_LATE_SHARE: f64 = 0.2;
 
-/// How a zone's machines are heard.
+/// How recently the machines of a zone were in contact.
 #[derive(Debug, Default)]
-pub(super) struct ZoneSilence {
-    all: u32,
-    silent: u32,
-    /// The newest heartbeat, or answer to a probe, of any.
-    newest: MonotonicTime,
+pub(super) struct ZoneHeartbeats {
+    machines: u32,
+    late: u32,
+    /// When the newest heartbeat, or answer to a probe, of any machine came.
+    last_contact: MonotonicTime,
 }
 
-impl ZoneSilence {
+impl ZoneHeartbeats {
     /// Adds a machine that is up.
     pub fn add(&mut self, machine: &Machine, late_after: Duration, now: MonotonicTime) {
         let late = machine.last_heartbeat.is_some_and(|at| now.since(at) > late_after);
-        self.all += 1;
-        self.silent += u32::from(late);
-        self.newest = self.newest.max(machine.last_heartbeat.unwrap_or_default()).max(machine.answered_at);
+        self.machines += 1;
+        self.late += u32::from(late);
+        self.last_contact =
+            self.last_contact.max(machine.last_heartbeat.unwrap_or_default()).max(machine.answered_at);
     }
 
-    /// Whether the zone is cut off rather than its machines lost.
+    /// Whether the zone is unreachable as a whole, rather than its machines lost.
     ///
-    /// A zone that is cut off goes on working inside until its workers' leases end: returning its
-    /// machines before would only stop what runs. But of a zone where many have died the rest is
-    /// heard, and what ran on the dead must start elsewhere at once: 82 machines that died together
-    /// were taken for a cut zone, and their replicas were down for 20 s (tremorline fleet, loss).
-    pub fn is_cut(&self, heartbeat: Duration, now: MonotonicTime) -> bool {
-        let share = f64::from(self.silent) / f64::from(self.all.max(1));
-        let missed = f64::from(self.all) * now.since(self.newest).as_secs_f64() / heartbeat.as_secs_f64();
-        let quiet = !self.is_heard(now);
-        let long_quiet = quiet && missed >= MISSED_HEARTBEATS;
-        let many_silent = self.silent >= MIN_SILENT_OF_ZONE && share > ZONE_SILENT;
-        long_quiet || many_silent && (share > ZONE_MOSTLY || quiet)
+    /// In an unreachable zone tasks run until their workers' leases expire, so to return its machines
+    /// earlier would only stop running tasks. If many machines of a zone have died, there is still contact
+    /// with the others, and the tasks of the dead machines must start elsewhere at once: when 82 machines
+    /// that died together passed for an unreachable zone, their replicas were down for 20 s.
+    pub fn is_unreachable(&self, heartbeat_interval: Duration, now: MonotonicTime) -> bool {
+        let late_share = f64::from(self.late) / f64::from(self.machines.max(1));
+        let since_contact = now.since(self.last_contact);
+        let missed =
+            f64::from(self.machines) * since_contact.as_secs_f64() / heartbeat_interval.as_secs_f64();
+        let no_contact = !self.has_recent_contact(now);
+        let many_missed = no_contact && missed >= MIN_MISSED_ZONE_HEARTBEATS;
+        let many_late = self.late >= MIN_LATE_MACHINES && late_share > UNREACHABLE_SHARE_WITHOUT_CONTACT;
+        many_missed || many_late && (late_share > UNREACHABLE_SHARE || no_contact)
     }
 
-    /// Whether somebody there has just been heard.
-    pub fn is_heard(&self, now: MonotonicTime) -> bool {
-        now.since(self.newest) <= ZONE_QUIET
+    /// Whether some machine of the zone was in contact within `ZONE_CONTACT_TIMEOUT`.
+    pub fn has_recent_contact(&self, now: MonotonicTime) -> bool {
+        now.since(self.last_contact) <= ZONE_CONTACT_TIMEOUT
     }
 
-    /// Whether a good part of the machines is silent.
-    pub fn has_silent_part(&self) -> bool {
-        f64::from(self.silent) > CLUSTER_SILENT * f64::from(self.all)
+    /// Whether so many machines are late that the nodes are the cause if it is the same in all zones.
+    pub fn has_many_late(&self) -> bool {
+        f64::from(self.late) > CLUSTER_WIDE_LATE_SHARE * f64::from(self.machines)
     }
 }
 
-/// What follows from a machine's silence.
+/// Whether a machine counts as lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Finding {
-    /// It is there, or may be: it stays.
-    Present,
-    /// It is in a cut-off zone where a node answers it: its unanswered probes say nothing.
-    AnsweredInside,
-    /// It is given up.
+pub(super) enum LivenessVerdict {
+    /// The machine is or may be alive: it is kept.
+    Keep,
+    /// It is in an unreachable zone whose workers' heartbeats an isolated node answers: it is kept, and its
+    /// unanswered probes prove nothing.
+    ServedByIsolatedNode,
+    /// It is lost and to be returned.
     Lost,
 }
 
-impl From<bool> for Finding {
+impl From<bool> for LivenessVerdict {
     fn from(lost: bool) -> Self {
-        if lost { Self::Lost } else { Self::Present }
+        if lost { Self::Lost } else { Self::Keep }
     }
 }
 
-/// What a machine's silence is judged by.
-pub(super) struct SilenceRules<'a> {
-    /// When the machines are judged.
+/// What decides whether a machine counts as lost.
+pub(super) struct LivenessRules<'a> {
+    /// When the machines are assessed.
     pub now: MonotonicTime,
     /// Time between heartbeats.
-    pub heartbeat: Duration,
-    /// Silence after which a worker is late.
+    pub heartbeat_interval: Duration,
+    /// Time since the last heartbeat after which a worker is late.
     pub late_after: Duration,
-    /// Silence after which a machine is given up, unless more is known.
+    /// Time since the last contact after which a machine counts as lost, if no other rule applies.
     pub lost_after: Duration,
-    /// When the lease of a worker without an answer is about to end.
-    pub lease_end: Duration,
-    /// How long what is cancelled may go without a proof that it is stopped.
-    pub unstopped_limit: Duration,
-    /// Most machines have just fallen silent: it may be this node.
-    pub suspect: bool,
+    /// Time since the last heartbeat after which the worker's lease is about to expire.
+    pub lease_expires_after: Duration,
+    /// How long a cancelled task may lack a proof that it has stopped.
+    pub unconfirmed_stop_limit: Duration,
+    /// Most machines' heartbeats stopped a short time ago, so the cause may be this node.
+    pub outage_began_recently: bool,
     /// Isolated nodes' reports have been read, if there are any.
-    pub isolation_known: bool,
-    /// The failover is far enough to give machines up.
-    pub gives_up: bool,
-    /// The same for machines that this leader has not heard.
-    pub gives_up_unheard: bool,
-    /// Zones where somebody has just been heard.
-    pub heard: BTreeSet<Zone>,
-    /// Zones that are cut off.
-    pub cut: BTreeSet<Zone>,
+    pub isolation_reports_read: bool,
+    /// The failover has reached the phase in which lost machines may be returned.
+    pub may_return: bool,
+    /// The same for machines that have not sent this leader a heartbeat.
+    pub may_return_uncontacted: bool,
+    /// Zones with a recent contact to some machine.
+    pub responsive_zones: BTreeSet<Zone>,
+    /// Zones that are unreachable as a whole.
+    pub unreachable_zones: BTreeSet<Zone>,
     /// Zones whose workers' leases are renewed by isolated nodes.
-    pub alive: BTreeSet<Zone>,
-    /// When a leader last heard a worker of each zone.
-    pub zones_heard: &'a BTreeMap<Zone, MonotonicTime>,
+    pub zones_served_by_isolated_nodes: BTreeSet<Zone>,
+    /// When a leader last received a heartbeat from each zone.
+    pub last_contact_by_zone: &'a BTreeMap<Zone, MonotonicTime>,
 }
 
-impl SilenceRules<'_> {
-    /// What follows from the silence of a machine that is up. `last` is when its last heartbeat came,
-    /// `partitioned_until` as the isolation component gives it for its zone, `finished_since` since
-    /// when it is to stop a task of a finished job without having said that it did.
-    pub fn judge(
+impl LivenessRules<'_> {
+    /// Whether a machine that is up counts as lost. `last_heartbeat`: when its last heartbeat came.
+    /// `last_partitioned_at`: when its zone was last found partitioned. `oldest_pending_stop`: since when its
+    /// oldest unconfirmed stop of a finished job's task has been pending.
+    pub fn assess(
         &self,
         machine: &Machine,
-        last: MonotonicTime,
-        partitioned_until: Option<MonotonicTime>,
-        finished_since: Option<MonotonicTime>,
-    ) -> Finding {
-        let zone_is_cut = self.cut.contains(&machine.zone);
-        if machine.unanswered >= PROBES_LOST
-            && finished_since.is_some_and(|since| self.is_stop_overdue(since, zone_is_cut))
+        last_heartbeat: MonotonicTime,
+        last_partitioned_at: Option<MonotonicTime>,
+        oldest_pending_stop: Option<MonotonicTime>,
+    ) -> LivenessVerdict {
+        let zone_is_unreachable = self.unreachable_zones.contains(&machine.zone);
+        if machine.unanswered >= UNANSWERED_PROBES_LIMIT
+            && oldest_pending_stop.is_some_and(|since| self.is_stop_overdue(since, zone_is_unreachable))
         {
-            // Nobody may have it: what is cancelled must be gone in time, also from a machine that
-            // hangs, and each leader counts its silence anew (seven of 500 seeds with a leader every
-            // ten seconds). In a cut zone leases end in time by what its nodes may renew, but a
-            // machine that hangs there is not told apart.
-            return self.gives_up.into();
+            // The machine may be out of reach of every node, and cancelled tasks must be gone in time even
+            // from a machine that hangs. Each new leader measures the time without a heartbeat from its own
+            // start, so with a change of leader every ten seconds the other rules apply too late. In an
+            // unreachable zone the limit on lease renewals ends the leases in time, but a machine that hangs
+            // can't be told from the others, so it is returned there too, after a longer time.
+            return self.may_return.into();
         }
-        if zone_is_cut && self.alive.contains(&machine.zone) {
-            // A node in there answers its workers: their leases live on, and nothing follows from
-            // this silence.
-            return Finding::AnsweredInside;
+        if zone_is_unreachable && self.zones_served_by_isolated_nodes.contains(&machine.zone) {
+            // An isolated node renews the leases of the zone's workers, so missing heartbeats prove nothing.
+            return LivenessVerdict::ServedByIsolatedNode;
         }
-        if zone_is_cut {
-            return self.is_lost_in_cut_zone(&machine.zone, last, partitioned_until).into();
+        if zone_is_unreachable {
+            return self
+                .is_lost_in_unreachable_zone(&machine.zone, last_heartbeat, last_partitioned_at)
+                .into();
         }
-        if !machine.has_been_heard() && !self.gives_up_unheard {
-            // Just after a failover it may be this leader that is not found yet.
-            let lost = self.gives_up
-                && self.heard.contains(&machine.zone)
-                && machine.unanswered >= PROBES_LOST_UNHEARD;
+        if !machine.has_been_heard() && !self.may_return_uncontacted {
+            // Shortly after a failover the worker may not have found this leader yet.
+            let lost = self.may_return
+                && self.responsive_zones.contains(&machine.zone)
+                && machine.unanswered >= UNANSWERED_PROBES_LIMIT_UNCONTACTED;
             return lost.into();
         }
-        self.is_lost_alone(machine, last, partitioned_until).into()
+        self.is_individually_lost(machine, last_heartbeat, last_partitioned_at).into()
     }
 
-    fn is_stop_overdue(&self, finished_since: MonotonicTime, zone_is_cut: bool) -> bool {
-        let waited = self.now.since(finished_since);
-        waited >= self.heartbeat && !zone_is_cut || waited > self.unstopped_limit
+    fn is_stop_overdue(&self, pending_since: MonotonicTime, zone_is_unreachable: bool) -> bool {
+        let waited = self.now.since(pending_since);
+        waited >= self.heartbeat_interval && !zone_is_unreachable || waited > self.unconfirmed_stop_limit
     }
 
-    fn is_lost_in_cut_zone(
+    fn is_lost_in_unreachable_zone(
         &self,
         zone: &Zone,
-        last: MonotonicTime,
-        partitioned_until: Option<MonotonicTime>,
+        last_heartbeat: MonotonicTime,
+        last_partitioned_at: Option<MonotonicTime>,
     ) -> bool {
-        let heard = self.zones_heard.get(zone).map_or(last, |heard| last.min(*heard));
-        // A node in there that crashes may be back before the leases end that it has renewed.
-        let heard = partitioned_until.map_or(heard, |until| heard.max(until));
-        let silence = self.now.since(heard);
-        !self.suspect && self.isolation_known && silence > self.lost_after.max(self.lease_end)
+        let zone_contact = self.last_contact_by_zone.get(zone);
+        let last_contact = zone_contact.map_or(last_heartbeat, |contact| last_heartbeat.min(*contact));
+        // If the isolated node crashes, it may be back before the leases that it renewed expire.
+        let last_contact = last_partitioned_at.map_or(last_contact, |at| last_contact.max(at));
+        let without_contact = self.now.since(last_contact);
+        !self.outage_began_recently
+            && self.isolation_reports_read
+            && without_contact > self.lost_after.max(self.lease_expires_after)
     }
 
-    /// Whether a machine is lost whose zone is not cut off.
-    fn is_lost_alone(
+    /// Whether a machine in a reachable zone is lost.
+    fn is_individually_lost(
         &self,
         machine: &Machine,
-        last: MonotonicTime,
-        partitioned_until: Option<MonotonicTime>,
+        last_heartbeat: MonotonicTime,
+        last_partitioned_at: Option<MonotonicTime>,
     ) -> bool {
-        // Silence in a partitioned zone counts from when it is no longer partitioned.
-        let last = partitioned_until.map_or(last, |until| last.max(until));
-        // One that answers probes is there, though its heartbeats reach nobody just now: it was
-        // returned with work on it where nodes crashed in turn (seed 5017). Its tasks live until
-        // their lease ends.
-        let last_sign = last.max(machine.answered_at);
-        let silent = self.now.since(last_sign) > self.lost_after
-            || self.now.since(last) > self.lease_end.max(self.lost_after);
-        // Before it is late, only where it is surely not the zone.
-        let late = self.now.since(last) > self.late_after;
-        let probes_count = self.heard.contains(&machine.zone) || late && self.isolation_known;
-        !self.suspect && (silent || probes_count && machine.unanswered >= PROBES_LOST)
+        // If the zone was partitioned, missing heartbeats count from the end of the partition.
+        let last_heartbeat = last_partitioned_at.map_or(last_heartbeat, |at| last_heartbeat.max(at));
+        // A worker that answers probes is alive even if its heartbeats reach no node. Where nodes crashed
+        // one after the other, such machines were returned with tasks on them. The answers count until the
+        // lease expires, since the tasks live no longer.
+        let last_contact = last_heartbeat.max(machine.answered_at);
+        let is_overdue = self.now.since(last_contact) > self.lost_after
+            || self.now.since(last_heartbeat) > self.lease_expires_after.max(self.lost_after);
+        // Before the heartbeat is late, unanswered probes count only if the zone is certainly reachable.
+        let late = self.now.since(last_heartbeat) > self.late_after;
+        let probes_count =
+            self.responsive_zones.contains(&machine.zone) || late && self.isolation_reports_read;
+        !self.outage_began_recently
+            && (is_overdue || probes_count && machine.unanswered >= UNANSWERED_PROBES_LIMIT)
     }
 }
--- a/crates/scheduler/src/node/leader/zones.rs
+++ b/crates/scheduler/src/node/leader/zones.rs
@@ -1,4 +1,4 @@
-//! Which zones a job's tasks may go to.
+//! Zones in which a job's tasks may be placed.
 
 use super::Leader;
 use crate::assignments::Assignment;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// How many tasks of a job occupy machines in each zone; empty if nothing depends on it.
+    /// How many tasks of a job occupy machines in each zone; empty for a job without a rule on its zones.
     pub(super) fn tasks_by_zone(&self, job: &JobId, job_state: &JobState) -> BTreeMap<Zone, u32> {
         let mut tasks_by_zone = BTreeMap::new();
         if !job_state.job.spec.spread && !job_state.job.spec.together {
@@ -24,18 +24,18 @@
         tasks_by_zone
     }
 
-    /// Zones that a job may use, and how many more of its tasks each may take.
+    /// Zones that a job may use, and how many more of its tasks may be placed in each.
     pub(super) fn zone_capacity(&self, job: &JobId, job_state: &JobState) -> Vec<(Zone, u32)> {
         let spec = &job_state.job.spec;
         let taken = self.tasks_by_zone(job, job_state);
         let max_per_zone = spec.zone_cap();
-        let left = |zone: &Zone| max_per_zone.saturating_sub(taken.get(zone).copied().unwrap_or(0));
+        let remaining = |zone: &Zone| max_per_zone.saturating_sub(taken.get(zone).copied().unwrap_or(0));
         self.settings
             .zones
             .iter()
             .filter(|zone| spec.zone_allowed(zone))
             .filter(|zone| !spec.together || taken.is_empty() || taken.contains_key(*zone))
-            .map(|zone| (zone.clone(), left(zone)))
+            .map(|zone| (zone.clone(), remaining(zone)))
             .collect()
     }
 }
