--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -222,7 +222,10 @@
             machine.failed.push(job.clone());
         }
         if machine.failed.len() >= MACHINE_FAULT_THRESHOLD && !machine.draining {
-            tracing::warn!(machine = %id, "several jobs failed here; draining it, to be returned once empty");
+            tracing::warn!(
+                machine = %id,
+                "several jobs failed on this machine; draining it and returning it once it is empty"
+            );
             machine.draining = true;
         }
         machine.draining
