--- a/crates/scheduler/src/node/leader/broadcast.rs
+++ b/crates/scheduler/src/node/leader/broadcast.rs
@@ -1,5 +1,5 @@
-//! The status broadcast: once a second the controllers receive how jobs stand and which placements
-//! succeeded; every few broadcasts the success counts are stored.
+//! The status broadcast: once a second the leader sends the controllers the task counts of jobs and the
+//! outcomes of placements. At a longer interval it stores the success counts.
 
 use super::{Leader, StepContext};
 use crate::election;
@@ -11,17 +11,17 @@
 use std::collections::BTreeSet;
 
 const BROADCAST_INTERVAL: Duration = Duration::from_millis(1000);
-/// Largest value of a part of the counts, in bytes. The counts are hints only, so their values and
-/// transactions stay well below the store's limits.
+/// Largest value of a part of the success counts, in bytes. The counts only improve placement, so their
+/// values and transactions stay well below the store's limits.
 const COUNTS_VALUE_BYTES: usize = 14_000;
-/// Changes in a transaction of counts, at most.
+/// Most changes in a transaction of success counts.
 const COUNTS_CHANGES_PER_TXN: usize = 4;
 
-/// What the next broadcast will carry, and when it is due.
+/// The content of the next broadcast, and when it is due.
 #[derive(Debug)]
 pub(super) struct StatusBroadcaster {
-    /// Broadcasts sent so far: the number of the last one.
-    sent: u64,
+    /// Sequence number of the last broadcast; 0 before the first one.
+    last_sequence: u64,
     /// Jobs whose counts have changed since the last broadcast.
     changed_jobs: BTreeSet<JobId>,
     /// Placements that succeeded or failed since the last broadcast.
@@ -32,10 +32,11 @@
 }
 
 impl StatusBroadcaster {
-    /// Sends the first broadcast at once, and saves counts every `counts_save_interval`.
+    /// Creates a broadcaster whose first broadcast is due now, and which saves the success counts every
+    /// `counts_save_interval`.
     pub fn new(counts_save_interval: Duration, now: MonotonicTime) -> Self {
         Self {
-            sent: 0,
+            last_sequence: 0,
             changed_jobs: BTreeSet::new(),
             placement_outcomes: Vec::new(),
             next_broadcast: now,
@@ -44,44 +45,44 @@
         }
     }
 
-    /// Notes that a job's counts have changed.
+    /// Marks a job's counts as changed.
     pub fn mark_changed(&mut self, job: &JobId) {
         if !self.changed_jobs.contains(job) {
             self.changed_jobs.insert(job.clone());
         }
     }
 
-    /// Notes whether a task succeeded on its machine.
+    /// Adds the outcome of a placement to the next broadcast.
     pub fn add_outcome(&mut self, outcome: PlacementOutcome) {
         self.placement_outcomes.push(outcome);
     }
 
-    /// Begins a broadcast and gives its number, if it is time for one.
+    /// Begins a broadcast, if one is due, and returns its sequence number.
     fn begin(&mut self, now: MonotonicTime) -> Option<u64> {
         if now < self.next_broadcast {
             return None;
         }
         self.next_broadcast = now + BROADCAST_INTERVAL;
-        self.sent += 1;
-        Some(self.sent)
+        self.last_sequence += 1;
+        Some(self.last_sequence)
     }
 
-    /// Whether the counts are to be saved now; then the next time is a whole interval later.
+    /// Whether the success counts are to be saved now. If so, the next save is due a whole interval later.
     fn begin_counts_save(&mut self, now: MonotonicTime) -> bool {
-        let save = now >= self.next_counts_save;
-        if save {
+        let is_due = now >= self.next_counts_save;
+        if is_due {
             self.next_counts_save = now + self.counts_save_interval;
         }
-        save
+        is_due
     }
 }
 
 impl Leader {
-    /// Sends the broadcast if it is due: the changes to controllers that have all earlier
-    /// broadcasts, a snapshot to the others.
+    /// Sends the broadcast if it is due: the changes to controllers that have applied all earlier broadcasts,
+    /// and a snapshot to the others.
     pub(super) fn broadcast(&mut self, context: &mut StepContext) {
-        // A leader whose lease is no longer valid must not keep the others from taking over: they
-        // may reach the key-value store that it has lost.
+        // A leader whose lease is no longer valid must not keep other nodes from taking over: they may reach
+        // the key-value store when this leader can't.
         if !context.valid {
             return;
         }
@@ -89,7 +90,8 @@
         let position = BroadcastPosition { fencing_token: self.fencing_token, sequence };
         let changed_jobs = std::mem::take(&mut self.broadcaster.changed_jobs);
         let jobs = self.job_counts(changed_jobs.iter());
-        // A controller that has missed a broadcast gets everything; an acknowledgement may be on its way.
+        // A controller that has missed a broadcast gets a snapshot. Broadcasts whose acknowledgement may
+        // still be in flight do not count as missed.
         let up_to_date: Vec<bool> =
             context.peers.names().iter().map(|name| context.peers.is_up_to_date(name, position)).collect();
         let all_up_to_date = up_to_date.iter().all(|up_to_date| *up_to_date);
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Done and running tasks of each of the jobs, as a broadcast carries them.
+    /// Task counts of each of the jobs, for a broadcast.
     fn job_counts<'a>(&self, jobs: impl Iterator<Item = &'a JobId>) -> Vec<JobTaskCounts> {
         let counts = |id: &JobId| Some(JobTaskCounts { job: id.clone(), counts: self.counts_of_job(id)? });
         jobs.filter_map(counts).collect()
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, and what their replies say about the machines.
+//! Calls to the cloud, and processing of the replies.
 
 use super::{Leader, StepContext};
 use crate::autoscaler::InstanceOffer;
@@ -7,61 +7,61 @@
 use crate::wire::cloud::{CloudReply, CloudRequest, ListedMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in a page of the cloud's list.
-const LIST_PAGE: u32 = 500;
-/// How often the catalogue of instance types is read again.
+/// Machines per page of the cloud's list.
+const LIST_PAGE_SIZE: u32 = 500;
+/// Interval between reads of the catalogue of instance types.
 const TYPES_INTERVAL: Duration = Duration::from_millis(60_000);
-/// Nothing is rented for so long after a call without an answer.
+/// How long no machine is rented after a rental without an answer.
 const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(2000);
-/// Part of the cloud's rate limit that the leader's calls may use.
+/// Share of the cloud's rate limit that the leader's calls may use.
 const RATE_SHARE: f64 = 0.7;
-/// Machines returned by one call, at most.
+/// Most machines returned by one call.
 const RELEASES_PER_CALL: usize = 100;
 
-/// A call to the cloud that waits for its reply.
+/// A call to the cloud whose reply is awaited.
 #[derive(Debug)]
 pub(super) enum CloudCall {
-    /// Renting `number` machines of an offer.
+    /// Rents machines of an offer.
     Rent {
-        /// What is rented.
+        /// The offer.
         offer: InstanceOffer,
-        /// How many machines.
+        /// Number of machines.
         number: u32,
     },
-    /// Returning machines.
+    /// Returns machines.
     Release {
         /// The machines to return.
         machines: Vec<MachineId>,
     },
-    /// A page of the list of all machines.
+    /// Reads a page of the list of all machines.
     List,
 }
 
-/// A call to the cloud that is to be sent.
+/// A call to the cloud that has not been sent yet.
 #[derive(Debug)]
 pub(super) struct PlannedCall {
-    /// What is sent.
+    /// The request.
     pub request: CloudRequest,
-    /// What its reply will be for.
+    /// The call to keep until the reply arrives.
     pub call: CloudCall,
 }
 
-/// Open calls to the cloud, their rate limit and when the periodic ones are due.
+/// Open calls to the cloud, their rate limit, and when the periodic calls are due.
 #[derive(Debug)]
 pub(super) struct CloudClient {
     open_calls: BTreeMap<RequestId, CloudCall>,
     budget: TokenBucket,
-    /// The last machine of the list's page read last, while more pages follow.
+    /// Last machine of the newest page of the list, while more pages follow.
     list_cursor: Option<MachineId>,
     next_listing: MonotonicTime,
     next_types: MonotonicTime,
     rent_not_before: MonotonicTime,
-    /// Machines whose return is under way.
+    /// Machines whose return has been requested and not answered yet.
     releasing: BTreeSet<MachineId>,
 }
 
 impl CloudClient {
-    /// `rate_limit`: calls a second that the cloud allows.
+    /// Creates a client without open calls. `rate_limit`: calls per second that the cloud allows.
     pub fn new(rate_limit: f64, now: MonotonicTime) -> Self {
         Self {
             open_calls: BTreeMap::new(),
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Takes one call from the rate limit; false: none is left now.
+    /// Takes one call from the rate limit. Returns false if none is left now.
     pub fn take_call(&mut self, now: MonotonicTime) -> bool {
         self.budget.take(1.0, now)
     }
 
-    /// Whether rentals are allowed after the last call without an answer.
+    /// Whether the pause after the last rental without an answer is over.
     pub fn may_rent(&self, now: MonotonicTime) -> bool {
         now >= self.rent_not_before
     }
 
-    /// Rentals that wait for their reply: the offer and the number of machines of each.
+    /// Rentals whose reply is awaited: the offer and the number of machines of each.
     pub fn open_rentals(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
         self.open_calls.values().filter_map(|call| match call {
             CloudCall::Rent { offer, number } => Some((offer, *number)),
@@ -92,8 +92,8 @@
         })
     }
 
-    /// The call that returns the first of `machines` whose return isn't under way yet, if there are
-    /// any and the rate limit allows it.
+    /// The call that returns the first [`RELEASES_PER_CALL`] of `machines` whose return has not been
+    /// requested yet; `None` if there are none or the rate limit does not allow a call.
     pub fn release(
         &mut self,
         machines: impl Iterator<Item = MachineId>,
@@ -111,27 +111,27 @@
         })
     }
 
-    /// The return of the machine has ended, done or failed.
+    /// The call that returned the machine has succeeded or failed.
     pub fn release_ended(&mut self, id: &MachineId) {
         self.releasing.remove(id);
     }
 
-    /// Whether a new listing begins now.
+    /// Whether a new listing of all machines is due and the last one is complete. If so, it counts as begun.
     fn begin_listing(&mut self, interval: Duration, now: MonotonicTime) -> bool {
-        let begins = now >= self.next_listing && self.list_cursor.is_none();
-        if begins {
+        let is_due = now >= self.next_listing && self.list_cursor.is_none();
+        if is_due {
             self.next_listing = now + interval;
         }
-        begins
+        is_due
     }
 
-    /// Whether the catalogue of types is to be read now.
+    /// Whether a read of the catalogue of instance types is due. If so, it counts as begun.
     fn begin_types_read(&mut self, now: MonotonicTime) -> bool {
-        let begins = now >= self.next_types;
-        if begins {
+        let is_due = now >= self.next_types;
+        if is_due {
             self.next_types = now + TYPES_INTERVAL;
         }
-        begins
+        is_due
     }
 
     fn send(&mut self, context: &mut StepContext, planned: PlannedCall) {
@@ -140,13 +140,13 @@
     }
 
     fn send_listing(&mut self, context: &mut StepContext, after: Option<MachineId>) {
-        let request = CloudRequest::List { after, most: LIST_PAGE };
+        let request = CloudRequest::List { after, most: LIST_PAGE_SIZE };
         self.send(context, PlannedCall { request, call: CloudCall::List });
     }
 }
 
 impl Leader {
-    /// Lists, returns and rents machines as far as that is due.
+    /// Sends the calls that are due: lists, returns and rents machines, and reads the instance types.
     pub(super) fn call_cloud(&mut self, context: &mut StepContext) {
         let now = context.now;
         let list_interval = Duration::from_secs_f64(self.settings.operator.list_every_s);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The cloud's reply to one of this leader's calls.
+    /// Processes the cloud's reply to one of this leader's calls.
     pub(in crate::node) fn cloud_reply(
         &mut self,
         context: &mut StepContext,
@@ -177,8 +177,9 @@
             (CloudCall::Rent { offer, number }, CloudReply::Rented(ids)) => {
                 self.machines_rented(offer, number, ids, now);
             }
-            (CloudCall::Rent { offer, .. }, CloudReply::NoCapacity) => self.refuse_offer(offer, now),
-            // No answer: what was rented after all shows in the list or by its heartbeats.
+            (CloudCall::Rent { offer, .. }, CloudReply::NoCapacity) => self.pause_offer(offer, now),
+            // No usable answer. Machines that were rented nevertheless are found by the list or by their
+            // heartbeats.
             (CloudCall::Rent { .. }, _) => self.cloud.rent_not_before = now + UNAVAILABLE_PAUSE,
             (CloudCall::Release { machines }, CloudReply::Released) => {
                 machines.iter().for_each(|id| self.released(id, now));
@@ -201,17 +202,17 @@
         now: MonotonicTime,
     ) {
         tracing::info!(machine_type = %offer.type_name, zone = %offer.zone, spot = offer.spot,
-            wanted, got = ids.len(), "rented");
+            wanted, got = ids.len(), "rented machines");
         if (ids.len() as u32) < wanted {
-            self.refuse_offer(offer.clone(), now);
+            self.pause_offer(offer.clone(), now);
         }
         for id in ids {
             self.rented(id, &offer, now);
         }
     }
 
-    /// Doesn't ask for this offer for a while.
-    fn refuse_offer(&mut self, offer: InstanceOffer, now: MonotonicTime) {
+    /// Excludes the offer from rentals for `refusal_pause_s`.
+    fn pause_offer(&mut self, offer: InstanceOffer, now: MonotonicTime) {
         let pause = Duration::from_secs_f64(self.settings.operator.refusal_pause_s);
         self.instance_offers.refuse(offer, now + pause);
     }
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -1,4 +1,5 @@
-//! Commits: changes of records go out in transactions, one at a time, within the write budget.
+//! Commits of the leader's records to the key-value store: one transaction at a time, within the write
+//! budget.
 
 use super::{Delayed, Leader, LeadershipEnd, LeadershipLost, StepContext, take_due};
 use crate::assignments::{CommitPipeline, CommitPriority, CommittedWrite, RefusedWrite, WriteVersion};
@@ -12,168 +13,173 @@
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes that a transaction is charged for before it is known how many it has.
-const USUAL_CHANGES: f64 = 4.0;
-/// How long after a failed read of a record it is read again.
-const REREAD_PAUSE: Duration = Duration::from_millis(200);
-/// Bounds of the pause after a failed transaction, in milliseconds.
-const FAILURE_PAUSE_MS: std::ops::Range<u64> = 80..250;
+/// Changes that the write budget is charged for before the size of the transaction is known; the charge
+/// is corrected afterwards.
+const ESTIMATED_CHANGES: f64 = 4.0;
+/// How long after a failed read of a record the read is retried.
+const REREAD_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Bounds of the random delay before a failed transaction is retried, in milliseconds.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 80..250;
 
-/// A finished task's assignment, which goes once the task's result is durable.
+/// A finished task whose assignment is removed once the task's result is durable.
 #[derive(Debug)]
 pub(super) struct PendingOutcome {
-    /// The version of the key that holds the result.
+    /// The version of the key's value that contains the result.
     pub version: WriteVersion,
-    /// Where the task finished.
+    /// The machine on which the task finished.
     pub machine: MachineId,
     /// The task.
     pub task: TaskId,
 }
 
-/// Records to write, the transaction under way, and what waits for it to be durable.
+/// Queued records, the transaction in flight, and finished tasks that wait for a result to be durable.
 #[derive(Debug)]
 pub(super) struct CommitState {
     pipeline: CommitPipeline,
     budget: TokenBucket,
-    /// Machines whose record is to be written anew.
+    /// Machines whose record must be written again.
     changed_machines: BTreeSet<MachineId>,
-    /// Finished tasks by the key that holds their result.
+    /// Finished tasks, by the key under which their result is stored.
     pending_outcomes: BTreeMap<String, Vec<PendingOutcome>>,
-    /// Reads of records under way after a conflict; no commit is sent meanwhile.
-    rereads_open: usize,
-    rereads_delayed: Vec<Delayed<String>>,
-    not_before: MonotonicTime,
+    /// Reads of records in flight after a conflict. No transaction is sent until all have succeeded.
+    open_rereads: usize,
+    delayed_rereads: Vec<Delayed<String>>,
+    /// No transaction is sent before this time.
+    next_commit_at: MonotonicTime,
 }
 
 impl CommitState {
-    /// Nothing to write yet. Transactions hold the condition that the leader key has `fencing_token`.
+    /// Creates a state without queued records. Every transaction is conditional on the leader key's revision
+    /// being `fencing_token`.
     pub fn new(fencing_token: FencingToken, settings: &Settings, now: MonotonicTime) -> Self {
-        // Users seldom use their share, so the two overlap a little; what exceeds the limit is
-        // refused by the store and comes again.
+        // Users rarely use their whole share, so the leader's budget includes half of it. Writes above the
+        // store's limit are refused by the store and retried.
         let own_share = 1.0 - settings.operator.user_write_share / 2.0;
         Self {
             pipeline: CommitPipeline::new(election::LEADER_KEY, fencing_token, settings.state.txn_ops),
             budget: TokenBucket::new(settings.state.write_rps * own_share),
             changed_machines: BTreeSet::new(),
             pending_outcomes: BTreeMap::new(),
-            rereads_open: 0,
-            rereads_delayed: Vec::new(),
-            not_before: now,
+            open_rereads: 0,
+            delayed_rereads: Vec::new(),
+            next_commit_at: now,
         }
     }
 
-    /// Notes that the machine's record is to be written anew.
+    /// Marks the machine's record to be written again.
     pub fn mark_changed(&mut self, machine: MachineId) {
         self.changed_machines.insert(machine);
     }
 
-    /// Drops the note that the machine's record is to be written anew.
+    /// Removes the mark of [`CommitState::mark_changed`].
     pub fn unmark_changed(&mut self, machine: &MachineId) {
         self.changed_machines.remove(machine);
     }
 
-    /// Takes the machines whose records are to be written anew.
+    /// Takes the machines whose records must be written again.
     pub fn take_changed(&mut self) -> BTreeSet<MachineId> {
         std::mem::take(&mut self.changed_machines)
     }
 
-    /// Queues a key's new value (`None` deletes it); gives the version that is durable with it.
+    /// Queues a key's new value; `None` deletes the key. Returns the version of the value.
     pub fn put(&mut self, key: &str, value: Option<String>, priority: CommitPriority) -> WriteVersion {
         self.pipeline.put(key, value, priority)
     }
 
-    /// Learns a key's stored revision.
-    pub fn loaded(&mut self, key: &str, revision: Revision) {
+    /// Sets the revision at which a key is stored.
+    pub fn set_stored_revision(&mut self, key: &str, revision: Revision) {
         self.pipeline.loaded(key, revision);
     }
 
-    /// Drops a key's queued value.
-    pub fn give_up(&mut self, key: &str) {
+    /// Discards a key's queued value and its known revision.
+    pub fn discard(&mut self, key: &str) {
         self.pipeline.give_up(key);
     }
 
-    /// Whether the key is stored, or a value of it is queued.
+    /// Whether the key is stored or a change of it is queued.
     pub fn is_stored_or_queued(&self, key: &str) -> bool {
         self.pipeline.holds(key)
     }
 
-    /// Whether the key is stored as far as this leader knows.
+    /// Whether the key is stored, as far as this leader knows.
     pub fn is_stored(&self, key: &str) -> bool {
         self.pipeline.revision(key) > Revision(0)
     }
 
-    /// Queued changes, for operators.
+    /// Number of queued changes, for the metrics.
     pub fn backlog(&self) -> usize {
         self.pipeline.backlog()
     }
 
-    /// Queued changes that tasks wait for.
+    /// Number of queued changes that task starts or terminal statuses wait for.
     pub fn urgent_backlog(&self) -> usize {
         self.pipeline.urgent_backlog()
     }
 
-    /// Whether tasks wait for a queued change of the key.
+    /// Whether task starts or a terminal status wait for a queued change of the key.
     pub fn is_urgent(&self, key: &str) -> bool {
         self.pipeline.is_urgent(key)
     }
 
-    /// Changes that this leader may write in a second.
+    /// Changes that this leader may write per second.
     pub fn writes_per_s(&self) -> f64 {
         self.budget.rate()
     }
 
-    /// Takes `changes` from the write budget; false: there were not as many.
+    /// Takes `changes` from the write budget. Returns false, and takes nothing, if the budget does not cover
+    /// them.
     pub fn take_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
         self.budget.take(changes as f64, now)
     }
 
-    /// As [`CommitState::take_writes`], and nothing while more urgent changes may need the budget.
+    /// Like [`CommitState::take_writes`], but takes nothing unless more than half of the budget is left, so
+    /// that more urgent changes can be written.
     pub fn take_spare_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
         self.budget.ample(now) && self.take_writes(changes, now)
     }
 
-    /// Keeps a finished task's assignment until `key` is durable.
-    pub fn await_outcome(&mut self, key: String, outcome: PendingOutcome) {
+    /// Keeps a finished task until its result under `key` is durable.
+    pub fn add_pending_outcome(&mut self, key: String, outcome: PendingOutcome) {
         self.pending_outcomes.entry(key).or_default().push(outcome);
     }
 
-    /// Forgets the finished tasks that wait for `key`.
-    pub fn forget_outcomes(&mut self, key: &str) {
+    /// Drops the finished tasks that wait for `key`.
+    pub fn drop_outcomes(&mut self, key: &str) {
         self.pending_outcomes.remove(key);
     }
 
-    /// Takes the finished tasks whose result is durable with `version` of `key`.
-    pub fn take_settled(&mut self, key: &str, version: WriteVersion) -> Vec<PendingOutcome> {
+    /// Takes the finished tasks whose result is durable now that `version` of `key` is.
+    pub fn take_durable_outcomes(&mut self, key: &str, version: WriteVersion) -> Vec<PendingOutcome> {
         let Some(outcomes) = self.pending_outcomes.get_mut(key) else { return Vec::new() };
-        let (settled, later): (Vec<_>, Vec<_>) =
+        let (durable, pending): (Vec<_>, Vec<_>) =
             std::mem::take(outcomes).into_iter().partition(|outcome| outcome.version <= version);
-        if later.is_empty() {
+        if pending.is_empty() {
             self.pending_outcomes.remove(key);
         } else {
-            *outcomes = later;
+            *outcomes = pending;
         }
-        settled
+        durable
     }
 
-    /// The next transaction, if none is under way and the budget allows it.
+    /// The next transaction, if none is in flight and the write budget allows it.
     fn next_transaction(&mut self, max_changes: usize, now: MonotonicTime) -> Option<StoreRequest> {
-        if self.rereads_open > 0 || now < self.not_before || !self.pipeline.is_idle() {
+        if self.open_rereads > 0 || now < self.next_commit_at || !self.pipeline.is_idle() {
             return None;
         }
         let ample = self.budget.ample(now);
-        let charge = (max_changes as f64).min(USUAL_CHANGES);
+        let charge = (max_changes as f64).min(ESTIMATED_CHANGES);
         if !self.pipeline.has_batch(ample) || !self.budget.take(charge, now) {
             return None;
         }
         let batch = self.pipeline.next_batch(ample)?;
-        self.budget.settle(batch.changes.len() as f64 - USUAL_CHANGES);
+        self.budget.settle(batch.changes.len() as f64 - ESTIMATED_CHANGES);
         Some(StoreRequest::Commit { conditions: batch.conditions, changes: batch.changes })
     }
 
-    /// The transaction failed: it is sent again after a pause.
-    fn failed(&mut self, retry_at: MonotonicTime) {
+    /// Queues the changes of the failed transaction again; nothing is sent before `retry_at`.
+    fn transaction_failed(&mut self, retry_at: MonotonicTime) {
         self.pipeline.failed();
-        self.not_before = retry_at;
+        self.next_commit_at = retry_at;
     }
 
     #[cfg(test)]
@@ -183,52 +189,53 @@
 }
 
 impl Leader {
-    /// Sends the next transaction, if the last is finished and the write budget allows it.
+    /// Sends the next transaction, if none is in flight and the write budget allows it.
     pub(super) fn commit(&mut self, context: &mut StepContext) {
         if let Some(request) = self.commits.next_transaction(self.settings.state.txn_ops, context.now) {
             context.out.request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::Commit));
         }
     }
 
-    /// The store's reply to the transaction under way.
+    /// Processes the store's reply to the transaction in flight.
     pub(super) fn commit_reply(
         &mut self,
         context: &mut StepContext,
         reply: StoreReply,
     ) -> Option<LeadershipEnd> {
         let now = context.now;
-        let retry_at = now + Duration::from_millis(context.rng.random_range(FAILURE_PAUSE_MS));
+        let retry_at = now + Duration::from_millis(context.rng.random_range(RETRY_DELAY_MS));
         match reply {
             StoreReply::Committed { store_revision } => {
                 self.committed(context.job_cache, store_revision, now);
             }
             StoreReply::Conflict { failed } => {
-                self.commits.failed(retry_at);
+                self.commits.transaction_failed(retry_at);
                 if failed.iter().any(|key| key == election::LEADER_KEY) {
                     return Some(LeadershipEnd::Lost(LeadershipLost::LeaderKeyChanged));
                 }
-                self.commits.rereads_open = failed.len();
+                self.commits.open_rereads = failed.len();
                 failed.into_iter().for_each(|key| self.reread(context, key));
             }
             StoreReply::Malformed => {
-                self.commits.not_before = retry_at;
+                self.commits.next_commit_at = retry_at;
                 if let Some(RefusedWrite { key, bytes }) = self.commits.pipeline.refused() {
                     tracing::error!(
                         key,
                         bytes,
-                        "the key-value store refuses this value; left as it is stored"
+                        "the key-value store refuses this value; keeping the stored one. Check that value_kb \
+                         is not above the store's limit"
                     );
                     self.record_refused(&key, now);
                 }
             }
-            _ => self.commits.failed(retry_at),
+            _ => self.commits.transaction_failed(retry_at),
         }
         None
     }
 
     fn committed(&mut self, job_cache: &mut JobCache, store_revision: u64, now: MonotonicTime) {
         for CommittedWrite { key, version } in self.commits.pipeline.committed(store_revision) {
-            if let Some(id) = self.settle(&key, version, now) {
+            if let Some(id) = self.write_durable(&key, version, now) {
                 job_cache.learn(id, Revision(store_revision), Record::Done);
             } else if let Some(id) = key.strip_prefix(jobs::PREFIX).map(JobId::from)
                 && job_cache.graph().is_cancelled(&id)
@@ -238,44 +245,45 @@
         }
     }
 
-    /// Reads a record whose revision was not the expected one.
+    /// Reads a record again whose revision differed from the expected one.
     fn reread(&self, context: &mut StepContext, key: String) {
         let request = StoreRequest::Get { key: key.clone() };
         let pending = Pending::Leader(self.fencing_token, LeaderRequest::Correct { key });
         context.out.request_store(request, pending);
     }
 
-    /// Reads records again whose read had failed.
+    /// Retries failed reads of records that are due.
     pub(super) fn retry_rereads(&mut self, context: &mut StepContext) {
-        for key in take_due(&mut self.commits.rereads_delayed, context.now) {
+        for key in take_due(&mut self.commits.delayed_rereads, context.now) {
             self.reread(context, key);
         }
     }
 
-    /// The reply to a read after a conflict: the commit goes on with the revision found.
+    /// Processes the reply to a read after a conflict. The next transaction uses the revision that was read.
     pub(super) fn reread_reply(&mut self, context: &mut StepContext, key: &str, reply: StoreReply) {
-        self.commits.rereads_open = self.commits.rereads_open.saturating_sub(1);
+        self.commits.open_rereads = self.commits.open_rereads.saturating_sub(1);
         match reply {
             StoreReply::Found(pair) => {
                 self.commits.pipeline.corrected(key, pair.revision);
                 context.job_cache.learn_pair(&pair);
-                if holds_final_or_unreadable_job(context.job_cache, key) {
-                    self.commits.give_up(key);
+                if is_final_or_unreadable_job(context.job_cache, key) {
+                    self.commits.discard(key);
                 }
             }
             StoreReply::Missing { .. } => self.commits.pipeline.corrected(key, Revision(0)),
             _ => {
-                self.commits.rereads_open += 1;
-                let due_at = context.now + REREAD_PAUSE;
-                self.commits.rereads_delayed.push(Delayed { due_at, item: key.to_string() });
+                self.commits.open_rereads += 1;
+                let due_at = context.now + REREAD_RETRY_DELAY;
+                self.commits.delayed_rereads.push(Delayed { due_at, item: key.to_string() });
             }
         }
     }
 }
 
-/// Whether the key is of a job whose record is final or can't be read: then it must not be
-/// overwritten. Not so for a job cancelled with another one: its record is yet to say so.
-fn holds_final_or_unreadable_job(job_cache: &JobCache, key: &str) -> bool {
+/// Whether the key holds the record of a job that is final or can't be read, and so must not be overwritten.
+/// False for a job that was cancelled with a job that it needs while its own record is still open: that
+/// record must be updated.
+fn is_final_or_unreadable_job(job_cache: &JobCache, key: &str) -> bool {
     let Some(id) = key.strip_prefix(jobs::PREFIX).map(JobId::from) else { return false };
     let finished = job_cache.get(&id).is_some_and(|known| !known.record.is_open());
     finished || job_cache.is_unreadable(&id)
--- a/crates/scheduler/src/node/leader/job_changes.rs
+++ b/crates/scheduler/src/node/leader/job_changes.rs
@@ -1,4 +1,5 @@
-//! Changes of job records: jobs that may run now, and jobs that are cancelled or done.
+//! Processing of changed job records: jobs that have become ready to run, and jobs that are cancelled or
+//! done.
 
 use super::Leader;
 use crate::assignments::{AssignmentState, CommitPriority};
@@ -7,7 +8,7 @@
 use std::sync::Arc;
 
 impl Leader {
-    /// A job's record has changed. The job gets a state, without which none of its tasks can be
+    /// Processes the change of a job's record. A job gets a state, which it needs for any of its tasks to be
     /// placed, once all jobs that it needs are durably done.
     pub(super) fn job_changed(&mut self, job_cache: &JobCache, id: &JobId, now: MonotonicTime) {
         let Some(known) = job_cache.get(id) else { return };
@@ -24,19 +25,19 @@
         if status == Phase::Done {
             self.count_done(id);
         }
-        self.job_finished(id, now);
+        self.stop_finished_job(id, now);
         self.adopt_unreadable_job(id, now);
         if known.record.is_open() {
-            // Cancelled with a job that it needs. Status says so already; the record follows when
-            // nothing urgent waits.
+            // Cancelled together with a job that it needs. Status requests already report this, so the record
+            // is written at normal priority.
             let key = jobs::key(id);
-            self.commits.loaded(&key, known.revision);
+            self.commits.set_stored_revision(&key, known.revision);
             self.commits.put(&key, Some(Record::Cancelled.to_value()), CommitPriority::Normal);
         }
     }
 
-    /// Counts a job as done. Counted when its commit is answered, every second job was missed: the
-    /// watch may show its record before.
+    /// Counts a job as done. This is done when the record's change is processed, not when its commit is
+    /// answered: the watch may deliver the record before that answer, and half of the jobs were not counted.
     fn count_done(&mut self, id: &JobId) {
         let Some(job_state) = self.job_states.get(id) else { return };
         let spec = &job_state.job.spec;
@@ -52,7 +53,7 @@
         job: &Arc<OpenJob>,
         now: MonotonicTime,
     ) {
-        self.commits.loaded(&jobs::key(id), known.revision);
+        self.commits.set_stored_revision(&jobs::key(id), known.revision);
         let job_state = self.job_states.entry(id.clone()).or_insert_with(|| {
             self.guarantees.invalidate();
             JobState::new(job.clone(), now)
@@ -60,16 +61,16 @@
         let priority = job_cache.priority(id);
         if job_state.priority != priority {
             job_state.priority = priority;
-            job_state.failed_capacity_version = 0; // others may make way for it now
+            job_state.failed_capacity_version = 0; // preemption may be possible at the new priority
         }
         self.adopt_unreadable_job(id, now);
     }
 
-    /// The job is cancelled or done: nothing of it goes on.
-    fn job_finished(&mut self, id: &JobId, now: MonotonicTime) {
-        // A "done" still waiting to be written must not follow a cancellation: with the new revision
-        // as its condition it would overwrite the status that the user was given (seed 247).
-        self.commits.give_up(&jobs::key(id));
+    /// Stops all tasks of a job that is cancelled or done, and deletes its state and progress.
+    fn stop_finished_job(&mut self, id: &JobId, now: MonotonicTime) {
+        // A queued "done" must not be written after a cancellation: conditional on the new revision, it would
+        // overwrite the status that was reported to the user.
+        self.commits.discard(&jobs::key(id));
         self.stop_job(id, 0.0, now);
         let Some(job_state) = self.job_states.remove(id) else { return };
         self.guarantees.invalidate();
@@ -77,22 +78,22 @@
             self.remove_or_stop(machine, &TaskId { job: id.clone(), index: *index }, now);
         }
         self.delete_progress(id, job_state.job.spec.tasks);
-        self.commits.forget_outcomes(&jobs::key(id));
+        self.commits.drop_outcomes(&jobs::key(id));
         self.capacity_version += 1;
     }
 
     fn delete_progress(&mut self, id: &JobId, tasks: u32) {
         for chunk in 0..tasks.div_ceil(jobs::TASKS_PER_CHUNK) {
             let key = progress_key(id, chunk);
-            self.commits.forget_outcomes(&key);
+            self.commits.drop_outcomes(&key);
             if self.commits.is_stored(&key) {
                 self.commits.put(&key, None, CommitPriority::Normal);
             }
         }
     }
 
-    /// A task of a job that is finished, or done already: its assignment goes if it is proved to have
-    /// ended, else the task is stopped.
+    /// Ends the assignment of a task that is done or whose job is finished: removes the assignment if the
+    /// task was reported as done, and stops the task otherwise.
     pub(super) fn remove_or_stop(&mut self, id: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(machine) = self.machines.get(id) else { return };
         let assignment = machine.assignments.get(task);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Removes a task's assignment to a machine.
+    /// Removes a task's assignment from a machine.
     pub(super) fn remove_assignment(&mut self, id: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.assignments.remove(task);
--- a/crates/scheduler/src/node/leader/leadership_end.rs
+++ b/crates/scheduler/src/node/leader/leadership_end.rs
@@ -5,21 +5,21 @@
 /// How a leadership ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::node) enum LeadershipEnd {
-    /// It is lost already.
+    /// The leadership has already been lost.
     Lost(LeadershipLost),
-    /// The leader gives it back: another node may do better.
+    /// The leader resigns, because another node may reach more workers.
     Resign(ResignReason),
 }
 
-/// How a leader learned that it leads no longer.
+/// How a leader found out that it is no longer leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::node) enum LeadershipLost {
-    /// A transaction failed by its condition on the leader key.
+    /// A transaction failed because its condition on the leader key did not hold.
     LeaderKeyChanged,
 }
 
 impl LeadershipLost {
-    /// The reason as operators read it.
+    /// The reason, as logged for operators.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::LeaderKeyChanged => "the leader key has changed",
@@ -33,21 +33,25 @@
     }
 }
 
-/// Why a leader gives its leadership back.
+/// Why a leader resigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::node) enum ResignReason {
-    /// It hears few workers while a peer hears some.
+    /// Most workers send it no heartbeats, but a peer receives some.
     HeartbeatsMissing,
-    /// Isolated nodes hear many more workers.
+    /// Nodes partitioned from the leader receive heartbeats from many more workers.
     IsolatedNodesReachMoreWorkers,
 }
 
 impl ResignReason {
-    /// The reason as operators read it.
+    /// The reason, as logged for operators.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::HeartbeatsMissing => "most workers are silent: the fault may be here",
-            Self::IsolatedNodesReachMoreWorkers => "nodes that are apart from this one hear more workers",
+            Self::HeartbeatsMissing => {
+                "no heartbeats from most workers, but another node receives some; this node may be cut off"
+            }
+            Self::IsolatedNodesReachMoreWorkers => {
+                "nodes partitioned from this one receive heartbeats from more workers"
+            }
         }
     }
 }
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -1,4 +1,4 @@
-//! The leader's check of proposals: what the rules allow becomes assignments.
+//! The leader's check of the controllers' proposals: proposals that the rules allow become assignments.
 
 use super::Leader;
 use crate::assignments::{self, Assignment, AssignmentState};
@@ -8,10 +8,11 @@
 use crate::types::{Attempt, JobId, MachineId, MonotonicTime, NodeName, TaskId};
 use std::collections::BTreeMap;
 
-/// Part of the time that a gang's task waits for the others from which on their fetch is slow.
-const SLOW_FETCH: f64 = 0.4;
+/// A gang's image fetch is slow if it takes more than this share of `gang_wait_s`, the time that a task of
+/// the gang waits for the others.
+const SLOW_FETCH_SHARE: f64 = 0.4;
 
-/// A task's proposed machine.
+/// A proposed machine for a task.
 #[derive(Debug)]
 struct Placement {
     /// The task's index within its job.
@@ -19,15 +20,15 @@
     machine: MachineId,
 }
 
-/// A task that has got its assignment.
+/// A task that has been assigned to a machine.
 struct PlacedTask {
     task: TaskId,
     machine: MachineId,
 }
 
 impl Leader {
-    /// A controller's proposals are in: commits those that the assignments and the rules allow. What
-    /// found no place is tried again with the next rounds.
+    /// Ends a controller's round: assigns the proposed placements that the current assignments and the rules
+    /// allow. Tasks that were not placed wait for a later round.
     pub(super) fn close_round(
         &mut self,
         node: &NodeName,
@@ -35,7 +36,7 @@
         proposals: Vec<Proposal>,
         now: MonotonicTime,
     ) {
-        let mut by_job = self.placements_inside(node, proposals);
+        let mut by_job = self.placements_in_partition(node, proposals);
         for request in requests {
             let Some(job_state) = self.job_states.get_mut(&request.job) else { continue };
             job_state.offered = 0;
@@ -45,8 +46,8 @@
         }
     }
 
-    /// The proposals on machines of the controller's own partition, by job.
-    fn placements_inside(
+    /// The proposals for machines in the controller's own partition, by job.
+    fn placements_in_partition(
         &self,
         node: &NodeName,
         proposals: Vec<Proposal>,
@@ -62,7 +63,7 @@
         by_job
     }
 
-    /// Assigns the tasks that may be placed. Gangs are placed whole or not at all.
+    /// Assigns the tasks that may be placed. A gang is placed with all its tasks or not at all.
     fn commit_placements(
         &mut self,
         request: &PlacementRequest,
@@ -98,15 +99,15 @@
             return;
         }
         for PlacedTask { task, machine } in &placed {
-            tracing::debug!(%task, %machine, kind = %spec.kind, "placed");
+            tracing::debug!(%task, %machine, kind = %spec.kind, "task placed");
         }
     }
 
-    /// Whether some of a gang's tasks fetch for long. Their fellows give up after `gang_wait_s`;
-    /// fetches of some that took that long made the rest give up, and the whole gang fetch again
-    /// elsewhere.
+    /// Whether some of a gang's tasks need a long time to fetch their image. Tasks that are ready earlier
+    /// give up waiting after `gang_wait_s`; the whole gang would then be restarted on other machines and
+    /// fetch again.
     fn is_fetch_slow(&self, spec: &JobSpec, placements: &[Placement]) -> bool {
-        let slow_s = self.settings.workers.gang_wait_s * SLOW_FETCH;
+        let slow_s = self.settings.workers.gang_wait_s * SLOW_FETCH_SHARE;
         let mut machines = placements.iter().filter_map(|placement| self.machines.get(&placement.machine));
         machines.any(|machine| {
             let rate = self.fetch_gb_per_s(machine);
@@ -115,8 +116,9 @@
         })
     }
 
-    /// Assigns a task to a machine; its start waits for the machine's record, and with `slow_fetch`
-    /// for the others' images if its own is there.
+    /// Assigns a task to a machine. The start is sent once the machine's record is durable. With
+    /// `slow_fetch`, a task whose image is already on the machine also waits until the other tasks of the
+    /// gang have fetched theirs.
     fn assign(
         &mut self,
         task: &TaskId,
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Everything that the rules require, whatever a controller proposed.
+    /// Whether all rules allow the placement. A controller's proposal is not trusted to have checked any of
+    /// them.
     fn may_place(
         &self,
         task: &TaskId,
@@ -162,16 +165,16 @@
             && !job_state.placed().contains_key(&task.index)
             && !machine.assignments.contains_key(task)
             && !self.machines.any_reports_unknown(task);
-        let machine_takes_it = machine.open_for_tasks(now)
+        let machine_has_capacity = machine.open_for_tasks(now)
             && machine.held_for(now).is_none_or(|job| *job == task.job)
             && spec.resources.fits_in(&machine.free())
             && machine.record_holds(self.assignment_bytes(task, spec), self.settings.state.value_bytes);
-        let machine_allowed = spec.type_allowed(&machine.type_name) && (spec.spot || !machine.spot);
-        if !task_waits || !machine_takes_it || !machine_allowed {
+        let machine_type_allowed = spec.type_allowed(&machine.type_name) && (spec.spot || !machine.spot);
+        if !task_waits || !machine_has_capacity || !machine_type_allowed {
             return false;
         }
         let zones = self.zone_capacity(&task.job, job_state);
-        zones.iter().any(|(zone, left)| *zone == machine.zone && *left > 0)
+        zones.iter().any(|(zone, remaining)| *zone == machine.zone && *remaining > 0)
             && assignments::within_limit(team, &self.machines.used_by(&spec.team), &spec.resources)
     }
 }
--- a/crates/scheduler/src/node/leader/quota.rs
+++ b/crates/scheduler/src/node/leader/quota.rs
@@ -1,4 +1,4 @@
-//! Teams' guarantees, and the order in which jobs are served.
+//! Guaranteed quotas of teams, and the order in which jobs are scheduled.
 
 use super::Leader;
 use crate::jobs::{JobState, Priority};
@@ -8,21 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Difference up to which sums of resources count as equal.
-const TOLERANCE: f64 = 1e-6;
+/// By how much a sum of resources may exceed a guarantee, to allow for rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The order in which jobs are served: by priority, those within their team's guarantee first, the
-/// earliest first.
+/// Sort key of a job in the scheduling order: higher priority first, then jobs within their team's guarantee,
+/// then the earliest submission.
 pub(super) type ServiceOrder = (Reverse<Priority>, bool, u64);
 
-/// Jobs within their team's guarantee, kept until the jobs change.
+/// A cache of the jobs within their team's guarantee.
 #[derive(Debug, Default)]
 pub(super) struct Guarantees {
+    /// `None` after the set of jobs has changed.
     jobs: Option<Arc<BTreeSet<JobId>>>,
 }
 
 impl Guarantees {
-    /// The jobs have changed.
+    /// Drops the cached result, because the set of jobs has changed.
     pub fn invalidate(&mut self) {
         self.jobs = None;
     }
@@ -37,7 +38,7 @@
 }
 
 impl Leader {
-    /// The job's place in the order in which jobs are served.
+    /// The job's sort key in the scheduling order.
     pub(super) fn service_order(
         &self,
         id: &JobId,
@@ -47,7 +48,7 @@
         (Reverse(job_state.priority), !guaranteed.contains(id), job_state.job.submitted.0)
     }
 
-    /// Jobs within their team's guarantee, alongside the team's earlier unfinished jobs.
+    /// Jobs that fit into their team's guarantee together with all of the team's earlier unfinished jobs.
     pub(super) fn guaranteed_jobs(&mut self) -> Arc<BTreeSet<JobId>> {
         self.guarantees.jobs(&self.job_states, &self.settings.teams)
     }
@@ -59,12 +60,12 @@
 ) -> BTreeSet<JobId> {
     let mut jobs: Vec<(&JobId, &JobState)> = job_states.iter().collect();
     jobs.sort_by_key(|(id, job_state)| (job_state.job.submitted, (*id).clone()));
-    let mut taken: BTreeMap<&TeamName, Resources> = BTreeMap::new();
+    let mut demand_by_team: BTreeMap<&TeamName, Resources> = BTreeMap::new();
     let mut guaranteed = BTreeSet::new();
     for (id, job_state) in jobs {
         let spec = &job_state.job.spec;
         let Some(team) = teams.get(&spec.team) else { continue };
-        let sum = taken.entry(&spec.team).or_default();
+        let sum = demand_by_team.entry(&spec.team).or_default();
         *sum = sum.plus(&spec.resources.times(f64::from(spec.tasks)));
         if is_within_guarantee(team, sum) {
             guaranteed.insert(id.clone());
@@ -75,8 +76,9 @@
 
 /// Whether the team has a guarantee, and `sum` is within it.
 fn is_within_guarantee(team: &Team, sum: &Resources) -> bool {
-    let fits =
-        |guarantee: Option<f64>, used: f64| guarantee.is_none_or(|guarantee| used <= guarantee + TOLERANCE);
+    let fits = |guarantee: Option<f64>, used: f64| {
+        guarantee.is_none_or(|guarantee| used <= guarantee + ROUNDING_TOLERANCE)
+    };
     let has_guarantee = team.guaranteed_cpus.is_some() || team.guaranteed_gpus.is_some();
     has_guarantee && fits(team.guaranteed_cpus, sum.cpus) && fits(team.guaranteed_gpus, sum.gpus)
 }
--- a/crates/scheduler/src/node/leader/status.rs
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -1,4 +1,4 @@
-//! What operators and other parts of the node may ask of the leader: counts, quotas, metrics.
+//! Read access to the leader's state for operators and other parts of the node: counts, quotas, metrics.
 
 use super::Leader;
 use crate::assignments::Assignment;
@@ -7,7 +7,7 @@
 use crate::workers::MachineStatus;
 
 impl Leader {
-    /// Done and running tasks of a job.
+    /// Number of done and of running tasks of a job.
     pub(in crate::node) fn counts_of_job(&self, id: &JobId) -> Option<TaskCounts> {
         let job_state = self.job_states.get(id)?;
         let running = job_state.placed().iter().filter(|(index, machine)| {
@@ -18,39 +18,40 @@
         Some(TaskCounts { done: job_state.done().count(), running: running.count() as u32 })
     }
 
-    /// How many tasks of a job have no machine yet.
+    /// Number of a job's tasks that are neither done nor placed.
     pub(in crate::node) fn waiting_task_count(&self, id: &JobId) -> Option<u32> {
         self.job_states.get(id).map(JobState::waiting_count)
     }
 
-    /// What `team` may take beyond what it takes now.
+    /// Resources that `team` may use in addition to those that it uses now.
     pub(in crate::node) fn remaining_quota(&self, team: &TeamName) -> Option<Resources> {
         let limits = self.settings.teams.get(team)?;
         let used = self.machines.used_by(team);
-        let left = |max: Option<f64>, used: f64| max.map_or(f64::MAX, |max| (max - used).max(0.0));
+        let remaining = |max: Option<f64>, used: f64| max.map_or(f64::MAX, |max| (max - used).max(0.0));
         Some(Resources {
-            cpus: left(limits.max_cpus, used.cpus),
-            gpus: left(limits.max_gpus, used.gpus),
+            cpus: remaining(limits.max_cpus, used.cpus),
+            gpus: remaining(limits.max_gpus, used.gpus),
             memory_gb: f64::MAX,
         })
     }
 
-    /// Takes `changes` writes for an extension: nothing while more urgent changes may need them.
+    /// Takes `changes` writes from the write budget for an extension. Returns false, and takes nothing,
+    /// unless more than half of the budget is left, so that the leader's own changes can be written.
     pub(in crate::node) fn take_spare_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
         self.commits.take_spare_writes(changes, now)
     }
 
-    /// Jobs started and done under this leadership.
+    /// Counts of jobs started and done under this leadership.
     pub(in crate::node) fn served(&self) -> &Served {
         &self.served
     }
 
-    /// As [`Leader::served`], when the leadership ends.
+    /// Like [`Leader::served`], for the end of the leadership.
     pub(in crate::node) fn into_served(self) -> Served {
         self.served
     }
 
-    /// Adds this leader's metrics, a line each.
+    /// Appends this leader's metrics, one per line.
     pub(in crate::node) fn metrics(&self, lines: &mut Vec<String>) {
         let assignments: usize = self.machines.iter().map(|machine| machine.assignments.len()).sum();
         let up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).count();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Jobs with waiting tasks, how many wait, and the reason.
+    /// Jobs with waiting tasks, the number of waiting tasks, and the reason.
     pub(in crate::node) fn waiting(&self) -> impl Iterator<Item = (&JobId, u32, WaitingReason)> {
         let waiting = self.job_states.iter().filter(|(_, job_state)| job_state.waiting_count() > 0);
         waiting.map(|(id, job_state)| (id, job_state.waiting_count(), job_state.reason))
--- a/crates/scheduler/src/node/leader/stops.rs
+++ b/crates/scheduler/src/node/leader/stops.rs
@@ -1,5 +1,5 @@
-//! Stopping tasks: single ones, whole jobs, gangs that have lost a task, and what runs on machines
-//! that the cloud is about to take away.
+//! Stopping of tasks: single tasks, whole jobs, gangs that have lost a task, and tasks on machines that the
+//! cloud is about to reclaim.
 
 use super::Leader;
 use crate::assignments::Assignment;
@@ -7,16 +7,16 @@
 use crate::jobs::{JobSpec, JobType};
 use crate::types::{Duration, JobId, MachineId, MonotonicTime, TaskId};
 
-/// A task that is to be stopped.
+/// A task to stop.
 struct TaskStop {
     machine: MachineId,
     task: TaskId,
-    /// Seconds that the task has to save its progress.
+    /// Seconds that the task is given to save a checkpoint.
     grace_s: f64,
 }
 
 impl Leader {
-    /// Has a task stopped on its machine; removes it at once if no start was sent.
+    /// Stops a task on its machine. Removes its assignment at once if no start was sent.
     pub(super) fn stop_task(
         &mut self,
         machine_id: &MachineId,
@@ -38,7 +38,7 @@
         self.machines.recount(machine_id, now);
     }
 
-    /// Has all tasks of a job stopped.
+    /// Stops all tasks of a job.
     pub(super) fn stop_job(&mut self, id: &JobId, grace_s: f64, now: MonotonicTime) {
         let Some(job_state) = self.job_states.get(id) else { return };
         let placed: Vec<(u32, MachineId)> =
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Has tasks stopped on machines that the cloud will take away, with time to save where there is any.
+    /// Stops tasks on machines that the cloud is about to reclaim, with time to save a checkpoint if enough
+    /// is left.
     pub(super) fn drain_reclaimed(&mut self, now: MonotonicTime) {
         for stop in self.stops_before_reclaim(now) {
             let Some(job_state) = self.job_states.get(&stop.task.job) else { continue };
@@ -64,13 +65,13 @@
         let mut stops = Vec::new();
         for machine in self.machines.iter() {
             let Some(taken_at) = machine.taken_at else { continue };
-            let left = taken_at.since(now);
-            let running = machine.assignments.iter();
-            let running =
-                running.filter(|(_, assignment)| assignment.stop.is_none() && assignment.occupies());
-            for (task, assignment) in running {
+            let remaining = taken_at.since(now);
+            let assignments = machine.assignments.iter();
+            let to_stop =
+                assignments.filter(|(_, assignment)| assignment.stop.is_none() && assignment.occupies());
+            for (task, assignment) in to_stop {
                 let Some(job_state) = self.job_states.get(&task.job) else { continue };
-                if let Some(grace_s) = grace_before_reclaim(&job_state.job.spec, assignment, left, now) {
+                if let Some(grace_s) = grace_before_reclaim(&job_state.job.spec, assignment, remaining, now) {
                     stops.push(TaskStop { machine: machine.id.clone(), task: task.clone(), grace_s });
                 }
             }
@@ -78,7 +79,7 @@
         stops
     }
 
-    /// Has the rest of a gang stopped that has lost a task for good: it makes way for a new attempt.
+    /// Stops the remaining tasks of gangs that have lost a task, so that a new attempt can be placed.
     pub(super) fn stop_broken_gangs(&mut self, now: MonotonicTime) {
         let broken = self.job_states.iter().filter(|(_, job_state)| gangs::broken(job_state));
         let broken: Vec<JobId> = broken.map(|(id, _)| id.clone()).collect();
@@ -88,20 +89,20 @@
     }
 }
 
-/// Seconds to save progress for a task that is to be stopped now because its machine is taken away
-/// in `left`; `None` if it goes on for the time being.
+/// Seconds to save a checkpoint for a task that must be stopped now because its machine is reclaimed in
+/// `remaining`; `None` if the task continues to run for now.
 fn grace_before_reclaim(
     spec: &JobSpec,
     assignment: &Assignment,
-    left: Duration,
+    remaining: Duration,
     now: MonotonicTime,
 ) -> Option<f64> {
     let save_s = gangs::save_grace_s(spec);
-    let time_to_save = left.as_secs_f64() > save_s;
+    let time_to_save = remaining.as_secs_f64() > save_s;
     let ran = assignment.running_since.map(|since| now.since(since)).unwrap_or_default();
-    // It may end by itself in time: then stopping it only loses its work.
+    // A task that is likely to end before the reclaim is left running: stopping it would only lose its work.
     let ends_in_time =
-        spec.job_type != JobType::Service && spec.estimate.0 > 0 && spec.estimate.0 < ran.0 + left.0;
+        spec.job_type != JobType::Service && spec.estimate.0 > 0 && spec.estimate.0 < ran.0 + remaining.0;
     if ends_in_time && time_to_save {
         return None;
     }
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -1,5 +1,4 @@
-//! How tasks end: results that are recorded, results that are durable, and tasks that are gone
-//! without one.
+//! Ends of tasks: recording of results, processing of durable results, and tasks that ended without one.
 
 use super::Leader;
 use super::commits::PendingOutcome;
@@ -13,18 +12,18 @@
 use crate::workers::Outcome;
 use pearford_recovery::TaskExit;
 
-/// Failures of a job in a row from which on it pauses before its next start.
-const FAILURES_BEFORE_PAUSE: u32 = 3;
-/// Half of the first such pause, in milliseconds; each further failure doubles it.
-const FAILURE_PAUSE_MS: u64 = 250;
-/// The pause is doubled this often at the most.
-const MAX_PAUSE_DOUBLINGS: u32 = 7;
-/// How long a job pauses whose task was refused.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(1000);
-/// How long nothing is placed on a machine that had no resources for a task.
+/// Consecutive failures of a job's tasks from which on the job's next start is delayed.
+const FAILURES_BEFORE_DELAY: u32 = 3;
+/// Half of the first such delay, in milliseconds; each further failure doubles the delay.
+const FAILURE_DELAY_MS: u64 = 250;
+/// Upper bound on the number of doublings.
+const MAX_DELAY_DOUBLINGS: u32 = 7;
+/// Delay before the next start of a job after a machine refused one of its tasks.
+const REFUSAL_DELAY: Duration = Duration::from_millis(1000);
+/// How long nothing is placed on a machine that had insufficient resources for a task.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(2000);
 
-/// A queued record, and the version that is durable with it.
+/// A queued record and its version.
 pub(super) struct QueuedRecord {
     /// The record's key.
     key: String,
@@ -33,21 +32,22 @@
 }
 
 impl Leader {
-    /// A worker reports a task as done: records it, then lets go.
+    /// Processes a worker's report that a task is done: queues the record of the result. The assignment is
+    /// removed once that record is durable.
     pub(super) fn task_done(&mut self, id: &MachineId, task: &TaskId, now: MonotonicTime) {
         let Some(job_state) = self.job_states.get_mut(&task.job) else {
-            // The job has its terminal status; nothing is left to record.
+            // The job has a terminal status, so no result needs to be recorded.
             return self.remove_assignment(id, task, now);
         };
         if job_state.job.spec.job_type == JobType::Service {
-            // Services run until they are cancelled: one that ends by itself is replaced.
+            // Services run until they are cancelled: a replica that ends by itself is replaced.
             job_state.unplace(task.index, id);
             return self.remove_assignment(id, task, now);
         }
         job_state.consecutive_failures = 0;
         let kind = job_state.job.spec.kind.clone();
         if job_state.is_gang() {
-            // They complete together: if one is done, all are.
+            // The tasks of a gang complete together: if one is done, all are.
             (0..job_state.job.spec.tasks).for_each(|index| job_state.mark_done(index));
         } else {
             job_state.mark_done(task.index);
@@ -59,12 +59,12 @@
         }
         let record = if all_done { self.record_job_done(&task.job) } else { self.record_progress(task) };
         let outcome = PendingOutcome { version: record.version, machine: id.clone(), task: task.clone() };
-        self.commits.await_outcome(record.key, outcome);
+        self.commits.add_pending_outcome(record.key, outcome);
         self.capacity_version += 1;
     }
 
-    /// Writes which tasks of the job are done. Not urgent: until it is written the worker goes on
-    /// reporting the task as done.
+    /// Queues the record of the job's finished tasks. The write is not urgent: the worker continues to report
+    /// the task as done until the record is durable.
     fn record_progress(&mut self, task: &TaskId) -> QueuedRecord {
         let chunk = task.index / jobs::TASKS_PER_CHUNK;
         let key = progress_key(&task.job, chunk);
@@ -74,7 +74,7 @@
         QueuedRecord { key, version }
     }
 
-    /// Writes that a job is done.
+    /// Queues the record that a job is done.
     pub(super) fn record_job_done(&mut self, id: &JobId) -> QueuedRecord {
         let key = jobs::key(id);
         if let Some(job_state) = self.job_states.get_mut(id) {
@@ -85,13 +85,18 @@
         QueuedRecord { key, version }
     }
 
-    /// A version of a key is durable. Gives the job that is done by it.
-    pub(super) fn settle(&mut self, key: &str, version: WriteVersion, now: MonotonicTime) -> Option<JobId> {
+    /// Processes that a version of a key is durable. Returns the job whose "done" record this was, if any.
+    pub(super) fn write_durable(
+        &mut self,
+        key: &str,
+        version: WriteVersion,
+        now: MonotonicTime,
+    ) -> Option<JobId> {
         if let Some(id) = key.strip_prefix(assignments::PREFIX) {
             self.record_durable(&MachineId::from(id), version);
             return None;
         }
-        for outcome in self.commits.take_settled(key, version) {
+        for outcome in self.commits.take_durable_outcomes(key, version) {
             self.outcome_durable(&outcome, now);
         }
         let id: JobId = key.strip_prefix(jobs::PREFIX)?.into();
@@ -99,7 +104,7 @@
         done.then_some(id)
     }
 
-    /// A task's result is durable: its assignment goes.
+    /// Removes the assignment of a task whose result is durable.
     fn outcome_durable(&mut self, outcome: &PendingOutcome, now: MonotonicTime) {
         let PendingOutcome { machine: id, task, .. } = outcome;
         if let Some(machine) = self.machines.get_mut(id)
@@ -114,7 +119,7 @@
         self.machines.recount(id, now);
     }
 
-    /// A task is proved gone without being done.
+    /// Processes proof that a task is no longer on its machine without being done.
     pub(super) fn task_ended_unfinished(
         &mut self,
         id: &MachineId,
@@ -131,12 +136,12 @@
         }
         let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
         job_state.unplace(task.index, id);
-        tracing::debug!(%task, machine = %id, ?outcome, "task left");
+        tracing::debug!(%task, machine = %id, ?outcome, "task ended without being done");
         let mut failures = None;
         match outcome {
             Outcome::Ended(TaskExit::Failed) => {
                 job_state.consecutive_failures += 1;
-                job_state.not_before = now + failure_pause(job_state.consecutive_failures);
+                job_state.not_before = now + failure_delay(job_state.consecutive_failures);
                 failures = Some(job_state.consecutive_failures);
                 if job_state.consecutive_failures < JOB_AT_FAULT {
                     let kind = job_state.job.spec.kind.clone();
@@ -145,7 +150,7 @@
                 }
             }
             Outcome::Ended(TaskExit::Refused | TaskExit::InsufficientResources) => {
-                job_state.not_before = now + REFUSAL_PAUSE;
+                job_state.not_before = now + REFUSAL_DELAY;
             }
             _ => {}
         }
@@ -158,12 +163,12 @@
     }
 }
 
-/// How long a job pauses after `failures` in a row. One failure speaks of the machine; several may
-/// speak of the job.
-fn failure_pause(failures: u32) -> Duration {
-    if failures < FAILURES_BEFORE_PAUSE {
+/// How long a job's next start is delayed after `failures` in a row. A single failure is more likely the
+/// machine's fault; several may be the job's.
+fn failure_delay(failures: u32) -> Duration {
+    if failures < FAILURES_BEFORE_DELAY {
         return Duration::from_millis(0);
     }
-    let doublings = (failures - (FAILURES_BEFORE_PAUSE - 1)).min(MAX_PAUSE_DOUBLINGS);
-    Duration::from_millis(FAILURE_PAUSE_MS << doublings)
+    let doublings = (failures - (FAILURES_BEFORE_DELAY - 1)).min(MAX_DELAY_DOUBLINGS);
+    Duration::from_millis(FAILURE_DELAY_MS << doublings)
 }
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -1,5 +1,5 @@
-//! Calls that go straight to workers rather than with the answer to their next heartbeat: commands
-//! and the leader's fencing token here, probes of silent workers in `probing`.
+//! Direct calls to workers, as opposed to answers to their heartbeats: commands and the leader's fencing
+//! token. Probes of workers without heartbeats are in `probing`.
 
 use super::{Leader, StepContext};
 use crate::types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, RequestId, WorkerEpoch};
@@ -8,74 +8,74 @@
 use pearford_heartbeat::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a worker has to answer a command.
+/// Timeout of a call with commands.
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Workers that are sent commands at a time, if the node's limit of sockets allows as many: after
-/// all leases have ended thousands of starts are due at once, and each costs a connection. Those
-/// beyond get theirs as these answer, or with their next heartbeat.
+/// Most concurrent calls with commands, if the node's limit of sockets allows as many: after all leases have
+/// expired, thousands of starts are due at once, and each call takes a connection. The other workers receive
+/// their commands when calls have finished, or with the answer to their next heartbeat.
 const MAX_DIRECT_CALLS: usize = 512;
-/// Workers that are sent the fencing token directly at a time.
+/// Most concurrent calls with the fencing token.
 const MAX_TOKEN_PUSHES: usize = 8;
-/// The status of a worker that has carried the commands out.
+/// HTTP status of a worker that has executed the commands.
 const STATUS_OK: u16 = 200;
-/// Statuses by which a worker says that it has refused commands as a whole.
+/// HTTP statuses of a worker that has refused all commands of a call.
 const REFUSED_STATUSES: [u16; 2] = [400, 409];
-/// The status of a worker that knows a newer fencing token or epoch than the call names.
+/// HTTP status of a worker that knows a newer fencing token or epoch than the one in the call.
 const STATUS_CONFLICT: u16 = 409;
-/// The status of a call without an answer.
+/// Status that stands for a call without an answer.
 const STATUS_NO_ANSWER: u16 = 0;
 
-/// Commands sent straight to a worker.
+/// A direct call with commands to a worker.
 #[derive(Debug)]
 pub(super) struct DirectCall {
     /// The worker's machine.
     pub machine: MachineId,
-    /// The epoch that the commands name.
+    /// The worker epoch in the call.
     pub worker_epoch: WorkerEpoch,
-    /// Starts among the commands.
+    /// The starts among the commands whose result depends on the answer.
     pub starts: Vec<TaskAttempt>,
 }
 
-/// Which workers are to be called, and the calls under way.
+/// Workers to call directly, and the calls in flight.
 #[derive(Debug, Default)]
 pub(super) struct WorkerCalls {
-    /// Workers that must learn this leader's fencing token before they send a heartbeat.
+    /// Workers to send this leader's fencing token before their next heartbeat.
     awaiting_token: BTreeSet<MachineId>,
     token_pushes: BTreeMap<RequestId, MachineId>,
-    /// Probes of silent workers.
+    /// Probes of workers without heartbeats.
     probes: BTreeMap<RequestId, MachineId>,
-    /// Workers with commands that needn't wait for their next heartbeat.
+    /// Workers whose commands are sent directly instead of with the answer to their next heartbeat.
     awaiting_commands: BTreeSet<MachineId>,
     direct_calls: BTreeMap<RequestId, DirectCall>,
 }
 
 impl WorkerCalls {
-    /// Sends the fencing token to the worker as soon as that is possible.
+    /// Queues the worker for a call with the fencing token.
     pub fn queue_token(&mut self, machine: MachineId) {
         self.awaiting_token.insert(machine);
     }
 
-    /// Sends the worker its commands as soon as that is possible.
+    /// Queues the worker for a call with its commands.
     pub fn queue_commands(&mut self, machine: MachineId) {
         self.awaiting_commands.insert(machine);
     }
 
-    /// Notes that a call with commands is under way.
+    /// Adds a call with commands that has been sent.
     pub fn commands_sent(&mut self, request_id: RequestId, call: DirectCall) {
         self.direct_calls.insert(request_id, call);
     }
 
-    /// Notes that a probe is under way.
+    /// Adds a probe that has been sent.
     pub fn probe_sent(&mut self, request_id: RequestId, machine: MachineId) {
         self.probes.insert(request_id, machine);
     }
 
-    /// Workers that are being probed.
+    /// Machines whose workers are being probed.
     pub fn probed(&self) -> BTreeSet<&MachineId> {
         self.probes.values().collect()
     }
 
-    /// The next worker that is to learn the fencing token, if a further push may go out.
+    /// Takes the next worker to send the fencing token, if another call is allowed now.
     fn next_token_push(&mut self) -> Option<MachineId> {
         if self.token_pushes.len() >= MAX_TOKEN_PUSHES {
             return None;
@@ -83,7 +83,7 @@
         self.awaiting_token.pop_first()
     }
 
-    /// The next worker with commands, if there are fewer than `max_calls` under way.
+    /// Takes the next worker with commands, if fewer than `max_calls` calls are in flight.
     fn next_direct_call(&mut self, max_calls: usize) -> Option<MachineId> {
         if self.direct_calls.len() >= max_calls {
             return None;
@@ -98,8 +98,8 @@
 }
 
 impl Leader {
-    /// A worker's answer to a call; gives the fencing token that it has seen, if it says one.
-    /// `status` is 0 if there was no answer.
+    /// Processes a worker's answer to a call; `status` is 0 if there was none. Returns the highest fencing
+    /// token that the worker has seen, if the answer to a call other than a probe contains it.
     pub(in crate::node) fn worker_reply(
         &mut self,
         request_id: RequestId,
@@ -116,8 +116,9 @@
             return None;
         }
         let machine = self.worker_calls.token_pushes.remove(&request_id)?;
-        // The body is a heartbeat, but only its fencing token and epoch are used: it may have been
-        // made before a command that was sent with an answer ran, and would prove nothing.
+        // The body is a heartbeat, but only its fencing token and epoch are used. It may have been generated
+        // before the worker executed a command from a heartbeat's answer, so it proves nothing about that
+        // command.
         let position = position?;
         self.token_answered(machine, status, &position);
         Some(position.fencing_token)
@@ -145,7 +146,7 @@
         }
     }
 
-    /// A worker in a newer epoch than the push named is sent the fencing token once more.
+    /// Queues the fencing token again for a worker whose epoch is newer than the one in the call.
     fn token_answered(&mut self, id: MachineId, status: u16, position: &HeartbeatPosition) {
         let Some(machine) = self.machines.get_mut(&id) else { return };
         if status == STATUS_CONFLICT
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Sends something straight to a worker, by way of the node that hears it if that is another one.
+    /// Sends `body` to a worker directly, relayed by the node that receives its heartbeats if that is another
+    /// one.
     pub(super) fn send_to_worker(
         &self,
         context: &mut StepContext,
@@ -169,8 +171,9 @@
         send_to_worker_via(context, via, addr, body, WORKER_TIMEOUT)
     }
 
-    /// Sends the fencing token to workers without a heartbeat so far. A few at a time: most learn
-    /// it by the answer to their next heartbeat before their turn comes.
+    /// Sends the fencing token to workers that have not sent this leader a heartbeat. The number of
+    /// concurrent calls is small, since most workers learn the token from the answer to their next heartbeat
+    /// first.
     pub(super) fn push_fencing_token(&mut self, context: &mut StepContext) {
         while let Some(id) = self.worker_calls.next_token_push() {
             let Some(machine) = self.machines.get(&id) else { continue };
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Sends commands that needn't wait for a worker's next heartbeat.
+    /// Sends queued commands directly, instead of with the answers to the workers' next heartbeats.
     pub(super) fn send_direct_commands(&mut self, context: &mut StepContext) {
         let may_start = self.may_start(context);
         let max_calls = MAX_DIRECT_CALLS.min(self.settings.limits.max_concurrent_commands());
@@ -209,7 +212,7 @@
     }
 }
 
-/// Sends something to the worker at `addr`, by way of the node `via` if there is one.
+/// Sends `body` to the worker at `addr`, relayed by the node `via` if there is one.
 pub(super) fn send_to_worker_via(
     context: &mut StepContext,
     via: Option<&NodeName>,
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -1,5 +1,5 @@
-//! Starts against writes: while the key-value store takes fewer changes than tasks could start,
-//! arrays' tasks go where one change carries most of them.
+//! Placement under a scarce write budget: while more tasks could start than the leader may write records,
+//! tasks of array jobs are placed on machines where one record write covers the most starts.
 
 use super::Leader;
 use super::candidates::Candidates;
@@ -8,29 +8,30 @@
 use crate::placement::PlacementRequest;
 use std::cmp::Reverse;
 
-/// Tasks that a machine is counted for at the most: a small task fits one many times.
-const MAX_TASKS_COUNTED: u32 = 64;
+/// Upper bound on the tasks counted per machine: a small task fits a machine many times.
+const MAX_SLOTS_PER_MACHINE: u32 = 64;
 
-/// A machine whose record is not about to be written anyway. Ordered as they are preferred.
+/// A machine whose record has no urgent write queued, so placing tasks there costs an additional write.
+/// Ordered by preference, the most preferred first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CostlyMachine {
-    /// Tasks that one record's write would start.
+    /// Tasks that one write of the machine's record would start.
     slots: Reverse<u32>,
-    /// It isn't spot, though spot would do.
+    /// The machine is on-demand although all requests allow spot machines.
     expensive: bool,
-    /// Its place among the candidates.
+    /// Index among the candidates.
     index: usize,
 }
 
-/// While writes are scarce, scheduling passes are for arrays and for all else in turn.
+/// While writes are scarce, scheduling passes alternate between array jobs and all other jobs.
 #[derive(Debug, Default)]
 pub(super) struct PassAlternation {
-    /// The last such pass was for arrays.
+    /// The last of these passes was for array jobs.
     last_was_arrays: bool,
 }
 
 impl PassAlternation {
-    /// Whether the next pass is for arrays; `any_other`: something else waits too.
+    /// Whether the next pass is for array jobs. `any_other`: other jobs wait too.
     fn next_is_arrays(&mut self, any_other: bool) -> bool {
         self.last_was_arrays = !any_other || !self.last_was_arrays;
         self.last_was_arrays
@@ -38,14 +39,16 @@
 }
 
 impl Leader {
-    /// How many further machines' records arrays' tasks may take in this pass, if that is bounded:
-    /// then a pass is either for arrays or for all else, in turn, since machines sent to a
-    /// controller are there for all its requests.
+    /// Limits a pass to the write budget if array jobs have more waiting tasks than records can be written.
+    /// Returns the number of additional machine records that a pass for array jobs may write; `None` if the
+    /// pass is for other jobs or not limited.
     ///
-    /// The bound is what this leader may write in a second. Placed at once wherever there were free
-    /// resources, tasks waited up to 26 s for their machine's record, each with a change of its own,
-    /// on machines that stood idle meanwhile (offshore deployment, steady: 0.69 changes a start, and
-    /// the changes were spent all day).
+    /// A limited pass is either for array jobs or for all other jobs, because a controller may use the
+    /// machines of its round for all of its requests.
+    ///
+    /// The limit is the number of changes that this leader may write in a second. Without it, tasks were
+    /// placed on any machine with free resources. At 0.69 changes per start the write budget was always
+    /// exhausted, and tasks waited up to 26 s for their machine's record while the machine was idle.
     pub(super) fn limit_requests_to_write_budget(
         &mut self,
         requests: &mut Vec<PlacementRequest>,
@@ -63,9 +66,9 @@
         arrays.then_some(records)
     }
 
-    /// Keeps candidates whose record waits to be written anyway, and of the others as many as the
-    /// requests need, at most `records`: cheap ones, if enough of them have free resources, else any;
-    /// those first where one record starts most tasks.
+    /// Keeps candidates whose record has an urgent write queued, and of the others as many as the requests
+    /// need, at most `records`. Of the others, expensive machines are used only if the cheap ones do not have
+    /// enough free resources; machines where one record write starts the most tasks come first.
     pub(super) fn limit_candidates_to_write_budget(
         &self,
         candidates: &mut Candidates,
@@ -74,25 +77,25 @@
     ) {
         let Some(resources) = requests.first().map(|request| request.resources) else { return };
         let mut needed: u32 = requests.iter().map(|request| request.tasks.len() as u32).sum();
-        let spot_will_do = requests.iter().all(|request| request.spot);
+        let spot_allowed = requests.iter().all(|request| request.spot);
         let mut kept = vec![false; candidates.machines.len()];
-        let mut others = Vec::new();
+        let mut costly = Vec::new();
         for (index, view) in candidates.views().enumerate() {
-            let slots = view.free.count_of(&resources).min(MAX_TASKS_COUNTED);
-            let expensive = !view.spot && spot_will_do;
+            let slots = view.free.count_of(&resources).min(MAX_SLOTS_PER_MACHINE);
+            let expensive = !view.spot && spot_allowed;
             if self.commits.is_urgent(&assignments::key(&view.id)) {
                 kept[index] = true;
                 needed = needed.saturating_sub(if expensive { 0 } else { slots });
             } else {
-                others.push(CostlyMachine { slots: Reverse(slots), expensive, index });
+                costly.push(CostlyMachine { slots: Reverse(slots), expensive, index });
             }
         }
-        others.sort_unstable();
-        let cheap = others.iter().filter(|machine| !machine.expensive).take(records);
+        costly.sort_unstable();
+        let cheap = costly.iter().filter(|machine| !machine.expensive).take(records);
         if cheap.map(|machine| machine.slots.0).sum::<u32>() >= needed {
-            others.retain(|machine| !machine.expensive);
+            costly.retain(|machine| !machine.expensive);
         }
-        for machine in others.into_iter().take(records) {
+        for machine in costly.into_iter().take(records) {
             if needed == 0 {
                 break;
             }
