--- a/crates/scheduler/src/node/leader/broadcast.rs
+++ b/crates/scheduler/src/node/leader/broadcast.rs
@@ -14,7 +14,7 @@
 /// Largest value of a part of the success counts, in bytes. The counts only improve placement, so their
 /// values and transactions stay well below the store's limits.
 const COUNTS_VALUE_BYTES: usize = 14_000;
-/// Most changes in a transaction of success counts.
+/// Maximum number of changes in a transaction of success counts.
 const COUNTS_CHANGES_PER_TXN: usize = 4;
 
 /// The content of the next broadcast, and when it is due.
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -15,7 +15,7 @@
 const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(2000);
 /// Share of the cloud's rate limit that the leader's calls may use.
 const RATE_SHARE: f64 = 0.7;
-/// Most machines returned by one call.
+/// Maximum number of machines returned by one call.
 const RELEASES_PER_CALL: usize = 100;
 
 /// A call to the cloud whose reply is awaited.
@@ -116,7 +116,8 @@
         self.releasing.remove(id);
     }
 
-    /// Whether a new listing of all machines is due and the last one is complete. If so, it counts as begun.
+    /// Whether a new listing of all machines is due and no further pages of the last one are to be read. If
+    /// so, schedules the next one.
     fn begin_listing(&mut self, interval: Duration, now: MonotonicTime) -> bool {
         let is_due = now >= self.next_listing && self.list_cursor.is_none();
         if is_due {
@@ -125,7 +126,7 @@
         is_due
     }
 
-    /// Whether a read of the catalogue of instance types is due. If so, it counts as begun.
+    /// Whether a read of the catalogue of instance types is due. If so, schedules the next one.
     fn begin_types_read(&mut self, now: MonotonicTime) -> bool {
         let is_due = now >= self.next_types;
         if is_due {
--- a/crates/scheduler/src/node/leader/job_changes.rs
+++ b/crates/scheduler/src/node/leader/job_changes.rs
@@ -36,8 +36,9 @@
         }
     }
 
-    /// Counts a job as done. This is done when the record's change is processed, not when its commit is
-    /// answered: the watch may deliver the record before that answer, and half of the jobs were not counted.
+    /// Counts a job as done. Called when the change of its record is processed and not when the commit is
+    /// answered: the watch may deliver the record before that answer, and half of the jobs would not be
+    /// counted.
     fn count_done(&mut self, id: &JobId) {
         let Some(job_state) = self.job_states.get(id) else { return };
         let spec = &job_state.job.spec;
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -119,7 +119,7 @@
         self.machines.recount(id, now);
     }
 
-    /// Processes proof that a task is no longer on its machine without being done.
+    /// Processes proof that a task that was not done is not on its machine any more, or never was.
     pub(super) fn task_ended_unfinished(
         &mut self,
         id: &MachineId,
@@ -136,7 +136,7 @@
         }
         let Some(job_state) = self.job_states.get_mut(&task.job) else { return };
         job_state.unplace(task.index, id);
-        tracing::debug!(%task, machine = %id, ?outcome, "task ended without being done");
+        tracing::debug!(%task, machine = %id, ?outcome, "assignment ended before the task was done");
         let mut failures = None;
         match outcome {
             Outcome::Ended(TaskExit::Failed) => {
--- a/crates/scheduler/src/node/leader/worker_commands.rs
+++ b/crates/scheduler/src/node/leader/worker_commands.rs
@@ -10,11 +10,11 @@
 
 /// Timeout of a call with commands.
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Most concurrent calls with commands, if the node's limit of sockets allows as many: after all leases have
-/// expired, thousands of starts are due at once, and each call takes a connection. The other workers receive
-/// their commands when calls have finished, or with the answer to their next heartbeat.
+/// Maximum number of concurrent calls with commands, if the node's limit of sockets allows as many: after all
+/// leases have expired, thousands of starts are due at once, and each call takes a connection. The other
+/// workers receive their commands when calls have finished, or with the answer to their next heartbeat.
 const MAX_DIRECT_CALLS: usize = 512;
-/// Most concurrent calls with the fencing token.
+/// Maximum number of concurrent calls with the fencing token.
 const MAX_TOKEN_PUSHES: usize = 8;
 /// HTTP status of a worker that has executed the commands.
 const STATUS_OK: u16 = 200;
