--- a/crates/recovery/src/failover.rs
+++ b/crates/recovery/src/failover.rs
@@ -34,7 +34,7 @@
     /// Renting machines.
     ScaleOut,
     /// Returning a machine because it is not heard.
-    GiveUp,
+    ReturnUncontacted,
     /// Returning a machine that has had nothing to do.
     ScaleIn,
 }
@@ -46,9 +46,10 @@
             LeaderAction::Renew | LeaderAction::Stop => FailoverPhase::ReadingRecords,
             LeaderAction::Start => FailoverPhase::CollectingHeartbeats,
             // Resources and machines that are merely unheard come back with their heartbeats.
-            LeaderAction::Preempt | LeaderAction::ScaleOut | LeaderAction::GiveUp | LeaderAction::ScaleIn => {
-                FailoverPhase::Reconciling
-            }
+            LeaderAction::Preempt
+            | LeaderAction::ScaleOut
+            | LeaderAction::ReturnUncontacted
+            | LeaderAction::ScaleIn => FailoverPhase::Reconciling,
         };
         self >= first_phase
     }
@@ -101,10 +102,10 @@
     }
 
     /// Whether an unheard machine may be given up.
-    pub fn may_give_up(&self, now: MonotonicTime) -> bool {
+    pub fn may_return_uncontacted(&self, now: MonotonicTime) -> bool {
         let Some(records_read_at) = self.records_read_at else { return false };
         let waited = now.since(records_read_at);
-        self.allows(LeaderAction::GiveUp) && waited >= self.interval.times(GIVE_UP_AFTER_INTERVALS)
+        self.allows(LeaderAction::ReturnUncontacted) && waited >= self.interval.times(GIVE_UP_AFTER_INTERVALS)
     }
 
     /// All stored records are read: heartbeats can be reconciled from now on.
--- a/crates/recovery/src/failover/tests.rs
+++ b/crates/recovery/src/failover/tests.rs
@@ -23,14 +23,20 @@
     assert!(!collection.allows(LeaderAction::Start));
     collection.records_read(at_ms(1_000));
     assert!(collection.allows(LeaderAction::Start), "on machines that are heard");
-    for action in [LeaderAction::Preempt, LeaderAction::ScaleOut, LeaderAction::GiveUp, LeaderAction::ScaleIn]
-    {
+    for action in [
+        LeaderAction::Preempt,
+        LeaderAction::ScaleOut,
+        LeaderAction::ReturnUncontacted,
+        LeaderAction::ScaleIn,
+    ] {
         assert!(!collection.allows(action), "{action:?}");
     }
     assert_eq!(collection.update(89, 100, at_ms(5_000)), None);
     assert_eq!(collection.update(90, 100, at_ms(5_500)), Some(FailoverPhase::Reconciling));
     assert!(collection.allows(LeaderAction::Preempt));
-    assert!(!collection.may_give_up(at_ms(5_500)) && collection.may_give_up(at_ms(10_500)));
+    assert!(
+        !collection.may_return_uncontacted(at_ms(5_500)) && collection.may_return_uncontacted(at_ms(10_500))
+    );
     assert_eq!(collection.update(50, 100, at_ms(6_000)), None, "new machines don't take it back");
     assert_eq!(collection.update(100, 100, at_ms(7_000)), Some(FailoverPhase::Steady));
 }
@@ -65,7 +71,7 @@
         FailoverPhase::Reconciling,
         FailoverPhase::Steady,
     ];
-    for action in [Renew, Stop, Start, Preempt, ScaleOut, GiveUp, ScaleIn] {
+    for action in [Renew, Stop, Start, Preempt, ScaleOut, ReturnUncontacted, ScaleIn] {
         for pair in phases.windows(2) {
             assert!(pair[1].allows(action) || !pair[0].allows(action), "{action:?} at {pair:?}");
         }
--- a/crates/scheduler/src/assignments/assignment.rs
+++ b/crates/scheduler/src/assignments/assignment.rs
@@ -93,7 +93,7 @@
     pub has_image: bool,
     /// A gang's task whose image is on the machine already: it starts once the others have theirs, or it would
     /// give up waiting for them after `gang_wait_s`.
-    pub after_fetches: bool,
+    pub waits_for_gang_fetches: bool,
     /// Bytes that the assignment takes in its machine's record.
     pub bytes: usize,
 }
@@ -118,7 +118,7 @@
             running_since: None,
             planned_at: now,
             has_image: false,
-            after_fetches: false,
+            waits_for_gang_fetches: false,
             bytes,
         }
     }
@@ -134,7 +134,7 @@
     }
 
     /// Whether no start command for it can have reached the worker.
-    pub fn unsent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         matches!(self.state, AssignmentState::Planned | AssignmentState::Ready)
     }
 }
--- a/crates/scheduler/src/assignments/commit_pipeline.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline.rs
@@ -3,7 +3,7 @@
 //!
 //! A transaction without an answer may still be applied later. The next one for the same keys has the same
 //! conditions, so only one of the two can succeed; the other is refused with the keys whose revisions differ.
-//! The leader reads those keys again, reports their revisions with [`CommitPipeline::corrected`], and goes on.
+//! The leader reads those keys again, reports their revisions with [`CommitPipeline::correct_revision`], and goes on.
 
 mod batch;
 mod queues;
@@ -100,13 +100,13 @@
     }
 
     /// Notes the revision of a key that was read from the store.
-    pub fn loaded(&mut self, key: &str, revision: Revision) {
+    pub fn record_revision(&mut self, key: &str, revision: Revision) {
         let write = self.writes.entry(key.into()).or_default();
         write.revision = write.revision.max(revision);
     }
 
     /// Whether `key` is stored, or waits to be.
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn contains_key(&self, key: &str) -> bool {
         self.writes.contains_key(key)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Forgets a change of `key`, since another writer's final value is stored there.
-    pub fn give_up(&mut self, key: &str) {
+    pub fn forget(&mut self, key: &str) {
         self.writes.remove(key);
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Notes the revision that a key has after a conflict.
-    pub fn corrected(&mut self, key: &str, revision: Revision) {
+    pub fn correct_revision(&mut self, key: &str, revision: Revision) {
         if let Some(write) = self.writes.get_mut(key) {
             write.revision = revision;
         }
--- a/crates/scheduler/src/assignments/commit_pipeline/tests.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline/tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_late_transaction_and_its_successor_exclude_each_other() {
     let mut pipeline = pipeline();
-    pipeline.loaded("m/a", Revision(3));
+    pipeline.record_revision("m/a", Revision(3));
     let first_version = pipeline.put("m/a", Some("1".into()), CommitPriority::Normal);
     let first = pipeline.next_batch(true).expect("work");
     assert_eq!(first.conditions, [("leader".to_string(), Revision(9)), ("m/a".to_string(), Revision(3))]);
@@ -42,7 +42,7 @@
 #[test]
 fn a_change_refused_for_good_is_given_up_and_those_beside_it_are_written() {
     let mut pipeline = pipeline();
-    pipeline.loaded("m/b", Revision(3));
+    pipeline.record_revision("m/b", Revision(3));
     for key in ["m/a", "m/b", "m/c"] {
         pipeline.put(key, Some("12345".into()), CommitPriority::Urgent);
     }
--- a/crates/scheduler/src/assignments/machine_record.rs
+++ b/crates/scheduler/src/assignments/machine_record.rs
@@ -103,7 +103,7 @@
 
 impl MachineRecord {
     /// Whether a leader can have stored it: all amounts are in the range of real ones.
-    pub fn is_possible(&self) -> bool {
+    pub fn has_valid_amounts(&self) -> bool {
         let is_amount = |amount: f64| (0.0..=MAX_AMOUNT).contains(&amount);
         self.assignments.iter().map(|assignment| &assignment.resources).all(|resources| {
             is_amount(resources.cpus) && is_amount(resources.gpus) && is_amount(resources.memory_gb)
@@ -131,7 +131,7 @@
 
     /// Whether the record of a machine of this type and zone can hold assignments of `bytes` within a value of
     /// `limit` bytes.
-    pub fn holds(bytes: usize, type_name: &TypeName, zone: &Zone, limit: usize) -> bool {
+    pub fn can_hold(bytes: usize, type_name: &TypeName, zone: &Zone, limit: usize) -> bool {
         bytes + FRAME_BYTES + type_name.as_str().len() + zone.as_str().len() <= limit
     }
 }
--- a/crates/scheduler/src/assignments/machine_record/tests.rs
+++ b/crates/scheduler/src/assignments/machine_record/tests.rs
@@ -50,7 +50,7 @@
     for index in 0.. {
         let assignment = recorded(index, u64::MAX, resources);
         bytes += assignment_bytes(&assignment.task, assignment.attempt, &assignment.team, &resources);
-        if !MachineRecord::holds(bytes, &record.type_name, &record.zone, limit) {
+        if !MachineRecord::can_hold(bytes, &record.type_name, &record.zone, limit) {
             break;
         }
         record.assignments.push(assignment);
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::assignments::{CachedImage, MachineRecord, RecordedAssignment};
 use crate::jobs::{self, JobSpec, JobType, OpenJob, Priority, Record, TaskCounts};
-use crate::peer_messages::{BroadcastPosition, JobTaskCounts, PeerMessage, ZoneHeard, decode, encode};
+use crate::peer_messages::{BroadcastPosition, JobTaskCounts, PeerMessage, ZoneHeartbeat, decode, encode};
 use crate::placement::{MachineView, PlacementOutcome, PlacementRequest, Proposal, SuccessCounts};
 use crate::types::{Attempt, Resources, TaskId, WallTime, WorkerEpoch};
 use crate::workers::Health;
@@ -94,8 +94,11 @@
             store_reachable: true,
             fencing_token_seen: fencing_token,
             broadcast_seen: BroadcastPosition { fencing_token, sequence: 9 },
-            hears_workers: false,
-            zones_heard: vec![ZoneHeard { zone: "z0".into(), age: Duration::from_millis(1200) }],
+            has_unanswered_heartbeats: false,
+            last_heartbeat_by_zone: vec![ZoneHeartbeat {
+                zone: "z0".into(),
+                age: Duration::from_millis(1200),
+            }],
         },
         PeerMessage::StatusBroadcast {
             position,
--- a/crates/scheduler/src/gangs/mod.rs
+++ b/crates/scheduler/src/gangs/mod.rs
@@ -11,7 +11,7 @@
 
 /// Whether a gang's attempt can't go on: some of its tasks are placed and others are gone. Those that remain
 /// must be stopped before the next attempt.
-pub fn broken(job_state: &JobState) -> bool {
+pub fn is_broken(job_state: &JobState) -> bool {
     job_state.is_gang()
         && !job_state.placed().is_empty()
         && !job_state.all_done()
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -331,7 +331,7 @@
 /// jobs of a pipeline come over one connection, and all nodes seldom have bursts together.
 fn user_write_budget(settings: &Settings) -> TokenBucket {
     let user_rate = (settings.state.write_rps * settings.operator.user_write_share).max(1.0);
-    TokenBucket::bursting((user_rate / node_count(settings)).max(1.0), user_rate)
+    TokenBucket::with_burst((user_rate / node_count(settings)).max(1.0), user_rate)
 }
 
 /// Number of nodes of the service, as floating point for rates.
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::node::peers::PeerState;
-use crate::peer_messages::{BroadcastPosition, Envelope, JobTaskCounts, PeerMessage, ZoneHeard};
+use crate::peer_messages::{BroadcastPosition, Envelope, JobTaskCounts, PeerMessage, ZoneHeartbeat};
 use crate::placement::{self, Factors, MachineView, PlacementOutcome, PlacementRequest, Proposal};
 use crate::types::Duration;
 
@@ -17,14 +17,14 @@
             return;
         }
         self.next_ping = self.now + PING_EVERY;
-        let zones_heard = self.peers.last_heartbeat_by_zone().iter();
+        let last_heartbeat_by_zone = self.peers.last_heartbeat_by_zone().iter();
         let ping = PeerMessage::Ping {
             store_reachable: self.store_reachable(),
             fencing_token_seen: self.highest_fencing_token,
             broadcast_seen: self.broadcast_seen,
-            hears_workers: self.now.since(self.worker_turned_away_at) < HEARS_WORKERS_FOR,
-            zones_heard: zones_heard
-                .map(|(zone, at)| ZoneHeard { zone: zone.clone(), age: self.now.since(*at) })
+            has_unanswered_heartbeats: self.now.since(self.worker_turned_away_at) < HEARS_WORKERS_FOR,
+            last_heartbeat_by_zone: last_heartbeat_by_zone
+                .map(|(zone, at)| ZoneHeartbeat { zone: zone.clone(), age: self.now.since(*at) })
                 .collect(),
         };
         for peer in self.peers.names() {
@@ -43,13 +43,14 @@
                 store_reachable,
                 fencing_token_seen,
                 broadcast_seen,
-                hears_workers,
-                zones_heard,
+                has_unanswered_heartbeats,
+                last_heartbeat_by_zone,
             } => {
                 self.observe_fencing_token(fencing_token_seen);
-                self.note_zones_heard(zones_heard);
+                self.record_zone_heartbeats(last_heartbeat_by_zone);
                 let heard_at = self.now;
-                let state = PeerState { heard_at, store_reachable, broadcast_seen, hears_workers };
+                let state =
+                    PeerState { heard_at, store_reachable, broadcast_seen, has_unanswered_heartbeats };
                 self.peers.pinged(from, state);
             }
             PeerMessage::StatusBroadcast { position, jobs, placement_outcomes } => {
@@ -81,8 +82,8 @@
         }
     }
 
-    fn note_zones_heard(&mut self, zones_heard: Vec<ZoneHeard>) {
-        for ZoneHeard { zone, age } in zones_heard {
+    fn record_zone_heartbeats(&mut self, last_heartbeat_by_zone: Vec<ZoneHeartbeat>) {
+        for ZoneHeartbeat { zone, age } in last_heartbeat_by_zone {
             self.peers.record_zone_heartbeat(&zone, self.now.before(age));
         }
     }
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -88,17 +88,17 @@
 
     /// Sets the revision at which a key is stored.
     pub fn set_stored_revision(&mut self, key: &str, revision: Revision) {
-        self.pipeline.loaded(key, revision);
+        self.pipeline.record_revision(key, revision);
     }
 
     /// Discards a key's queued value and its known revision.
     pub fn discard(&mut self, key: &str) {
-        self.pipeline.give_up(key);
+        self.pipeline.forget(key);
     }
 
     /// Whether the key is stored or a change of it is queued.
     pub fn is_stored_or_queued(&self, key: &str) -> bool {
-        self.pipeline.holds(key)
+        self.pipeline.contains_key(key)
     }
 
     /// Whether the key is stored, as far as this leader knows.
@@ -135,7 +135,7 @@
     /// Like [`CommitState::take_writes`], but takes nothing unless more than half of the budget is left, so
     /// that more urgent changes can be written.
     pub fn take_spare_writes(&mut self, changes: usize, now: MonotonicTime) -> bool {
-        self.budget.ample(now) && self.take_writes(changes, now)
+        self.budget.is_ample(now) && self.take_writes(changes, now)
     }
 
     /// Keeps a finished task until its result under `key` is durable.
@@ -166,13 +166,13 @@
         if self.open_rereads > 0 || now < self.next_commit_at || !self.pipeline.is_idle() {
             return None;
         }
-        let ample = self.budget.ample(now);
+        let ample = self.budget.is_ample(now);
         let charge = (max_changes as f64).min(ESTIMATED_CHANGES);
         if !self.pipeline.has_batch(ample) || !self.budget.take(charge, now) {
             return None;
         }
         let batch = self.pipeline.next_batch(ample)?;
-        self.budget.settle(batch.changes.len() as f64 - ESTIMATED_CHANGES);
+        self.budget.adjust(batch.changes.len() as f64 - ESTIMATED_CHANGES);
         Some(StoreRequest::Commit { conditions: batch.conditions, changes: batch.changes })
     }
 
@@ -264,13 +264,13 @@
         self.commits.open_rereads = self.commits.open_rereads.saturating_sub(1);
         match reply {
             StoreReply::Found(pair) => {
-                self.commits.pipeline.corrected(key, pair.revision);
+                self.commits.pipeline.correct_revision(key, pair.revision);
                 context.job_cache.learn_pair(&pair);
                 if is_final_or_unreadable_job(context.job_cache, key) {
                     self.commits.discard(key);
                 }
             }
-            StoreReply::Missing { .. } => self.commits.pipeline.corrected(key, Revision(0)),
+            StoreReply::Missing { .. } => self.commits.pipeline.correct_revision(key, Revision(0)),
             _ => {
                 self.commits.open_rereads += 1;
                 let due_at = context.now + REREAD_RETRY_DELAY;
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -18,7 +18,7 @@
     task: TaskId,
     machine: MachineId,
     has_image: bool,
-    after_fetches: bool,
+    waits_for_gang_fetches: bool,
 }
 
 impl Leader {
@@ -224,13 +224,13 @@
     /// Starts a gang's tasks that waited for the others' fetches, once all of the others have their image.
     fn start_after_fetches(&mut self, job: &JobId) {
         let tasks = self.gang_tasks(job);
-        if tasks.iter().any(|gang_task| !gang_task.has_image && !gang_task.after_fetches) {
+        if tasks.iter().any(|gang_task| !gang_task.has_image && !gang_task.waits_for_gang_fetches) {
             return;
         }
-        for GangTask { task, machine: id, after_fetches, .. } in tasks {
+        for GangTask { task, machine: id, waits_for_gang_fetches, .. } in tasks {
             let Some(machine) = self.machines.get_mut(&id) else { continue };
-            if after_fetches && let Some(assignment) = machine.assignments.get_mut(&task) {
-                assignment.after_fetches = false;
+            if waits_for_gang_fetches && let Some(assignment) = machine.assignments.get_mut(&task) {
+                assignment.waits_for_gang_fetches = false;
                 self.worker_calls.queue_commands(id);
             }
         }
@@ -243,8 +243,8 @@
             let task = TaskId { job: job.clone(), index: *index };
             let assignment = self.machines.get(id)?.assignments.get(&task)?;
             let has_image = assignment.has_image;
-            let after_fetches = assignment.after_fetches;
-            Some(GangTask { task, machine: id.clone(), has_image, after_fetches })
+            let waits_for_gang_fetches = assignment.waits_for_gang_fetches;
+            Some(GangTask { task, machine: id.clone(), has_image, waits_for_gang_fetches })
         });
         placed.collect()
     }
--- a/crates/scheduler/src/node/leader/heartbeats/tests.rs
+++ b/crates/scheduler/src/node/leader/heartbeats/tests.rs
@@ -16,7 +16,7 @@
     spec.tasks = 2;
     let job = Arc::new(OpenJob { spec, submitted: WallTime(1), assigned_node: "n0".into() });
     leader.job_states.insert("req-1".into(), JobState::new(job, now));
-    for (index, after_fetches) in [(0, true), (1, false)] {
+    for (index, waits_for_gang_fetches) in [(0, true), (1, false)] {
         let id = format!("m-{index}");
         leader.process_heartbeat(&heartbeat(&id, "z0", 1), now);
         let id = MachineId::from(id.as_str());
@@ -29,7 +29,7 @@
             AssignmentState::Ready,
             now,
         );
-        assignment.after_fetches = after_fetches;
+        assignment.waits_for_gang_fetches = waits_for_gang_fetches;
         leader.machines.get_mut(&id).expect("known machine").assignments.insert(task, assignment);
         leader.job_states.get_mut(&JobId::from("req-1")).expect("known job").place(index, id);
     }
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -168,8 +168,8 @@
                 .silence
                 .began_within(heartbeat_interval.times(OUTAGE_GRACE_INTERVALS), now),
             isolation_reports_read: now.since(self.since) >= ISOLATION_REPORTS_READ_AFTER,
-            may_return: self.heartbeat_collection.allows(LeaderAction::GiveUp),
-            may_return_uncontacted: self.heartbeat_collection.may_give_up(now),
+            may_return: self.heartbeat_collection.allows(LeaderAction::ReturnUncontacted),
+            may_return_uncontacted: self.heartbeat_collection.may_return_uncontacted(now),
             responsive_zones,
             unreachable_zones,
             zones_served_by_isolated_nodes,
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -132,7 +132,7 @@
         let team = spec.team.clone();
         let mut assignment =
             Assignment::new(task, attempt, team, spec.resources, AssignmentState::Planned, now);
-        assignment.after_fetches = slow_fetch && machine.has_image(&spec.image);
+        assignment.waits_for_gang_fetches = slow_fetch && machine.has_image(&spec.image);
         machine.assignments.insert(task.clone(), assignment);
         if machine.capacity_hold.as_ref().is_some_and(|hold| hold.job == task.job) {
             machine.capacity_hold = None;
--- a/crates/scheduler/src/node/leader/stops.rs
+++ b/crates/scheduler/src/node/leader/stops.rs
@@ -81,7 +81,7 @@
 
     /// Stops the remaining tasks of gangs that have lost a task, so that a new attempt can be placed.
     pub(super) fn stop_broken_gangs(&mut self, now: MonotonicTime) {
-        let broken = self.job_states.iter().filter(|(_, job_state)| gangs::broken(job_state));
+        let broken = self.job_states.iter().filter(|(_, job_state)| gangs::is_broken(job_state));
         let broken: Vec<JobId> = broken.map(|(id, _)| id.clone()).collect();
         for id in broken {
             self.stop_job(&id, 0.0, now);
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -154,7 +154,7 @@
             }
             _ => {}
         }
-        if gangs::broken(job_state) {
+        if gangs::is_broken(job_state) {
             self.stop_job(&task.job, 0.0, now);
         }
         if let Some(failures) = failures {
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -21,7 +21,7 @@
     /// Up to which status broadcast the peer has applied all.
     pub broadcast_seen: BroadcastPosition,
     /// Whether workers that found no leader have lately turned to the peer.
-    pub hears_workers: bool,
+    pub has_unanswered_heartbeats: bool,
 }
 
 /// All peers of this node.
@@ -32,14 +32,14 @@
     states: BTreeMap<NodeName, PeerState>,
     /// When a leader last heard a worker of each zone. A new leader must not take a zone that was cut off before its
     /// time for one that has just fallen silent.
-    zones_heard: BTreeMap<Zone, MonotonicTime>,
+    last_heartbeat_by_zone: BTreeMap<Zone, MonotonicTime>,
 }
 
 impl Peers {
     /// The peers that the settings name, none heard yet.
     pub fn new(peers: &[Peer]) -> Self {
         let names = peers.iter().map(|peer| peer.name.clone()).collect();
-        Self { names, states: BTreeMap::new(), zones_heard: BTreeMap::new() }
+        Self { names, states: BTreeMap::new(), last_heartbeat_by_zone: BTreeMap::new() }
     }
 
     /// All peers that the settings name, alive or not.
@@ -68,7 +68,7 @@
 
     /// Whether workers that found no leader have lately turned to a live peer.
     pub fn any_has_unanswered_heartbeats(&self, now: MonotonicTime) -> bool {
-        self.live_states(now).any(|(_, peer)| peer.hears_workers)
+        self.live_states(now).any(|(_, peer)| peer.has_unanswered_heartbeats)
     }
 
     /// Whether the peer `name` has applied the broadcasts of a leader up to `latest`, but for those that may still
@@ -83,15 +83,15 @@
 
     /// When a leader last heard a worker of each zone.
     pub fn last_heartbeat_by_zone(&self) -> &BTreeMap<Zone, MonotonicTime> {
-        &self.zones_heard
+        &self.last_heartbeat_by_zone
     }
 
     /// Notes that a worker of `zone` was heard at `at`, here or by an earlier leader.
     pub fn record_zone_heartbeat(&mut self, zone: &Zone, at: MonotonicTime) {
-        match self.zones_heard.get_mut(zone) {
+        match self.last_heartbeat_by_zone.get_mut(zone) {
             Some(heard_at) => *heard_at = at.max(*heard_at),
             None => {
-                self.zones_heard.insert(zone.clone(), at);
+                self.last_heartbeat_by_zone.insert(zone.clone(), at);
             }
         }
     }
--- a/crates/scheduler/src/peer_messages/golden.rs
+++ b/crates/scheduler/src/peer_messages/golden.rs
@@ -150,8 +150,8 @@
         store_reachable: true,
         fencing_token_seen: fencing_token,
         broadcast_seen: BroadcastPosition { fencing_token: FencingToken(411), sequence: 9 },
-        hears_workers: false,
-        zones_heard: vec![ZoneHeard { zone: "z0".into(), age: Duration::from_millis(1200) }],
+        has_unanswered_heartbeats: false,
+        last_heartbeat_by_zone: vec![ZoneHeartbeat { zone: "z0".into(), age: Duration::from_millis(1200) }],
     };
     let doubt = |machines| {
         PeerMessage::UnacknowledgedStarts(UnacknowledgedStarts {
--- a/crates/scheduler/src/peer_messages/mod.rs
+++ b/crates/scheduler/src/peer_messages/mod.rs
@@ -41,10 +41,10 @@
         /// Up to which of the leader's status broadcasts the sender has applied all.
         broadcast_seen: BroadcastPosition,
         /// Whether workers that found no leader have lately turned to the sender.
-        hears_workers: bool,
+        has_unanswered_heartbeats: bool,
         /// When a worker of each zone last reached a leader, as far as the sender knows. A new leader thus tells
         /// a zone that was cut off before its time from one that has just fallen silent.
-        zones_heard: Vec<ZoneHeard>,
+        last_heartbeat_by_zone: Vec<ZoneHeartbeat>,
     },
     /// From the leader to each peer that has applied the broadcasts before: what has changed since the last one.
     /// The receiver applies it if it has missed none; otherwise its next ping asks for a snapshot.
@@ -154,7 +154,7 @@
 
 /// How lately a worker of a zone was heard by a leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ZoneHeard {
+pub struct ZoneHeartbeat {
     /// The zone.
     pub zone: Zone,
     /// Time since then, when the message was sent.
--- a/crates/scheduler/src/peer_messages/tests.rs
+++ b/crates/scheduler/src/peer_messages/tests.rs
@@ -8,8 +8,11 @@
             store_reachable: true,
             fencing_token_seen: FencingToken(4),
             broadcast_seen: BroadcastPosition { fencing_token: FencingToken(4), sequence: 9 },
-            hears_workers: false,
-            zones_heard: vec![ZoneHeard { zone: "z".into(), age: Duration::from_millis(1200) }],
+            has_unanswered_heartbeats: false,
+            last_heartbeat_by_zone: vec![ZoneHeartbeat {
+                zone: "z".into(),
+                age: Duration::from_millis(1200),
+            }],
         },
     );
     let decoded = decode(&bytes).expect("readable");
--- a/crates/scheduler/src/rate_limit/token_bucket.rs
+++ b/crates/scheduler/src/rate_limit/token_bucket.rs
@@ -17,11 +17,11 @@
 impl TokenBucket {
     /// A bucket for `rate` operations per second and bursts of one second's worth, at least of one operation.
     pub fn new(rate: f64) -> Self {
-        Self::bursting(rate, rate.max(1.0))
+        Self::with_burst(rate, rate.max(1.0))
     }
 
     /// A bucket for `rate` operations per second and bursts of up to `burst`.
-    pub fn bursting(rate: f64, burst: f64) -> Self {
+    pub fn with_burst(rate: f64, burst: f64) -> Self {
         Self { rate, burst, tokens: burst, refilled_at: MonotonicTime::default() }
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Whether more than half of a burst is left, so that less urgent work may be done too.
-    pub fn ample(&mut self, now: MonotonicTime) -> bool {
+    pub fn is_ample(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.tokens > self.burst / 2.0
     }
@@ -49,7 +49,7 @@
 
     /// Corrects the last [`Self::take`] once the real cost is known: takes `more` tokens, or returns them if
     /// negative.
-    pub fn settle(&mut self, more: f64) {
+    pub fn adjust(&mut self, more: f64) {
         self.tokens = (self.tokens - more).min(self.burst);
     }
 
--- a/crates/scheduler/src/rate_limit/token_bucket/tests.rs
+++ b/crates/scheduler/src/rate_limit/token_bucket/tests.rs
@@ -22,7 +22,7 @@
 /// Users submit all jobs of a pipeline over one connection, that is at one node.
 #[test]
 fn a_burst_may_be_larger_than_a_second_of_the_rate() {
-    let mut bucket = TokenBucket::bursting(5.0, 15.0);
+    let mut bucket = TokenBucket::with_burst(5.0, 15.0);
     assert_eq!(passed_at(&mut bucket, at(5)), 15);
     assert_eq!(passed_at(&mut bucket, at(1005)), 5);
 }
@@ -31,9 +31,9 @@
 fn a_settled_cost_is_taken_or_returned() {
     let mut bucket = TokenBucket::new(10.0);
     assert!(bucket.take(4.0, at(0)));
-    assert!(bucket.ample(at(0)), "6 of 10 are left");
-    bucket.settle(2.0);
-    assert!(!bucket.ample(at(0)), "4 of 10 are left");
-    bucket.settle(-20.0);
+    assert!(bucket.is_ample(at(0)), "6 of 10 are left");
+    bucket.adjust(2.0);
+    assert!(!bucket.is_ample(at(0)), "4 of 10 are left");
+    bucket.adjust(-20.0);
     assert_eq!(passed_at(&mut bucket, at(0)), 10, "never more than a burst");
 }
--- a/crates/scheduler/src/workers/capacity.rs
+++ b/crates/scheduler/src/workers/capacity.rs
@@ -47,7 +47,7 @@
     /// Whether its record, of at most `limit` bytes, can hold an assignment of `bytes` more.
     pub fn record_holds(&self, bytes: usize, limit: usize) -> bool {
         let record_bytes = self.capacity_sums.record_bytes + bytes;
-        MachineRecord::holds(record_bytes, &self.type_name, &self.zone, limit)
+        MachineRecord::can_hold(record_bytes, &self.type_name, &self.zone, limit)
     }
 
     /// Brings the kept sums in line with the assignments, and with them `used`, what each team takes on all
--- a/crates/scheduler/src/workers/commands.rs
+++ b/crates/scheduler/src/workers/commands.rs
@@ -70,7 +70,7 @@
     /// one. Returns the assignment if it is removed at once, since no command can have reached the worker.
     pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Assignment> {
         let assignment = self.assignments.get_mut(task)?;
-        if assignment.unsent() {
+        if assignment.is_unsent() {
             self.planned_writes.remove(task);
             return self.assignments.remove(task);
         }
@@ -90,7 +90,7 @@
         self.assignments.values().any(|assignment| {
             assignment.state == AssignmentState::Ready
                 && assignment.stop.is_none()
-                && !assignment.after_fetches
+                && !assignment.waits_for_gang_fetches
         })
     }
 
@@ -116,7 +116,7 @@
             }
             let attempt = assignment.attempt;
             match (assignment.state, assignment.stop) {
-                (AssignmentState::Ready, None) if assignment.after_fetches => {}
+                (AssignmentState::Ready, None) if assignment.waits_for_gang_fetches => {}
                 (AssignmentState::Ready | AssignmentState::Sent { .. }, None) if may_start => {
                     let task_attempt = TaskAttempt::of(task, attempt);
                     let unacknowledged = self.unacknowledged_starts.contains_key(&task_attempt);
@@ -161,7 +161,7 @@
         for (task, assignment) in &mut self.assignments {
             let attempt = assignment.attempt;
             match (assignment.state, &mut assignment.stop) {
-                (AssignmentState::Ready, None) if may_start && !assignment.after_fetches => {
+                (AssignmentState::Ready, None) if may_start && !assignment.waits_for_gang_fetches => {
                     assignment.state = AssignmentState::Direct;
                     let task_attempt = TaskAttempt::of(task, attempt);
                     direct.commands.push(task_attempt.clone().into_start());
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -204,7 +204,7 @@
     /// Whether a heartbeat with the same content as the last one has nothing to prove and needs no commands:
     /// each task in it has an assignment, and nothing is under way to or from the worker.
     pub fn is_settled(&self) -> bool {
-        let reported = self.assignments.values().filter(|assignment| !assignment.unsent()).count();
+        let reported = self.assignments.values().filter(|assignment| !assignment.is_unsent()).count();
         self.unknown_tasks.is_empty()
             && reported == self.reported_task_count
             && self.assignments.values().all(is_assignment_settled)
@@ -237,7 +237,7 @@
     match assignment.state {
         AssignmentState::Planned => true,
         // Its start could not be sent while the worker had not seen this leader's fencing token.
-        AssignmentState::Ready => assignment.after_fetches,
+        AssignmentState::Ready => assignment.waits_for_gang_fetches,
         AssignmentState::Preparing
         | AssignmentState::Running
         | AssignmentState::Saving
