--- a/crates/recovery/src/failover.rs
+++ b/crates/recovery/src/failover.rs
@@ -1,51 +1,53 @@
-//! How far a new leader has come since the failover, and what it may do meanwhile.
+//! Phases of a new leader after a failover, and the actions that each phase allows.
 //!
-//! It goes machine by machine wherever it can: commands, starts and stops on a machine that is heard don't
-//! wait for the other machines. Gated here is what a heartbeat on its way could prove needless: giving a
-//! machine up, preempting work, scaling out and in.
+//! Starts and other commands on a machine that has sent a heartbeat don't wait for the other machines.
+//! Actions that a heartbeat still to come could show to be unnecessary are deferred to a later phase:
+//! returning machines, preempting tasks, scaling out and in.
 
 use pearford_types::{Duration, MonotonicTime};
 
-/// How far a new leader has come. Phases follow in this order, and none is ever left for an earlier one.
-/// Operators see the phase's number in a metric.
+/// Phase of a new leader. Phases follow in this order; a leader never returns to an earlier one. A metric
+/// shows the phase's number to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailoverPhase {
-    /// The stored records are not all read.
+    /// Not all stored records are read.
     ReadingRecords,
-    /// Most machines' heartbeats are still to come.
+    /// Too few machines have sent a heartbeat to this leader.
     CollectingHeartbeats,
-    /// Nearly all are in. The rest are probed, and given up one by one if they don't answer.
+    /// Most machines have sent a heartbeat. The others are probed, and each one that doesn't answer is
+    /// returned.
     Reconciling,
-    /// All machines are heard, or every lease from before the failover has expired.
+    /// All machines have sent a heartbeat, or every worker lease from before the failover has expired.
     Steady,
 }
 
-/// What a leader does.
+/// An action of a leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaderAction {
-    /// Answering heartbeats, which renews leases.
+    /// Answering heartbeats, which renews the workers' leases.
     Renew,
-    /// Stopping tasks that are surely finished.
+    /// Stopping tasks that are known to be finished.
     Stop,
-    /// Starting tasks on a machine that is heard.
+    /// Starting tasks on a machine that has sent a heartbeat.
     Start,
     /// Stopping tasks to free resources for others.
     Preempt,
     /// Renting machines.
     ScaleOut,
-    /// Returning a machine because it is not heard.
+    /// Returning a machine because it has sent no heartbeat.
     ReturnUncontacted,
-    /// Returning a machine that has had nothing to do.
+    /// Returning an idle machine.
     ScaleIn,
 }
 
 impl FailoverPhase {
-    /// What is allowed in which phase. What a phase allows, all later ones allow.
+    /// Whether this phase allows `action`. Later phases allow everything that earlier ones allow.
     pub fn allows(self, action: LeaderAction) -> bool {
         let first_phase = match action {
             LeaderAction::Renew | LeaderAction::Stop => FailoverPhase::ReadingRecords,
             LeaderAction::Start => FailoverPhase::CollectingHeartbeats,
-            // Resources and machines that are merely unheard come back with their heartbeats.
+            // Machines that sent no heartbeat yet may still do so, and their resources then need no
+            // replacement.
             LeaderAction::Preempt
             | LeaderAction::ScaleOut
             | LeaderAction::ReturnUncontacted
@@ -55,26 +57,27 @@
     }
 }
 
-/// Enough machines are heard to end the collection of heartbeats.
+/// A condition that ends the collection of heartbeats.
 struct Threshold {
-    /// The part of all machines that must be heard, from 0 to 1.
+    /// Share of all machines that must have sent a heartbeat, from 0 to 1.
     share: f64,
     /// Heartbeat intervals that must have passed since the records were read.
     after_intervals: f64,
 }
 
-/// Any of these ends the collection. A worker reports every interval, give or take a quarter, and finds a
-/// node within another. Machines that died with the leader must not hold up the rest: with 95% instead, 87
-/// dead of 1,300 did so for 12.5 s (simulated fleet "andina", fault "loss").
+/// Any of these ends the collection. A worker sends a heartbeat every interval, plus or minus a quarter, and
+/// finds a node that answers within another interval. Machines that failed together with the leader must not
+/// delay the others: with a threshold of 95%, 87 failed machines of 1,300 delayed them by 12.5 s.
 const THRESHOLDS: [Threshold; 3] = [
     Threshold { share: 0.9, after_intervals: 0.0 },
     Threshold { share: 0.8, after_intervals: 1.5 },
     Threshold { share: 0.67, after_intervals: 2.5 },
 ];
-/// An unheard machine is not given up sooner than so many heartbeat intervals after the records were read.
-const GIVE_UP_AFTER_INTERVALS: f64 = 1.9;
+/// Heartbeat intervals after the reading of the records before which no machine is returned for lack of a
+/// heartbeat.
+const RETURN_AFTER_INTERVALS: f64 = 1.9;
 
-/// Follows how many machines a new leader has heard, and decides on its [`FailoverPhase`].
+/// Counts the machines that have sent a heartbeat to a new leader, and determines its [`FailoverPhase`].
 #[derive(Debug, Clone)]
 pub struct HeartbeatCollection {
     interval: Duration,
@@ -85,8 +88,8 @@
 }
 
 impl HeartbeatCollection {
-    /// A leader that has just begun to lead. `interval`: between a worker's heartbeats; `lease`: how long a
-    /// worker's tasks live without an answer.
+    /// The state at the start of a leader's term. `interval` is the time between a worker's heartbeats, and
+    /// `lease` the time after which a worker without an answer kills its tasks.
     pub fn new(interval: Duration, lease: Duration) -> Self {
         Self { interval, lease, records_read_at: None, phase: FailoverPhase::ReadingRecords }
     }
@@ -101,30 +104,30 @@
         self.phase.allows(action)
     }
 
-    /// Whether an unheard machine may be given up.
+    /// Whether a machine that has sent no heartbeat may be returned.
     pub fn may_return_uncontacted(&self, now: MonotonicTime) -> bool {
         let Some(records_read_at) = self.records_read_at else { return false };
         let waited = now.since(records_read_at);
-        self.allows(LeaderAction::ReturnUncontacted) && waited >= self.interval.times(GIVE_UP_AFTER_INTERVALS)
+        self.allows(LeaderAction::ReturnUncontacted) && waited >= self.interval.times(RETURN_AFTER_INTERVALS)
     }
 
-    /// All stored records are read: heartbeats can be reconciled from now on.
+    /// Records that all stored records are read, so that heartbeats can be reconciled.
     pub fn records_read(&mut self, now: MonotonicTime) {
         self.records_read_at.get_or_insert(now);
         self.phase = self.phase.max(FailoverPhase::CollectingHeartbeats);
     }
 
-    /// Notes that `heard` of the `expected` machines have sent a heartbeat to this leader. Returns the phase
-    /// if it is a new one.
+    /// Records that `contacted` of the `expected` machines have sent a heartbeat to this leader. Returns the
+    /// new phase if it changed.
     ///
-    /// The collection ends with nine tenths heard at once, with two thirds after 2.5 intervals, and in any
-    /// case once every lease that ran when the records were read has expired: since then an unheard machine
-    /// runs nothing.
-    pub fn update(&mut self, heard: usize, expected: usize, now: MonotonicTime) -> Option<FailoverPhase> {
+    /// The collection ends immediately at nine tenths of the machines, after 1.5 intervals at 80%, and after
+    /// 2.5 intervals at two thirds. It ends in any case once every worker lease that was valid when the
+    /// records were read has expired: a machine without a heartbeat then runs no tasks.
+    pub fn update(&mut self, contacted: usize, expected: usize, now: MonotonicTime) -> Option<FailoverPhase> {
         let waited = now.since(self.records_read_at?);
-        let next = if waited >= self.lease || heard >= expected {
+        let next = if waited >= self.lease || contacted >= expected {
             FailoverPhase::Steady
-        } else if self.are_enough(heard, expected, waited) {
+        } else if self.reaches_threshold(contacted, expected, waited) {
             self.phase.max(FailoverPhase::Reconciling)
         } else {
             self.phase
@@ -134,8 +137,8 @@
         is_new.then_some(next)
     }
 
-    fn are_enough(&self, heard: usize, expected: usize, waited: Duration) -> bool {
-        let share = heard as f64 / expected as f64;
+    fn reaches_threshold(&self, contacted: usize, expected: usize, waited: Duration) -> bool {
+        let share = contacted as f64 / expected as f64;
         THRESHOLDS.iter().any(|threshold| {
             share >= threshold.share && waited >= self.interval.times(threshold.after_intervals)
         })
--- a/crates/recovery/src/failover/tests.rs
+++ b/crates/recovery/src/failover/tests.rs
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn what_a_heartbeat_could_prove_needless_waits_until_most_machines_are_heard() {
+fn preemption_scaling_and_machine_returns_wait_for_heartbeats_of_most_machines() {
     let mut collection = collection();
     let before_records = collection.update(90, 100, at_ms(500));
-    assert_eq!(before_records, None, "nothing is decided before the records are read");
+    assert_eq!(before_records, None, "the phase doesn't change before the records are read");
     assert!(collection.allows(LeaderAction::Renew) && collection.allows(LeaderAction::Stop));
     assert!(!collection.allows(LeaderAction::Start));
     collection.records_read(at_ms(1_000));
-    assert!(collection.allows(LeaderAction::Start), "on machines that are heard");
+    assert!(collection.allows(LeaderAction::Start), "starts are allowed while heartbeats are collected");
     for action in [
         LeaderAction::Preempt,
         LeaderAction::ScaleOut,
@@ -37,14 +37,19 @@
     assert!(
         !collection.may_return_uncontacted(at_ms(5_500)) && collection.may_return_uncontacted(at_ms(10_500))
     );
-    assert_eq!(collection.update(50, 100, at_ms(6_000)), None, "new machines don't take it back");
+    assert_eq!(
+        collection.update(50, 100, at_ms(6_000)),
+        None,
+        "more expected machines don't revert the phase"
+    );
     assert_eq!(collection.update(100, 100, at_ms(7_000)), Some(FailoverPhase::Steady));
 }
 
-/// 2,375 living machines were returned as lost half a minute after a failover, since one node alone could not
-/// answer them all (four times the simulated fleet "andina", all nodes crashed for 50 s).
+/// Guards against returning live machines as lost. At four times the machines, after all nodes had been down
+/// for 50 s, a single node could not answer all heartbeats: half a minute after the failover it returned
+/// 2,375 live machines.
 #[test]
-fn while_few_machines_are_heard_the_collection_lasts_for_the_lease() {
+fn collection_lasts_until_lease_expiry_while_few_machines_have_sent_heartbeats() {
     let mut collection = collection_with_records_at_zero();
     for ms in (0..31_000).step_by(500) {
         assert_eq!(collection.update(600, 1_000, at_ms(ms)), None, "at {ms}");
@@ -53,7 +58,7 @@
 }
 
 #[test]
-fn the_longer_the_collection_lasts_the_fewer_machines_are_enough() {
+fn required_share_of_machines_decreases_with_time() {
     let mut collection = collection_with_records_at_zero();
     assert_eq!(collection.update(800, 1_000, at_ms(7_400)), None);
     assert_eq!(collection.update(800, 1_000, at_ms(7_500)), Some(FailoverPhase::Reconciling));
@@ -63,7 +68,7 @@
 }
 
 #[test]
-fn each_phase_allows_what_earlier_phases_allow_and_the_last_one_everything() {
+fn later_phases_allow_all_actions_of_earlier_ones() {
     use LeaderAction::*;
     let phases = [
         FailoverPhase::ReadingRecords,
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,9 @@
-//! Recovery after a failover: reconciles what workers report with what is stored, and lets a new leader go on
-//! without a burst of commands. `docs/design/recovery.md` weighs the alternatives and has the safety
-//! argument.
+//! Recovery after a failover: reconciles workers' heartbeats with the stored records, so that a new leader
+//! takes over running tasks without a burst of commands. `docs/design/recovery.md` compares the alternatives
+//! and has the safety argument.
 //!
-//! Plain data in, decisions out: nothing here does I/O, and the time is an argument. The scheduler's leader
-//! and its record of the workers are the callers.
+//! This crate does no I/O and reads no clock: it takes plain data and the time as arguments, and returns
+//! decisions. The callers are the scheduler's leader and its model of the workers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/recovery/src/pacing/tests.rs
+++ b/crates/recovery/src/pacing/tests.rs
@@ -8,7 +8,7 @@
 const END_MS: u64 = 30_000;
 
 #[test]
-fn costly_work_leaves_its_rest_to_others_and_cheap_work_is_done_every_interval() {
+fn costly_work_pauses_in_proportion_to_its_cost_and_cheap_work_runs_every_interval() {
     let at_ms = MonotonicTime::from_millis;
     let mut pacer = Pacer::new(Duration::from_millis(INTERVAL_MS), REST_FACTOR, at_ms(0));
     let mut now = 0;
@@ -21,12 +21,12 @@
             now += cost;
             pacer.record_cost(Duration::from_millis(cost), at_ms(now));
         } else {
-            // Steps without the work say nothing of its cost.
+            // The cost of a step without the work is ignored.
             pacer.record_cost(Duration::from_millis(900), at_ms(now));
             now += 1;
         }
     }
     let cheap = CHEAP_UNTIL_MS / (INTERVAL_MS + CHEAP_COST_MS) * CHEAP_COST_MS;
     let costly = (END_MS - CHEAP_UNTIL_MS) / 4;
-    assert!((cheap..cheap + costly + 500).contains(&worked), "{worked} ms");
+    assert!((cheap..cheap + costly + 500).contains(&worked), "the work took {worked} ms");
 }
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -1,102 +1,105 @@
-//! Reconciles a worker's heartbeat with the leader's assignments, case by case.
+//! Reconciles a worker's heartbeat with the leader's assignments, task by task.
 //!
-//! Nothing else decides that a task is gone, may be started, or may be stopped as unknown. The scheduler's
-//! record of a worker asks [`reconcile`] for every heartbeat, its leader asks [`adopt`] for every stored
-//! assignment after a failover.
+//! Only this module decides that a task is gone, may be started, or is to be stopped as unknown. The
+//! scheduler calls [`reconcile`] for the tasks of each heartbeat, and its leader calls [`adopt`] for each
+//! stored assignment after a failover.
 
-/// What the leader's assignments say of one task on one machine.
+/// State of one attempt of a task on one machine according to the leader's assignments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordedState {
     /// There is no assignment of this attempt.
     Nothing,
-    /// An assignment that is not durable yet: no command can have left.
+    /// An assignment that is not durable yet: no command was sent.
     Planned,
-    /// A durable assignment; no command has left.
+    /// A durable assignment; no command was sent.
     Ready,
-    /// The start is on its way directly to the worker, whose answer is awaited.
+    /// The start was sent in a direct command to the worker, whose answer is pending.
     Direct,
-    /// The start has left. It has run by the time that a newer heartbeat is made, or never will; one that
-    /// nobody has answered, by the time that the worker epoch has ended.
+    /// The start was sent. Once the worker makes a newer heartbeat, the start has taken effect or never will.
+    /// An unacknowledged start may take effect until the worker epoch ends.
     Sent,
-    /// Read from an earlier leader's record.
+    /// The assignment was read from an earlier leader's record.
     Inherited,
-    /// An earlier heartbeat to this leader listed it as alive.
+    /// An earlier heartbeat to this leader listed the task as alive.
     Listed,
-    /// Reported as done; it is kept until that is durable.
+    /// The task was reported as done; the assignment is kept until the result is durable.
     Done,
 }
 
-/// What the worker's heartbeat says of that attempt.
+/// State of the attempt according to the worker's heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportedState {
-    /// It is not listed.
+    /// The heartbeat doesn't list the attempt.
     Absent,
-    /// It fetches its image, or is in a phase that this version does not know.
+    /// The task fetches its image, or is in a phase that this version does not know.
     Fetching,
-    /// It has its image and waits, for the rest of its gang for instance.
+    /// The task has its image and waits, for example for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It saves a checkpoint before it stops.
+    /// The task saves a checkpoint before it stops.
     Saving,
-    /// It has ended and is listed until the worker may forget it.
+    /// The task has ended; the worker lists it until the leader lets it forget the task.
     Ended(TaskExit),
 }
 
 /// How a task ended, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TaskExit {
-    /// It has done its work.
+    /// It completed successfully.
     Done,
     /// It failed.
     Failed,
     /// It was stopped.
     Stopped {
-        /// It had saved a checkpoint.
+        /// Whether it saved a checkpoint.
         saved: bool,
     },
-    /// Another task of the gang is gone, or the gang never was complete.
+    /// Another task of the gang is gone, or the gang never became complete.
     GangBroke,
-    /// The machine had not enough free resources.
+    /// The machine didn't have enough free resources.
     InsufficientResources,
-    /// The worker did not know the job yet, or had another attempt there.
+    /// The worker did not know the job yet, or had another attempt of the task.
     Refused,
 }
 
-/// How a task left its machine.
+/// Reason why a task is not on its machine any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ended and its worker reported how.
+    /// The worker reported the end of the task.
     Ended(TaskExit),
-    /// Its worker epoch ended, and with it all its tasks; or no command for it can act any more.
+    /// The task is not listed any more: the worker epoch, and with it all tasks of the worker, has ended, or
+    /// no command for the task can take effect any more.
     Vanished,
-    /// It never was there: the start did not arrive, or wasn't sent any more.
+    /// The task never ran on the machine: its start did not arrive, or was not sent.
     NeverStarted,
 }
 
 /// A task on a machine, as recorded and as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
-    /// What the leader has recorded.
+    /// The leader's recorded state.
     pub recorded_state: RecordedState,
-    /// It is to stop.
+    /// Whether a stop of the task is requested.
     pub stopping: bool,
-    /// What the worker has reported.
+    /// The state that the worker reported.
     pub reported_state: ReportedState,
-    /// The heartbeat was made after the start that has left had run, if it ever ran.
+    /// Whether the heartbeat was made after the point at which the sent start had taken effect, if it ever
+    /// did.
     pub after_command: bool,
-    /// The worker had seen this leader's fencing token as it made the heartbeat: no earlier leader's command
-    /// can act any more.
+    /// Whether the worker had seen this leader's fencing token when it made the heartbeat. From then on, no
+    /// command of an earlier leader can take effect.
     pub saw_fencing_token: bool,
-    /// The task is still wanted, and may start again on this machine with the same attempt.
+    /// Whether the task is still wanted and may start again on this machine with the same attempt.
     pub wanted_here: bool,
-    /// A start of this attempt, carried out or not, may still come (again) in the present worker epoch.
-    pub may_still_arrive: bool,
+    /// Whether a start of this attempt may still arrive in the present worker epoch, for the first time or
+    /// again.
+    pub start_may_arrive: bool,
 }
 
 impl Observation {
-    /// Of an attempt that the leader has no assignment of.
-    pub fn unrecorded(reported_state: ReportedState, may_still_arrive: bool) -> Self {
+    /// An observation of an attempt for which the leader has no assignment.
+    pub fn unrecorded(reported_state: ReportedState, start_may_arrive: bool) -> Self {
         Self {
             recorded_state: RecordedState::Nothing,
             stopping: false,
@@ -104,50 +107,51 @@
             after_command: false,
             saw_fencing_token: false,
             wanted_here: false,
-            may_still_arrive,
+            start_may_arrive,
         }
     }
 }
 
-/// What follows from an [`Observation`].
+/// The leader's reaction to an [`Observation`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing is proved: the assignment stays as it is.
+    /// The observation proves nothing: the assignment is kept unchanged.
     Unproved,
-    /// It is there, in the phase that the heartbeat says.
+    /// The task is on the machine, in the reported phase.
     Present,
-    /// It is done, which must be recorded before the assignment is removed.
+    /// The task is done. The result must be durable before the assignment is removed.
     Done,
-    /// It is not there any more.
+    /// The task is not on the machine any more.
     Gone(Outcome),
-    /// It isn't there, and no command for it can act: it may be started here with this attempt. The
-    /// assignment is durable as it is, so this costs no write, and the image is here.
+    /// The task is not on the machine, and no command for it can take effect: it may be started there with
+    /// the same attempt. This needs no write, since the assignment is durable, and the machine has the image.
     StartHere,
-    /// It is alive and has no assignment: to be stopped.
+    /// The task is alive and has no assignment: it is to be stopped.
     Stop,
-    /// It has ended and has no assignment: the worker may forget it.
+    /// The task has ended and has no assignment: the worker may forget it.
     Forget,
 }
 
-/// Reconciles what is recorded with what is reported. `docs/design/recovery.md` has the table with its
-/// reasons.
+/// Reconciles the recorded with the reported state. `docs/design/recovery.md` has the decision table and the
+/// reason for each row.
 pub fn reconcile(observation: &Observation) -> Decision {
     use {RecordedState::*, ReportedState::*};
     match (observation.recorded_state, observation.reported_state) {
         (Nothing, Absent) => Decision::Unproved,
-        // A worker that has forgotten an attempt starts it anew, should a start of it come again.
-        (Nothing, Ended(_)) if observation.may_still_arrive => Decision::Unproved,
+        // If a start of the attempt arrives again after the worker has forgotten it, the worker starts it
+        // again.
+        (Nothing, Ended(_)) if observation.start_may_arrive => Decision::Unproved,
         (Nothing, Ended(_)) => Decision::Forget,
         (Nothing, _) => Decision::Stop,
-        // Recorded first, whatever became of the worker since.
+        // The result must become durable first, whatever the worker reports.
         (Done, _) => Decision::Unproved,
         (_, Ended(TaskExit::Done)) => Decision::Done,
         (_, Fetching | Waiting | Running | Saving) => Decision::Present,
-        // No command has left, or its answer will say what became of it.
+        // No command was sent, or the answer to the direct command is still to come.
         (Planned | Ready | Direct, Absent) => Decision::Unproved,
-        // An earlier leader may have sent a start of the same attempt in a worker epoch that it knew of, and
-        // the start be on its way. (Found by the search of all orders: a late heartbeat of the epoch before
-        // had it alive.)
+        // An earlier leader may have sent a start of the same attempt in a worker epoch that it knew, and the
+        // start may still arrive. This can happen even if the task was listed, since the listing may come
+        // from a delayed heartbeat of the previous epoch.
         _ if !observation.saw_fencing_token => Decision::Unproved,
         (_, Ended(task_exit)) => Decision::Gone(Outcome::Ended(task_exit)),
         (Sent, Absent) if !observation.after_command => Decision::Unproved,
@@ -163,27 +167,28 @@
 /// A stored assignment that a new leader has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InheritedAssignment {
-    /// Its job is known and not finished.
+    /// Whether its job is known and not finished.
     pub job_open: bool,
-    /// Its task is done.
+    /// Whether its task is done.
     pub task_done: bool,
-    /// An assignment of a later attempt of its task is stored, too.
+    /// Whether an assignment of a later attempt of its task is stored too.
     pub superseded: bool,
 }
 
-/// What becomes of a stored assignment at a failover.
+/// What a new leader does with a stored assignment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adoption {
-    /// It goes on.
+    /// The assignment is kept.
     Keep,
-    /// An assignment of a later attempt is stored: that was only planned once this one was proved gone, and
-    /// the removal was not written in time.
+    /// The assignment is removed, because one of a later attempt is stored. A later attempt is planned only
+    /// after the earlier one was proved to be gone, so its removal was not written in time.
     Superseded,
-    /// Its job is finished or unknown, or the task is done: it is removed if it is proved gone, else stopped.
+    /// The job is finished or unknown, or the task is done: the assignment is removed if the task is proved
+    /// to be gone; otherwise the task is stopped.
     Finished,
 }
 
-/// Decides what becomes of a stored assignment at a failover.
+/// Decides what a new leader does with a stored assignment.
 pub fn adopt(assignment: &InheritedAssignment) -> Adoption {
     if assignment.superseded {
         Adoption::Superseded
--- a/crates/recovery/src/reconcile/tests.rs
+++ b/crates/recovery/src/reconcile/tests.rs
@@ -24,7 +24,7 @@
     ReportedState::Ended(TaskExit::InsufficientResources),
     ReportedState::Ended(TaskExit::Refused),
 ];
-/// The observation's five flags, as bits.
+/// Number of combinations of the observation's five flags.
 const FLAG_COMBINATIONS: u8 = 32;
 
 fn all_observations() -> Vec<Observation> {
@@ -40,7 +40,7 @@
                     after_command: flag(1),
                     saw_fencing_token: flag(2),
                     wanted_here: flag(3),
-                    may_still_arrive: flag(4),
+                    start_may_arrive: flag(4),
                 });
             }
         }
@@ -48,25 +48,25 @@
     observations
 }
 
-/// Whether a start of this attempt may still act, or the task may be on the machine, after such a heartbeat.
-/// Written from the protocol alone, not from the table.
-fn may_be_there(observation: &Observation) -> bool {
-    // An earlier leader's start acts as long as the worker hasn't seen a higher fencing token.
-    let may_act = !observation.saw_fencing_token;
+/// Whether, after such a heartbeat, the task may be on the machine or a start of this attempt may still take
+/// effect. Derived from the protocol, independently of the decision table.
+fn may_be_on_machine(observation: &Observation) -> bool {
+    // A start of an earlier leader can take effect until the worker has seen a higher fencing token.
+    let start_may_take_effect = !observation.saw_fencing_token;
     let recorded_state = observation.recorded_state;
     match observation.reported_state {
-        ReportedState::Ended(_) => is_assigned(observation) && may_act,
+        ReportedState::Ended(_) => is_assigned(observation) && start_may_take_effect,
         ReportedState::Absent => match recorded_state {
             RecordedState::Nothing | RecordedState::Planned | RecordedState::Done => false,
             RecordedState::Direct => true,
-            RecordedState::Sent => !observation.after_command || may_act,
-            RecordedState::Ready | RecordedState::Listed | RecordedState::Inherited => may_act,
+            RecordedState::Sent => !observation.after_command || start_may_take_effect,
+            RecordedState::Ready | RecordedState::Listed | RecordedState::Inherited => start_may_take_effect,
         },
         _ => true,
     }
 }
 
-/// Whether a start may have been sent for what is recorded, and its end is not recorded yet.
+/// Whether a start may have been sent for the recorded state, and the task's result is not recorded yet.
 fn is_assigned(observation: &Observation) -> bool {
     let unassigned = [RecordedState::Nothing, RecordedState::Planned, RecordedState::Done];
     !unassigned.contains(&observation.recorded_state)
@@ -76,27 +76,33 @@
     !matches!(reported_state, ReportedState::Absent | ReportedState::Ended(_))
 }
 
-/// The rules `ran_twice`, `quota`, `wrong_place`: what may still be there counts.
+/// The rules `ran_twice`, `quota` and `wrong_place`: an assignment counts as long as its task may be on the
+/// machine.
 fn check_freed(observation: &Observation, decision: Decision) {
     let frees = matches!(decision, Decision::Gone(_));
-    assert!(!(frees && may_be_there(observation)), "freed though it may be there: {observation:?}");
+    assert!(
+        !(frees && may_be_on_machine(observation)),
+        "freed although the task may be on the machine: {observation:?}"
+    );
 }
 
-/// A start leaves only for what is durable, wanted, and surely not there in any state.
+/// A start is sent only if the assignment is durable, the task is wanted, and it is certainly not on the
+/// machine.
 fn check_started(observation: &Observation, decision: Decision) {
     if decision != Decision::StartHere {
         return;
     }
     let recorded_state = observation.recorded_state;
-    assert!(!may_be_there(observation), "{observation:?}");
+    assert!(!may_be_on_machine(observation), "{observation:?}");
     assert!(observation.reported_state == ReportedState::Absent && !observation.stopping, "{observation:?}");
     let durable = !matches!(recorded_state, RecordedState::Nothing | RecordedState::Planned);
-    assert!(durable, "not durable: {observation:?}");
+    assert!(durable, "started without a durable assignment: {observation:?}");
     let wanted = recorded_state == RecordedState::Sent || observation.wanted_here;
-    assert!(wanted, "not wanted: {observation:?}");
+    assert!(wanted, "started although not wanted: {observation:?}");
 }
 
-/// The rule `not_done`: a result is never lost, so a task is forgotten only when it has no assignment.
+/// The rule `not_done`: a result must not be lost, so a worker may forget a task only if it has no
+/// assignment.
 fn check_result_kept(observation: &Observation, decision: Decision) {
     let recorded_state = observation.recorded_state;
     let unfinished = !matches!(recorded_state, RecordedState::Nothing | RecordedState::Done);
@@ -104,13 +110,13 @@
         assert_eq!(decision, Decision::Done, "{observation:?}");
     }
     let may_forget = recorded_state == RecordedState::Nothing
-        && !may_be_there(observation)
+        && !may_be_on_machine(observation)
         && observation.reported_state != ReportedState::Absent
-        && !observation.may_still_arrive;
+        && !observation.start_may_arrive;
     assert_eq!(decision == Decision::Forget, may_forget, "{observation:?}");
 }
 
-/// What has an assignment is not stopped as unknown, and is kept as long as it lives.
+/// A task with an assignment is not stopped as unknown, and its assignment is kept while the task is alive.
 fn check_assignment_kept(observation: &Observation, decision: Decision) {
     let recorded_state = observation.recorded_state;
     assert!(decision != Decision::Stop || recorded_state == RecordedState::Nothing, "{observation:?}");
@@ -122,7 +128,7 @@
 }
 
 #[test]
-fn no_observation_leads_to_a_decision_that_breaks_a_rule() {
+fn decisions_on_all_observations_satisfy_the_rules() {
     let observations = all_observations();
     assert_eq!(observations.len(), 8 * 12 * 32);
     for observation in &observations {
@@ -134,9 +140,11 @@
     }
 }
 
-/// With a row changed the test above must notice: each condition of the table is needed.
+/// Guards against conditions that are missing from the decision table: absence from a heartbeat proves that a
+/// task is gone only if the worker has seen the leader's fencing token and made the heartbeat after the
+/// start.
 #[test]
-fn without_the_fencing_token_or_a_later_heartbeat_absence_proves_nothing() {
+fn absence_is_unproved_without_the_fencing_token_or_a_later_heartbeat() {
     let unfenced = Observation {
         recorded_state: RecordedState::Inherited,
         stopping: false,
@@ -144,11 +152,11 @@
         after_command: false,
         saw_fencing_token: false,
         wanted_here: true,
-        may_still_arrive: false,
+        start_may_arrive: false,
     };
-    assert!(may_be_there(&unfenced) && reconcile(&unfenced) == Decision::Unproved);
+    assert!(may_be_on_machine(&unfenced) && reconcile(&unfenced) == Decision::Unproved);
     let sent = Observation { recorded_state: RecordedState::Sent, saw_fencing_token: true, ..unfenced };
-    assert!(may_be_there(&sent) && reconcile(&sent) == Decision::Unproved);
+    assert!(may_be_on_machine(&sent) && reconcile(&sent) == Decision::Unproved);
     let proved = Observation { after_command: true, ..sent };
     assert_eq!(reconcile(&Observation { saw_fencing_token: false, ..proved }), Decision::Unproved);
     assert_eq!(reconcile(&proved), Decision::StartHere);
@@ -156,7 +164,7 @@
 }
 
 #[test]
-fn an_assignment_is_kept_only_for_an_open_job_and_the_latest_attempt() {
+fn adopts_only_assignments_of_open_jobs_and_latest_attempts() {
     let open = InheritedAssignment { job_open: true, task_done: false, superseded: false };
     assert_eq!(adopt(&open), Adoption::Keep);
     let superseded = InheritedAssignment { superseded: true, ..open };
--- a/crates/recovery/tests/every_order.rs
+++ b/crates/recovery/tests/every_order.rs
@@ -1,7 +1,7 @@
-//! Every order of events at small size: two leaders, two machines, one task of which two attempts may be
-//! made, with commits, commands and heartbeats that come late or never, worker epochs that end, and answers
-//! that get lost. After each step: the task is never on both machines. With one of the table's safety checks
-//! switched off the search finds how it gets there.
+//! Exhaustive search of all orders of events in a small model: two leaders, two machines, and one task with
+//! at most two attempts. Commits, commands and heartbeats may be delayed or lost, worker epochs may end, and
+//! answers may be lost. In every state reached, the task runs on at most one machine. With any one safety
+//! check of the decision table disabled, the search finds a state in which it runs on both.
 
 use pearford_recovery::{
     Adoption, Decision, InheritedAssignment, Observation, RecordedState, ReportedState, TaskExit, adopt,
@@ -11,18 +11,20 @@
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 const MACHINES: usize = 2;
-/// Most attempts, heartbeats of a worker, and commands or heartbeats on their way at a time.
+/// Most attempts of the task.
 const MAX_ATTEMPTS: u8 = 2;
+/// Most heartbeats of a worker per epoch.
 const MAX_SERIAL: u8 = 2;
+/// Most commands in transit at the same time.
 const MAX_COMMANDS: usize = 2;
 
-/// What a worker has of the one task.
+/// State of the task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum WorkerTask {
     Nothing,
-    /// This attempt runs.
-    Runs(u8),
-    /// This attempt failed or was stopped; it is listed until the worker may forget it.
+    /// This attempt is running.
+    Running(u8),
+    /// This attempt failed or was stopped; the worker lists it until it may forget it.
     Ended(u8),
 }
 
@@ -34,18 +36,18 @@
     task: WorkerTask,
 }
 
-/// A direct command on its way to a machine.
+/// A direct command in transit to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Command {
     machine: usize,
     fencing_token: u8,
     worker_epoch: u8,
     attempt: u8,
-    /// A start; else a stop.
+    /// Whether the command is a start; otherwise it is a stop.
     start: bool,
 }
 
-/// A heartbeat on its way to a leader.
+/// A heartbeat in transit to a leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Heartbeat {
     machine: usize,
@@ -60,7 +62,8 @@
 struct Assignment {
     attempt: u8,
     state: RecordedState,
-    /// The worker epoch for which the start was sent: without an answer it may act while that lasts.
+    /// The worker epoch for which the start was sent. Unacknowledged, the start may take effect until it
+    /// ends.
     sent_in: u8,
 }
 
@@ -74,7 +77,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Leader {
     fencing_token: u8,
-    /// It has read the records.
+    /// Whether it has read the records.
     ready: bool,
     assignments: [Option<Assignment>; MACHINES],
     known: [KnownHeartbeat; MACHINES],
@@ -94,9 +97,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     workers: [Worker; MACHINES],
-    /// The records: the attempt that is stored for each machine.
+    /// The stored records: the attempt assigned to each machine.
     recorded: [Option<u8>; MACHINES],
-    /// The fencing token with which commits pass.
+    /// The fencing token that the store requires of commits.
     store_fencing_token: u8,
     leaders: Vec<Leader>,
     commands: Vec<Command>,
@@ -105,18 +108,18 @@
     epochs_left: u8,
 }
 
-/// A safety check that the search leaves out.
+/// A safety check that a search can disable.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Check {
-    /// Absence proves something only once the worker has seen the leader's fencing token.
+    /// A task's absence proves that it is gone only if the worker has seen the leader's fencing token.
     FencingToken,
-    /// A start without an answer may act until the worker epoch ends.
+    /// An unacknowledged start may take effect until the worker epoch ends.
     UnacknowledgedStart,
-    /// A commit passes only for the leader.
+    /// A commit succeeds only for the present leader.
     Commit,
-    /// What has ended is not forgotten while a start of it may still act.
+    /// A worker doesn't forget an ended attempt while a start of it may still take effect.
     Forget,
-    /// Of two stored attempts the lower one is dropped.
+    /// Of two stored attempts, the lower one is dropped.
     Superseded,
 }
 
@@ -124,7 +127,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Search {
     disabled: Option<Check>,
-    /// The task may start again where it was; else it is to stop.
+    /// Whether the task may start again on its machine; otherwise it is to be stopped.
     wanted_here: bool,
 }
 
@@ -133,7 +136,7 @@
         self.disabled != Some(check)
     }
 
-    fn first() -> State {
+    fn initial_state() -> State {
         let worker = Worker { worker_epoch: 1, serial: 0, fencing_token: 0, task: WorkerTask::Nothing };
         State {
             workers: [worker; MACHINES],
@@ -147,14 +150,14 @@
         }
     }
 
-    /// Everything that may happen next.
-    fn next(&self, state: &State) -> Vec<State> {
+    /// All states that one event can lead to from `state`.
+    fn successors(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
         next.extend(Self::worker_epoch_ends(state));
-        next.extend(Self::second_leader_begins(state));
+        next.extend(Self::second_term_begins(state));
         for machine in 0..MACHINES {
             next.extend(Self::task_ends(state, machine));
-            next.extend(Self::worker_reports(state, machine));
+            next.extend(Self::worker_sends_heartbeat(state, machine));
         }
         for (i, leader) in state.leaders.iter().enumerate() {
             if !leader.ready {
@@ -164,7 +167,7 @@
             for machine in 0..MACHINES {
                 next.extend(Self::worker_learns_fencing_token(state, i, machine));
                 next.extend(self.task_is_planned(state, i, machine));
-                next.extend(Self::start_leaves(state, i, machine));
+                next.extend(Self::start_is_sent(state, i, machine));
             }
         }
         for k in 0..state.commands.len() {
@@ -178,7 +181,8 @@
         next
     }
 
-    /// The first worker's epoch ends: it kills and forgets everything. (The machines are alike.)
+    /// The epoch of the first worker ends: the worker kills and forgets its tasks. The machines are
+    /// equivalent, so it is enough to model this for one of them.
     fn worker_epoch_ends(state: &State) -> Option<State> {
         let mut next = state.clone();
         next.epochs_left = state.epochs_left.checked_sub(1)?;
@@ -189,14 +193,14 @@
 
     /// A task ends by itself.
     fn task_ends(state: &State, machine: usize) -> Option<State> {
-        let WorkerTask::Runs(attempt) = state.workers[machine].task else { return None };
+        let WorkerTask::Running(attempt) = state.workers[machine].task else { return None };
         let mut next = state.clone();
         next.workers[machine].task = WorkerTask::Ended(attempt);
         Some(next)
     }
 
-    /// A worker reports. The heartbeat may be read now, later or never.
-    fn worker_reports(state: &State, machine: usize) -> Option<State> {
+    /// A worker sends a heartbeat, which may arrive immediately, later or never.
+    fn worker_sends_heartbeat(state: &State, machine: usize) -> Option<State> {
         if state.workers[machine].serial >= MAX_SERIAL || !state.heartbeats.is_empty() {
             return None;
         }
@@ -207,8 +211,8 @@
         Some(next)
     }
 
-    /// The second leader begins to lead, and reads the records later.
-    fn second_leader_begins(state: &State) -> Option<State> {
+    /// The second leader's term begins; it reads the records in a later event.
+    fn second_term_begins(state: &State) -> Option<State> {
         if state.leaders.len() > 1 {
             return None;
         }
@@ -218,7 +222,7 @@
         Some(next)
     }
 
-    /// A leader reads the records and adopts what is stored.
+    /// A leader reads the records and adopts the stored assignments.
     fn records_are_read(&self, state: &State, i: usize) -> State {
         let mut next = state.clone();
         let newest = state.recorded.iter().flatten().max().copied();
@@ -233,7 +237,7 @@
         next
     }
 
-    /// A worker learns a leader's fencing token by the answer to a heartbeat.
+    /// A worker receives a leader's fencing token in the answer to a heartbeat.
     fn worker_learns_fencing_token(state: &State, i: usize, machine: usize) -> Option<State> {
         let fencing_token = state.leaders[i].fencing_token;
         if state.workers[machine].fencing_token >= fencing_token {
@@ -244,12 +248,14 @@
         Some(next)
     }
 
-    /// A leader that has no assignment of the task plans it on a machine, and writes that if it still leads.
+    /// A leader that has no assignment of the task plans it on a machine. The commit succeeds only if the
+    /// leader's term has not ended.
     fn task_is_planned(&self, state: &State, i: usize, machine: usize) -> Option<State> {
         let leader = &state.leaders[i];
         let assigned = leader.assignments.iter().any(Option::is_some);
-        let leads = state.store_fencing_token == leader.fencing_token;
-        if assigned || state.attempts >= MAX_ATTEMPTS || (!leads && self.performs(Check::Commit)) {
+        let is_present_leader = state.store_fencing_token == leader.fencing_token;
+        if assigned || state.attempts >= MAX_ATTEMPTS || (!is_present_leader && self.performs(Check::Commit))
+        {
             return None;
         }
         let mut next = state.clone();
@@ -260,9 +266,9 @@
         Some(next)
     }
 
-    /// A start leaves for the worker epoch that the leader knows, and nobody answers it; it may be sent
-    /// again.
-    fn start_leaves(state: &State, i: usize, machine: usize) -> Option<State> {
+    /// A leader sends a start for the worker epoch that it knows. The start is not acknowledged and may be
+    /// sent again.
+    fn start_is_sent(state: &State, i: usize, machine: usize) -> Option<State> {
         let leader = &state.leaders[i];
         let assignment = leader.assignments[machine]?;
         let worker_epoch = leader.known[machine].worker_epoch;
@@ -286,19 +292,19 @@
         Some(next)
     }
 
-    /// A command arrives, whichever was sent first, and may come once more though it was carried out; or it
-    /// is lost.
+    /// A command arrives, in any order with other commands, and may arrive once more after it was executed;
+    /// or it is lost.
     fn command_arrives(state: &State, k: usize) -> [State; 3] {
         let mut lost = state.clone();
         let command = lost.commands.remove(k);
         let mut arrived = lost.clone();
-        carry_out(&mut arrived.workers[command.machine], &command);
+        execute(&mut arrived.workers[command.machine], &command);
         let mut repeated = arrived.clone();
         send(&mut repeated, command);
         [repeated, arrived, lost]
     }
 
-    /// A heartbeat arrives at some leader, also at one that no longer leads.
+    /// A heartbeat arrives at one of the leaders, possibly at one whose term has ended.
     fn heartbeat_arrives(&self, state: &State, k: usize, i: usize) -> Vec<State> {
         let mut next = state.clone();
         let heartbeat = next.heartbeats.remove(k);
@@ -328,8 +334,8 @@
         vec![next]
     }
 
-    /// The answer gets to the worker or not; the removal is written late, or never, and only if the leader
-    /// still leads.
+    /// The worker may or may not receive the answer. The removal may or may not be written, and is written
+    /// only if the leader's term has not ended.
     fn task_is_gone(
         &self,
         unanswered: State,
@@ -337,10 +343,11 @@
         heartbeat: &Heartbeat,
         fencing_token: u8,
     ) -> Vec<State> {
-        // A start that may still act would start again what was forgotten.
-        let start_may_act = assignment.sent_in == heartbeat.worker_epoch && self.performs(Check::Forget);
+        // If the worker forgot the attempt, a start that still arrives would start it again.
+        let start_may_take_effect =
+            assignment.sent_in == heartbeat.worker_epoch && self.performs(Check::Forget);
         let mut answered = unanswered.clone();
-        answer(&mut answered.workers[heartbeat.machine], heartbeat, fencing_token, start_may_act);
+        answer(&mut answered.workers[heartbeat.machine], heartbeat, fencing_token, start_may_take_effect);
         let mut next = Vec::new();
         for unwritten in [unanswered, answered] {
             if unwritten.store_fencing_token == fencing_token {
@@ -353,7 +360,7 @@
         next
     }
 
-    /// The table's decision on what a leader has recorded and a heartbeat says.
+    /// The decision of the table on a leader's assignment and a heartbeat.
     fn decide(&self, assignment: Option<Assignment>, heartbeat: &Heartbeat, fencing_token: u8) -> Decision {
         let later_epoch = assignment.is_some_and(|assignment| heartbeat.worker_epoch > assignment.sent_in);
         reconcile(&Observation {
@@ -364,97 +371,107 @@
             saw_fencing_token: heartbeat.fencing_token == fencing_token
                 || !self.performs(Check::FencingToken),
             wanted_here: self.wanted_here,
-            may_still_arrive: false,
+            start_may_arrive: false,
         })
     }
 
-    /// How many states there are, or the first that breaks the rule.
+    /// Searches all reachable states. Returns their number, or an error with the first one in which the task
+    /// runs on both machines.
     fn run(&self) -> Result<usize, String> {
-        // States are told apart by hash: a collision among some hundred thousand is as good as impossible.
+        // States are compared by hash: a collision among some hundred thousand 64-bit hashes is negligibly
+        // unlikely.
         let hash = |state: &State| BuildHasherDefault::<DefaultHasher>::default().hash_one(state);
-        let first = Self::first();
-        let mut seen = HashSet::from([hash(&first)]);
-        let mut open = vec![first];
-        while let Some(state) = open.pop() {
-            let runs = |worker: &&Worker| matches!(worker.task, WorkerTask::Runs(_));
-            if state.workers.iter().filter(runs).count() > 1 {
+        let initial_state = Self::initial_state();
+        let mut seen = HashSet::from([hash(&initial_state)]);
+        let mut unexplored = vec![initial_state];
+        while let Some(state) = unexplored.pop() {
+            let is_running = |worker: &&Worker| matches!(worker.task, WorkerTask::Running(_));
+            if state.workers.iter().filter(is_running).count() > 1 {
                 return Err(format!("ran_twice: {state:?}"));
             }
-            open.extend(self.next(&state).into_iter().filter(|next| seen.insert(hash(next))));
+            unexplored.extend(self.successors(&state).into_iter().filter(|next| seen.insert(hash(next))));
         }
         Ok(seen.len())
     }
 }
 
-/// What a worker's task means for a leader's assignment. Of another attempt than the assignment's nothing is
-/// said.
+/// The reported state of a leader's assignment, given the worker's task. A task of another attempt than the
+/// assignment's counts as absent.
 fn reported_state(assignment: Option<Assignment>, task: WorkerTask) -> ReportedState {
-    let is_meant = |attempt: u8| assignment.is_none_or(|assignment| assignment.attempt == attempt);
+    let is_this_attempt = |attempt: u8| assignment.is_none_or(|assignment| assignment.attempt == attempt);
     match task {
-        WorkerTask::Runs(attempt) if is_meant(attempt) => ReportedState::Running,
-        WorkerTask::Ended(attempt) if is_meant(attempt) => {
+        WorkerTask::Running(attempt) if is_this_attempt(attempt) => ReportedState::Running,
+        WorkerTask::Ended(attempt) if is_this_attempt(attempt) => {
             ReportedState::Ended(TaskExit::Stopped { saved: false })
         }
         _ => ReportedState::Absent,
     }
 }
 
-/// Puts a command on its way; they may arrive in any order, so they are kept sorted.
+/// Adds a command in transit. Commands may arrive in any order, so they are kept sorted to merge equal
+/// states.
 fn send(state: &mut State, command: Command) {
     state.commands.push(command);
     state.commands.sort();
 }
 
-/// Stops what runs without an assignment.
+/// Sends a stop for the reported task, which has no assignment.
 fn stop(state: &mut State, heartbeat: &Heartbeat, fencing_token: u8) {
-    let WorkerTask::Runs(attempt) = heartbeat.task else { return };
+    let WorkerTask::Running(attempt) = heartbeat.task else { return };
     if state.commands.len() < MAX_COMMANDS {
         let Heartbeat { machine, worker_epoch, .. } = *heartbeat;
         send(state, Command { machine, fencing_token, worker_epoch, attempt, start: false });
     }
 }
 
-/// A worker obeys a command with a fencing token as high as it has seen, for its present epoch.
-fn carry_out(worker: &mut Worker, command: &Command) {
+/// A worker executes a command for its present epoch, unless it has seen a higher fencing token.
+fn execute(worker: &mut Worker, command: &Command) {
     if command.fencing_token < worker.fencing_token || command.worker_epoch != worker.worker_epoch {
         return;
     }
     worker.fencing_token = command.fencing_token;
     if command.start && worker.task == WorkerTask::Nothing {
-        worker.task = WorkerTask::Runs(command.attempt);
-    } else if !command.start && worker.task == WorkerTask::Runs(command.attempt) {
+        worker.task = WorkerTask::Running(command.attempt);
+    } else if !command.start && worker.task == WorkerTask::Running(command.attempt) {
         worker.task = WorkerTask::Ended(command.attempt);
     }
 }
 
-/// The answer to a heartbeat lets the worker forget an ended task, and tells it the fencing token.
-fn answer(worker: &mut Worker, heartbeat: &Heartbeat, fencing_token: u8, start_may_act: bool) {
+/// Delivers the answer to a heartbeat: the worker records the fencing token and may forget an ended task.
+fn answer(worker: &mut Worker, heartbeat: &Heartbeat, fencing_token: u8, start_may_take_effect: bool) {
     let is_newest = (worker.worker_epoch, worker.serial) == (heartbeat.worker_epoch, heartbeat.serial);
     if !is_newest || fencing_token < worker.fencing_token {
         return;
     }
     worker.fencing_token = fencing_token;
     let ended = matches!(worker.task, WorkerTask::Ended(_)) && worker.task == heartbeat.task;
-    if ended && !start_may_act {
+    if ended && !start_may_take_effect {
         worker.task = WorkerTask::Nothing;
     }
 }
 
 #[test]
-fn in_no_order_of_events_is_the_task_on_two_machines() {
+fn task_never_runs_on_two_machines_in_any_order_of_events() {
     for wanted_here in [false, true] {
-        let states = Search { disabled: None, wanted_here }.run().expect("no rule is broken");
+        let states =
+            Search { disabled: None, wanted_here }.run().expect("the task never runs on two machines");
         println!("{states} states");
-        assert!(states > 10_000, "{states} states: the model has become too small to show anything");
+        assert!(
+            states > 10_000,
+            "the search reached only {states} states: the model is too small to be meaningful"
+        );
     }
 }
 
 #[test]
-fn without_each_safety_check_some_order_of_events_has_the_task_on_two_machines() {
+fn disabling_any_safety_check_lets_the_task_run_on_two_machines() {
     let checks =
         [Check::FencingToken, Check::UnacknowledgedStart, Check::Commit, Check::Forget, Check::Superseded];
     for check in checks {
-        let finds = |wanted_here| Search { disabled: Some(check), wanted_here }.run().is_err();
-        assert!(finds(false) || finds(true), "{check:?} is not needed?");
+        let finds_violation = |wanted_here| Search { disabled: Some(check), wanted_here }.run().is_err();
+        assert!(
+            finds_violation(false) || finds_violation(true),
+            "the search found no violation without {check:?}"
+        );
     }
 }
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Numbers and orders that others rely on: operators read a phase as a number, and decisions compare phases.
+//! Golden test of the phases: a metric shows a phase's number to operators, and decisions compare phases by
+//! order.
 
 use pearford_recovery::FailoverPhase;
 
--- a/crates/scheduler/src/assignments/assignment.rs
+++ b/crates/scheduler/src/assignments/assignment.rs
@@ -4,24 +4,24 @@
 use crate::types::{Attempt, MonotonicTime, Resources, TaskId, TeamName, WorkerEpoch};
 use pearford_recovery::RecordedState;
 
-/// Serial number of a start that was sent without an acknowledgement: it may arrive until the worker's run ends.
+/// Serial number of an unacknowledged start: it may still arrive until the worker epoch ends.
 pub const UNACKNOWLEDGED_SERIAL: u64 = u64::MAX;
 
-/// How far an assignment is.
+/// Progress of an assignment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AssignmentState {
-    /// Not durable yet: no command may be sent.
+    /// Not durable yet: no command for it may be sent.
     Planned,
     /// Durable; the start may be sent.
     Ready,
     /// The start was sent in the answer to the heartbeat with this epoch and serial number.
     Sent {
-        /// The run of the worker that sent the heartbeat.
+        /// The worker epoch of the heartbeat.
         worker_epoch: WorkerEpoch,
-        /// The heartbeat's number within that run, or [`UNACKNOWLEDGED_SERIAL`].
+        /// The heartbeat's serial number within that epoch, or [`UNACKNOWLEDGED_SERIAL`].
         serial: u64,
     },
-    /// The start was sent directly to the worker, whose answer is awaited.
+    /// The start was sent in a direct command to the worker, whose answer is pending.
     Direct,
     /// Read from the record of an earlier leader: the task may or may not be on the machine.
     Inherited,
@@ -31,7 +31,7 @@
     Running,
     /// Reported as saving a checkpoint.
     Saving,
-    /// Reported as done, and kept until that is durable. The task is no longer on the machine.
+    /// Reported as done; kept until the result is durable. The task is no longer on the machine.
     Done,
 }
 
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether a start that was sent had arrived, if it ever did, when the worker sent the heartbeat with this
-    /// epoch and serial number.
+    /// Whether the start was sent before the heartbeat with this epoch and serial number: when the worker
+    /// sent that heartbeat, the start had arrived or could not arrive any more.
     pub fn is_before(&self, worker_epoch: WorkerEpoch, serial: u64) -> bool {
         match self {
             Self::Sent { worker_epoch: sent_epoch, serial: sent_serial } => {
@@ -61,45 +61,45 @@
     }
 }
 
-/// A stop of a task that is wanted or under way.
+/// A requested stop of a task, sent to the worker or not yet sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stop {
-    /// Seconds that the task is given to save a checkpoint; 0 kills it at once.
+    /// Seconds that the task has to save a checkpoint; 0 kills it immediately.
     pub grace_s: f64,
     /// When the stop was decided.
     pub since: MonotonicTime,
-    /// Whether a direct command for it was sent.
+    /// Whether a direct command for the stop was sent.
     pub sent: bool,
 }
 
 /// A task that may be on a machine.
 #[derive(Debug, Clone)]
 pub struct Assignment {
-    /// The start of the task that this is.
+    /// Number of this start of the task.
     pub attempt: Attempt,
-    /// The team whose quota it counts against.
+    /// The team whose quota the assignment counts against.
     pub team: TeamName,
-    /// What the task takes of the machine.
+    /// Resources that the task takes on the machine.
     pub resources: Resources,
-    /// How far the assignment is.
+    /// Progress of the assignment.
     pub state: AssignmentState,
-    /// The stop that is wanted, if any.
+    /// The requested stop, if any.
     pub stop: Option<Stop>,
-    /// When the task was last seen to begin to run.
+    /// When a heartbeat last reported that the task had begun to run.
     pub running_since: Option<MonotonicTime>,
     /// When this leader planned the assignment or read it from a record.
     pub planned_at: MonotonicTime,
-    /// Whether the task was seen to have its image.
+    /// Whether a heartbeat reported that the task has its image.
     pub has_image: bool,
-    /// A gang's task whose image is on the machine already: it starts once the others have theirs, or it would
-    /// give up waiting for them after `gang_wait_s`.
+    /// Whether the start is held back until the other tasks of the gang have their images. Set for a gang's
+    /// task whose image is already on its machine: started earlier, it would time out after `gang_wait_s`.
     pub waits_for_gang_fetches: bool,
     /// Bytes that the assignment takes in its machine's record.
     pub bytes: usize,
 }
 
 impl Assignment {
-    /// An assignment without a stop, of a task that was not seen on the machine yet.
+    /// An assignment without a stop, of a task that no heartbeat has reported yet.
     pub fn new(
         task: &TaskId,
         attempt: Attempt,
@@ -133,7 +133,7 @@
         matches!(self.state, AssignmentState::Running | AssignmentState::Saving)
     }
 
-    /// Whether no start command for it can have reached the worker.
+    /// Whether no start command was sent to the worker.
     pub fn is_unsent(&self) -> bool {
         matches!(self.state, AssignmentState::Planned | AssignmentState::Ready)
     }
--- a/crates/scheduler/src/assignments/commit_pipeline.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline.rs
@@ -1,9 +1,10 @@
-//! The leader's commit pipeline: at most one transaction in flight, every one conditional on the leader key's
-//! revision and on the revision of each key that it writes.
+//! The leader's commit pipeline. At most one transaction is in flight. Each is conditional on the leader
+//! key's revision and on the revision of each key that it writes.
 //!
-//! A transaction without an answer may still be applied later. The next one for the same keys has the same
-//! conditions, so only one of the two can succeed; the other is refused with the keys whose revisions differ.
-//! The leader reads those keys again, reports their revisions with [`CommitPipeline::correct_revision`], and goes on.
+//! A transaction whose answer was lost may still be applied later. The next one for the same keys has the
+//! same conditions, so at most one of the two succeeds; the other is refused with the keys whose revisions
+//! differ. The leader then reads those keys again and sets their revisions with
+//! [`CommitPipeline::correct_revision`].
 
 mod batch;
 mod queues;
@@ -17,10 +18,10 @@
 use queues::{BatchShares, CommitQueues};
 use std::collections::BTreeMap;
 
-/// One in so many batches has a share reserved for normal changes.
+/// Every this many batches, one reserves a share for normal changes.
 const NORMAL_SHARE_EVERY: u64 = 4;
 
-/// Numbers the values that the leader wants written, in the order in which it decided on them.
+/// Version of a queued value; increases with each value that the leader queues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct WriteVersion(u64);
 
@@ -30,25 +31,25 @@
     }
 }
 
-/// A change that the store refused for good.
+/// A change that the store refused permanently.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RefusedWrite {
-    /// The key that was to be written.
+    /// The key of the refused change.
     pub key: String,
     /// Size of the refused value.
     pub bytes: usize,
 }
 
-/// A key that is stored or is to be.
+/// State of a key that is stored or has a queued change.
 #[derive(Debug, Default)]
 struct PendingWrite {
-    /// The key's revision in the store, as far as known.
+    /// Last known revision of the key in the store.
     revision: Revision,
-    /// Wanted value; `None` deletes the key.
+    /// The latest queued value; `None` deletes the key.
     value: Option<String>,
     wanted_version: WriteVersion,
     saved_version: WriteVersion,
-    /// The highest priority that the key is queued with.
+    /// The highest priority at which the key is queued.
     queued: Option<CommitPriority>,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// The changes that the leader wants written, and the transaction in flight.
+/// The queued changes, and the transaction in flight.
 #[derive(Debug)]
 pub struct CommitPipeline {
     leader_key: String,
@@ -73,12 +74,13 @@
     writes: BTreeMap<String, PendingWrite>,
     queues: CommitQueues,
     in_flight: Option<Vec<CommittedWrite>>,
-    /// Number of batches put together so far.
+    /// Number of calls that began to build a batch.
     batches: u64,
     last_version: WriteVersion,
-    /// Most changes in a transaction.
+    /// Most changes per transaction.
     max_ops: usize,
-    /// Transactions that are to hold a single change each: one of these changes is refused for good.
+    /// Number of coming transactions that hold a single change each, to find out which change of a refused
+    /// transaction the store refuses.
     single_writes_left: usize,
 }
 
@@ -99,24 +101,24 @@
         }
     }
 
-    /// Notes the revision of a key that was read from the store.
+    /// Records the revision of a key that was read from the store, unless a later one is known.
     pub fn record_revision(&mut self, key: &str, revision: Revision) {
         let write = self.writes.entry(key.into()).or_default();
         write.revision = write.revision.max(revision);
     }
 
-    /// Whether `key` is stored, or waits to be.
+    /// Whether `key` is stored or has a queued change.
     pub fn contains_key(&self, key: &str) -> bool {
         self.writes.contains_key(key)
     }
 
-    /// The revision of `key` in the store as far as known; 0 if it isn't stored.
+    /// The last known revision of `key` in the store; 0 if it isn't stored.
     pub fn revision(&self, key: &str) -> Revision {
         self.writes.get(key).map(|write| write.revision).unwrap_or_default()
     }
 
-    /// Queues `value` to be written under `key`, `None` to delete it. Returns the version that
-    /// [`Self::committed`] will name once this value or a later one is durable.
+    /// Queues `value` to be written under `key`; `None` deletes the key. Returns the version of the value:
+    /// [`Self::committed`] returns this version or a later one once the value or a later one is durable.
     pub fn put(&mut self, key: &str, value: Option<String>, priority: CommitPriority) -> WriteVersion {
         let version = self.last_version.next();
         self.last_version = version;
@@ -130,7 +132,8 @@
         version
     }
 
-    /// Forgets a change of `key`, since another writer's final value is stored there.
+    /// Discards the queued change and the known revision of `key`: another writer has stored a final value
+    /// there.
     pub fn forget(&mut self, key: &str) {
         self.writes.remove(key);
     }
@@ -145,24 +148,25 @@
         self.queues.len()
     }
 
-    /// Number of queued changes that starts or terminal statuses wait for.
+    /// Number of queued changes of priority urgent or critical.
     pub fn urgent_backlog(&self) -> usize {
         self.queues.urgent_len()
     }
 
-    /// Whether such a change of `key` is queued: what is added to its value until then costs no change of its own.
+    /// Whether `key` is queued with priority urgent or critical: a new value for it then needs no extra
+    /// write.
     pub fn is_urgent(&self, key: &str) -> bool {
         self.writes.get(key).is_some_and(|write| write.queued >= Some(CommitPriority::Urgent))
     }
 
-    /// Whether changes are queued that [`Self::next_batch`] would take.
+    /// Whether [`Self::next_batch`] would find a queued change to take.
     pub fn has_batch(&self, budget_is_ample: bool) -> bool {
         let takes_deferred = budget_is_ample || self.reserves_normal_share();
         self.is_idle() && (self.queues.urgent_len() > 0 || takes_deferred && self.queues.deferred_len() > 0)
     }
 
-    /// The next transaction, if there is something to write and none is in flight. Changes that aren't urgent
-    /// are included while the write budget is ample, and in one of [`NORMAL_SHARE_EVERY`] batches.
+    /// The next transaction, if there is something to write and none is in flight. Normal and background
+    /// changes are included while the write budget is ample, and in one of [`NORMAL_SHARE_EVERY`] batches.
     pub fn next_batch(&mut self, budget_is_ample: bool) -> Option<CommitBatch> {
         if !self.is_idle() {
             return None;
@@ -182,8 +186,8 @@
         Some(batch)
     }
 
-    /// When normal changes were taken only from what urgent ones left, they waited for more than a minute
-    /// (incident inc-72db at the andina site).
+    /// Reserves a share for normal changes: without it, they waited for more than a minute while urgent ones
+    /// filled every batch.
     fn batch_shares(&self, max_ops: usize, budget_is_ample: bool) -> BatchShares {
         let reserves_normal_share = self.reserves_normal_share();
         BatchShares {
@@ -196,8 +200,8 @@
         self.batches % NORMAL_SHARE_EVERY == NORMAL_SHARE_EVERY - 1
     }
 
-    /// Adds the queued change of `key`, unless it is already saved or included. Returns whether the batch may
-    /// take more; if not, the change is queued again.
+    /// Adds the queued change of `key`, unless it is already saved or included. Returns `false` if the batch
+    /// has no space for the change, which is then queued again.
     fn add_to_batch(&mut self, key: String, builder: &mut BatchBuilder) -> bool {
         let Some(write) = self.writes.get_mut(&key) else { return true };
         write.queued = None;
@@ -214,7 +218,8 @@
         true
     }
 
-    /// The transaction in flight was committed at `store_revision`. Returns what is durable now.
+    /// Records that the transaction in flight was committed at `store_revision`. Returns the values that are
+    /// now durable.
     pub fn committed(&mut self, store_revision: u64) -> Vec<CommittedWrite> {
         let committed = self.in_flight.take().unwrap_or_default();
         self.single_writes_left = self.single_writes_left.saturating_sub(1);
@@ -229,13 +234,14 @@
         committed
     }
 
-    /// The transaction in flight is not known to be committed: its changes are tried again first.
+    /// Records that the transaction in flight was not applied, or may not have been. Its changes return to
+    /// the front of the urgent queue.
     pub fn failed(&mut self) {
         let writes = self.in_flight.take().unwrap_or_default();
-        self.queue_again(writes);
+        self.requeue(writes);
     }
 
-    fn queue_again(&mut self, writes: Vec<CommittedWrite>) {
+    fn requeue(&mut self, writes: Vec<CommittedWrite>) {
         for CommittedWrite { key, .. } in writes.into_iter().rev() {
             if let Some(write) = self.writes.get_mut(&key) {
                 write.queued = Some(CommitPriority::Urgent);
@@ -244,13 +250,14 @@
         }
     }
 
-    /// The transaction in flight was refused for good. Its changes are tried again one by one; one that is
-    /// refused alone is given up and returned. The revision of its stored value stays known.
+    /// Records that the store refused the transaction in flight permanently. Its changes are retried one per
+    /// transaction; one that is refused on its own is discarded and returned. The known revision of its
+    /// stored value is kept.
     pub fn refused(&mut self) -> Option<RefusedWrite> {
         let mut writes = self.in_flight.take().unwrap_or_default();
         if writes.len() != 1 {
             self.single_writes_left = writes.len();
-            self.queue_again(writes);
+            self.requeue(writes);
             return None;
         }
         let CommittedWrite { key, version } = writes.pop()?;
@@ -261,7 +268,7 @@
         Some(RefusedWrite { key, bytes })
     }
 
-    /// Notes the revision that a key has after a conflict.
+    /// Sets the revision of a key that was read again after a conflict.
     pub fn correct_revision(&mut self, key: &str, revision: Revision) {
         if let Some(write) = self.writes.get_mut(key) {
             write.revision = revision;
--- a/crates/scheduler/src/assignments/commit_pipeline/batch.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline/batch.rs
@@ -1,16 +1,16 @@
-//! One transaction: its changes, the conditions that they depend on, and the versions that it writes.
+//! One transaction: its changes, its conditions, and the versions of the values that it writes.
 
 use super::{PendingWrite, WriteVersion};
 use crate::types::Revision;
 use crate::wire::state::Change;
 
-/// Most bytes that a transaction may hold, leaving space for its frame.
+/// Most bytes of changes in a transaction; leaves space for the rest of the request.
 const MAX_BYTES: usize = 56 * 1024;
 
-/// One transaction, to be sent to the key-value store.
+/// A transaction for the key-value store.
 #[derive(Debug)]
 pub struct CommitBatch {
-    /// Keys and the revisions that they must have; otherwise nothing is changed.
+    /// Keys and their required revisions; if one differs, no change is applied.
     pub conditions: Vec<(String, Revision)>,
     /// The changes, one per key.
     pub changes: Vec<Change>,
@@ -25,7 +25,7 @@
     pub version: WriteVersion,
 }
 
-/// A transaction that is being put together.
+/// Builds a transaction.
 #[derive(Debug)]
 pub(super) struct BatchBuilder {
     conditions: Vec<(String, Revision)>,
@@ -54,12 +54,12 @@
         self.writes.iter().any(|write| write.key == key)
     }
 
-    /// Whether `change` may be added: the first one always may.
+    /// Whether `change` may be added; the first change always may.
     pub(super) fn has_space_for(&self, change: &Change) -> bool {
         self.bytes == 0 || self.bytes + change.size() <= MAX_BYTES
     }
 
-    /// Adds `change`, which makes the wanted version of `write` durable.
+    /// Adds `change`, which writes the wanted version of `write`.
     pub(super) fn push(&mut self, key: String, write: &PendingWrite, change: Change) {
         self.bytes += change.size();
         self.conditions.push((key.clone(), write.revision));
@@ -67,7 +67,7 @@
         self.changes.push(change);
     }
 
-    /// The transaction, and what it writes; `None` if it is empty.
+    /// The transaction and the versions that it writes; `None` if it has no changes.
     pub(super) fn finish(self) -> Option<(CommitBatch, Vec<CommittedWrite>)> {
         if self.changes.is_empty() {
             return None;
--- a/crates/scheduler/src/assignments/commit_pipeline/queues.rs
+++ b/crates/scheduler/src/assignments/commit_pipeline/queues.rs
@@ -1,33 +1,34 @@
-//! The keys that wait to be written, by priority, and the order in which a batch takes them.
+//! Queues of keys to write, by priority, and the order in which a batch takes them.
 
 use std::collections::VecDeque;
 
-/// How soon a change is to be written.
+/// Urgency of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CommitPriority {
-    /// Saves a later reader some work: written while nothing else is, or while the write budget is ample.
+    /// Only saves work for a later reader: written while no other change waits, or if the write budget is
+    /// ample.
     Background,
-    /// Something waits for it, but not users: gets its share however much is urgent.
+    /// Other work waits for it, but no user does: gets a reserved share regardless of the urgent backlog.
     Normal,
-    /// A start or a job's terminal status waits for it.
+    /// The start of a task or a job's terminal status waits for it.
     Urgent,
-    /// The start of a service's replica waits for it, which users of that service notice at once.
+    /// The start of a service's replica waits for it: a delay affects the users of that service directly.
     Critical,
 }
 
 /// Number of priorities.
 const PRIORITIES: usize = 4;
 
-/// What a batch takes besides urgent changes.
+/// Shares of a batch for changes that aren't urgent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BatchShares {
-    /// Changes that are taken from normal ones before anything else.
+    /// Number of normal changes that are taken before all others.
     pub(super) reserved_for_normal: usize,
-    /// Whether normal and background changes fill what urgent ones leave.
+    /// Whether normal and background changes fill the space that urgent ones leave.
     pub(super) fill_with_deferred: bool,
 }
 
-/// Keys that wait, each at most once per priority.
+/// Queued keys, one queue per priority.
 #[derive(Debug, Default)]
 pub(super) struct CommitQueues {
     by_priority: [VecDeque<String>; PRIORITIES],
@@ -42,14 +43,15 @@
         self.queue_mut(priority).push_front(key);
     }
 
-    /// The key that goes next into a batch which already holds `taken` changes.
+    /// The next key for a batch that already has `taken` changes.
     pub(super) fn pop_next(&mut self, taken: usize, shares: BatchShares) -> Option<String> {
         if taken < shares.reserved_for_normal
             && let Some(key) = self.pop(CommitPriority::Normal)
         {
             return Some(key);
         }
-        // However many replicas wait, every second change goes to other starts, so that none starves.
+        // Critical and urgent changes alternate, so that a backlog of critical ones doesn't starve other
+        // starts.
         if taken.is_multiple_of(2)
             && let Some(key) = self.pop(CommitPriority::Critical)
         {
@@ -62,17 +64,17 @@
         self.pop(CommitPriority::Normal).or_else(|| self.pop(CommitPriority::Background))
     }
 
-    /// Number of keys that wait.
+    /// Number of queued keys.
     pub(super) fn len(&self) -> usize {
         self.urgent_len() + self.deferred_len()
     }
 
-    /// Number of keys that wait with priority urgent or critical.
+    /// Number of keys queued with priority urgent or critical.
     pub(super) fn urgent_len(&self) -> usize {
         self.queue(CommitPriority::Critical).len() + self.queue(CommitPriority::Urgent).len()
     }
 
-    /// Number of keys that wait with priority normal or background.
+    /// Number of keys queued with priority normal or background.
     pub(super) fn deferred_len(&self) -> usize {
         self.queue(CommitPriority::Normal).len() + self.queue(CommitPriority::Background).len()
     }
--- a/crates/scheduler/src/assignments/golden.rs
+++ b/crates/scheduler/src/assignments/golden.rs
@@ -1,10 +1,10 @@
-//! Golden bytes of machine records.
+//! Golden tests of the bytes of machine records.
 
 use super::*;
 use crate::golden_group;
 use crate::types::{Attempt, Resources, TaskId, WorkerEpoch};
 
-/// Bytes that the state service stores in a value.
+/// Value limit of the key-value store, in bytes.
 const LIMIT: usize = 16_000;
 
 fn record() -> MachineRecord {
@@ -28,7 +28,7 @@
 
 #[test]
 fn golden_machine_records() {
-    let silent = MachineRecord {
+    let without_heartbeat = MachineRecord {
         spot: false,
         addr: None,
         worker_epoch: WorkerEpoch(0),
@@ -38,8 +38,8 @@
     };
     let key = key(&"m-000231".into());
     let mut group = golden_group!("machine_records.txt");
-    for (name, record) in [("full", record()), ("not heard of yet", silent)] {
-        let value = record.to_value(LIMIT).expect("it fits");
+    for (name, record) in [("full", record()), ("not heard of yet", without_heartbeat)] {
+        let value = record.to_value(LIMIT).expect("the record fits into the limit");
         group.both_ways(name, format!("{key} {value}"), |line| {
             let (key, value) = line.split_once(' ')?;
             let read: MachineRecord = serde_json::from_str(value).ok()?;
@@ -49,7 +49,7 @@
     group.finish();
 }
 
-/// Batches are written in this order; later ones may wait.
+/// The batches take changes by this order: changes of a lower priority may be deferred.
 #[test]
 fn golden_order_of_commit_priorities() {
     assert!(CommitPriority::Background < CommitPriority::Normal);
--- a/crates/scheduler/src/assignments/machine_record.rs
+++ b/crates/scheduler/src/assignments/machine_record.rs
@@ -1,18 +1,19 @@
-//! The durable record of a machine: its identity, its assignments and the images it has.
+//! The durable record of a machine: its type and zone, its assignments and its cached images.
 
 use crate::types::{Attempt, Image, MachineId, Resources, TaskId, TeamName, TypeName, WorkerEpoch, Zone};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Prefix of machine records' keys in the key-value store.
+/// Prefix of the keys of machine records in the key-value store.
 pub const PREFIX: &str = "m/";
-/// Assignments that a machine may hold: keeps its record within the smallest value limit we expect.
+/// Most assignments of a machine: keeps its record within the smallest value limit expected of a store.
 pub const MAX_ASSIGNMENTS: usize = 128;
 
-/// Upper bound, in bytes, of a record without assignments, images and the names of its type and zone.
-const FRAME_BYTES: usize = 120;
-/// Size assumed of an assignment that can't be serialised: no record holds it, and sums of it don't overflow.
-const UNWRITABLE_BYTES: usize = usize::MAX / 1024;
-/// Upper bound of an amount of resources that a leader stores.
+/// Upper bound, in bytes, of a record without its assignments, its images and the names of its type and zone.
+const BASE_BYTES: usize = 120;
+/// Size assumed for an assignment that can't be serialised: too large for any record, yet sums don't
+/// overflow.
+const UNSERIALISABLE_BYTES: usize = usize::MAX / 1024;
+/// Upper bound of a valid amount of resources in a stored record.
 const MAX_AMOUNT: f64 = 1e12;
 
 /// The key of a machine's record in the key-value store.
@@ -20,17 +21,17 @@
     format!("{PREFIX}{id}")
 }
 
-/// An assignment as stored: a JSON array of task, attempt, team and resources, in this order. It carries what
-/// the task takes, so that quotas can be counted even for tasks whose job has finished.
+/// An assignment as stored: a JSON array of task, attempt, team and resources, in this order. The resources
+/// are stored so that quotas can be counted even for tasks whose job has finished.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordedAssignment {
     /// The task.
     pub task: TaskId,
-    /// The start of the task that this is.
+    /// Number of this start of the task.
     pub attempt: Attempt,
-    /// The team whose quota it counts against.
+    /// The team whose quota the assignment counts against.
     pub team: TeamName,
-    /// What the task takes of the machine.
+    /// Resources that the task takes on the machine.
     pub resources: Resources,
 }
 
@@ -69,9 +70,10 @@
     }
 }
 
-/// Bytes that an assignment takes in its machine's record, as a [`RecordedAssignment`] and a comma.
+/// Bytes that an assignment takes in its machine's record: its [`RecordedAssignment`] and a comma.
 pub fn assignment_bytes(task: &TaskId, attempt: Attempt, team: &TeamName, resources: &Resources) -> usize {
-    serde_json::to_string(&(task, attempt, team, resources)).map_or(UNWRITABLE_BYTES, |text| text.len() + 1)
+    serde_json::to_string(&(task, attempt, team, resources))
+        .map_or(UNSERIALISABLE_BYTES, |text| text.len() + 1)
 }
 
 /// A machine's durable record, stored as JSON under [`key`].
@@ -83,26 +85,26 @@
     /// The zone that the machine is in.
     #[serde(rename = "z")]
     pub zone: Zone,
-    /// Whether it is a spot instance, which the cloud may take back.
+    /// Whether it is a spot instance, which the cloud may preempt.
     #[serde(rename = "s")]
     pub spot: bool,
     /// The worker's address, if it has sent a heartbeat.
     #[serde(rename = "a", default)]
     pub addr: Option<String>,
-    /// The worker's run at its last heartbeat.
+    /// The worker epoch of the last heartbeat.
     #[serde(rename = "n", default)]
     pub worker_epoch: WorkerEpoch,
     /// The tasks that may be on the machine.
     #[serde(rename = "t", default)]
     pub assignments: Vec<RecordedAssignment>,
-    /// Images on the machine, those used longest ago first: a new leader that didn't know them would have them
-    /// fetched again on other machines.
+    /// Images on the machine, least recently used first. Without them a new leader would place tasks on
+    /// machines that have to fetch the same images again.
     #[serde(rename = "i", default)]
     pub images: Vec<CachedImage>,
 }
 
 impl MachineRecord {
-    /// Whether a leader can have stored it: all amounts are in the range of real ones.
+    /// Whether all amounts of resources are in the range that a leader stores.
     pub fn has_valid_amounts(&self) -> bool {
         let is_amount = |amount: f64| (0.0..=MAX_AMOUNT).contains(&amount);
         self.assignments.iter().map(|assignment| &assignment.resources).all(|resources| {
@@ -110,9 +112,10 @@
         })
     }
 
-    /// The record as it is stored, within `limit` bytes: images are left out first, beginning with those used
-    /// longest ago. `None` if the assignments alone take more. The value already stored then names them all,
-    /// since nothing is placed beyond what can be stored, and it stays until some have left.
+    /// The value to store, of at most `limit` bytes: images are dropped as needed, the least recently used
+    /// first. `None` if the record is too long even without images. The value that is already stored is kept
+    /// then until assignments are removed; it lists them all, since no task is placed whose assignment
+    /// doesn't fit into the record.
     pub fn to_value(&self, limit: usize) -> Option<String> {
         let mut value = serde_json::to_string(self).ok()?;
         if value.len() <= limit {
@@ -129,10 +132,10 @@
         Some(value)
     }
 
-    /// Whether the record of a machine of this type and zone can hold assignments of `bytes` within a value of
-    /// `limit` bytes.
+    /// Whether the record of a machine of this type and zone, with assignments of `bytes` in total, fits into
+    /// a value of `limit` bytes.
     pub fn can_hold(bytes: usize, type_name: &TypeName, zone: &Zone, limit: usize) -> bool {
-        bytes + FRAME_BYTES + type_name.as_str().len() + zone.as_str().len() <= limit
+        bytes + BASE_BYTES + type_name.as_str().len() + zone.as_str().len() <= limit
     }
 }
 
--- a/crates/scheduler/src/assignments/machine_record/tests.rs
+++ b/crates/scheduler/src/assignments/machine_record/tests.rs
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn an_image_is_stored_as_an_array_of_two() {
+fn stores_cached_image_as_two_element_array() {
     let stored = r#"["img-07",6.2]"#;
     assert_eq!(serde_json::to_string(&cached("img-07", 6.2)).expect("writable"), stored);
     assert_eq!(serde_json::from_str::<CachedImage>(stored).expect("readable"), cached("img-07", 6.2));
 }
 
 #[test]
-fn an_assignment_is_stored_as_an_array_of_four() {
+fn stores_assignment_as_four_element_array() {
     let assignment = recorded(3, 7, Resources { cpus: 1.0, gpus: 0.0, memory_gb: 6.4 });
     let stored = r#"[{"job":"req-000412","index":3},7,"duty-desk",{"cpus":1.0,"gpus":0.0,"memory_gb":6.4}]"#;
     assert_eq!(serde_json::to_string(&assignment).expect("writable"), stored);
@@ -31,10 +31,10 @@
     assert_eq!(bytes, stored.len() + 1);
 }
 
-/// The store's next value limit is an eighth of the present one; the record of a machine full of small tasks
-/// would no longer be written, and starts there would never become durable.
+/// The store's announced value limit is an eighth of the present one. Under it, the record of a machine full
+/// of small tasks can't be written any more, and new assignments there never become durable.
 #[test]
-fn a_record_gives_up_images_first_and_never_an_assignment() {
+fn record_drops_images_to_fit_the_limit_and_never_drops_an_assignment() {
     let resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 6.4 };
     let mut record = MachineRecord {
         type_name: "andesite".into(),
@@ -54,12 +54,12 @@
             break;
         }
         record.assignments.push(assignment);
-        let value = record.to_value(limit).expect("what is placed can be stored");
+        let value = record.to_value(limit).expect("assignments that `can_hold` accepts can be stored");
         let stored: MachineRecord = serde_json::from_str(&value).expect("readable");
         assert!(value.len() <= limit && stored.assignments == record.assignments);
         assert!(stored.images.is_empty() || stored.images.last() == record.images.last());
     }
-    assert!(record.assignments.len() > 12, "{} tasks", record.assignments.len());
+    assert!(record.assignments.len() > 12, "the record holds only {} tasks", record.assignments.len());
     record.assignments.extend((0..9).map(|i| recorded(100 + i, 1, resources)));
-    assert_eq!(record.to_value(limit), None, "more than fits is left as it is stored");
+    assert_eq!(record.to_value(limit), None, "no value is written for assignments beyond the limit");
 }
--- a/crates/scheduler/src/assignments/mod.rs
+++ b/crates/scheduler/src/assignments/mod.rs
@@ -1,8 +1,8 @@
 //! Assignments: which task may be on which machine, and how that is made durable. Used by the leader.
 //!
-//! An assignment is written durably before the command that starts its task is sent, and it is removed
-//! only once the task is proved to be gone. Quotas, free resources and the spread over zones count every
-//! assignment, also those of lost and of stopping tasks.
+//! An assignment is durable before the command that starts its task is sent. It is removed only once the
+//! task is proved to be gone from the machine. Quotas, free resources and the spread over zones count every
+//! assignment, including those of lost and of stopping tasks.
 
 mod assignment;
 mod commit_pipeline;
--- a/crates/scheduler/src/assignments/quota.rs
+++ b/crates/scheduler/src/assignments/quota.rs
@@ -1,14 +1,14 @@
-//! What teams use, and what their limits leave them.
+//! Resources that teams use, and the remainder of their quotas.
 
 use super::Assignment;
 use crate::settings::Team;
 use crate::types::{Resources, TeamName};
 use std::collections::BTreeMap;
 
-/// Tolerance of comparisons: sums of decimals must not exceed a limit that they are equal to.
+/// Tolerance of comparisons: rounding errors of sums must not make usage equal to a limit exceed it.
 const EPSILON: f64 = 1e-6;
 
-/// What each team's tasks take now.
+/// Resources that each team's tasks take.
 pub fn used_by_team<'a>(assignments: impl Iterator<Item = &'a Assignment>) -> BTreeMap<TeamName, Resources> {
     let mut used: BTreeMap<TeamName, Resources> = BTreeMap::new();
     for assignment in assignments.filter(|assignment| assignment.occupies()) {
@@ -22,7 +22,7 @@
     used
 }
 
-/// How many more tasks that take `each` a team that uses `used` may start; `u32::MAX` without a limit.
+/// How many more tasks of `each` resources a team that uses `used` may start; `u32::MAX` without a limit.
 pub fn tasks_within_limit(team: &Team, used: &Resources, each: &Resources) -> u32 {
     let gpu_tasks = count_within(team.max_gpus, used.gpus, each.gpus);
     let cpu_tasks = count_within(team.max_cpus, used.cpus, each.cpus);
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether a team that uses `used` may take `more`.
+/// Whether a team that uses `used` may take `more` resources.
 pub fn within_limit(team: &Team, used: &Resources, more: &Resources) -> bool {
     let is_within =
         |limit: Option<f64>, used: f64, more: f64| limit.is_none_or(|limit| used + more <= limit + EPSILON);
--- a/crates/scheduler/src/assignments/quota/tests.rs
+++ b/crates/scheduler/src/assignments/quota/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_team_takes_exactly_its_limit_in_decimals_and_no_more() {
+fn team_can_use_its_exact_decimal_limit_and_no_more() {
     let team = team(Some(0.3));
     assert_eq!(tasks_within_limit(&team, &cpus(0.1), &cpus(0.1)), 2);
     assert!(within_limit(&team, &cpus(0.1 + 0.1), &cpus(0.1)));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_team_without_limits_is_not_bounded() {
+fn team_without_limits_is_unbounded() {
     assert_eq!(tasks_within_limit(&team(None), &cpus(1e9), &cpus(1.0)), u32::MAX);
     assert!(within_limit(&team(None), &cpus(1e9), &cpus(1.0)));
 }
--- a/crates/scheduler/src/cluster_version/feature_level.rs
+++ b/crates/scheduler/src/cluster_version/feature_level.rs
@@ -1,10 +1,10 @@
-//! Feature levels: each names what the programs from some version on understand.
+//! Feature levels: each stands for the features that programs from a certain version on understand.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A set of features of stored records and of messages: a node that understands a level understands all lower
-/// ones. Stored as a plain number; 0 stands for programs from before the first level, which announce nothing.
+/// A set of features of stored records and of messages. A node that understands a level understands all lower
+/// ones. Stored as a plain number; 0 stands for programs older than the first level, which announce none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FeatureLevel(pub(super) u32);
@@ -17,9 +17,9 @@
 
 /// Jobs may depend on other jobs.
 pub const DEPENDENCIES: FeatureLevel = FeatureLevel(1);
-/// Every node answers workers' heartbeats, in the leader's name.
+/// Nodes other than the leader answer workers' heartbeats on its behalf.
 pub const HEARTBEAT_DELEGATION: FeatureLevel = FeatureLevel(2);
-/// The leader announces on which machines its starts are unacknowledged.
+/// The leader announces the machines at which it has unacknowledged starts.
 pub const UNACKNOWLEDGED_STARTS: FeatureLevel = FeatureLevel(3);
 /// The level that this program understands.
 pub(super) const CURRENT: FeatureLevel = UNACKNOWLEDGED_STARTS;
--- a/crates/scheduler/src/cluster_version/golden.rs
+++ b/crates/scheduler/src/cluster_version/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the records of levels: what a node announces, and what the leader marks as reached.
+//! Golden tests of the bytes of feature level records: nodes' announcements and the cluster's level.
 
 use super::*;
 use crate::golden::request_line;
@@ -8,13 +8,14 @@
     ClusterVersion::new("n0".into(), std::iter::once("n1".into()))
 }
 
-/// What `cluster_version` asks the state service at `now`, as one line without the program's version, which moves on.
-fn asked(
+/// The request to the state service at `now`, as one line. The program's version is replaced, since it
+/// changes with each release.
+fn next_request(
     cluster_version: &mut ClusterVersion,
     now: MonotonicTime,
     fencing_token: Option<FencingToken>,
 ) -> String {
-    let request = cluster_version.tick(now, fencing_token).expect("something is due");
+    let request = cluster_version.tick(now, fencing_token).expect("a request is due");
     request_line(request.http()).replace(PROGRAM_VERSION, "VERSION")
 }
 
@@ -23,11 +24,11 @@
     let mut group = golden_group!("level_records.txt");
     let mut cluster_version = cluster_version();
     let mut now = MonotonicTime::from_millis(1);
-    group.writes("look", asked(&mut cluster_version, now, None));
+    group.writes("look", next_request(&mut cluster_version, now, None));
     cluster_version.reply(now, StoreReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
-    group.writes("announcement", asked(&mut cluster_version, now, None));
+    group.writes("announcement", next_request(&mut cluster_version, now, None));
     cluster_version.reply(now, StoreReply::Committed { store_revision: 2 });
-    cluster_version.tick(now, None).expect("it looks");
+    cluster_version.tick(now, None).expect("a read is due");
     let announced = |node: &str| Pair {
         key: format!("level/node/{node}"),
         value: "{\"level\":3,\"version\":\"x\"}".into(),
@@ -39,7 +40,7 @@
         cluster_version.nodes().map(|node| (node.node.as_str(), node.level.0, node.version)).collect();
     assert_eq!(nodes, [("n0", 3, "x"), ("n1", 3, "x")]);
     now = now + STEP_INTERVAL;
-    group.writes("mark", asked(&mut cluster_version, now, Some(FencingToken(9))));
+    group.writes("mark", next_request(&mut cluster_version, now, Some(FencingToken(9))));
     group.finish();
 }
 
@@ -51,14 +52,14 @@
         let read: NodeRecord = serde_json::from_str(value).ok()?;
         serde_json::to_string(&read).ok()
     });
-    let cluster_version =
+    let levels =
         [DEPENDENCIES, HEARTBEAT_DELEGATION, UNACKNOWLEDGED_STARTS, CURRENT].map(|level| level.to_string());
-    group.writes("levels", cluster_version.join(" "));
+    group.writes("levels", levels.join(" "));
     group.finish();
 }
 
 #[test]
-fn golden_mark_is_read() {
+fn golden_cluster_level_is_read() {
     let mut cluster_version = cluster_version();
     cluster_version.learn(&Pair { key: "level/reached".into(), value: "3".into(), revision: Revision(5) });
     assert_eq!(cluster_version.reached(), FeatureLevel(3));
--- a/crates/scheduler/src/cluster_version/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -1,11 +1,11 @@
-//! Cluster version: which features every node of the service is known to understand. Used by the controller,
-//! while nodes of different versions run side by side during an upgrade.
+//! Cluster version: the features that all nodes of the service are known to understand. Used by the
+//! controller during upgrades, while nodes of different versions run side by side.
 //!
-//! Each node writes the feature level that it understands under its own key when it starts. Once every configured
-//! node has done so, the leader raises the cluster's level, durably and for good; only then may anything be
-//! stored or sent that a node of the previous level would misread. Neither time nor silence raises the level: a
-//! node that doesn't start holds it back until it does, or until the settings no longer name it.
-//! `docs/design.md` ("Upgrades") has the argument.
+//! Each node writes the feature level that it understands under its own key when it starts. Once every
+//! configured node has done so, the leader raises the cluster's level; the raise is durable and is never
+//! undone. Only then may a node store or send anything that a node of the previous level would misread. The
+//! level is not raised after a timeout: a node that doesn't start blocks it until the node starts or is
+//! removed from the settings. `docs/design.md` ("Upgrades") has the safety argument.
 
 mod feature_level;
 
@@ -24,19 +24,20 @@
 const NODES_PREFIX: &str = "level/node/";
 /// Key of the cluster's level.
 const CLUSTER_LEVEL_KEY: &str = "level/reached";
-/// Most keys read at a time.
-const PAGE: u32 = 500;
-/// The version of the program that a node announces beside its level, for operators.
+/// Most keys per read.
+const MAX_KEYS_PER_READ: u32 = 500;
+/// The program's version, which a node announces with its level for operators.
 const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
-/// Version reported for a node whose announcement was not read.
+/// Version reported for a node whose announcement was not read yet.
 const UNKNOWN_VERSION: &str = "unknown";
 
-/// Time from a reply until the next request.
+/// Delay from a reply to the next request.
 const STEP_INTERVAL: Duration = Duration::from_millis(1000);
-/// The same once the cluster has reached this program's level: the nodes' keys are then read for operators only.
+/// The same once the cluster has reached this program's level: the keys are then read only to show the nodes'
+/// versions to operators.
 const IDLE_INTERVAL: Duration = Duration::from_millis(60_000);
 
-/// What a node stores under its own key.
+/// The value that a node stores under its own key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct NodeRecord {
     level: FeatureLevel,
@@ -44,18 +45,18 @@
     version: String,
 }
 
-/// A request under way.
+/// The purpose of a request in flight.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// This node writes what it understands.
+    /// Write this node's level.
     Announce,
-    /// All keys are read.
+    /// Read all keys.
     Read,
-    /// The leader raises the cluster's level.
+    /// Raise the cluster's level, as the leader.
     Raise(FeatureLevel),
 }
 
-/// What a node announced.
+/// A node's announcement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NodeVersion<'a> {
     /// The node.
@@ -66,25 +67,25 @@
     pub version: &'a str,
 }
 
-/// One node's view of the levels.
+/// The cluster's level and the nodes' announcements, as one node knows them.
 #[derive(Debug)]
 pub struct ClusterVersion {
     node: NodeName,
     /// All configured nodes, this one first.
     nodes: Vec<NodeName>,
-    /// Whether this node's level is known to be stored.
+    /// Whether the announcement of this node is known to be stored.
     announced: bool,
     /// Whether the keys were read since this node started.
     has_read: bool,
     reached: FeatureLevel,
     cluster_level_revision: Revision,
     announcements: BTreeMap<NodeName, NodeRecord>,
-    under_way: Option<Step>,
+    in_flight: Option<Step>,
     next_step_at: MonotonicTime,
 }
 
 impl ClusterVersion {
-    /// The view of `node` when it starts; `peers` are the other configured nodes.
+    /// The initial state of `node` after its start; `peers` are the other configured nodes.
     pub fn new(node: NodeName, peers: impl Iterator<Item = NodeName>) -> Self {
         let nodes = std::iter::once(node.clone()).chain(peers).collect();
         Self {
@@ -95,7 +96,7 @@
             reached: FeatureLevel::default(),
             cluster_level_revision: Revision(0),
             announcements: BTreeMap::new(),
-            under_way: None,
+            in_flight: None,
             next_step_at: MonotonicTime::default(),
         }
     }
@@ -105,7 +106,7 @@
         self.reached
     }
 
-    /// Each configured node, with its level and version as last read.
+    /// The announcement of each configured node, as last read.
     pub fn nodes(&self) -> impl Iterator<Item = NodeVersion<'_>> {
         self.nodes.iter().map(|node| match self.announcements.get(node) {
             Some(record) => NodeVersion { node, level: record.level, version: &record.version },
@@ -113,31 +114,31 @@
         })
     }
 
-    /// The next request to the key-value store, if one is due. `fencing_token` is given while this node validly
-    /// leads.
+    /// The next request to the key-value store, if one is due. `fencing_token` is `Some` while this node is
+    /// the leader with a valid lease.
     pub fn tick(&mut self, now: MonotonicTime, fencing_token: Option<FencingToken>) -> Option<StoreRequest> {
-        if self.under_way.is_some() || now < self.next_step_at {
+        if self.in_flight.is_some() || now < self.next_step_at {
             return None;
         }
-        // What an earlier run stored is not written again. (When each restart did so, and all nodes had crashed,
-        // these writes were refused for a minute while others used up the write limit, and the new leader delegated
-        // heartbeats to nobody: simulated with four times the machines of the andina site.)
+        // Read before announcing: an announcement stored before a restart is not written again. When it was,
+        // and all nodes had crashed with four times the machines, the store refused these writes for a minute
+        // because other requests used up its write limit, and the new leader couldn't delegate heartbeats.
         if self.has_read && !self.announced {
-            self.under_way = Some(Step::Announce);
+            self.in_flight = Some(Step::Announce);
             return Some(self.announcement());
         }
         let common_level = self.common_level();
         if let Some(fencing_token) = fencing_token
             && common_level > self.reached
         {
-            self.under_way = Some(Step::Raise(common_level));
+            self.in_flight = Some(Step::Raise(common_level));
             return Some(self.raise_request(common_level, fencing_token));
         }
-        self.under_way = Some(Step::Read);
-        Some(StoreRequest::Range { prefix: PREFIX, after: None, most: PAGE })
+        self.in_flight = Some(Step::Read);
+        Some(StoreRequest::Range { prefix: PREFIX, after: None, most: MAX_KEYS_PER_READ })
     }
 
-    /// The highest level that all configured nodes, and this program, understand.
+    /// The highest level that all configured nodes and this program understand.
     fn common_level(&self) -> FeatureLevel {
         self.nodes().map(|node| node.level).min().unwrap_or_default().min(CURRENT)
     }
@@ -161,9 +162,9 @@
         StoreRequest::Commit { conditions, changes: vec![put] }
     }
 
-    /// Takes the reply to the request under way.
+    /// Processes the reply to the request in flight.
     pub fn reply(&mut self, now: MonotonicTime, reply: StoreReply) {
-        let Some(step) = self.under_way.take() else { return };
+        let Some(step) = self.in_flight.take() else { return };
         self.next_step_at = now + STEP_INTERVAL;
         match (step, reply) {
             (Step::Announce, StoreReply::Committed { .. }) => {
@@ -172,11 +173,12 @@
             }
             (Step::Read, StoreReply::Pairs { pairs, .. }) => self.keys_read(now, &pairs),
             (Step::Raise(level), StoreReply::Committed { store_revision }) => {
-                tracing::info!(%level, "every node understands this feature level now");
+                tracing::info!(%level, "cluster feature level raised; every configured node understands it");
                 self.reached = level;
                 self.cluster_level_revision = Revision(store_revision);
             }
-            // Another node raised the level, or the leader changed: the keys are read again.
+            // The commit was refused or its outcome is unknown: another node may have raised the level, or
+            // the leader may have changed. The announcements are cleared, so the keys are read again first.
             (Step::Raise(_), _) => self.announcements.clear(),
             _ => {}
         }
@@ -195,7 +197,7 @@
         };
     }
 
-    /// Whether what this node would announce is already stored.
+    /// Whether the announcement that this node would write is already stored.
     fn is_announcement_stored(&self) -> bool {
         self.announcements
             .get(&self.node)
@@ -213,10 +215,14 @@
     fn learn_cluster_level(&mut self, pair: &Pair) {
         self.cluster_level_revision = pair.revision;
         match serde_json::from_str::<FeatureLevel>(&pair.value) {
-            // A level once reached stays so.
+            // A level that was reached is never lowered.
             Ok(level) => self.reached = self.reached.max(level),
             Err(error) => {
-                tracing::error!(key = pair.key, %error, "the cluster's feature level can't be read");
+                tracing::error!(
+                    key = pair.key,
+                    %error,
+                    "cluster feature level can't be read; keeping the level already known"
+                );
             }
         }
     }
@@ -226,11 +232,17 @@
             Ok(record) => {
                 self.announcements.insert(node, record);
             }
-            Err(error) => tracing::error!(key = pair.key, %error, "a node's feature level can't be read"),
+            Err(error) => {
+                tracing::error!(
+                    key = pair.key,
+                    %error,
+                    "node's feature level can't be read; ignoring it. Restart the node to write it again"
+                );
+            }
         }
     }
 
-    /// Fault injection: takes the current level as reached although not every node announced it.
+    /// Fault injection: treats the current level as reached although not every node has announced it.
     #[cfg(any(test, feature = "simulation"))]
     pub(crate) fn assume_current_level(&mut self) {
         self.reached = CURRENT;
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -7,12 +7,12 @@
 use crate::workers::Health;
 use std::sync::Arc;
 
-/// What the version before dependencies (82043da) wrote, recorded with its own code from the same
-/// values as below.
+/// Bytes written by the version before feature level `DEPENDENCIES` (commit 82043da), recorded with its own
+/// code from the same values as below.
 const GOLDEN: &str = include_str!("golden.txt");
 
 fn golden(kind: &str) -> Vec<&'static str> {
-    GOLDEN.lines().filter_map(|l| l.strip_prefix(kind)).map(str::trim).collect()
+    GOLDEN.lines().filter_map(|line| line.strip_prefix(kind)).map(str::trim).collect()
 }
 
 fn resources() -> Resources {
@@ -51,9 +51,9 @@
 }
 
 fn success_counts() -> SuccessCounts {
-    let mut c = SuccessCounts::default();
-    placement_outcomes().iter().for_each(|l| c.learn(l));
-    c
+    let mut success_counts = SuccessCounts::default();
+    placement_outcomes().iter().for_each(|outcome| success_counts.learn(outcome));
+    success_counts
 }
 
 fn messages() -> Vec<PeerMessage> {
@@ -117,40 +117,46 @@
     ]
 }
 
-/// The same bytes both ways: what either version says, the other understands.
+/// Guards against a change of encoding that breaks an upgrade: nodes of the previous version must be able to
+/// decode the messages of this version and vice versa.
 #[test]
-fn peers_of_the_version_before_understand_every_message_and_are_understood() {
+fn messages_are_encoded_as_in_the_previous_version() {
     let recorded = golden("message");
     assert_eq!(recorded.len(), messages().len());
     for (message, hex) in messages().into_iter().zip(recorded) {
         let bytes: Vec<u8> =
             (0..hex.len() / 2).map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).unwrap_or(0)).collect();
-        let theirs = decode(&bytes).expect("theirs is understood");
-        assert_eq!(encode(&"n0".into(), theirs.message), bytes);
-        assert_eq!(encode(&"n0".into(), message), bytes, "ours is theirs to the byte");
-        // The rule for later versions: additions go behind the message, and are ignored here.
+        let envelope = decode(&bytes).expect("a message of the previous version is decoded");
+        assert_eq!(encode(&"n0".into(), envelope.message), bytes);
+        assert_eq!(
+            encode(&"n0".into(), message),
+            bytes,
+            "both versions encode the message to the same bytes"
+        );
+        // Later versions may append to a message: this version ignores the additional bytes.
         let longer = [&bytes[..], &[1, 2, 3]].concat();
         assert!(decode(&longer).is_some());
     }
 }
 
 #[test]
-fn records_of_the_version_before_are_read_and_written_as_it_did() {
+fn records_are_read_and_written_as_in_the_previous_version() {
     let open = [
         (JobType::Array, Priority::Low),
         (JobType::Gang, Priority::High),
         (JobType::Service, Priority::Production),
         (JobType::Array, Priority::Normal),
     ];
-    let mut records: Vec<Record> = open.map(|(s, p)| Record::Open(job(s, p))).into();
+    let mut records: Vec<Record> =
+        open.map(|(job_type, priority)| Record::Open(job(job_type, priority))).into();
     records.extend([Record::Done, Record::Cancelled]);
     let recorded = golden("job");
     assert_eq!(recorded.len(), records.len());
     for (record, text) in records.iter().zip(recorded) {
-        assert_eq!(&serde_json::from_str::<Record>(text).expect("read"), record);
+        assert_eq!(&serde_json::from_str::<Record>(text).expect("readable"), record);
         assert_eq!(record.to_value(), text);
     }
-    let machine: MachineRecord = serde_json::from_str(golden("machine")[0]).expect("read");
+    let machine: MachineRecord = serde_json::from_str(golden("machine")[0]).expect("readable");
     let task = TaskId { job: "req-000412".into(), index: 3 };
     let assignment = RecordedAssignment {
         task,
@@ -162,32 +168,35 @@
     assert_eq!(machine.worker_epoch, WorkerEpoch(2));
     assert_eq!(machine.images, [CachedImage { image: "img-07".into(), size_gb: 6.2 }]);
     assert_eq!(serde_json::to_string(&machine).expect("writable"), golden("machine")[0]);
-    let mut bits = jobs::TaskSet::default();
+    let mut task_set = jobs::TaskSet::default();
     for (n, text) in golden("progress").into_iter().enumerate() {
-        bits.add_chunk(n as u32, text).expect("read");
+        task_set.add_chunk(n as u32, text).expect("readable");
     }
     for (n, text) in golden("progress").into_iter().enumerate() {
-        assert_eq!(bits.chunk_value(n as u32), text);
+        assert_eq!(task_set.chunk_value(n as u32), text);
     }
-    assert_eq!(bits.count(), 6);
-    let mut table = SuccessCounts::default();
+    assert_eq!(task_set.count(), 6);
+    let mut read_counts = SuccessCounts::default();
     for text in golden("counts") {
-        table.add_part(text.split_once(' ').expect("part and value").1).expect("read");
+        read_counts.add_part(text.split_once(' ').expect("part and value").1).expect("readable");
     }
-    let pair = |c: &SuccessCounts, l: &PlacementOutcome| c.get(&l.machine, &l.kind);
-    assert!(placement_outcomes().iter().all(|l| pair(&table, l) == pair(&success_counts(), l)));
+    let get =
+        |counts: &SuccessCounts, outcome: &PlacementOutcome| counts.get(&outcome.machine, &outcome.kind);
+    let expected = success_counts();
+    assert!(placement_outcomes().iter().all(|outcome| get(&read_counts, outcome) == get(&expected, outcome)));
 }
 
-/// The version before knows `open`, `done` and `withdrawn` and ignores fields it doesn't know: under
-/// `open` it would run a dependent job at once.
+/// The version before feature level `DEPENDENCIES` knows the records `open`, `done` and `withdrawn`, and
+/// ignores unknown fields: it would run a dependent job stored as `open` without waiting for the jobs that it
+/// needs.
 #[test]
-fn a_dependent_job_can_not_be_taken_for_an_independent_one() {
+fn dependent_job_is_not_stored_as_an_open_job() {
     let mut job = (*job(JobType::Array, Priority::Low)).clone();
     job.spec.needs = vec!["req-1".into()];
     let record = Record::Open(Arc::new(job));
     let value = record.to_value();
     assert!(value.starts_with("{\"dependent\":") && !value.contains("\"open\""));
-    assert_eq!(serde_json::from_str::<Record>(&value).expect("read"), record);
+    assert_eq!(serde_json::from_str::<Record>(&value).expect("readable"), record);
 }
 
 fn pair(key: &str, value: &str) -> Pair {
@@ -195,29 +204,31 @@
 }
 
 #[test]
-fn a_level_is_reached_when_every_configured_node_has_announced_it_and_never_earlier() {
+fn level_is_reached_only_after_every_configured_node_has_announced_it() {
     let mut cluster = ClusterVersion::new("n0".into(), ["n1", "n2"].map(NodeName::from).into_iter());
     let mut now = MonotonicTime::from_millis(1);
     assert!(
         matches!(cluster.tick(now, Some(FencingToken(9))), Some(StoreRequest::Range { .. })),
-        "it reads what is stored"
+        "the node reads the stored keys first"
     );
     cluster.reply(now, StoreReply::Pairs { pairs: Vec::new(), more: false, store_revision: 1 });
-    let first = cluster.tick(now, Some(FencingToken(9))).expect("it announces itself first");
+    let first = cluster
+        .tick(now, Some(FencingToken(9)))
+        .expect("the node announces its level before it raises the cluster's");
     assert!(matches!(&first, StoreRequest::Commit { changes, .. } if changes[0].key() == "level/node/n0"));
     cluster.reply(now, StoreReply::Committed { store_revision: 2 });
     let mut seen = vec![pair("level/node/n0", "{\"level\":1}"), pair("level/node/n2", "{\"level\":1}")];
     for _ in 0..5000 {
         now = now + Duration::from_millis(1000);
-        let request = cluster.tick(now, Some(FencingToken(9))).expect("it reads");
+        let request = cluster.tick(now, Some(FencingToken(9))).expect("a read is due");
         assert!(matches!(request, StoreRequest::Range { .. }), "n1 has not announced a level: {request:?}");
         cluster.reply(now, StoreReply::Pairs { pairs: seen.clone(), more: false, store_revision: 3 });
     }
-    // Nodes that aren't configured don't stand in for one that is.
+    // An announcement of a node that isn't configured doesn't count.
     seen.push(pair("level/node/n7", "{\"level\":1}"));
     seen.push(pair("level/node/n1", "{\"level\":1,\"version\":\"x\"}"));
     now = now + Duration::from_millis(1000);
-    cluster.tick(now, None).expect("it reads");
+    cluster.tick(now, None).expect("a read is due");
     cluster.reply(now, StoreReply::Pairs { pairs: seen, more: false, store_revision: 4 });
     now = now + Duration::from_millis(1000);
     assert!(
@@ -230,18 +241,19 @@
         panic!("the leader raises the level")
     };
     assert_eq!(conditions[0], ("leader".to_string(), Revision(9)));
-    assert_eq!(cluster.reached(), FeatureLevel(0), "not before that is durable");
+    assert_eq!(cluster.reached(), FeatureLevel(0), "the level is reached only once the commit is durable");
     cluster.reply(now, StoreReply::Committed { store_revision: 5 });
     assert_eq!(cluster.reached(), FeatureLevel(1));
 }
 
-/// A restart wrote the same again, which was refused while others used up the write limit.
+/// Guards against announcements that are written again after each restart: while other requests used up the
+/// write limit, the store refused them, and nodes didn't learn the cluster's level.
 #[test]
-fn a_node_whose_level_is_stored_does_not_announce_it_again_and_a_downgraded_one_does() {
+fn restarted_node_announces_its_level_only_if_another_one_is_stored() {
     for (stored, announces) in [(CURRENT, false), (FeatureLevel(CURRENT.0 + 1), true)] {
         let mut cluster = ClusterVersion::new("n0".into(), std::iter::empty());
         let now = MonotonicTime::from_millis(1);
-        cluster.tick(now, None).expect("it reads");
+        cluster.tick(now, None).expect("a read is due");
         let value = format!("{{\"level\":{stored},\"version\":\"{PROGRAM_VERSION}\"}}");
         let pairs = vec![pair("level/node/n0", &value), pair(CLUSTER_LEVEL_KEY, &CURRENT.to_string())];
         cluster.reply(now, StoreReply::Pairs { pairs, more: false, store_revision: 3 });
--- a/crates/scheduler/src/gangs/attempts/tests.rs
+++ b/crates/scheduler/src/gangs/attempts/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn attempts_of_a_later_leader_have_higher_numbers() {
+fn attempts_of_a_later_term_have_higher_numbers() {
     let mut attempts = Attempts::new(FencingToken(5));
     let first = attempts.issue();
     let second = attempts.issue();
--- a/crates/scheduler/src/partitions/division.rs
+++ b/crates/scheduler/src/partitions/division.rs
@@ -1,20 +1,20 @@
 //! The leader's division of the machines into partitions, one for each live controller. Used by the leader's
 //! scheduling rounds.
 //!
-//! Partitions are disjoint: two controllers never propose placements on the same machine in a round.
+//! Partitions are disjoint, so that two controllers never propose placements on the same machine in a round.
 
 use crate::types::{Duration, MachineId, MonotonicTime, NodeName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Scale of [`load`], which is an integer so that ties are exact.
+/// Scale of [`load`], which is an integer so that equal loads compare as equal.
 const LOAD_SCALE: u64 = 1000;
 
 /// The machines that are leased to one controller.
 #[derive(Debug, Clone)]
 pub struct Partition {
-    /// Tells this lease from others; messages about a round name it.
+    /// Identifies this lease in the messages of a round.
     pub id: u64,
-    /// The machines inside which the controller proposes placements.
+    /// The machines on which the controller proposes placements.
     pub machines: BTreeSet<MachineId>,
     /// When the lease ends.
     pub until: MonotonicTime,
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Partitions {
     partitions: BTreeMap<NodeName, Partition>,
-    /// The controller in whose partition each machine is; rounds look it up machine by machine.
+    /// The controller whose partition contains each machine: an index for the lookups of scheduling rounds.
     owners: BTreeMap<MachineId, NodeName>,
     last_id: u64,
 }
@@ -35,20 +35,21 @@
         self.partitions.get(node)
     }
 
-    /// The controller in whose partition a machine is.
+    /// The controller whose partition contains a machine.
     pub fn owner(&self, machine: &MachineId) -> Option<&NodeName> {
         self.owners.get(machine)
     }
 
-    /// Whether the machines have to be divided again: a lease has ended, or the set of live controllers changed.
+    /// Whether the machines have to be divided again: a lease has expired, or the set of live controllers
+    /// changed.
     pub fn needs_division(&self, live: &BTreeSet<NodeName>, now: MonotonicTime) -> bool {
         self.partitions.len() != live.len()
             || self.partitions.iter().any(|(node, partition)| !live.contains(node) || now >= partition.until)
     }
 
-    /// Divides `machines` again among the controllers in `waiting_tasks`, in proportion to the number of tasks that
-    /// wait at each, and leases the partitions for `lease`. Machines stay where they are as far as the shares
-    /// allow, so that a controller's rounds meet machines that it knows.
+    /// Divides `machines` again among the controllers in `waiting_tasks`, in proportion to the number of
+    /// waiting tasks of each, and leases the partitions for `lease`. As far as the shares allow, machines
+    /// stay in their partition, so that a controller's successive rounds cover the same machines.
     pub fn divide(
         &mut self,
         machines: &BTreeSet<MachineId>,
@@ -72,7 +73,7 @@
         self.partitions = partitions;
     }
 
-    /// Up to `share` of the machines that `node` had, of those in `available`.
+    /// Up to `share` machines of the present partition of `node` that are in `available`.
     fn machines_kept(
         &self,
         node: &NodeName,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Removes a machine from the partition that it is in, if any.
+    /// Removes a machine from its partition, if any.
     pub fn remove(&mut self, machine: &MachineId) {
         if let Some(owner) = self.owners.remove(machine)
             && let Some(partition) = self.partitions.get_mut(&owner)
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Moves machines to the partition of `node`: for work that fits no partition, such as a gang larger than any
-    /// of them.
+    /// Moves machines to the partition of `node`, for a job that fits into no partition, such as a gang that
+    /// is larger than each of them.
     pub fn transfer(&mut self, node: &NodeName, machines: impl IntoIterator<Item = MachineId>) {
         for machine in machines {
             self.remove(&machine);
@@ -117,22 +118,22 @@
     }
 }
 
-/// A controller's weight in the division: never 0, so that each gets machines.
+/// A controller's weight in the division. It is at least 1, so that every controller gets machines.
 fn weight(waiting_tasks: u32) -> u32 {
     waiting_tasks + 1
 }
 
-/// The number of machines, rounded up, that corresponds to `weight` out of `total_weight`.
+/// The number of machines, rounded up, for `weight` out of `total_weight`.
 fn share_of(machines: usize, weight: u32, total_weight: u32) -> usize {
     (machines as f64 * f64::from(weight) / f64::from(total_weight.max(1))).ceil() as usize
 }
 
-/// Machines in a partition relative to the controller's weight.
+/// Number of machines in a partition relative to the controller's weight.
 fn load(partition: &Partition, weight: u32) -> u64 {
     (partition.machines.len() as u64 * LOAD_SCALE) / u64::from(weight)
 }
 
-/// Adds each machine to the partition with the lowest load at that moment.
+/// Adds each machine to the partition that has the lowest load at that point.
 fn distribute(
     machines: BTreeSet<MachineId>,
     waiting_tasks: &BTreeMap<NodeName, u32>,
--- a/crates/scheduler/src/partitions/division/tests.rs
+++ b/crates/scheduler/src/partitions/division/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn partitions_are_disjoint_cover_all_machines_and_follow_the_work() {
+fn partitions_cover_all_machines_disjointly_in_proportion_to_waiting_tasks() {
     let machines: BTreeSet<MachineId> = (0..20).map(|i| format!("m-{i}").as_str().into()).collect();
     let nodes = ["a", "b", "c"].map(NodeName::from);
     let mut partitions = Partitions::default();
@@ -22,7 +22,10 @@
     let live: BTreeSet<NodeName> = nodes.iter().cloned().collect();
     assert!(!partitions.needs_division(&live, at(29_999)) && partitions.needs_division(&live, at(30_000)));
     let live: BTreeSet<NodeName> = nodes[..2].iter().cloned().collect();
-    assert!(partitions.needs_division(&live, at(1)), "divided again as soon as a controller is gone");
+    assert!(
+        partitions.needs_division(&live, at(1)),
+        "a controller that is not live any more requires a new division"
+    );
 
     partitions.transfer(&nodes[1], machines.iter().take(7).cloned());
     let all: usize = sizes(&partitions, &nodes).iter().sum();
--- a/crates/scheduler/src/partitions/mod.rs
+++ b/crates/scheduler/src/partitions/mod.rs
@@ -1,5 +1,5 @@
-//! Partitions: the leader leases disjoint sets of machines to the live controllers, and each proposes placements
-//! inside its own (the design's documents call a partition a block).
+//! Partitions: the leader leases disjoint sets of machines to the live controllers, and each proposes
+//! placements on its own set. The design documents call a partition a block.
 
 mod division;
 
--- a/crates/scheduler/src/peer_messages/golden.rs
+++ b/crates/scheduler/src/peer_messages/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of every message between nodes.
+//! Golden tests of the bytes of every message between nodes.
 
 use super::*;
 use crate::golden::{from_hex, to_hex};
@@ -9,7 +9,7 @@
 use pearford_heartbeat::{FullHeartbeat, HeartbeatPosition, NodeWeight, NodeWeights, UnchangedHeartbeat};
 use std::collections::BTreeSet;
 
-const FENCE: FencingToken = FencingToken(412);
+const FENCING_TOKEN: FencingToken = FencingToken(412);
 
 fn resources(cpus: f64) -> Resources {
     Resources { cpus, gpus: cpus + 1.0, memory_gb: cpus + 2.5 }
@@ -24,7 +24,7 @@
 
 fn success_counts() -> SuccessCounts {
     let mut success_counts = SuccessCounts::default();
-    placement_outcomes().iter().for_each(|l| success_counts.learn(l));
+    placement_outcomes().iter().for_each(|outcome| success_counts.learn(outcome));
     success_counts
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-fn ask(job_type: JobType, types: Option<Vec<crate::types::TypeName>>) -> PlacementRequest {
+fn placement_request(job_type: JobType, types: Option<Vec<crate::types::TypeName>>) -> PlacementRequest {
     PlacementRequest {
         job: "req-000412".into(),
         kind: "train".into(),
@@ -74,9 +74,9 @@
     ]
 }
 
-fn offer() -> PeerMessage {
+fn round_request() -> PeerMessage {
     PeerMessage::RoundRequest {
-        fencing_token: FENCE,
+        fencing_token: FENCING_TOKEN,
         partition: 7,
         round: 8,
         machines: vec![
@@ -86,62 +86,62 @@
             machine(Health::Unreachable, None),
         ],
         requests: vec![
-            ask(JobType::Array, Some(vec!["g8".into()])),
-            ask(JobType::Gang, None),
-            ask(JobType::Service, None),
+            placement_request(JobType::Array, Some(vec!["g8".into()])),
+            placement_request(JobType::Gang, None),
+            placement_request(JobType::Service, None),
         ],
     }
 }
 
 fn delegation() -> PeerMessage {
-    let place = NodeWeight { node: "n1".into(), zone: "z1".into(), weight: 900 };
+    let node_weight = NodeWeight { node: "n1".into(), zone: "z1".into(), weight: 900 };
     PeerMessage::Delegation(Delegation {
-        fencing_token: FENCE,
+        fencing_token: FENCING_TOKEN,
         sequence: 21,
         ready: true,
-        node_weights: NodeWeights::new(vec![place]),
+        node_weights: NodeWeights::new(vec![node_weight]),
     })
 }
 
-fn digest() -> PeerMessage {
+fn heartbeat_digest() -> PeerMessage {
     let full = FullHeartbeat {
         machine: "m-1".into(),
         position: position(5),
         age: Duration::from_millis(700),
         content: vec![1, 2, 3],
     };
-    let same = UnchangedHeartbeat {
+    let unchanged = UnchangedHeartbeat {
         machine: "m-2".into(),
         position: position(6),
         age: Duration::from_millis(800),
         hash: 0x0102_0304_0506,
     };
     PeerMessage::HeartbeatDigest(HeartbeatDigest {
-        fencing_token: FENCE,
+        fencing_token: FENCING_TOKEN,
         sequence: 22,
         full: vec![full],
-        unchanged: vec![same],
+        unchanged: vec![unchanged],
     })
 }
 
-fn relayed() -> PeerMessage {
-    let answered = RelayResult { call: 31, status: 200, position: Some(position(9)) };
-    let silent = RelayResult { call: 32, status: 0, position: None };
-    PeerMessage::RelayResults { fencing_token: FENCE, calls: vec![answered, silent] }
+fn relay_results() -> PeerMessage {
+    let with_answer = RelayResult { call: 31, status: 200, position: Some(position(9)) };
+    let without_answer = RelayResult { call: 32, status: 0, position: None };
+    PeerMessage::RelayResults { fencing_token: FENCING_TOKEN, calls: vec![with_answer, without_answer] }
 }
 
-fn relay() -> PeerMessage {
+fn relay_commands() -> PeerMessage {
     let call = RelayedCommand {
         call: 31,
         addr: "10.1.0.232:9000".into(),
         body: "{\"fence\":412}".into(),
         timeout: Duration::from_millis(1500),
     };
-    PeerMessage::RelayCommands { fencing_token: FENCE, calls: vec![call] }
+    PeerMessage::RelayCommands { fencing_token: FENCING_TOKEN, calls: vec![call] }
 }
 
 fn messages() -> Vec<(&'static str, PeerMessage)> {
-    let fencing_token = FENCE;
+    let fencing_token = FENCING_TOKEN;
     let position = BroadcastPosition { fencing_token, sequence: 10 };
     let counts = TaskCounts { done: 3, running: 13 };
     let jobs = vec![JobTaskCounts { job: "req-000412".into(), counts }];
@@ -153,7 +153,7 @@
         has_unanswered_heartbeats: false,
         last_heartbeat_by_zone: vec![ZoneHeartbeat { zone: "z0".into(), age: Duration::from_millis(1200) }],
     };
-    let doubt = |machines| {
+    let unacknowledged_starts = |machines| {
         PeerMessage::UnacknowledgedStarts(UnacknowledgedStarts {
             fencing_token,
             sequence: 23,
@@ -172,16 +172,16 @@
             },
         ),
         ("table", PeerMessage::StatusSnapshot { position, jobs, success_counts: success_counts() }),
-        ("offer", offer()),
+        ("offer", round_request()),
         (
             "proposals",
             PeerMessage::RoundProposals { fencing_token, partition: 7, round: 8, proposals: vec![proposal] },
         ),
         ("delegation", delegation()),
-        ("digest", digest()),
+        ("digest", heartbeat_digest()),
         ("want", PeerMessage::ResendHeartbeats { fencing_token, machines: vec!["m-1".into(), "m-2".into()] }),
-        ("relay", relay()),
-        ("relayed", relayed()),
+        ("relay", relay_commands()),
+        ("relayed", relay_results()),
         (
             "errands",
             PeerMessage::QueuedCommands {
@@ -189,12 +189,13 @@
                 commands: vec![MachineCommands { machine: "m-3".into(), commands: commands() }],
             },
         ),
-        ("doubt", doubt(Some(vec!["m-3".into(), "m-4".into()]))),
-        ("doubt, too many machines", doubt(None)),
+        ("doubt", unacknowledged_starts(Some(vec!["m-3".into(), "m-4".into()]))),
+        ("doubt, too many machines", unacknowledged_starts(None)),
     ]
 }
 
-/// A match without a wildcard: a new variant does not compile until it is named here and has a message above.
+/// Position of the message's variant. The match has no wildcard, so that a new variant fails to compile until
+/// it is added here and to `messages`.
 fn variant(message: &PeerMessage) -> usize {
     match message {
         PeerMessage::Ping { .. } => 0,
--- a/crates/scheduler/src/peer_messages/tests.rs
+++ b/crates/scheduler/src/peer_messages/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn messages_survive_encoding_and_garbage_is_not_decoded() {
+fn decodes_encoded_messages_and_rejects_invalid_bytes() {
     let bytes = encode(
         &"n0".into(),
         PeerMessage::Ping {
--- a/crates/scheduler/src/rate_limit/mod.rs
+++ b/crates/scheduler/src/rate_limit/mod.rs
@@ -1,4 +1,5 @@
-//! Rate limits: what the key-value store and the cloud take, and token buckets that keep a node within its share.
+//! Rate limits: the limits of the key-value store, and token buckets that keep a node's requests to the store
+//! and the cloud within its share.
 
 mod store_limits;
 mod token_bucket;
--- a/crates/scheduler/src/rate_limit/store_limits.rs
+++ b/crates/scheduler/src/rate_limit/store_limits.rs
@@ -1,6 +1,6 @@
 //! The limits of the key-value store.
 
-/// What the key-value store accepts from the whole service, now or once its next limits come into force.
+/// What the key-value store accepts from the whole service, either at present or after an announced change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreLimits {
     /// Requests per second.
--- a/crates/scheduler/src/rate_limit/token_bucket.rs
+++ b/crates/scheduler/src/rate_limit/token_bucket.rs
@@ -1,13 +1,13 @@
-//! A token bucket.
+//! Token bucket.
 
 use crate::types::MonotonicTime;
 
-/// Allows a steady rate of operations, and bursts up to the size of the bucket, which is full at first.
+/// Allows a steady rate of operations, and bursts up to the size of the bucket. A new bucket is full.
 #[derive(Debug)]
 pub struct TokenBucket {
     /// Tokens added per second.
     rate: f64,
-    /// Most tokens that the bucket holds.
+    /// Capacity of the bucket, in tokens.
     burst: f64,
     /// Tokens in the bucket; negative after an operation larger than the bucket.
     tokens: f64,
@@ -15,7 +15,8 @@
 }
 
 impl TokenBucket {
-    /// A bucket for `rate` operations per second and bursts of one second's worth, at least of one operation.
+    /// A bucket for `rate` operations per second, and bursts of as many as pass in a second, but at least
+    /// one.
     pub fn new(rate: f64) -> Self {
         Self::with_burst(rate, rate.max(1.0))
     }
@@ -30,14 +31,14 @@
         self.rate
     }
 
-    /// Whether more than half of a burst is left, so that less urgent work may be done too.
+    /// Whether the bucket is more than half full, so that less urgent work may also be done.
     pub fn is_ample(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.tokens > self.burst / 2.0
     }
 
-    /// Takes `count` tokens if there are as many, or if the bucket is full and `count` is larger than it.
-    /// Returns whether they were taken.
+    /// Takes `count` tokens if the bucket has that many, or if it is full and `count` exceeds its capacity.
+    /// Returns whether the tokens were taken.
     pub fn take(&mut self, count: f64, now: MonotonicTime) -> bool {
         self.refill(now);
         let is_covered = self.tokens >= count.min(self.burst);
@@ -47,8 +48,8 @@
         is_covered
     }
 
-    /// Corrects the last [`Self::take`] once the real cost is known: takes `more` tokens, or returns them if
-    /// negative.
+    /// Corrects the last [`Self::take`] once the actual cost is known: takes `more` tokens, or returns tokens
+    /// if `more` is negative.
     pub fn adjust(&mut self, more: f64) {
         self.tokens = (self.tokens - more).min(self.burst);
     }
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -151,8 +151,8 @@
         // may be anything.
         let is_done = reported_state == ReportedState::Ended(TaskExit::Done);
         let may_repeat = !is_done && self.sent_starts.contains_key(&task_attempt);
-        let may_still_arrive = may_repeat || self.unacknowledged_starts.contains_key(&task_attempt);
-        reconcile(&Observation::unrecorded(reported_state, may_still_arrive))
+        let start_may_arrive = may_repeat || self.unacknowledged_starts.contains_key(&task_attempt);
+        reconcile(&Observation::unrecorded(reported_state, start_may_arrive))
     }
 
     fn reconcile_assignment(
@@ -171,7 +171,7 @@
             after_command: assignment.state.is_before(heartbeat.worker_epoch, heartbeat.serial),
             saw_fencing_token: heartbeat.fencing_token == reconciliation.fencing_token,
             wanted_here: reconciliation.machine_is_open && reconciliation.restart_here.contains(&task),
-            may_still_arrive: false,
+            start_may_arrive: false,
         };
         match reconcile(&observation) {
             Decision::Present => update_phase(assignment, observation.reported_state, now, &task, outcome),
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -5,35 +5,35 @@
 use std::fmt;
 
 name_type!(
-    /// A job, as its user named it.
+    /// Name of a job, given by its user.
     JobId
 );
 name_type!(
-    /// A machine, as the cloud named it.
+    /// Name of a machine, given by the cloud.
     MachineId
 );
 name_type!(
-    /// A controller node.
+    /// Name of a controller node.
     NodeName
 );
 name_type!(
-    /// An availability zone of the cloud.
+    /// Name of an availability zone of the cloud.
     Zone
 );
 name_type!(
-    /// A machine type of the cloud.
+    /// Name of a machine type of the cloud.
     TypeName
 );
 name_type!(
-    /// A team: the unit that quotas are set for.
+    /// Name of a team, the unit of quotas.
     TeamName
 );
 name_type!(
-    /// The class of a job, given by its user; placement outcomes are counted per kind.
+    /// Class of a job, given by its user; placement outcomes are counted per kind.
     Kind
 );
 name_type!(
-    /// An image that a task needs on its machine.
+    /// Name of the image that a task needs on its machine.
     Image
 );
 
@@ -47,19 +47,19 @@
     Revision
 );
 number_type!(
-    /// A lease of the key-value store: keys attached to it are deleted when it expires.
+    /// Id of a lease of the key-value store; the keys attached to the lease are deleted when it expires.
     LeaseId
 );
 number_type!(
-    /// Tells one start of a task from another; shared by all tasks of a gang's attempt.
+    /// Identifies one start of a task; all tasks of a gang's attempt share the number.
     Attempt
 );
 number_type!(
-    /// Tells one run of a worker from another.
+    /// Identifies one run of a worker.
     WorkerEpoch
 );
 number_type!(
-    /// Correlates an effect with the input that answers it.
+    /// Id of a request, which correlates an effect of the controller with the input that is its reply.
     RequestId
 );
 
--- a/crates/types/src/ids/tests.rs
+++ b/crates/types/src/ids/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_task_id_is_parsed_from_what_it_displays_as() {
+fn parses_displayed_task_id() {
     let task = TaskId { job: "team/nightly".into(), index: 3 };
     assert_eq!(task.to_string(), "team/nightly/3");
     assert_eq!(TaskId::parse("team/nightly/3"), Some(task));
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
 //! Identifiers, revisions, times and resource amounts shared by all of pearford's packages.
 //!
-//! Each concept has a type of its own, so that the compiler keeps a fencing token from being passed
-//! where a lease id is wanted, or a wall-clock time where a monotonic one is. The serialised form of
-//! every type here is part of stored records and of messages between controllers: it must not change.
+//! Each concept has its own type, so that the compiler rejects, for example, a fencing token in place of a
+//! lease id, or a wall-clock time in place of a monotonic one. The serialised form of every type here is part
+//! of stored records and of messages between controllers: it must not change.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/types/src/macros.rs
+++ b/crates/types/src/macros.rs
@@ -1,6 +1,6 @@
-//! The two families of newtypes: shared strings and 64-bit numbers.
+//! Macros for the two kinds of newtypes: shared strings and 64-bit numbers.
 
-/// Defines a name: an immutable string that is cheap to clone, serialised as a plain string.
+/// Defines a newtype of an immutable string that is cheap to clone, serialised as a plain string.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -9,7 +9,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// The name as it is written in settings, records and messages.
+            /// The name as written in settings, records and messages.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -29,7 +29,7 @@
     };
 }
 
-/// Defines a number of its own kind, serialised as a plain number.
+/// Defines a newtype of a 64-bit number, serialised as a plain number.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
--- a/crates/types/src/resources/tests.rs
+++ b/crates/types/src/resources/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn sums_of_decimals_fill_a_machine_exactly() {
+fn decimal_amounts_fill_a_machine_exactly() {
     let each = Resources { cpus: 0.1, gpus: 0.0, memory_gb: 0.3 };
     let machine = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 3.0 };
     let used = (0..10).fold(Resources::default(), |sum, _| sum.plus(&each));
@@ -12,6 +12,6 @@
 }
 
 #[test]
-fn requests_for_nothing_are_counted_up_to_a_bound() {
+fn count_of_empty_requests_is_bounded() {
     assert_eq!(Resources::default().count_of(&Resources::default()), 100_000);
 }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -12,8 +12,8 @@
     WallTime
 );
 
-/// A point on this process's monotonic clock, in milliseconds from an arbitrary origin. Never stored
-/// and never sent: it means nothing to another process.
+/// A point on this process's monotonic clock, in milliseconds from an arbitrary origin. Never stored or
+/// sent, since it has no meaning in another process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct MonotonicTime(u64);
 
--- a/crates/types/src/time/tests.rs
+++ b/crates/types/src/time/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn differences_and_earlier_points_never_go_below_zero() {
+fn time_arithmetic_saturates_at_zero() {
     let early = MonotonicTime::from_millis(10);
     let late = MonotonicTime::from_millis(25);
     assert_eq!(late.since(early), Duration::from_millis(15));
