--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -1,5 +1,5 @@
-//! The machines that a scheduling pass considers: those with free resources, or a part of them where
-//! they are many.
+//! The machines that a scheduling pass considers: all machines with free resources, or a selection if
+//! there are too many.
 
 use super::Leader;
 use crate::placement::{MachineView, PlacementRequest};
@@ -7,47 +7,49 @@
 use crate::workers::{Health, Machine, MachineStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in one pass, at most. Of a busy cluster fewer have free resources. Just after leases have
-/// ended nearly all have, and going through them for each request took a second of a leader's
-/// processor (four times the andina fleet, all nodes crashed).
+/// Maximum number of machines in one pass. In a busy cluster fewer machines have free resources. Right
+/// after all workers' leases have expired nearly all machines do: checking each of them for every
+/// request took a second of the leader's processor time at four times the machines, after all
+/// controllers had crashed.
 const MAX_CANDIDATES: usize = 512;
 
 /// A machine that a scheduling pass considers.
 pub(super) struct Candidate {
-    /// The machine as controllers see it.
+    /// The machine's state as sent to controllers.
     pub view: MachineView,
-    /// The controller whose partition it is in.
+    /// The controller whose partition contains the machine.
     pub owner: Option<NodeName>,
 }
 
 /// The machines that a scheduling pass considers.
 pub(super) struct Candidates {
-    /// The machines, by id; where they are only a part, by the order in which that was selected.
+    /// The machines, sorted by id; a selection is in the order in which it was made.
     pub machines: Vec<Candidate>,
-    /// These are all that have free resources: what fits none of them fits nowhere.
+    /// Whether these are all machines with free resources, so that a task that fits none of them fits
+    /// no machine.
     pub complete: bool,
 }
 
 impl Candidates {
-    /// Drops the machines that are not `kept`: what fits none of the rest may fit elsewhere.
+    /// Removes the machines whose element of `kept` is false. The candidates are incomplete afterwards.
     pub fn keep(&mut self, kept: &[bool]) {
         let mut kept = kept.iter();
         self.machines.retain(|_| kept.next() == Some(&true));
         self.complete = false;
     }
 
-    /// All machines as controllers see them.
+    /// The states of all machines as sent to controllers.
     pub fn views(&self) -> impl Iterator<Item = &MachineView> {
         self.machines.iter().map(|candidate| &candidate.view)
     }
 
-    /// All machines as controllers see them, to change.
+    /// The states of all machines as sent to controllers, mutable.
     pub fn views_mut(&mut self) -> impl Iterator<Item = &mut MachineView> {
         self.machines.iter_mut().map(|candidate| &mut candidate.view)
     }
 
     /// The machines in a controller's partition.
-    pub fn of(&self, node: &NodeName) -> impl Iterator<Item = &MachineView> {
+    pub fn in_partition_of(&self, node: &NodeName) -> impl Iterator<Item = &MachineView> {
         let owned = self.machines.iter().filter(move |candidate| candidate.owner.as_ref() == Some(node));
         owned.map(|candidate| &candidate.view)
     }
@@ -61,17 +63,17 @@
 }
 
 impl Leader {
-    /// Machines that could take some task of `requests`: of a busy cluster that is a small part.
+    /// Machines that could take at least one task of `requests`: a small part of a busy cluster.
     pub(super) fn candidates(&mut self, requests: &[PlacementRequest], now: MonotonicTime) -> Candidates {
         let requested_images: BTreeSet<&Image> = requests.iter().map(|request| &request.image).collect();
         let mut open = self.open_machines(requests, now);
         let complete = open.len() <= MAX_CANDIDATES;
         if !complete {
-            open = select_part(open, &requested_images);
+            open = select_subset(open, &requested_images);
         }
         let mut machines: Vec<Candidate> = open
             .into_iter()
-            .map(|machine| Candidate { view: self.view(machine, &requested_images, now), owner: None })
+            .map(|machine| Candidate { view: self.view_of(machine, &requested_images, now), owner: None })
             .collect();
         for candidate in &mut machines {
             self.partitions.add(&candidate.view.id);
@@ -81,18 +83,18 @@
     }
 
     fn open_machines(&self, requests: &[PlacementRequest], now: MonotonicTime) -> Vec<OpenMachine<'_>> {
-        let least = least_of_each(requests);
-        // A machine whose record can't hold the largest assignment is left out: offered, it would be
-        // chosen in vain.
+        let smallest = smallest_of_each(requests);
+        // A machine whose record can't hold the largest assignment is left out: a placement on it would
+        // be rejected.
         let record_bytes = self.largest_assignment_bytes(requests);
         let record_limit = self.settings.state.value_bytes;
         let mut open = Vec::new();
         for machine in self.machines.iter() {
-            // Commands to a zone that is cut off arrive when the cut has ended, or never.
+            // Commands to a zone that is cut off arrive only after the network partition ends, if at all.
             if machine.status != MachineStatus::Up || self.isolation.is_cut(&machine.zone) {
                 continue;
             }
-            if !least.fits_in(&machine.free())
+            if !smallest.fits_in(&machine.free())
                 || !machine.open_for_tasks(now)
                 || !machine.record_holds(record_bytes, record_limit)
             {
@@ -116,8 +118,8 @@
         bytes.max().unwrap_or(0)
     }
 
-    /// A machine as controllers see it; of its images they need to know the requested ones.
-    fn view(
+    /// The machine's state as sent to controllers, which need only the requested ones of its images.
+    fn view_of(
         &self,
         OpenMachine { machine, health }: OpenMachine,
         requested_images: &BTreeSet<&Image>,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Images that tasks on the machine wait for.
+    /// Images that the machine lacks and that tasks on it need that are not running yet.
     fn images_being_fetched(&self, machine: &Machine) -> Vec<Image> {
         let mut images: Vec<Image> = Vec::new();
         for (task, assignment) in &machine.assignments {
@@ -157,42 +159,46 @@
         images
     }
 
-    /// How fast the machine fetches images, in GB a second; 0 if that isn't known.
+    /// The rate at which the machine fetches images, in GB per second; 0 if it is unknown.
     pub(super) fn fetch_gb_per_s(&self, machine: &Machine) -> f64 {
         let machine_type = self.instance_offers.type_of(&machine.type_name);
         machine_type.map_or(0.0, |machine_type| machine_type.fetch_gb_per_s)
     }
 
-    /// The machine's health, by how long it has been silent.
+    /// The machine's health, by the time since its last heartbeat.
     pub(super) fn health(&self, machine: &Machine, now: MonotonicTime) -> Health {
         let operator = &self.settings.operator;
-        let heartbeat = Duration::from_secs_f64(self.settings.workers.report_s);
-        machine.health(now, heartbeat, operator.degraded_reports, operator.unreachable_reports)
+        let heartbeat_interval = Duration::from_secs_f64(self.settings.workers.report_s);
+        machine.health(now, heartbeat_interval, operator.degraded_reports, operator.unreachable_reports)
     }
 }
 
-/// The least that any request's task takes, of each resource.
-fn least_of_each(requests: &[PlacementRequest]) -> Resources {
-    let least = |of: fn(&Resources) -> f64| {
+/// The smallest amount of each resource that a task of any request takes.
+fn smallest_of_each(requests: &[PlacementRequest]) -> Resources {
+    let smallest = |of: fn(&Resources) -> f64| {
         requests.iter().map(|request| of(&request.resources)).fold(f64::MAX, f64::min)
     };
     Resources {
-        cpus: least(|resources| resources.cpus),
-        gpus: least(|resources| resources.gpus),
-        memory_gb: least(|resources| resources.memory_gb),
+        cpus: smallest(|resources| resources.cpus),
+        gpus: smallest(|resources| resources.gpus),
+        memory_gb: smallest(|resources| resources.memory_gb),
     }
 }
 
-/// A part of `open` that has some of each zone, type and kind; of those first the ones with a
-/// requested image and the fullest, and as many of the emptiest, for work that needs a whole machine.
-fn select_part<'a>(open: Vec<OpenMachine<'a>>, requested_images: &BTreeSet<&Image>) -> Vec<OpenMachine<'a>> {
+/// A subset of `open` with machines of each zone, type and market (spot or on-demand). Each group is
+/// sorted with requested images first, then by free GPUs. Half of its share is taken from the start,
+/// the other half from the end, for tasks that need a whole machine.
+fn select_subset<'a>(
+    open: Vec<OpenMachine<'a>>,
+    requested_images: &BTreeSet<&Image>,
+) -> Vec<OpenMachine<'a>> {
     let mut groups: BTreeMap<_, Vec<OpenMachine>> = BTreeMap::new();
     for candidate in open {
         let machine = candidate.machine;
         let group = groups.entry((&machine.zone, &machine.type_name, machine.spot)).or_default();
         group.push(candidate);
     }
-    let quota = (MAX_CANDIDATES / groups.len().max(1)).max(2);
+    let share = (MAX_CANDIDATES / groups.len().max(1)).max(2);
     let mut selected = Vec::new();
     for mut group in groups.into_values() {
         let has_requested =
@@ -201,9 +207,9 @@
             let machine = candidate.machine;
             (!has_requested(machine), (machine.free().gpus * 1000.0) as u64)
         });
-        let rest = group.split_off(quota.min(group.len()) / 2);
+        let rest = group.split_off(share.min(group.len()) / 2);
         selected.append(&mut group);
-        let from = rest.len().saturating_sub(quota - quota / 2);
+        let from = rest.len().saturating_sub(share - share / 2);
         selected.extend_from_slice(&rest[from..]);
     }
     selected
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -1,7 +1,8 @@
-//! Faults for tests: each method disables one of the leader's safety checks or injects one wrong step.
+//! Fault injection for tests: each method disables one of the leader's safety checks or performs one
+//! incorrect step.
 //!
-//! The simulation calls these through the controller to prove that its checker notices when a check is
-//! missing, as in mutation testing. Nothing here is compiled into the program.
+//! The simulation calls these methods through the controller to verify that its checker detects the
+//! missing check, as in mutation testing. This module is not compiled into the program.
 
 use super::Leader;
 use crate::assignments::{self, Assignment, AssignmentState};
@@ -11,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Unanswered probes that count as lost for any machine, heard or not.
-const MORE_UNANSWERED_THAN_ALLOWED: u32 = 9;
+/// More unanswered probes in a row than any machine is allowed.
+const EXCESSIVE_UNANSWERED_PROBES: u32 = 9;
 
 impl Leader {
-    /// Takes silence as proof of absence: drops the assignments of machines that are silent for
-    /// longer than `silence`.
+    /// Treats missing heartbeats as proof that tasks are gone: drops the assignments of machines whose
+    /// last heartbeat is older than `silence`.
     pub(in crate::node) fn inject_forgetting_silent_machines(
         &mut self,
         silence: Duration,
@@ -35,23 +36,24 @@
         self.unplace_all(dropped);
     }
 
-    /// Takes starts sent directly as unable to arrive a second time.
+    /// Forgets which starts were sent directly, as if they could not arrive a second time.
     pub(in crate::node) fn inject_forgetting_sent_starts(&mut self) {
         self.machines.iter_mut().for_each(Machine::forget_sent_starts);
     }
 
-    /// Ignores what isolated nodes report through the key-value store.
+    /// Forgets the isolation reports that were read from the key-value store.
     pub(in crate::node) fn disable_isolation_reports(&mut self) {
         self.isolation.forget_reports();
     }
 
-    /// Gives up machines at once that this leader has not heard yet.
+    /// Makes machines that have not sent a heartbeat to this leader count as lost at once, by ending the
+    /// collection of heartbeats early.
     pub(in crate::node) fn inject_loss_of_unreported_machines(&mut self) {
         if !self.loaded() {
             return;
         }
-        let unheard = self.machines.iter_mut().filter(|machine| !machine.has_been_heard());
-        unheard.for_each(|machine| machine.unanswered = MORE_UNANSWERED_THAN_ALLOWED);
+        let unreported = self.machines.iter_mut().filter(|machine| !machine.has_been_heard());
+        unreported.for_each(|machine| machine.unanswered = EXCESSIVE_UNANSWERED_PROBES);
         let workers = &self.settings.workers;
         self.heartbeat_collection = HeartbeatCollection::new(
             Duration::from_secs_f64(workers.report_s),
@@ -61,7 +63,7 @@
         self.heartbeat_collection.update(1, 1, self.since);
     }
 
-    /// Frees the resources of stopping tasks without a proof that they are gone.
+    /// Frees the resources of tasks that are being stopped, without proof that they are gone.
     pub(in crate::node) fn inject_freeing_of_stopping_tasks(&mut self, now: MonotonicTime) {
         let mut dropped = Vec::new();
         for machine in self.machines.iter_mut() {
@@ -76,7 +78,7 @@
         self.unplace_all(dropped);
     }
 
-    /// Lets go of tasks whose assignments to machines were dropped.
+    /// Marks tasks whose assignments were dropped as no longer placed.
     fn unplace_all(&mut self, dropped: Vec<(TaskId, MachineId)>) {
         for (task, machine) in dropped {
             if let Some(job_state) = self.job_states.get_mut(&task.job) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Lets starts leave before their machine's record is durable.
+    /// Allows starts to be sent before their machine's record is durable.
     pub(in crate::node) fn disable_record_before_start(&mut self) {
         for machine in self.machines.iter_mut() {
             let planned = machine
@@ -100,13 +102,13 @@
         }
     }
 
-    /// Forgets all tasks that are to be stopped.
+    /// Cancels the stops of all tasks that are to be stopped.
     pub(in crate::node) fn disable_stops(&mut self) {
         let assignments = self.machines.iter_mut().flat_map(|machine| machine.assignments.values_mut());
         assignments.for_each(|assignment| assignment.stop = None);
     }
 
-    /// Lets no machine count as silent.
+    /// Treats every machine that has ever sent a heartbeat as having sent one just now.
     pub(in crate::node) fn disable_silence_detection(&mut self, now: MonotonicTime) {
         for machine in self.machines.iter_mut().filter(|machine| machine.last_heartbeat.is_some()) {
             machine.last_heartbeat = Some(now);
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Takes whichever heartbeat arrives last for the newest.
+    /// Resets the worker epochs and serials, so that any heartbeat that arrives counts as the newest.
     pub(in crate::node) fn disable_heartbeat_order(&mut self) {
         for machine in self.machines.iter_mut() {
             machine.worker_epoch = WorkerEpoch(0);
@@ -122,17 +124,17 @@
         }
     }
 
-    /// Places jobs that are bound to a zone in any zone.
+    /// Removes the zone constraint of all jobs, so that they may be placed in any zone.
     pub(in crate::node) fn disable_zone_constraint(&mut self) {
-        let bound = self.job_states.values_mut().filter(|job_state| job_state.job.spec.zone.is_some());
-        for job_state in bound {
+        let constrained = self.job_states.values_mut().filter(|job_state| job_state.job.spec.zone.is_some());
+        for job_state in constrained {
             let mut job = (*job_state.job).clone();
             job.spec.zone = None;
             job_state.job = Arc::new(job);
         }
     }
 
-    /// Takes a job as done as soon as half of its tasks are.
+    /// Marks all tasks of a job as done if at least half of them are.
     pub(in crate::node) fn inject_early_completion(&mut self) {
         for job_state in self.job_states.values_mut() {
             let done = job_state.done().count();
@@ -143,10 +145,10 @@
         }
     }
 
-    /// Compares the incrementally kept totals with a full recount.
+    /// Compares the incrementally maintained totals with a full recount.
     ///
     /// # Errors
-    /// The first total that differs, with both values.
+    /// Describes the first total that differs, with both values.
     pub(in crate::node) fn check_totals(&self) -> Result<(), String> {
         self.check_team_totals()?;
         self.machines.iter().try_for_each(check_machine_totals)?;
@@ -154,7 +156,7 @@
             let recounted = job_state.recount();
             let kept = job_state.waiting_count();
             if recounted != kept {
-                return Err(format!("{id}: {recounted} wait, kept {kept}"));
+                return Err(format!("job {id}: waiting tasks: kept {kept}, recounted {recounted}"));
             }
         }
         Ok(())
@@ -171,7 +173,7 @@
             let kept = of_team(all_kept, team);
             let recounted = of_team(&used, team);
             if !kept.fits_in(&recounted) || !recounted.fits_in(&kept) {
-                return Err(format!("team {team}: kept {kept:?}, recounted {recounted:?}"));
+                return Err(format!("team {team}: resources used: kept {kept:?}, recounted {recounted:?}"));
             }
         }
         Ok(())
@@ -184,7 +186,11 @@
     let occupied = machine.assignments.values().any(Assignment::occupies);
     let empty = !occupied && machine.unknown_tasks.is_empty();
     if !free.fits_in(&machine.free()) || !machine.free().fits_in(&free) || empty != machine.is_empty() {
-        return Err(format!("{}: kept {:?}, recounted {free:?}", machine.id, machine.free()));
+        return Err(format!(
+            "machine {}: totals differ; free resources kept {:?}, recounted {free:?}",
+            machine.id,
+            machine.free()
+        ));
     }
     Ok(())
 }
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -1,12 +1,12 @@
-//! What the leader does on top of what every node does: loads all records, takes in heartbeats,
-//! schedules, commits, rents and returns machines.
+//! The work of the leading node, in addition to that of every node: loads all records, processes
+//! heartbeats, schedules, commits, rents and returns machines.
 //!
-//! The controller calls it with each input while the node leads. [`Leader`] owns what several
-//! concerns need (machines, job states, partitions) and one component for each concern, whose fields
-//! are private to its file; the methods on `Leader` in those files bring the components together.
-//! [`Leader::tick`] and [`Leader::advance`] are the order in which things happen. It knows its node only
-//! by the [`StepContext`] that it is given for a step, and returns a [`LeadershipEnd`] when the node
-//! is to lead no longer.
+//! The controller passes each input to the [`Leader`] while the node leads. `Leader` owns the state
+//! that several concerns share (machines, job states, partitions) and one component for each concern,
+//! whose fields are private to its file; the methods on `Leader` in those files combine the
+//! components. [`Leader::tick`] and [`Leader::advance`] define the order of the work. `Leader`
+//! accesses its node only through the [`StepContext`] of a step, and returns a [`LeadershipEnd`] when
+//! the node must stop leading.
 
 mod adoption;
 mod broadcast;
@@ -79,27 +79,27 @@
 use write_budget::ArrayTurns;
 
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
-/// How often waiting tasks are tried again though nothing is known to have changed: machines' health
-/// and pauses change with time alone.
+/// How often placement of waiting tasks is retried without any known change of capacity: the health
+/// of machines and the ends of pauses depend on time alone.
 const RETRY_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// What the leader may use of its node in a step.
+/// The parts of its node that the leader may use in a step.
 pub(super) struct StepContext<'a> {
-    /// When the step happens.
+    /// The time of the step.
     pub now: MonotonicTime,
-    /// The leadership lease is valid: commands, commits and rentals may leave.
+    /// The leadership lease is valid: commands, commits and rentals may be sent.
     pub lease_valid: bool,
-    /// The node leads as far as it knows, whether its lease is still valid or not.
+    /// The node is in the leader role, whether or not its lease is still valid.
     pub in_leader_role: bool,
-    /// Start of the newest linearizable read of the job records.
+    /// When the newest linearizable read of the job records began.
     pub jobs_read_at: MonotonicTime,
-    /// Until when workers' leases may be renewed.
+    /// Decides whether workers' leases may be renewed.
     pub lease_renewal: &'a LeaseRenewal,
-    /// All jobs as stored.
+    /// All job records in the key-value store.
     pub job_cache: &'a mut JobCache,
-    /// How placements of each kind of work have gone on each machine.
+    /// Successful and failed placements of each kind of work on each machine.
     pub success_counts: &'a mut SuccessCounts,
-    /// Every node understands delegations, and answers heartbeats in the leader's name.
+    /// Heartbeats are delegated: every node supports it, and answers heartbeats on the leader's behalf.
     pub heartbeats_delegated: bool,
     /// The other controllers.
     pub peers: &'a mut Peers,
@@ -107,23 +107,23 @@
     pub catalogue: &'a mut Catalogue,
     /// The node's source of randomness.
     pub rng: &'a mut StdRng,
-    /// Where the step's effects go.
+    /// Collects the effects of the step.
     pub outbox: &'a mut Outbox,
 }
 
-/// Something to do again later.
+/// An item to retry at a later time.
 #[derive(Debug)]
 struct Delayed<T> {
     due_at: MonotonicTime,
     item: T,
 }
 
-/// Takes what is due at `now` out of the queue, in its order.
+/// Removes the items that are due at `now` from the queue, and returns them in queue order.
 fn take_due<T>(queue: &mut Vec<Delayed<T>>, now: MonotonicTime) -> Vec<T> {
     queue.extract_if(.., |delayed| delayed.due_at <= now).map(|delayed| delayed.item).collect()
 }
 
-/// The state of one leadership.
+/// The state of one leadership, from the election to its end.
 #[derive(Debug)]
 pub(super) struct Leader {
     settings: Arc<Settings>,
@@ -131,12 +131,13 @@
     /// When this leadership began.
     since: MonotonicTime,
 
-    // What several concerns need.
+    // State that several concerns share.
     machines: Machines,
     job_states: BTreeMap<JobId, JobState>,
-    /// Progress of jobs whose own record can't be read: what they have on machines is left as it is.
+    /// Progress records of jobs whose job record can't be parsed; the assignments of these jobs are
+    /// left unchanged.
     unreadable_jobs: BTreeMap<JobId, Vec<Pair>>,
-    /// Grows with everything that may let a waiting task fit.
+    /// Incremented by every event after which a waiting task may fit.
     capacity_version: u64,
     instance_offers: InstanceOffers,
     partitions: Partitions,
@@ -145,7 +146,7 @@
     heartbeat_collection: HeartbeatCollection,
     served: Served,
 
-    // A component for each concern.
+    // One component for each concern.
     record_loading: RecordLoading,
     failover_log: FailoverLog,
     commits: CommitState,
@@ -165,8 +166,8 @@
 }
 
 impl Leader {
-    /// A leader that has read nothing yet. `types`: the instance types as far as they are known;
-    /// `early_heartbeats`: what the node heard of workers before it led.
+    /// A leader that has read no records yet. `types` are the instance types known so far;
+    /// `early_heartbeats` are those that the node received before it led.
     pub(in crate::node) fn new(
         settings: Arc<Settings>,
         fencing_token: FencingToken,
@@ -204,25 +205,25 @@
             guarantees: Guarantees::default(),
             broadcaster: StatusBroadcaster::new(counts_save_interval, now),
             cloud: CloudClient::new(settings.cloud.rps, now),
-            rental_pacer: Pacer::new(HOUSEKEEPING_INTERVAL, scale_out::PLANNING_REST, now),
+            rental_pacer: Pacer::new(HOUSEKEEPING_INTERVAL, scale_out::PLANNING_REST_FACTOR, now),
             next_housekeeping: now,
             next_retry: now,
             settings,
         }
     }
 
-    /// The token that every change under this leadership carries.
+    /// The fencing token that every change under this leadership carries.
     pub(super) fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
-    /// The step that has ended took `cost`.
+    /// Records that the previous step took `cost`.
     pub(in crate::node) fn record_step_cost(&mut self, cost: Duration, now: MonotonicTime) {
         self.rounds.record_step_cost(cost, now);
         self.rental_pacer.record_cost(cost, now);
     }
 
-    /// The instance types were read anew.
+    /// Replaces the instance types after the catalogue was read.
     pub(in crate::node) fn set_types(&mut self, types: Vec<MachineType>, now: MonotonicTime) {
         let size_of =
             |name: &TypeName| types.iter().find(|known| known.name == *name).map(MachineType::resources);
@@ -231,7 +232,7 @@
         self.capacity_version += 1;
     }
 
-    /// A reply of the key-value store to one of this leader's requests.
+    /// Processes the key-value store's reply to one of this leader's requests.
     pub(super) fn store_reply(
         &mut self,
         context: &mut StepContext,
@@ -249,7 +250,7 @@
         None
     }
 
-    /// What happens with time alone.
+    /// Does the work that depends on time alone.
     pub(super) fn tick(&mut self, context: &mut StepContext) -> Option<LeadershipEnd> {
         self.retry_loading(context);
         self.retry_rereads(context);
@@ -284,7 +285,7 @@
         None
     }
 
-    /// Lets everything that waits be tried again from time to time.
+    /// Periodically makes all waiting tasks eligible for another placement attempt.
     fn retry_waiting(&mut self, now: MonotonicTime) {
         if now >= self.next_retry {
             self.next_retry = now + RETRY_INTERVAL;
@@ -292,8 +293,8 @@
         }
     }
 
-    /// What any input may have made possible: schedules what waits, sends what is new to workers,
-    /// and writes what has changed.
+    /// Does the work that any input may have enabled: schedules waiting tasks, sends new commands to
+    /// workers, and writes changed records.
     pub(super) fn advance(&mut self, context: &mut StepContext) {
         if !context.lease_valid {
             return;
@@ -310,7 +311,9 @@
         self.commit(context);
     }
 
-    /// Whether starts may leave: the lease is valid, all records are read, cancellations are known.
+    /// Whether start commands may be sent: the leadership lease is valid, all records are read, every
+    /// machine record could be parsed, and the node's read of the job records is recent enough for
+    /// all cancellations to be known.
     fn may_start(&self, context: &StepContext) -> bool {
         context.lease_valid
             && self.heartbeat_collection.allows(LeaderAction::Start)
--- a/crates/scheduler/src/node/leader/partition_moves.rs
+++ b/crates/scheduler/src/node/leader/partition_moves.rs
@@ -1,4 +1,5 @@
-//! Moves machines between controllers' partitions so that waiting work fits its controller's one.
+//! Moves machines between the controllers' partitions so that a request fits the partition of the
+//! controller that places it.
 
 use super::Leader;
 use super::candidates::Candidates;
@@ -7,35 +8,35 @@
 use crate::types::{NodeName, Zone};
 use std::collections::BTreeMap;
 
-/// What a request of the pass under way counts on in its controller's partition.
+/// A request of the current pass, and the capacity that it needs in its controller's partition.
 pub(super) struct Claim {
     node: NodeName,
     request: PlacementRequest,
-    /// Slots that the partition has for it beyond what it needs.
+    /// Slots for the request in the partition beyond its number of tasks.
     spare: u32,
 }
 
-/// Tasks of a request that fit machines, by zone.
+/// How many tasks of a request fit the machines of each zone.
 type SlotsByZone<'a> = BTreeMap<&'a Zone, u32>;
 
 /// Where a request's tasks would fit.
 struct Fit<'a> {
-    /// In its controller's partition.
-    own: SlotsByZone<'a>,
-    /// There and on machines that may be moved there.
-    all: SlotsByZone<'a>,
-    /// Machines that may be moved, by their place among the candidates.
+    /// Slots in its controller's partition.
+    in_partition: SlotsByZone<'a>,
+    /// Slots in the partition and on machines that may be moved to it.
+    with_moves: SlotsByZone<'a>,
+    /// Machines that may be moved, as indices into the candidates.
     movable: Vec<usize>,
 }
 
 impl Leader {
-    /// Whether the request fits its controller's partition, if need be after moving machines there
-    /// that fit it from partitions without a round under way. If not, it waits.
+    /// Whether the request fits its controller's partition. If it does not, suitable machines are moved
+    /// there from partitions without a round in progress. If it still does not fit, it waits.
     ///
-    /// What an earlier request of the same pass, a more urgent one, counts on stays where it is: a
-    /// scarce machine used to go from partition to partition, and the least urgent request had it in
-    /// the end (inc-2777).
-    pub(super) fn make_fit(
+    /// Machines that an earlier and thus more urgent request of the same pass needs are not moved.
+    /// Otherwise the only machine with free resources moves from partition to partition, and the
+    /// least urgent request gets it.
+    pub(super) fn fit_into_partition(
         &mut self,
         node: &NodeName,
         request: &PlacementRequest,
@@ -46,11 +47,11 @@
         let gang = request.job_type == JobType::Gang;
         let needed = if gang { request.tasks.len() as u32 } else { 1 };
         let fit = self.find_fit(node, request, candidates, claims);
-        let mut slots: u32 = fit.own.values().sum();
-        if usable_slots(&fit.own, request) < needed {
+        let mut slots: u32 = fit.in_partition.values().sum();
+        if usable_slots(&fit.in_partition, request) < needed {
             let Some(job_state) = self.job_states.get_mut(&request.job) else { return false };
-            if usable_slots(&fit.all, request) < needed {
-                // Of a part of the machines nothing follows for the rest.
+            if usable_slots(&fit.with_moves, request) < needed {
+                // An incomplete set of candidates proves nothing about the other machines.
                 if candidates.complete {
                     job_state.failed_capacity_version = self.capacity_version;
                 }
@@ -58,8 +59,9 @@
                 return false;
             }
             job_state.reason = WaitingReason::MachinesMove;
-            let best = || fit.all.iter().max_by_key(|(_, slots)| **slots).map(|(zone, _)| (*zone).clone());
-            let only_zone = if gang && request.together { best() } else { None };
+            let largest_zone =
+                || fit.with_moves.iter().max_by_key(|(_, slots)| **slots).map(|(zone, _)| (*zone).clone());
+            let only_zone = if gang && request.together { largest_zone() } else { None };
             slots += self.move_machines(node, request, candidates, claims, fit.movable, only_zone.as_ref());
         }
         let spare = slots.saturating_sub(request.tasks.len() as u32);
@@ -74,7 +76,7 @@
         candidates: &'a Candidates,
         claims: &[Claim],
     ) -> Fit<'a> {
-        let mut fit = Fit { own: BTreeMap::new(), all: BTreeMap::new(), movable: Vec::new() };
+        let mut fit = Fit { in_partition: BTreeMap::new(), with_moves: BTreeMap::new(), movable: Vec::new() };
         for (index, candidate) in candidates.machines.iter().enumerate() {
             let view = &candidate.view;
             if !request.allows(view) {
@@ -82,19 +84,19 @@
             }
             let slots = view.free.count_of(&request.resources);
             match &candidate.owner {
-                Some(owner) if owner == node => *fit.own.entry(&view.zone).or_default() += slots,
+                Some(owner) if owner == node => *fit.in_partition.entry(&view.zone).or_default() += slots,
                 Some(owner) if self.rounds.is_pending_at(owner) || is_claimed(claims, owner, view) => {
                     continue;
                 }
                 _ => fit.movable.push(index),
             }
-            *fit.all.entry(&view.zone).or_default() += slots;
+            *fit.with_moves.entry(&view.zone).or_default() += slots;
         }
         fit
     }
 
-    /// Moves machines to the controller's partition until they hold the request's tasks; gives the
-    /// slots gained.
+    /// Moves machines to the controller's partition, and returns the slots gained. Moves all machines in
+    /// `movable` for a gang, and for other jobs at most one per task.
     fn move_machines(
         &mut self,
         node: &NodeName,
@@ -114,13 +116,14 @@
             if only_zone.is_some_and(|zone| *zone != view.zone) {
                 continue;
             }
-            // Each machine that goes may leave the next one claimed.
+            // Each move takes spare slots from the claims of the partition, so the next machine may be
+            // claimed by then.
             let owner = candidate.owner.as_ref();
             if moved >= max_moves || owner.is_some_and(|owner| is_claimed(claims, owner, view)) {
                 continue;
             }
             for claim in claims.iter_mut().filter(|claim| Some(&claim.node) == owner) {
-                claim.lose(view);
+                claim.subtract(view);
             }
             slots_gained += view.free.count_of(&request.resources);
             self.partitions.transfer(node, [view.id.clone()]);
@@ -132,15 +135,16 @@
 }
 
 impl Claim {
-    /// The machine leaves the partition.
-    fn lose(&mut self, view: &MachineView) {
+    /// Subtracts the slots of a machine that leaves the partition.
+    fn subtract(&mut self, view: &MachineView) {
         if self.request.allows(view) {
             self.spare -= view.free.count_of(&self.request.resources);
         }
     }
 }
 
-/// Slots count as far as the zone may take tasks of the job; with `together` those of one zone.
+/// The number of slots that the request can use: in each zone at most the tasks that the zone may still
+/// take; for a gang with `together`, the slots of the best zone only.
 fn usable_slots(slots: &SlotsByZone, request: &PlacementRequest) -> u32 {
     let max_in = |zone: &Zone| request.zones.iter().find(|(name, _)| name == zone).map_or(0, |(_, max)| *max);
     let usable = slots.iter().map(|(zone, slots)| (*slots).min(max_in(zone)));
@@ -151,7 +155,7 @@
     }
 }
 
-/// Whether an earlier request of `owner`'s has no more slots than it needs without this machine.
+/// Whether an earlier request in the partition of `owner` would have too few slots without this machine.
 fn is_claimed(claims: &[Claim], owner: &NodeName, view: &MachineView) -> bool {
     claims
         .iter()
--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: less urgent work is stopped for work that fits nowhere.
+//! Preemption: stops less urgent tasks for a job that fits no machine.
 
 use super::Leader;
 use super::reservations::allows_machine;
@@ -11,38 +11,38 @@
 use crate::workers::{CapacityHold, Health, Machine};
 use std::collections::BTreeSet;
 
-/// How long a job waits for the resources freed for it before more are freed, besides the time that
-/// stopped tasks have to save.
+/// How long a job waits for the resources freed for it before more are freed, in addition to the grace
+/// period in which the stopped tasks save their progress.
 const PREEMPT_PAUSE: Duration = Duration::from_millis(2000);
-/// How long the result of a search that found nothing is taken to hold; each search goes through all
-/// machines.
+/// How long a job waits after a search that freed nothing, since each search visits all machines.
 pub(super) const PREEMPT_RETRY: Duration = Duration::from_millis(1000);
-/// Part of the time within which work is to start that it waits before others are stopped for it.
-const PREEMPT_AFTER: f64 = 0.6;
-/// Waiting less urgent work, as a part of what is placed, from which on no gang stops more of it.
-const CROWDED: f64 = 0.1;
-/// What a stopped task loses besides its work, in seconds: a new place, and often a new fetch.
-const RESTART_S: f64 = 15.0;
+/// Fraction of a job's wait objective after which other tasks are preempted for it.
+const PREEMPT_AFTER_SHARE: f64 = 0.6;
+/// Ratio of waiting to placed tasks of lower priority above which no gang preempts more of them.
+const MAX_BACKLOG_RATIO: f64 = 0.1;
+/// Cost of restarting a preempted task in addition to its repeated work, in seconds: a new placement, and
+/// often a new fetch of its image.
+const RESTART_COST_S: f64 = 15.0;
 
-/// Whose work is stopped.
+/// Which tasks may be preempted.
 #[derive(Clone, Copy)]
 pub(super) enum Preemption<'a> {
-    /// Less urgent work.
+    /// Tasks of lower priority.
     LowerPriority,
-    /// Less urgent work on machines that have the image, without waiting for saves.
+    /// Tasks of lower priority on machines that have the image, without time to save their progress.
     WithImage,
-    /// Other teams' work beyond their guarantee: all but these jobs.
+    /// Tasks that other teams run beyond their guarantees: those of all jobs but these.
     BeyondGuarantee(&'a BTreeSet<JobId>),
 }
 
 impl Preemption<'_> {
-    /// Whether tasks of `other` may be stopped for work of `spec` with `priority`.
+    /// Whether tasks of `other` may be stopped for a job with `spec` and `priority`.
     fn may_stop(&self, other_id: &JobId, other: &JobState, spec: &JobSpec, priority: Priority) -> bool {
         let other_spec = &other.job.spec;
         let whole_gang = other.is_gang() && other_spec.tasks > 1;
         let allowed = match self {
             Self::LowerPriority => other.priority < priority,
-            // At once: no whole gangs, and no time to save.
+            // The tasks stop at once, without time to save, so no whole gangs.
             Self::WithImage => other.priority < priority && !whole_gang,
             Self::BeyondGuarantee(guaranteed) => {
                 other_spec.team != spec.team && !guaranteed.contains(other_id) && !whole_gang
@@ -51,7 +51,7 @@
         allowed && other_spec.job_type != JobType::Service
     }
 
-    /// Seconds that a task has to save its progress.
+    /// Seconds that a stopped task has to save its progress.
     fn grace_s(&self, spec: &JobSpec) -> f64 {
         match self {
             Self::WithImage => 0.0,
@@ -61,8 +61,9 @@
 }
 
 impl Leader {
-    /// Frees resources for a job that fits nowhere, if its rank allows that: all its tasks' if it is
-    /// a gang. Gives whether the machines were searched for it.
+    /// Preempts tasks for a job that fits no machine, if its priority or its team's guarantee allows
+    /// that. For a gang, resources for all its tasks are freed. Returns whether this counts as
+    /// one of the searches of the pass.
     pub(super) fn preempt(&mut self, request: &PlacementRequest, now: MonotonicTime) -> bool {
         let guaranteed = self.guaranteed_jobs();
         let within_guarantee = guaranteed.contains(&request.job);
@@ -72,22 +73,24 @@
         if job_state.preempting_until.is_some_and(|until| now < until) {
             return false;
         }
-        // Resources that come free by themselves cost nothing. Replicas don't wait for them.
+        // Resources may become free without preemption, so the job waits for a part of its objective.
+        // Replicas of services do not wait.
         let objective = self.settings.wait_objective(&spec.kind, within_guarantee);
-        let wait = Duration::from_secs_f64(objective.map_or(0.0, |objective_s| objective_s * PREEMPT_AFTER));
+        let wait =
+            Duration::from_secs_f64(objective.map_or(0.0, |objective_s| objective_s * PREEMPT_AFTER_SHARE));
         if spec.job_type != JobType::Service && now.since(job_state.known_since) < wait {
             return false;
         }
         job_state.preempting_until = Some(now + PREEMPT_RETRY);
         let whole_gang = request.job_type == JobType::Gang && request.tasks.len() > 1;
-        // A gang of several would put off more work than it is: while less urgent work waits for
-        // resources itself, that only passes the wait on.
-        if whole_gang && self.is_crowded(priority) {
+        // A gang of several tasks delays more work than it contains. While tasks of lower priority wait
+        // for resources themselves, preempting more of them would only make those wait instead.
+        if whole_gang && self.has_large_backlog_below(priority) {
             return true;
         }
-        // Less urgent work makes way for all tasks at once. Work beyond its team's guarantee makes
-        // way for one at a time, and not for whole gangs: with many teams near their guarantees they
-        // would otherwise stop one another in turn.
+        // Tasks of lower priority are preempted for all tasks of the request at once. Tasks beyond their
+        // team's guarantee are preempted for one task at a time, and not for whole gangs: otherwise,
+        // with many teams near their guarantees, teams would preempt one another in turn.
         let freed = self.free_by_preemption(request, &spec, Preemption::LowerPriority, now);
         if freed == 0 && within_guarantee && !whole_gang {
             self.free_by_preemption(request, &spec, Preemption::BeyondGuarantee(&guaranteed), now);
@@ -95,19 +98,19 @@
         true
     }
 
-    /// Whether so much work below `priority` waits that what was stopped would wait long.
-    fn is_crowded(&self, priority: Priority) -> bool {
+    /// Whether so many tasks below `priority` wait that preempted ones would wait long.
+    fn has_large_backlog_below(&self, priority: Priority) -> bool {
         let mut waiting = 0;
         let mut placed = 0;
         for job_state in self.job_states.values().filter(|job_state| job_state.priority < priority) {
             waiting += job_state.waiting_count() as usize;
             placed += job_state.placed().len();
         }
-        waiting as f64 > placed as f64 * CROWDED
+        waiting as f64 > placed as f64 * MAX_BACKLOG_RATIO
     }
 
-    /// Stops what loses least so that `request` fits; gives the number of machines where that frees
-    /// enough.
+    /// Stops the tasks that lose the least work so that `request` fits. Returns the number of machines
+    /// chosen for the request; 0 if no task is stopped.
     pub(super) fn free_by_preemption(
         &mut self,
         request: &PlacementRequest,
@@ -124,25 +127,26 @@
             together: request.together,
             zones: &request.zones,
         };
-        let clearings = choose(candidates, &wanted);
-        let stopped: usize = clearings.iter().map(|clearing| clearing.victims.len()).sum();
+        let chosen = choose(candidates, &wanted);
+        let stopped: usize = chosen.iter().map(|entry| entry.victims.len()).sum();
         if stopped == 0 {
             return 0;
         }
-        tracing::info!(job = %request.job, machines = clearings.len(), stopped, "preempts");
-        let longest_grace_s = self.stop_victims(&clearings, preemption, now);
+        tracing::info!(job = %request.job, machines = chosen.len(), stopped, "preempting tasks for this job");
+        let longest_grace_s = self.stop_victims(&chosen, preemption, now);
         let until = now + PREEMPT_PAUSE + Duration::from_secs_f64(longest_grace_s);
-        let several = wanted.gang && wanted.tasks > 1;
-        let hold_all = several || matches!(preemption, Preemption::WithImage);
-        self.hold_cleared(&request.job, &clearings, hold_all, until);
+        let whole_gang = wanted.gang && wanted.tasks > 1;
+        let hold_all = whole_gang || matches!(preemption, Preemption::WithImage);
+        self.hold_freed_resources(&request.job, &chosen, hold_all, until);
         if let Some(job_state) = self.job_states.get_mut(&request.job) {
             job_state.preempting_until = Some(until);
             job_state.reason = WaitingReason::Preempting;
         }
-        clearings.len() as u32
+        chosen.len() as u32
     }
 
-    /// Machines that could take tasks of the request if others were stopped; `None` if the job is unknown.
+    /// Machines that could take tasks of the request if other tasks were stopped; `None` if the job is
+    /// unknown.
     fn preemption_candidates(
         &self,
         request: &PlacementRequest,
@@ -180,7 +184,7 @@
         let mut victims = Vec::new();
         for (task, assignment) in machine.assignments.iter().filter(|(_, assignment)| assignment.occupies()) {
             if assignment.stop.is_some() {
-                free = free.plus(&assignment.resources); // it leaves already
+                free = free.plus(&assignment.resources); // it is being stopped already
                 continue;
             }
             let Some(job_state) = self.job_states.get(&task.job) else { continue };
@@ -195,10 +199,10 @@
         Candidate { machine: machine.id.clone(), zone: machine.zone.clone(), free, victims, fetch_s }
     }
 
-    /// Stops the tasks that are to leave; gives the longest time that one of them has to save, in seconds.
-    fn stop_victims(&mut self, clearings: &[Clearing], preemption: Preemption, now: MonotonicTime) -> f64 {
+    /// Stops the victims on the chosen machines. Returns the longest grace period of any of them, in seconds.
+    fn stop_victims(&mut self, chosen: &[Clearing], preemption: Preemption, now: MonotonicTime) -> f64 {
         let mut longest_grace_s = 0.0f64;
-        for Clearing { machine, victims } in clearings {
+        for Clearing { machine, victims } in chosen {
             for task in victims {
                 let Some(job_state) = self.job_states.get(&task.job) else { continue };
                 let grace_s = preemption.grace_s(&job_state.job.spec);
@@ -213,11 +217,17 @@
         longest_grace_s
     }
 
-    /// Keeps what several tasks have to leave, or what lies on several machines, for the job: it
-    /// comes piece by piece, and small tasks would take each piece. A single place may go to
-    /// whichever job is served first.
-    fn hold_cleared(&mut self, job: &JobId, clearings: &[Clearing], hold_all: bool, until: MonotonicTime) {
-        for Clearing { machine, victims } in clearings {
+    /// Holds the freed resources of a machine for the job if several tasks are stopped there, and those of
+    /// all chosen machines with `hold_all`. Without a hold, small tasks would take these resources bit
+    /// by bit as the victims end. The resources of a single victim go to the next request that fits.
+    fn hold_freed_resources(
+        &mut self,
+        job: &JobId,
+        chosen: &[Clearing],
+        hold_all: bool,
+        until: MonotonicTime,
+    ) {
+        for Clearing { machine, victims } in chosen {
             if (hold_all || victims.len() > 1)
                 && let Some(machine) = self.machines.get_mut(machine)
             {
@@ -227,16 +237,16 @@
     }
 }
 
-/// Seconds of work that are lost if the task is stopped now.
+/// Seconds of work that are lost if the task is stopped now, including the cost of its restart.
 fn loss_s(job_state: &JobState, assignment: &Assignment, now: MonotonicTime) -> f64 {
     let spec = &job_state.job.spec;
-    // Work since the last checkpoint, and a new start.
+    // Work since the last checkpoint, or since the start if the job saves no checkpoints.
     let repeated_s = if spec.checkpoint.0 > 0 {
         spec.save.as_secs_f64()
     } else {
         assignment.running_since.map_or(0.0, |since| now.since(since).as_secs_f64())
     };
-    let loss_s = repeated_s + RESTART_S;
-    // With one task of a gang all of it stops.
+    let loss_s = repeated_s + RESTART_COST_S;
+    // Stopping one task of a gang stops all of its tasks.
     if job_state.is_gang() { loss_s * f64::from(spec.tasks) } else { loss_s }
 }
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -1,5 +1,5 @@
-//! Free resources that are kept for a job for a while: for gangs until the rest of their machines
-//! are there, and for replicas where their image is.
+//! Free resources that are temporarily reserved for a job: for gangs until their remaining machines are
+//! up, and for replicas of services on machines that have their image.
 
 use super::Leader;
 use super::candidates::Candidates;
@@ -11,39 +11,41 @@
 use pearford_recovery::LeaderAction;
 use std::collections::BTreeMap;
 
-/// Seconds of fetching that are worth stopping less urgent work where the image is.
-const IMAGE_WORTH_S: f64 = 5.0;
-/// Machines that should be up within this time count as nearly there for a gang.
-const HOLD_AHEAD: Duration = Duration::from_millis(10_000);
-/// How long free machines are then kept for the gang at a time.
-const HOLD_FOR: Duration = Duration::from_millis(2000);
+/// Duration of an image fetch, in seconds, above which less urgent tasks are preempted on machines that
+/// have the image.
+const MIN_FETCH_TO_PREEMPT_S: f64 = 5.0;
+/// A booting machine counts for a gang from this long before the end of its expected boot time until this
+/// long after it.
+const BOOT_TIME_TOLERANCE: Duration = Duration::from_millis(10_000);
+/// How long one hold reserves a free machine for a gang; each pass that considers the gang renews it.
+const GANG_HOLD: Duration = Duration::from_millis(2000);
 
-/// Tasks of a gang that fit the machines of a zone.
+/// How many tasks of a gang fit the machines of a zone.
 #[derive(Default)]
 struct GangSlots {
     /// On machines that are up.
     free: u32,
-    /// On machines that boot.
-    soon: u32,
+    /// On machines that are booting.
+    booting: u32,
 }
 
 impl GangSlots {
-    /// Whether the gang fits once the machines that boot are up, and part of it now.
+    /// Whether a part of the gang fits now, and all of it once the booting machines are up.
     fn suffice(&self, needed: u32) -> bool {
-        self.free > 0 && self.free + self.soon >= needed
+        self.free > 0 && self.free + self.booting >= needed
     }
 }
 
 impl Leader {
-    /// Keeps free machines for a gang that fits as soon as others on their way are up: small tasks
-    /// took those rented for it one by one as they came.
-    pub(super) fn hold_for_gang(
+    /// Holds free machines for a gang that fits as soon as the booting machines are up. Without this,
+    /// small tasks take the machines rented for the gang one by one as they come up.
+    pub(super) fn hold_machines_for_gang(
         &mut self,
         request: &PlacementRequest,
         candidates: &mut Candidates,
         now: MonotonicTime,
     ) {
-        // Worth idle machines only where the next one could not be up in time.
+        // Holding machines idle pays only if some machine type takes longer to boot than the gang may wait.
         let within_s = self.settings.wait_objective(&request.kind, false).unwrap_or(f64::MAX);
         if self.instance_offers.types.iter().all(|machine_type| machine_type.boot_s <= within_s) {
             return;
@@ -62,12 +64,12 @@
             left = left.saturating_sub(view.free.count_of(&request.resources));
             view.held_for = Some(request.job.clone());
             if let Some(machine) = self.machines.get_mut(&view.id) {
-                machine.held = Some(CapacityHold { job: request.job.clone(), until: now + HOLD_FOR });
+                machine.held = Some(CapacityHold { job: request.job.clone(), until: now + GANG_HOLD });
             }
         }
     }
 
-    /// Where the gang's tasks fit now, or will soon.
+    /// How many of the gang's tasks fit each zone now, and on machines that will be up soon.
     fn gang_slots(
         &self,
         request: &PlacementRequest,
@@ -82,26 +84,27 @@
         for machine in self.machines.iter() {
             if self.is_nearly_up(machine, now) && allows_machine(request, machine) {
                 let zone = slots.entry(machine.zone.clone()).or_default();
-                zone.soon += machine.total.count_of(&request.resources);
+                zone.booting += machine.total.count_of(&request.resources);
             }
         }
         slots
     }
 
-    /// Whether the machine boots and should be up soon. One that is long overdue may never come.
+    /// Whether the machine is booting and should be up soon. One that is long overdue may never come up.
     fn is_nearly_up(&self, machine: &Machine, now: MonotonicTime) -> bool {
         if machine.status != MachineStatus::Booting {
             return false;
         }
         let machine_type = self.instance_offers.type_of(&machine.type_name);
         let up_at = machine.rented_at + machine_type.map(MachineType::boot).unwrap_or_default();
-        now + HOLD_AHEAD >= up_at && now < up_at + HOLD_AHEAD
+        now + BOOT_TIME_TOLERANCE >= up_at && now < up_at + BOOT_TIME_TOLERANCE
     }
 
-    /// Replicas that should rather wait for resources where their image is than be fetched
-    /// elsewhere: a fetch takes longer than less urgent work needs to leave. Gives how many wait
-    /// now. `searches_left`: searches of all machines that this pass may still make.
-    pub(super) fn keep_for_image(
+    /// Decides how many replicas are not offered now because they wait for preempted resources on machines
+    /// with their image: a fetch elsewhere takes longer than stopping less urgent tasks. Preempts
+    /// those tasks if necessary, and returns the number of replicas that wait. `searches_left` counts
+    /// the searches of all machines that this pass may still make.
+    pub(super) fn withhold_for_image(
         &mut self,
         request: &PlacementRequest,
         candidates: &Candidates,
@@ -109,55 +112,61 @@
         now: MonotonicTime,
     ) -> u32 {
         let tasks = request.tasks.len() as u32;
-        let ready = slots_with_image(request, candidates);
+        let free_slots = slots_with_image(request, candidates);
         let Some(job_state) = self.job_states.get_mut(&request.job) else { return 0 };
         if job_state.preempting_until.is_none_or(|until| now >= until) {
             job_state.awaiting_preemption = 0;
         }
-        let nothing_under_way = job_state.awaiting_preemption == 0 && job_state.preempting_until.is_none();
-        if nothing_under_way
-            && ready < tasks
+        let no_preemption_pending =
+            job_state.awaiting_preemption == 0 && job_state.preempting_until.is_none();
+        if no_preemption_pending
+            && free_slots < tasks
             && *searches_left > 0
             && self.is_fetch_worth_preempting(request)
             && self.heartbeat_collection.allows(LeaderAction::Preempt)
         {
             *searches_left -= 1;
-            self.preempt_where_image_is(request, tasks - ready, now);
+            self.preempt_on_machines_with_image(request, tasks - free_slots, now);
         }
-        let promised = self.job_states.get(&request.job).map_or(0, |job_state| job_state.awaiting_preemption);
-        promised.saturating_sub(ready).min(tasks)
+        let awaiting = self.job_states.get(&request.job).map_or(0, |job_state| job_state.awaiting_preemption);
+        awaiting.saturating_sub(free_slots).min(tasks)
     }
 
     fn is_fetch_worth_preempting(&self, request: &PlacementRequest) -> bool {
         let rates = self.instance_offers.types.iter().map(|machine_type| machine_type.fetch_gb_per_s);
         let rate = rates.fold(0.0, f64::max);
-        rate > 0.0 && request.image_gb / rate > IMAGE_WORTH_S
+        rate > 0.0 && request.image_gb / rate > MIN_FETCH_TO_PREEMPT_S
     }
 
-    /// Has less urgent work stopped for `missing` of the request's tasks on machines with its image.
-    fn preempt_where_image_is(&mut self, request: &PlacementRequest, missing: u32, now: MonotonicTime) {
+    /// Preempts less urgent tasks on machines with the request's image, for `missing` of its tasks.
+    fn preempt_on_machines_with_image(
+        &mut self,
+        request: &PlacementRequest,
+        missing: u32,
+        now: MonotonicTime,
+    ) {
         let Some(job_state) = self.job_states.get(&request.job) else { return };
         let spec = job_state.job.spec.clone();
         let mut missing_request = request.clone();
         missing_request.tasks.truncate(missing as usize);
-        let promised = self.free_by_preemption(&missing_request, &spec, Preemption::WithImage, now);
+        let freed = self.free_by_preemption(&missing_request, &spec, Preemption::WithImage, now);
         if let Some(job_state) = self.job_states.get_mut(&request.job) {
-            job_state.awaiting_preemption = promised;
-            if promised == 0 {
+            job_state.awaiting_preemption = freed;
+            if freed == 0 {
                 job_state.preempting_until = Some(now + PREEMPT_RETRY);
             }
         }
     }
 }
 
-/// Whether the request may use machines of this type, kind and zone.
+/// Whether the request may use machines of this type, market (spot or on-demand) and zone.
 pub(super) fn allows_machine(request: &PlacementRequest, machine: &Machine) -> bool {
     request.types.as_ref().is_none_or(|types| types.contains(&machine.type_name))
         && (request.spot || !machine.spot)
         && request.zones.iter().any(|(zone, left)| *zone == machine.zone && *left > 0)
 }
 
-/// Zones whose free machines are kept for the gang: none if it won't fit soon.
+/// Zones whose free machines are held for the gang; none if it will not fit soon.
 fn zones_for_gang(request: &PlacementRequest, slots: BTreeMap<Zone, GangSlots>, needed: u32) -> Vec<Zone> {
     if request.together {
         let sufficient = slots.into_iter().filter(|(_, slots)| slots.suffice(needed));
@@ -165,12 +174,12 @@
     }
     let all = GangSlots {
         free: slots.values().map(|slots| slots.free).sum(),
-        soon: slots.values().map(|slots| slots.soon).sum(),
+        booting: slots.values().map(|slots| slots.booting).sum(),
     };
     if all.suffice(needed) { slots.into_keys().collect() } else { Vec::new() }
 }
 
-/// How many of the request's tasks fit machines that have its image.
+/// How many of the request's tasks fit the free resources of machines that have its image.
 fn slots_with_image(request: &PlacementRequest, candidates: &Candidates) -> u32 {
     let with_image =
         candidates.views().filter(|view| request.allows(view) && view.images.contains(&request.image));
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -1,4 +1,5 @@
-//! Scale out: what waits, what is on its way for it, and what is rented.
+//! Scale out: determines the capacity that waiting tasks need, subtracts the capacity that is already
+//! incoming, and rents machines for the rest.
 
 use super::Leader;
 use super::cloud_calls::{CloudCall, PlannedCall};
@@ -12,19 +13,19 @@
 use pearford_recovery::LeaderAction;
 use std::collections::BTreeMap;
 
-/// Parts of the time that planning rentals leaves to all else for each part that it takes.
-pub(super) const PLANNING_REST: f64 = 9.0;
-/// Waiting tasks that rentals are planned for at a time.
+/// After planning rentals, at least this multiple of its duration is left to other work.
+pub(super) const PLANNING_REST_FACTOR: f64 = 9.0;
+/// Maximum number of waiting tasks for which rentals are planned at a time.
 const MAX_WAITING_TASKS: u32 = 20_000;
-/// Nothing is rented for so long after a failover.
-const RENT_AFTER_FAILOVER: Duration = Duration::from_millis(2000);
-/// Difference up to which GPUs count as enough.
+/// How long a new leader rents nothing after a failover.
+const RENT_DELAY_AFTER_FAILOVER: Duration = Duration::from_millis(2000);
+/// A machine may lack this many GPUs through rounding and still count as having enough.
 const GPU_TOLERANCE: f64 = 1e-6;
 
-/// Machines of one offer with the same free resources, in thousandths.
+/// An offer and the free CPUs, GPUs and memory in thousandths, by which machines are grouped.
 type CapacityGroup = (InstanceOffer, [u64; 3]);
 
-/// Capacity on its way, grouped.
+/// Incoming capacity, grouped by offer and free resources.
 #[derive(Default)]
 struct IncomingGroups {
     groups: BTreeMap<CapacityGroup, IncomingCapacity>,
@@ -38,7 +39,8 @@
         self.groups.entry((offer, thousandths)).or_insert(new).number += number;
     }
 
-    /// All groups, small gaps first: whole machines stay for those that need them whole.
+    /// All groups, those with the fewest free GPUs first, so that empty machines remain for requests that
+    /// need a whole machine.
     fn into_sorted(self) -> Vec<IncomingCapacity> {
         let mut incoming: Vec<IncomingCapacity> = self.groups.into_values().collect();
         incoming.sort_by(|first, second| first.free.gpus.total_cmp(&second.free.gpus));
@@ -47,11 +49,11 @@
 }
 
 impl Leader {
-    /// The calls that rent machines now.
+    /// The calls to the cloud that rent machines now.
     pub(super) fn plan_rentals(&mut self, now: MonotonicTime) -> Vec<PlannedCall> {
         if !self.heartbeat_collection.allows(LeaderAction::ScaleOut)
             || !self.cloud.may_rent(now)
-            || now.since(self.since) < RENT_AFTER_FAILOVER
+            || now.since(self.since) < RENT_DELAY_AFTER_FAILOVER
             || self.instance_offers.types.is_empty()
         {
             return Vec::new();
@@ -73,12 +75,12 @@
             if !self.cloud.take_call(now) {
                 break;
             }
-            calls.push(self.rental(offer, number));
+            calls.push(self.rental_call(offer, number));
         }
         calls
     }
 
-    fn rental(&mut self, offer: InstanceOffer, number: u32) -> PlannedCall {
+    fn rental_call(&mut self, offer: InstanceOffer, number: u32) -> PlannedCall {
         let number = number.min(self.settings.operator.rent_at_most);
         let request = CloudRequest::Rent {
             claim: self.instance_offers.claim(self.fencing_token),
@@ -90,21 +92,24 @@
         PlannedCall { request, call: CloudCall::Rent { offer, number } }
     }
 
-    /// What is rented in a zone that is cut off can't be used: the request takes others, if it may.
+    /// Removes zones that are cut off from the request, since machines rented there can't be used. The
+    /// request is left unchanged if it may use no other zone.
     fn avoid_cut_zones(&self, request: &mut CapacityRequest) {
         if request.zones.iter().any(|(zone, left)| *left > 0 && !self.isolation.is_cut(zone)) {
             request.zones.retain(|(zone, _)| !self.isolation.is_cut(zone));
         }
     }
 
-    /// Capacity that will be there without further rentals.
+    /// Capacity that will be available without further rentals.
     fn incoming_capacity(&self, requests: &[CapacityRequest], now: MonotonicTime) -> Vec<IncomingCapacity> {
         let least_gpus = requests.iter().map(|request| request.resources.gpus).fold(f64::MAX, f64::min);
         let mut groups = IncomingGroups::default();
         for machine in self.machines.iter() {
-            // Just after a failover most have not been heard yet; their resources will be there.
-            let unheard = machine.status == MachineStatus::Up && !machine.has_been_heard();
-            let usable = machine.status == MachineStatus::Booting || unheard || machine.open_for_tasks(now);
+            // Right after a failover most machines have not sent a heartbeat to this leader yet; their
+            // resources will be available once they have.
+            let unreported = machine.status == MachineStatus::Up && !machine.has_been_heard();
+            let usable =
+                machine.status == MachineStatus::Booting || unreported || machine.open_for_tasks(now);
             if machine.free().gpus + GPU_TOLERANCE >= least_gpus && usable {
                 groups.add(offer_of(machine), machine.free(), 1);
             }
@@ -117,7 +122,7 @@
         groups.into_sorted()
     }
 
-    /// All that waits, most urgent first, as far as teams' limits allow.
+    /// Requests for the capacity that waiting tasks need, most urgent first, within the teams' limits.
     fn capacity_requests(&mut self, now: MonotonicTime) -> Vec<CapacityRequest> {
         let guaranteed = self.guaranteed_jobs();
         let mut waiting: Vec<(&JobId, &JobState)> = self
@@ -141,7 +146,8 @@
         requests
     }
 
-    /// What a job's waiting tasks need, `max_tasks` at most; it is added to `used`.
+    /// The capacity that a job's waiting tasks need, for at most `max_tasks` of them. Adds the resources of
+    /// the request to `used`.
     fn capacity_request(
         &self,
         id: &JobId,
@@ -169,9 +175,10 @@
         })
     }
 
-    /// Tasks of arrays follow one another on the same slots. While those that wait will get one
-    /// sooner than a new machine would be up and done with its first, they needn't have expensive
-    /// machines; otherwise they don't wait for cheap ones.
+    /// Clears `patient` unless the waiting tasks of arrays will get slots soon. Array tasks reuse the slots
+    /// of finished ones. If all waiting tasks can finish on the present and booting slots before a new
+    /// machine could boot and finish a task, they need no expensive machines. Otherwise they do not
+    /// wait for cheap ones.
     fn limit_patience(&self, requests: &mut [CapacityRequest]) {
         let arrays =
             || self.job_states.values().filter(|job_state| job_state.job.spec.job_type == JobType::Array);
@@ -182,22 +189,23 @@
             waiting += tasks;
             work_s += tasks * job_state.job.spec.estimate.as_secs_f64();
         }
-        let patient = requests.iter().find(|request| request.patient);
-        let Some(resources) = patient.map(|request| request.resources) else { return };
+        let first_patient = requests.iter().find(|request| request.patient);
+        let Some(resources) = first_patient.map(|request| request.resources) else { return };
         let placed: usize = arrays().map(|job_state| job_state.placed().len()).sum();
         let booting = self.machines.iter().filter(|machine| machine.status == MachineStatus::Booting);
-        let incoming: u32 = booting.map(|machine| machine.free().count_of(&resources)).sum();
-        let slots = (placed as f64 + f64::from(incoming)).max(1.0);
+        let booting_slots: u32 = booting.map(|machine| machine.free().count_of(&resources)).sum();
+        let slots = (placed as f64 + f64::from(booting_slots)).max(1.0);
         let types = self.instance_offers.types.iter();
         let boot_s = types.map(|machine_type| machine_type.boot_s).fold(0.0, f64::max);
-        let mean_s = if waiting > 0.0 { work_s / waiting } else { 0.0 };
-        let soon = work_s / slots <= boot_s + mean_s;
+        let mean_task_s = if waiting > 0.0 { work_s / waiting } else { 0.0 };
+        let finish_soon = work_s / slots <= boot_s + mean_task_s;
         for request in requests {
-            request.patient &= soon;
+            request.patient &= finish_soon;
         }
     }
 
-    /// The cloud has rented a machine, or lists one that is not known yet.
+    /// Adds a machine that the cloud has rented or that appears in its list for the first time. Ignores
+    /// returned and known machines, and those of unknown type.
     pub(super) fn add_rented_machine(&mut self, id: MachineId, offer: &InstanceOffer, now: MonotonicTime) {
         if self.machines.was_returned(&id) || self.machines.contains(&id) {
             return;
@@ -209,7 +217,7 @@
         self.commits.mark_changed(id);
     }
 
-    /// The cloud lists a machine.
+    /// Processes a machine in the cloud's list: adds it if it is unknown, and returns it if it has failed.
     pub(super) fn process_listed_machine(&mut self, listed: ListedMachine, now: MonotonicTime) {
         if self.machines.was_returned(&listed.id) {
             return;
@@ -223,7 +231,7 @@
             machine.addr = listed.addr;
         }
         if listed.phase == MachinePhase::Failed && machine.status != MachineStatus::Releasing {
-            tracing::warn!(machine = %machine.id, "machine failed; returning it");
+            tracing::warn!(machine = %machine.id, "cloud lists the machine as failed; returning it");
             begin_return(machine, &mut self.partitions);
         }
     }
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -1,5 +1,5 @@
-//! The scheduling pass: what waits is put in order, divided among the controllers, and each gets a
-//! round of requests with the machines of its partition.
+//! The scheduling pass: sorts the waiting tasks by urgency, distributes them among the controllers,
+//! and builds a round for each controller from its requests and the machines of its partition.
 
 use super::Leader;
 use super::candidates::Candidates;
@@ -14,19 +14,20 @@
 use pearford_recovery::LeaderAction;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Searches of all machines for preemption in a pass, at most.
+/// Maximum number of searches of all machines for preemption in one pass.
 const PREEMPTIONS_PER_PASS: usize = 2;
-/// Waiting tasks that a job counts for at most when machines are divided among controllers.
+/// Maximum number of a job's waiting tasks that count when machines are divided among controllers.
 const MAX_WAITING_COUNTED: u32 = 1000;
 
-/// A scheduling pass under way.
+/// The state of a scheduling pass.
 struct Pass<'a> {
+    /// Controllers that may receive a round.
     live: &'a BTreeSet<NodeName>,
-    me: &'a NodeName,
+    own_node: &'a NodeName,
     candidates: Candidates,
-    /// What the requests taken so far count on in their controllers' partitions.
+    /// Capacity that the requests handled so far need in their controllers' partitions.
     claims: Vec<Claim>,
-    /// Searches for preemption that are left.
+    /// Searches for preemption that this pass may still make.
     searches_left: usize,
     now: MonotonicTime,
 }
@@ -36,10 +37,10 @@
     pub(super) fn build_rounds(
         &mut self,
         live: &BTreeSet<NodeName>,
-        me: &NodeName,
+        own_node: &NodeName,
         now: MonotonicTime,
     ) -> Vec<Round> {
-        self.divide_partitions_if_due(live, me, now);
+        self.divide_partitions_if_due(live, own_node, now);
         let mut requests = self.waiting_requests(self.settings.operator.round_tasks, now);
         let max_records = self.limit_to_write_budget(&mut requests);
         if requests.is_empty() {
@@ -50,34 +51,42 @@
             self.narrow_to_records(&mut candidates, &requests, records);
         }
         let searches_left = PREEMPTIONS_PER_PASS;
-        let mut pass = Pass { live, me, candidates, claims: Vec::new(), searches_left, now };
+        let mut pass = Pass { live, own_node, candidates, claims: Vec::new(), searches_left, now };
         let mut requests_by_node: BTreeMap<NodeName, Vec<PlacementRequest>> = BTreeMap::new();
         for request in requests {
-            if let Some((node, request)) = self.offer(&mut pass, request) {
+            if let Some((node, request)) = self.prepare_offer(&mut pass, request) {
                 requests_by_node.entry(node).or_default().push(request);
             }
         }
         let rounds = requests_by_node.into_iter();
-        rounds.filter_map(|(node, requests)| self.round_of(node, requests, &pass.candidates)).collect()
+        rounds.filter_map(|(node, requests)| self.build_round(node, requests, &pass.candidates)).collect()
     }
 
-    /// Divides the machines among the controllers anew, if that is due and no round is under way.
-    fn divide_partitions_if_due(&mut self, live: &BTreeSet<NodeName>, me: &NodeName, now: MonotonicTime) {
+    /// Divides the machines among the controllers again if that is due and no round is in progress.
+    fn divide_partitions_if_due(
+        &mut self,
+        live: &BTreeSet<NodeName>,
+        own_node: &NodeName,
+        now: MonotonicTime,
+    ) {
         if !self.partitions.needs_division(live, now) || self.rounds.any_pending() {
             return;
         }
-        let mut work: BTreeMap<NodeName, u32> = live.iter().map(|node| (node.clone(), 0)).collect();
+        let mut waiting_tasks: BTreeMap<NodeName, u32> = live.iter().map(|node| (node.clone(), 0)).collect();
         for job_state in self.job_states.values() {
-            let node = if live.contains(&job_state.assigned_node) { &job_state.assigned_node } else { me };
-            *work.entry(node.clone()).or_default() += job_state.waiting_count().min(MAX_WAITING_COUNTED);
+            let node =
+                if live.contains(&job_state.assigned_node) { &job_state.assigned_node } else { own_node };
+            *waiting_tasks.entry(node.clone()).or_default() +=
+                job_state.waiting_count().min(MAX_WAITING_COUNTED);
         }
         let up = self.machines.iter().filter(|machine| machine.status == MachineStatus::Up);
         let up: BTreeSet<MachineId> = up.map(|machine| machine.id.clone()).collect();
         let lease = Duration::from_secs_f64(self.settings.operator.block_lease_s);
-        self.partitions.divide(&up, &work, lease, now);
+        self.partitions.divide(&up, &waiting_tasks, lease, now);
     }
 
-    /// What waits, most urgent first, as far as teams' limits allow.
+    /// Requests for waiting tasks, most urgent first, within the teams' limits. The total is at most
+    /// `max_tasks`, except that a gang is never split.
     fn waiting_requests(&mut self, max_tasks: usize, now: MonotonicTime) -> Vec<PlacementRequest> {
         let mut ids: Vec<JobId> = self
             .job_states
@@ -94,7 +103,7 @@
         }
         let guaranteed = self.guaranteed_jobs();
         ids.sort_by_cached_key(|id| self.service_order(id, &self.job_states[id], &guaranteed));
-        let mut used = self.used_with_offers();
+        let mut used = self.used_including_offered();
         let mut requests = Vec::new();
         let mut left = max_tasks;
         for id in ids {
@@ -109,8 +118,8 @@
         requests
     }
 
-    /// What teams take on machines, and would with the rounds under way.
-    fn used_with_offers(&self) -> BTreeMap<TeamName, Resources> {
+    /// Resources that each team uses, including those of tasks offered in rounds in progress.
+    fn used_including_offered(&self) -> BTreeMap<TeamName, Resources> {
         let mut used = self.machines.used_by_teams().clone();
         for job_state in self.job_states.values().filter(|job_state| job_state.offered > 0) {
             let spec = &job_state.job.spec;
@@ -120,8 +129,8 @@
         used
     }
 
-    /// The request for a job's waiting tasks, `max_tasks` at most unless it is a gang; what it takes
-    /// is added to `used`.
+    /// The request for a job's waiting tasks: at most `max_tasks`, or all tasks if the job is a gang.
+    /// Adds the resources of the request to `used`.
     fn request_for(
         &mut self,
         id: &JobId,
@@ -151,37 +160,40 @@
         Some(placement_request(id, &spec, tasks, zones))
     }
 
-    /// The controller that is to place the request, and what of it; `None` if it is not offered now.
-    fn offer(
+    /// The controller that will place the request, and the request with the tasks to offer; `None` if
+    /// the request is not offered in this pass.
+    fn prepare_offer(
         &mut self,
         pass: &mut Pass,
         mut request: PlacementRequest,
     ) -> Option<(NodeName, PlacementRequest)> {
         let job_state = self.job_states.get_mut(&request.job)?;
         if !pass.live.contains(&job_state.assigned_node) {
-            job_state.assigned_node = pass.me.clone();
+            job_state.assigned_node = pass.own_node.clone();
         }
         let node = job_state.assigned_node.clone();
         if self.rounds.is_pending_at(&node) {
             return None;
         }
         if request.job_type == JobType::Service {
-            let kept =
-                self.keep_for_image(&request, &pass.candidates, &mut pass.searches_left, pass.now) as usize;
-            request.tasks.truncate(request.tasks.len() - kept.min(request.tasks.len()));
+            let withheld =
+                self.withhold_for_image(&request, &pass.candidates, &mut pass.searches_left, pass.now)
+                    as usize;
+            request.tasks.truncate(request.tasks.len() - withheld.min(request.tasks.len()));
             if request.tasks.is_empty() {
                 return None;
             }
         }
-        // What fits nowhere is not offered: a round's answer would only say the same.
-        if !self.make_fit(&node, &request, &mut pass.candidates, &mut pass.claims) {
+        // A request that doesn't fit is not offered: the round would find no placement either.
+        if !self.fit_into_partition(&node, &request, &mut pass.candidates, &mut pass.claims) {
             self.free_resources_for(pass, &request);
             return None;
         }
         Some((node, request))
     }
 
-    /// Has less urgent work stopped for a request that fits nowhere, or keeps machines for it.
+    /// Preempts less urgent tasks for a request that does not fit, and holds machines for it if it is a
+    /// gang.
     fn free_resources_for(&mut self, pass: &mut Pass, request: &PlacementRequest) {
         let may_preempt = pass.searches_left > 0
             && pass.candidates.complete
@@ -190,20 +202,21 @@
             pass.searches_left -= usize::from(self.preempt(request, pass.now));
         }
         if request.job_type == JobType::Gang && request.tasks.len() > 1 {
-            self.hold_for_gang(request, &mut pass.candidates, pass.now);
+            self.hold_machines_for_gang(request, &mut pass.candidates, pass.now);
         }
     }
 
-    /// The controller's round, if it has a partition.
-    fn round_of(
+    /// The controller's round; `None` if it has no partition.
+    fn build_round(
         &mut self,
         node: NodeName,
         requests: Vec<PlacementRequest>,
         candidates: &Candidates,
     ) -> Option<Round> {
         let partition = self.partitions.get(&node)?.id;
-        let machines =
-            candidates.of(&node).filter(|view| requests.iter().any(|request| request.allows(view)));
+        let machines = candidates
+            .in_partition_of(&node)
+            .filter(|view| requests.iter().any(|request| request.allows(view)));
         let machines: Vec<MachineView> = machines.cloned().collect();
         for request in &requests {
             if let Some(job_state) = self.job_states.get_mut(&request.job) {
@@ -213,7 +226,8 @@
         Some(Round { node, partition, machines, requests })
     }
 
-    /// Bytes that an assignment of the task takes in a machine's record, whichever attempt it will be.
+    /// Upper bound, over all attempt numbers, of the bytes that an assignment of the task takes in a
+    /// machine's record.
     pub(super) fn assignment_bytes(&self, task: &TaskId, spec: &JobSpec) -> usize {
         assignments::assignment_bytes(task, Attempt(u64::MAX), &spec.team, &spec.resources)
     }
--- a/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
@@ -4,11 +4,11 @@
 use crate::types::WallTime;
 use std::sync::Arc;
 
-/// A leader with machines that hold one GPU task each, and nodes n0 (itself), n1 and n2.
+/// A leader on node n0 with peers n1 and n2, and with machines that hold one GPU task each.
 struct Cluster {
     leader: Leader,
     live: BTreeSet<NodeName>,
-    me: NodeName,
+    own_node: NodeName,
     now: MonotonicTime,
 }
 
@@ -20,7 +20,7 @@
             (0..machines).map(|index| MachineId::from(format!("m-{index}").as_str())).collect();
         for id in &ids {
             leader.process_heartbeat(&heartbeat(id.as_str(), "z0", 1), now);
-            let machine = leader.machines.get_mut(id).expect("there");
+            let machine = leader.machines.get_mut(id).expect("the heartbeat adds the machine");
             machine.total = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 8.0 };
         }
         ids.iter().for_each(|id| leader.machines.recount(id, now));
@@ -28,10 +28,10 @@
         settings.zones = vec!["z0".into()];
         leader.settings = Arc::new(settings);
         let nodes = ["n0", "n1", "n2"].map(NodeName::from);
-        Self { leader, live: nodes.iter().cloned().collect(), me: nodes[0].clone(), now }
+        Self { leader, live: nodes.iter().cloned().collect(), own_node: nodes[0].clone(), now }
     }
 
-    /// Adds a job of one-GPU tasks, which the controller `node` places.
+    /// Adds a job of one-GPU tasks that is assigned to the controller `node`.
     fn add_job(&mut self, id: &str, node: &str, priority: Priority, tasks: u32) {
         let mut spec = crate::jobs::tests::spec();
         spec.priority = priority;
@@ -39,26 +39,28 @@
         spec.types = None;
         spec.zone = None;
         spec.resources = Resources { cpus: 1.0, gpus: 1.0, memory_gb: 1.0 };
-        spec.team = self.leader.settings.teams.keys().next().expect("a team").clone();
+        spec.team =
+            self.leader.settings.teams.keys().next().expect("the sample settings have a team").clone();
         let job = OpenJob { spec, submitted: WallTime(1), assigned_node: node.into() };
         self.leader.job_states.insert(id.into(), JobState::new(Arc::new(job), self.now));
     }
 
     fn build_rounds(&mut self) -> Vec<Round> {
-        self.leader.build_rounds(&self.live, &self.me, self.now)
+        self.leader.build_rounds(&self.live, &self.own_node, self.now)
     }
 }
 
-/// The first job of each round, and how many machines the round has.
+/// The first job and the number of machines of each round.
 fn offered(rounds: &[Round]) -> Vec<(String, usize)> {
     rounds.iter().map(|round| (round.requests[0].job.to_string(), round.machines.len())).collect()
 }
 
-/// The one machine with free resources went from partition to partition within a pass, and the least
-/// urgent request had it: replicas stopped array tasks twice a second for half a minute, and array
-/// tasks took the machine (inc-2777).
+/// Guards against priority inversion within a pass. Each request of the pass transferred the only
+/// machine with free resources to its own controller's partition, so the least urgent request got it
+/// in the end: replicas preempted array tasks twice a second for half a minute, and array tasks took
+/// the machine again.
 #[test]
-fn a_scarce_machine_goes_to_the_most_urgent_request_of_a_pass() {
+fn offers_only_free_machine_to_most_urgent_request() {
     for nodes in [["n0", "n1", "n2"], ["n2", "n1", "n0"], ["n1", "n0", "n2"]] {
         let mut cluster = Cluster::new(1);
         for (index, node) in nodes.iter().enumerate() {
@@ -70,9 +72,10 @@
     }
 }
 
-/// What an urgent request doesn't need goes on to others in the same pass.
+/// Machines that an urgent request doesn't need are transferred to the partitions of less urgent
+/// requests in the same pass.
 #[test]
-fn machines_beyond_what_urgent_requests_need_still_move() {
+fn transfers_machines_that_urgent_request_does_not_need() {
     let mut cluster = Cluster::new(6);
     cluster.add_job("req-0", "n1", Priority::Production, 2);
     cluster.add_job("req-1", "n2", Priority::Low, 9);
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -1,4 +1,5 @@
-//! Scheduling rounds on their way: what goes out to controllers, what comes back, what comes too late.
+//! Scheduling rounds in progress: sends rounds to the controllers, accepts their proposals, and expires
+//! rounds that time out.
 
 use super::{Leader, StepContext};
 use crate::peer_messages::PeerMessage;
@@ -7,42 +8,42 @@
 use pearford_recovery::Pacer;
 use std::collections::BTreeMap;
 
-/// Time between scheduling passes, at least. A pass after every input took most of a leader's
-/// processor share with hundreds of machines.
+/// Minimum time between scheduling passes. A pass after every input took most of the leader's
+/// processor time with hundreds of machines.
 const PASS_INTERVAL: Duration = Duration::from_millis(100);
-/// Parts of the time that scheduling passes leave to all else for each part that they take.
-const PASS_REST: f64 = 3.0;
-/// After this long a controller that let a round time out is offered work again.
-const SLOW_PAUSE: Duration = Duration::from_millis(3000);
+/// After each scheduling pass, at least this multiple of its duration is left to other work.
+const PASS_REST_FACTOR: f64 = 3.0;
+/// How long a controller gets no rounds after one of its rounds timed out.
+const SLOW_CONTROLLER_PAUSE: Duration = Duration::from_millis(3000);
 
-/// Work for one controller: what to place, and the machines of its partition that may take it.
+/// The work of one controller: requests, and the machines of its partition that may take their tasks.
 #[derive(Debug)]
 pub(super) struct Round {
     /// The controller.
     pub node: NodeName,
     /// Its partition's id.
     pub partition: u64,
-    /// Machines of the partition that fit some request.
+    /// Machines of the partition that fit at least one request.
     pub machines: Vec<MachineView>,
-    /// What to place, most urgent first.
+    /// The requests to place, most urgent first.
     pub requests: Vec<PlacementRequest>,
 }
 
-/// A round under way at a controller.
+/// A round that was sent to a controller and not answered yet.
 #[derive(Debug)]
 struct PendingRound {
     round: u64,
-    sent: MonotonicTime,
+    sent_at: MonotonicTime,
     requests: Vec<PlacementRequest>,
 }
 
-/// When the next scheduling pass is due, and the rounds under way.
+/// The rounds in progress, and the pacing of scheduling passes.
 #[derive(Debug)]
 pub(super) struct SchedulingRounds {
     pending: BTreeMap<NodeName, PendingRound>,
-    /// Controllers that let a round time out, and until when they get no work.
+    /// Controllers whose last round timed out, and until when they get no rounds.
     slow_until: BTreeMap<NodeName, MonotonicTime>,
-    /// The number of the last round.
+    /// The number of the most recent round.
     last_round: u64,
     passes: Pacer,
 }
@@ -54,21 +55,21 @@
             pending: BTreeMap::new(),
             slow_until: BTreeMap::new(),
             last_round: 0,
-            passes: Pacer::new(PASS_INTERVAL, PASS_REST, now),
+            passes: Pacer::new(PASS_INTERVAL, PASS_REST_FACTOR, now),
         }
     }
 
-    /// The step that has ended took `cost`.
+    /// Records that the previous step took `cost`.
     pub fn record_step_cost(&mut self, cost: Duration, now: MonotonicTime) {
         self.passes.record_cost(cost, now);
     }
 
-    /// Whether a round is under way at the controller.
+    /// Whether a round is in progress at the controller.
     pub fn is_pending_at(&self, node: &NodeName) -> bool {
         self.pending.contains_key(node)
     }
 
-    /// Whether a round is under way at any controller.
+    /// Whether a round is in progress at any controller.
     pub fn any_pending(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -77,7 +78,7 @@
         self.slow_until.get(node).is_some_and(|until| *until > now)
     }
 
-    /// Takes the controller's round if it is the one with this number.
+    /// Removes and returns the controller's pending round if it has this number.
     fn take(&mut self, node: &NodeName, round: u64) -> Option<PendingRound> {
         if self.pending.get(node)?.round != round {
             return None;
@@ -85,42 +86,43 @@
         self.pending.remove(node)
     }
 
-    /// Takes the rounds that are under way for `timeout`; their controllers get no work for a while.
-    fn take_late(&mut self, timeout: Duration, now: MonotonicTime) -> Vec<(NodeName, PendingRound)> {
-        let is_late = |pending: &PendingRound| now.since(pending.sent) >= timeout;
-        let late = self.pending.iter().filter(|(_, pending)| is_late(pending));
-        let late: Vec<NodeName> = late.map(|(node, _)| node.clone()).collect();
-        for node in &late {
-            self.slow_until.insert(node.clone(), now + SLOW_PAUSE);
+    /// Removes and returns the rounds that have been pending for `timeout` or longer. Their controllers
+    /// get no rounds for [`SLOW_CONTROLLER_PAUSE`].
+    fn take_expired(&mut self, timeout: Duration, now: MonotonicTime) -> Vec<(NodeName, PendingRound)> {
+        let is_expired = |pending: &PendingRound| now.since(pending.sent_at) >= timeout;
+        let expired = self.pending.iter().filter(|(_, pending)| is_expired(pending));
+        let expired: Vec<NodeName> = expired.map(|(node, _)| node.clone()).collect();
+        for node in &expired {
+            self.slow_until.insert(node.clone(), now + SLOW_CONTROLLER_PAUSE);
         }
-        late.into_iter().filter_map(|node| self.pending.remove_entry(&node)).collect()
+        expired.into_iter().filter_map(|node| self.pending.remove_entry(&node)).collect()
     }
 }
 
 impl Leader {
-    /// Begins a scheduling pass if one is due: places this node's share, and sends the other
-    /// controllers theirs.
+    /// Runs a scheduling pass if one is due: places the requests of this node's round, and sends the
+    /// other controllers their rounds.
     pub(super) fn offer_rounds(&mut self, context: &mut StepContext) {
         let now = context.now;
         if !self.rounds.passes.is_due(now) || !self.may_start(context) {
             return;
         }
         self.rounds.passes.begin(now);
-        let me = self.settings.node.clone();
+        let own_node = self.settings.node.clone();
         let mut live = context.peers.live(now);
         live.retain(|node| !self.rounds.is_slow(node, now));
-        live.insert(me.clone());
-        for round in self.build_rounds(&live, &me, now) {
+        live.insert(own_node.clone());
+        for round in self.build_rounds(&live, &own_node, now) {
             self.rounds.last_round += 1;
-            if round.node == me {
-                self.place_here(context, round);
+            if round.node == own_node {
+                self.place_locally(context, round);
             } else {
                 self.send_round(context, round);
             }
         }
     }
 
-    fn place_here(&mut self, context: &mut StepContext, mut round: Round) {
+    fn place_locally(&mut self, context: &mut StepContext, mut round: Round) {
         let factors = Factors::of(&self.settings.operator);
         let proposals = placement::round(
             &mut round.machines,
@@ -134,7 +136,7 @@
 
     fn send_round(&mut self, context: &mut StepContext, round: Round) {
         let number = self.rounds.last_round;
-        let pending = PendingRound { round: number, sent: context.now, requests: round.requests.clone() };
+        let pending = PendingRound { round: number, sent_at: context.now, requests: round.requests.clone() };
         self.rounds.pending.insert(round.node.clone(), pending);
         let message = PeerMessage::RoundRequest {
             fencing_token: self.fencing_token,
@@ -146,7 +148,7 @@
         context.outbox.send(&round.node, message);
     }
 
-    /// A controller's proposals for a round.
+    /// Processes a controller's proposals for a round.
     pub(in crate::node) fn process_proposals(
         &mut self,
         context: &mut StepContext,
@@ -157,23 +159,27 @@
         proposals: Vec<Proposal>,
     ) {
         if fencing_token != self.fencing_token {
-            return; // an answer to an earlier leader
+            return; // the round belongs to an earlier leader
         }
-        let Some(pending) = self.rounds.take(from, round) else { return }; // it came too late
-        // A partition that was cut anew since then may have given its machines to another controller.
-        let current = self.partitions.get(from).is_some_and(|known| known.id == partition);
-        let proposals = if current && self.may_start(context) { proposals } else { Vec::new() };
+        let Some(pending) = self.rounds.take(from, round) else { return }; // the round has ended or expired
+        // If the partitions were divided again since the round was sent, its machines may belong to
+        // another controller now.
+        let is_current = self.partitions.get(from).is_some_and(|known| known.id == partition);
+        let proposals = if is_current && self.may_start(context) { proposals } else { Vec::new() };
         self.close_round(from, pending.requests, proposals, context.now);
     }
 
-    /// Gives up rounds without an answer; their jobs are served by this node.
+    /// Ends rounds that were not answered in time, and assigns their jobs to this node.
     pub(super) fn expire_rounds(&mut self, now: MonotonicTime) {
         let timeout = Duration::from_millis(self.settings.operator.round_timeout_ms);
-        for (node, pending) in self.rounds.take_late(timeout, now) {
-            tracing::warn!(%node, "a controller let its round time out; its work is served here");
+        for (node, pending) in self.rounds.take_expired(timeout, now) {
+            tracing::warn!(
+                %node,
+                "scheduling round timed out; the leader places its jobs; check this node's load and network"
+            );
             for request in pending.requests {
                 if let Some(job_state) = self.job_states.get_mut(&request.job) {
-                    // Lost with the answer: it must be offered anew, here.
+                    // The proposals are lost: this node offers the tasks again in its own round.
                     job_state.offered = 0;
                     job_state.assigned_node = self.settings.node.clone();
                 }
