--- a/crates/scheduler/src/election/golden.rs
+++ b/crates/scheduler/src/election/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the leader's key.
+//! Golden test of the leader key and its record.
 
 use super::*;
 use crate::golden_group;
--- a/crates/scheduler/src/election/leader_key.rs
+++ b/crates/scheduler/src/election/leader_key.rs
@@ -4,13 +4,13 @@
 use crate::wire::state::{Change, Pair, StoreRequest};
 use serde::{Deserialize, Serialize};
 
-/// Key that the leader holds. Every commit of the leader is conditional on its revision.
+/// The key that the leader holds. Every commit of the leader is conditional on its revision.
 pub const LEADER_KEY: &str = "leader";
 
-/// Who wrote the leader key.
+/// The value of the leader key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct LeaderRecord {
-    /// The node that leads.
+    /// The node that is leader.
     pub(super) node: NodeName,
     /// The lease that the key is attached to.
     #[serde(rename = "permit")]
--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -5,8 +5,8 @@
 //! absent. The revision at which the key was written is the fencing token of that term.
 //!
 //! The leader counts its lease from when it *sent* the last renewal that succeeded, shortened for clock
-//! drift. Past that point it neither commits nor sends commands, but until the store says that the lease
-//! has expired it goes on answering heartbeats, so that workers' own leases survive an outage of the store.
+//! drift. After that it neither commits nor sends commands, but it continues to answer heartbeats until the
+//! store reports that the lease has expired, so that the workers' leases survive an outage of the store.
 
 mod leader_key;
 
@@ -16,24 +16,24 @@
 use crate::wire::state::{Pair, StoreReply, StoreRequest};
 use leader_key::LeaderRecord;
 
-/// Part of a lease that is relied on: monotonic clocks of different machines drift apart by up to 0.05%,
-/// and twice that is left off.
+/// Fraction of a lease that is used. The monotonic clocks of two machines drift apart by up to 0.05%; the
+/// margin is twice that.
 const DRIFT_FACTOR: f64 = 0.999;
-/// End of a lease that isn't used, in addition: for the way of a request and for a slow step.
+/// Additional time at the end of a lease that isn't used, for the latency of a request and for a slow step.
 const LEASE_MARGIN: Duration = Duration::from_millis(50);
 /// Time between two reads of the leader key while another node may lead, without jitter.
 const CAMPAIGN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two reads that check whether a write without an answer succeeded, without jitter.
+/// Time between two reads that check whether a write without a reply succeeded, without jitter.
 const VERIFY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after which a renewal without an answer is sent again.
+/// Delay before a failed renewal is retried.
 const RENEWAL_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for which a node that gave up leadership doesn't campaign.
+/// How long a node doesn't campaign after it has stepped down.
 const STEP_DOWN_PAUSE: Duration = Duration::from_millis(500);
 
-/// How far this node's campaign for leadership is.
+/// State of this node's campaign for leadership.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CampaignState {
-    /// No campaign under way.
+    /// No campaign is in progress.
     Idle,
     /// The leader key is being read.
     ReadingKey,
@@ -41,7 +41,7 @@
     GrantingLease {
         /// When the request was sent.
         sent: MonotonicTime,
-        /// Revision of the key that is to be replaced, 0 if there is none.
+        /// Revision of the key to be replaced; 0 if the key is absent.
         replaces: Revision,
     },
     /// The leader key is being written.
@@ -51,7 +51,7 @@
         /// When the lease was requested.
         sent: MonotonicTime,
     },
-    /// The answer to the write was lost: the key is read to find out whether it is this node's.
+    /// The write got no reply: the key is read to find out whether this node holds it.
     VerifyingKey {
         /// The lease that the key may be attached to.
         lease: LeaseId,
@@ -62,7 +62,7 @@
     Leading {
         /// The lease that the key is attached to.
         lease: LeaseId,
-        /// When the renewal under way was sent.
+        /// When the renewal in flight was sent.
         renewing: Option<MonotonicTime>,
     },
 }
@@ -70,20 +70,20 @@
 /// What a reply changed about this node's leadership.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ElectionChange {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// This node leads from now on, with this fencing token.
+    /// This node has become leader with this fencing token.
     Won(FencingToken),
-    /// This node's lease has expired: it leads no longer.
+    /// This node's lease has expired: it is no longer leader.
     Lost,
 }
 
-/// What follows from a reply of the key-value store.
+/// The result of a reply of the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ElectionStep {
     /// What changed about this node's leadership.
     pub change: ElectionChange,
-    /// The next request of the campaign, to be sent at once.
+    /// The next request of the campaign, to be sent immediately.
     pub next_request: Option<StoreRequest>,
 }
 
@@ -104,7 +104,7 @@
 /// Another node that held the leader key when this one last read it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OtherLeader {
-    /// The node that led.
+    /// The node that was leader.
     pub node: NodeName,
     /// The fencing token of its term.
     pub fencing_token: FencingToken,
@@ -112,27 +112,27 @@
     read_at: MonotonicTime,
 }
 
-/// One node's part in the election. It has at most one request under way.
+/// One node's part in the election. It has at most one request in flight.
 #[derive(Debug)]
 pub struct Election {
     node: NodeName,
     lease_duration: Duration,
     renew_every: Duration,
     state: CampaignState,
-    /// Of this node's last term; 0 if it has not led yet.
+    /// Fencing token of this node's last term; 0 if it has not been leader yet.
     fencing_token: FencingToken,
     valid_until: MonotonicTime,
-    /// When the next request of the state is due.
+    /// When the next request is due.
     next_request_at: MonotonicTime,
     request_id: Option<RequestId>,
-    /// Before this, the node reads who leads but doesn't campaign itself.
+    /// Until this time the node reads the leader key but doesn't campaign.
     campaigns_from: MonotonicTime,
     other_leader: Option<OtherLeader>,
 }
 
 impl Election {
-    /// The election as `node` sees it when it starts: idle. Leases are granted for `lease_duration` and
-    /// renewed each `renew_every`.
+    /// Creates the election of `node`, without a campaign. Leases are granted for `lease_duration` and
+    /// renewed every `renew_every`.
     pub fn new(node: NodeName, lease_duration: Duration, renew_every: Duration) -> Self {
         Self {
             node,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether this node holds the leader key as far as it knows, even if its lease isn't valid any more.
+    /// Whether this node holds the leader key as far as it knows, even if its lease is no longer valid.
     pub fn leads(&self) -> bool {
         matches!(self.state, CampaignState::Leading { .. })
     }
@@ -158,24 +158,24 @@
         self.leads() && now < self.valid_until
     }
 
-    /// The fencing token of this node's last term; 0 if it has not led yet.
+    /// The fencing token of this node's last term; 0 if it has not been leader yet.
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
-    /// Another node that held the leader key at a read no longer ago than `within`; `None` while this
-    /// node leads itself.
+    /// Another node that held the leader key when it was last read, if that is at most `within` ago; `None`
+    /// while this node is leader.
     pub fn other_leader(&self, within: Duration, now: MonotonicTime) -> Option<&OtherLeader> {
         self.other_leader.as_ref().filter(|leader| now.since(leader.read_at) <= within && !self.leads())
     }
 
-    /// The next request to the key-value store, if one is due; its id is to be handed to [`Self::sent`].
-    /// `leader_is_heard`: another node leads and was heard from lately, so there is no need to campaign.
-    /// `jitter` is added to the time until the next request.
+    /// The next request to the key-value store, if one is due; its id is to be passed to
+    /// [`Self::request_sent`]. `suppress_campaign`: no campaign is to be started, for example because
+    /// messages of another leader arrive. `jitter` is added to the time until the next request.
     pub fn tick(
         &mut self,
         now: MonotonicTime,
-        leader_is_heard: bool,
+        suppress_campaign: bool,
         jitter: Duration,
     ) -> Option<StoreRequest> {
         if self.request_id.is_some() || now < self.next_request_at {
@@ -187,7 +187,7 @@
                 self.next_request_at = now + self.renew_every;
                 Some(StoreRequest::RenewLease { lease })
             }
-            CampaignState::Idle if !leader_is_heard => {
+            CampaignState::Idle if !suppress_campaign => {
                 self.state = CampaignState::ReadingKey;
                 self.next_request_at = now + CAMPAIGN_INTERVAL + jitter;
                 Some(leader_key::read_request())
@@ -201,16 +201,16 @@
     }
 
     /// Records the id under which the request returned last was sent.
-    pub fn sent(&mut self, request_id: RequestId) {
+    pub fn request_sent(&mut self, request_id: RequestId) {
         self.request_id = Some(request_id);
     }
 
-    /// Whether the election waits for the reply to this request.
+    /// Whether this is the id of the request in flight.
     pub fn owns(&self, request_id: RequestId) -> bool {
         self.request_id == Some(request_id)
     }
 
-    /// Takes the reply to the request under way.
+    /// Processes the reply to the request in flight.
     pub fn reply(&mut self, now: MonotonicTime, reply: StoreReply) -> ElectionStep {
         self.request_id = None;
         match self.state {
@@ -232,8 +232,9 @@
         }
         match reply {
             StoreReply::Missing { .. } => self.request_lease(now, Revision(0)),
-            // The key of this node's previous run: that run has ended, and nobody need wait until its lease
-            // expires. Had it not ended (two processes of one name), it would lose the key as to any other leader.
+            // This node's previous run wrote the key. That run has ended, so there is no need to wait until
+            // its lease expires. If it has not ended (two processes of one name), it loses the key as to any
+            // other leader.
             StoreReply::Found(pair) if self.is_from_earlier_run(&pair) => {
                 self.request_lease(now, pair.revision)
             }
@@ -292,7 +293,7 @@
             StoreReply::Found(pair) if self.is_own_key(&pair, lease) => {
                 self.win(now, lease, sent, pair.revision)
             }
-            // Until the lease has surely expired, the write without an answer may still be applied.
+            // Until the lease is certain to have expired, the write without a reply may still be applied.
             StoreReply::Refused | StoreReply::Unknown if now < self.lease_end(sent) => {
                 ElectionStep::unchanged()
             }
@@ -343,13 +344,14 @@
         ElectionStep::changed(ElectionChange::Won(self.fencing_token))
     }
 
-    /// Until when a lease that was requested or renewed at `sent` can be relied on.
+    /// The time until which a lease that was requested or renewed at `sent` is valid.
     fn lease_end(&self, sent: MonotonicTime) -> MonotonicTime {
         let usable = self.lease_duration.times(DRIFT_FACTOR).0.saturating_sub(LEASE_MARGIN.0);
         sent + Duration::from_millis(usable)
     }
 
-    /// Whether the key was written by an earlier run of this node: this run has not led yet.
+    /// Whether the key was written by an earlier run of this node, which requires that this run has not been
+    /// leader yet.
     fn is_from_earlier_run(&self, pair: &Pair) -> bool {
         self.fencing_token == FencingToken(0)
             && LeaderRecord::parse(pair).is_some_and(|record| record.node == self.node)
@@ -360,7 +362,7 @@
         LeaderRecord::parse(pair).is_some_and(|record| record.node == self.node && record.lease == lease)
     }
 
-    /// Gives up leadership. It isn't sought again for a moment, so that another node gets it.
+    /// Gives up leadership. The node doesn't campaign for a short time, so that another node becomes leader.
     pub fn step_down(&mut self, now: MonotonicTime) {
         self.state = CampaignState::Idle;
         self.valid_until = MonotonicTime::default();
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,5 +1,5 @@
-//! The scheduler as a state machine without I/O: [`node::Controller`] takes inputs and returns effects, which the program
-//! carries out. `docs/architecture.md` says where things are, `docs/design.md` why.
+//! The scheduler as a state machine without I/O: [`node::Controller`] takes inputs and returns effects, which
+//! the program executes. `docs/architecture.md` describes the structure, `docs/design.md` the reasons for it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -23,7 +23,7 @@
 pub mod settings;
 #[allow(
     missing_docs,
-    reason = "test code, whose events and faults are named by their variants; see docs/ROADMAP.md"
+    reason = "test code; the names of the variants describe its events and faults, see docs/ROADMAP.md"
 )]
 #[cfg(any(test, feature = "simulation"))]
 pub mod simulation;
--- a/crates/scheduler/src/node/catalogue.rs
+++ b/crates/scheduler/src/node/catalogue.rs
@@ -1,18 +1,18 @@
-//! The catalogue of machine types that the cloud offers. The controller reads it once at its start; the leader has it
-//! refreshed.
+//! The catalogue of machine types that the cloud offers. The controller reads it once at startup; the leader
+//! refreshes it.
 
 use super::outbox::Outbox;
 use crate::types::{Duration, MonotonicTime, RequestId};
 use crate::wire::cloud::{CloudReply, CloudRequest, MachineType};
 
-/// Least time between two first reads, while there is no answer.
+/// Minimum time between reads at startup, until one succeeds.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The machine types, as last read from the cloud.
 #[derive(Debug, Default)]
 pub(super) struct Catalogue {
     types: Vec<MachineType>,
-    /// The read under way.
+    /// The read in flight.
     request_id: Option<RequestId>,
     next_read: MonotonicTime,
 }
@@ -31,19 +31,19 @@
         }
     }
 
-    /// Reads the types anew, unless a read is under way.
+    /// Reads the types again, unless a read is in flight.
     pub fn refresh(&mut self, out: &mut Outbox) {
         if self.request_id.is_none() {
             self.request_id = Some(out.request_cloud(CloudRequest::Types));
         }
     }
 
-    /// Whether this is the id of the read under way.
+    /// Whether this is the id of the read in flight.
     pub fn owns(&self, request_id: RequestId) -> bool {
         self.request_id == Some(request_id)
     }
 
-    /// Processes the reply to the read under way. Returns whether it has brought types.
+    /// Processes the reply to the read in flight. Returns whether the reply contained the types.
     pub fn reply(&mut self, reply: CloudReply) -> bool {
         self.request_id = None;
         let CloudReply::Types(types) = reply else { return false };
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -1,4 +1,4 @@
-//! Runs the extensions: hands them what happens, and does what they want done.
+//! Runs the extensions: passes inputs to them and executes the actions that they return.
 
 use super::{Controller, read_interval};
 use crate::assignments;
@@ -17,44 +17,45 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// How long an extension waits for a read that it has requested.
+/// Timeout of a read that an extension has requested.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Reads of machines' records a second for each extension: each may bring half a megabyte.
+/// Maximum rate of each extension's reads of machine records, per second: a read may return half a megabyte.
 const MACHINE_READS_PER_S: f64 = 2.0;
 
-/// An extension with what the controller keeps for it.
+/// An extension, and the state that the controller keeps for it.
 pub(super) struct ExtensionSlot {
-    /// Taken out while it takes a step.
+    /// `None` while the extension runs a step.
     extension: Option<Box<dyn Extension>>,
-    /// This node's copy of its records.
+    /// This node's copy of the extension's records.
     records: Records,
     /// Keeps `records` up to date.
     watcher: PrefixWatcher,
-    /// Reads that it waits for.
+    /// Reads that the extension waits for.
     reads: Vec<PendingRead>,
     machine_reads: TokenBucket,
-    /// Of its own, so that the core's random draws are the same with and without it.
+    /// Separate from the core's, so that the core's random numbers are the same with and without the
+    /// extension.
     rng: StdRng,
 }
 
-/// A read that an extension waits for, and how many reads had begun when it was requested.
+/// A read that an extension waits for, and the numbers of reads started when it was requested.
 struct PendingRead {
     tag: u64,
     requested_at: MonotonicTime,
-    /// Reads of the extension's records begun by then.
-    own_reads_begun: u64,
-    /// Reads of the job records begun by then.
-    job_reads_begun: u64,
+    /// Reads of the extension's records started by then.
+    own_reads_started: u64,
+    /// Reads of the job records started by then.
+    job_reads_started: u64,
 }
 
-/// A read that has ended.
+/// A read that has completed.
 struct FinishedRead {
     tag: u64,
     fresh: bool,
 }
 
 impl Controller {
-    /// Adds an extension. Its slot is the number of those added before.
+    /// Adds an extension. Its slot is the number of extensions added before it.
     pub fn with_extension(mut self, extension: Box<dyn Extension>) -> Self {
         let slot = self.extensions.len();
         let watched = WatchedPrefix::Extension(slot);
@@ -69,7 +70,7 @@
         self
     }
 
-    /// A client's request to the extension in `slot`.
+    /// Passes a client's request to the extension in `slot`.
     pub(super) fn extension_call(&mut self, slot: usize, request: RequestId, call: Call) {
         if slot >= self.extensions.len() {
             return self.out.refuse(request, StatusCode::NOT_FOUND, "no such path");
@@ -96,20 +97,21 @@
         }
     }
 
-    /// Whether an extension waits for a read of the job records. Of the two reads that it waits for, either may end
-    /// first.
+    /// Whether an extension waits for a read of the job records. It waits for one of its own records as well;
+    /// either read may complete first.
     pub(super) fn extensions_want_read(&self) -> bool {
         let mut reads = self.extensions.iter().flat_map(|slot| &slot.reads);
-        reads.any(|read| self.job_watcher.read_after(read.job_reads_begun).is_none())
+        reads.any(|read| self.job_watcher.outcome_since(read.job_reads_started).is_none())
     }
 
-    /// Reads the extensions' records as needed, and hands them changes and the reads that have ended.
-    pub(super) fn pump_extensions(&mut self) {
+    /// Reads the extensions' records as needed, and passes changed records and completed reads to the
+    /// extensions.
+    pub(super) fn update_extensions(&mut self) {
         for slot_number in 0..self.extensions.len() {
             let slot = &mut self.extensions[slot_number];
             let wanted =
-                slot.reads.iter().any(|read| slot.watcher.read_after(read.own_reads_begun).is_none());
-            slot.watcher.pump(self.now, slot.records.store_revision(), wanted, &mut self.out);
+                slot.reads.iter().any(|read| slot.watcher.outcome_since(read.own_reads_started).is_none());
+            slot.watcher.send_due_reads(self.now, slot.records.store_revision(), wanted, &mut self.out);
             let changed = slot.records.take_changed();
             if !changed.is_empty() {
                 self.run_extension(slot_number, Input::Records(&changed));
@@ -120,14 +122,14 @@
         }
     }
 
-    /// Takes out the reads that have ended: both of its parts have succeeded, or one has failed.
+    /// Removes and returns the completed reads, of which both parts have succeeded or one has failed.
     fn take_finished_reads(&mut self, slot: usize) -> Vec<FinishedRead> {
         let slot = &mut self.extensions[slot];
         let job_watcher = &self.job_watcher;
         let mut finished = Vec::new();
         slot.reads.retain(|read| {
-            let own = slot.watcher.read_after(read.own_reads_begun);
-            let jobs = job_watcher.read_after(read.job_reads_begun);
+            let own = slot.watcher.outcome_since(read.own_reads_started);
+            let jobs = job_watcher.outcome_since(read.job_reads_started);
             let fresh = match (own, jobs) {
                 (Some(ReadOutcome::Succeeded), Some(ReadOutcome::Succeeded)) => true,
                 (Some(ReadOutcome::Failed), _) | (_, Some(ReadOutcome::Failed)) => false,
@@ -146,7 +148,7 @@
     }
 
     /// Processes the store's reply to an extension's commit.
-    pub(super) fn extension_committed(
+    pub(super) fn extension_commit_reply(
         &mut self,
         slot: usize,
         tag: u64,
@@ -155,7 +157,7 @@
     ) {
         let outcome = match reply {
             StoreReply::Committed { store_revision } => {
-                // Known here at once, not only when the watch returns it.
+                // Updates the local copies immediately, before the watch returns the change.
                 for change in &changes {
                     self.learn_change(slot, store_revision, change);
                 }
@@ -174,7 +176,9 @@
             Change::Put { key, value, .. } => match key.strip_prefix(jobs::PREFIX) {
                 Some(id) => match serde_json::from_str(value) {
                     Ok(record) => self.job_cache.learn(JobId::from(id), revision, record),
-                    Err(error) => tracing::error!(key, %error, "a job record written here can't be read"),
+                    Err(error) => {
+                        tracing::error!(key, %error, "committed job record can't be parsed; skipping it");
+                    }
                 },
                 None => self.extensions[slot].records.learn(key, revision, value),
             },
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Hands an input to an extension and does what it wants done.
+    /// Passes an input to an extension and executes the returned actions.
     fn run_extension(&mut self, slot: usize, input: Input<'_>) {
         let actions = self.step_extension(slot, input);
         for action in actions {
@@ -218,9 +222,9 @@
                 self.out.push(Effect::Answer { request, status, retry_after_s, headers, body });
             }
             Action::Read { tag } => {
-                let own_reads_begun = self.extensions[slot].watcher.reads_begun();
-                let job_reads_begun = self.job_watcher.reads_begun();
-                let read = PendingRead { tag, requested_at: self.now, own_reads_begun, job_reads_begun };
+                let own_reads_started = self.extensions[slot].watcher.reads_started();
+                let job_reads_started = self.job_watcher.reads_started();
+                let read = PendingRead { tag, requested_at: self.now, own_reads_started, job_reads_started };
                 self.extensions[slot].reads.push(read);
             }
             Action::Machines { tag, which } => self.read_machines(slot, tag, which),
@@ -291,7 +295,7 @@
     }
 }
 
-/// The machine of an assignment record; `None`, with an error in the log, if the record can't be read.
+/// The machine of an assignment record; `None`, with an error in the log, if the record can't be parsed.
 fn recorded_machine(pair: &Pair) -> Option<RecordedMachine> {
     match serde_json::from_str(&pair.value) {
         Ok(record) => {
@@ -299,7 +303,7 @@
             Some(RecordedMachine { id, record })
         }
         Err(error) => {
-            tracing::error!(key = pair.key, %error, "a machine's record can't be read");
+            tracing::error!(key = pair.key, %error, "machine record can't be parsed; skipping it");
             None
         }
     }
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Faults that the simulation injects into a controller, to prove that its rules notice them; and views of the
-//! controller's state for those rules. Compiled for tests only.
+//! Faults that the simulation injects into a controller to verify that its invariant checks detect them, and
+//! accessors to the controller's state for those checks. Compiled only for tests and the simulation.
 
 use super::Controller;
 use crate::jobs::{JobSpec, graph};
@@ -9,48 +9,49 @@
 
 /// A check or a step of the protocol that can be disabled.
 ///
-/// Most of them change the leader's state once. The simulation therefore disables them again after every step.
+/// Disabling most of them changes the leader's state only once, so the simulation repeats it after every
+/// step.
 #[derive(Debug, Clone, Copy)]
 pub enum DisabledCheck {
-    /// Tasks of a silent worker hold their resources until its lease has expired. Disabled, they are dropped after
-    /// this silence, in ms.
+    /// Tasks of a worker that sends no heartbeats hold their resources until its lease has expired. When this
+    /// is disabled, they are dropped after `silence_ms` without a heartbeat.
     LeaseExpiry {
-        /// The silence, in ms.
+        /// Time without a heartbeat, in ms.
         silence_ms: u64,
     },
-    /// A start that was sent directly may still arrive while it is unacknowledged.
+    /// A start that was sent directly is assumed to be in flight until it is acknowledged.
     UnacknowledgedStarts,
-    /// Isolation reports of nodes that are cut off keep their workers from being given up.
+    /// Isolation reports keep the leader from counting the workers of isolated nodes as lost.
     IsolationReports,
-    /// After a failover, machines count as lost only once their workers had time for a heartbeat.
+    /// After a failover, machines count as lost only after their workers have had time to send a heartbeat.
     HeartbeatCollection,
-    /// A job is finished only when all its tasks are. Disabled, half of them are enough.
+    /// A job is finished only when all its tasks are. When this is disabled, half of them are enough.
     TaskCompletion,
     /// Tasks of a cancelled job hold their resources until they are known to have stopped.
     StoppingTasks,
-    /// A start leaves only when the machine's record is durable.
+    /// A start is sent only after the machine's record is durable.
     DurableBeforeStart,
-    /// Workers without a heartbeat count as silent.
+    /// Workers that send no heartbeats are detected.
     SilenceDetection,
-    /// Tasks that are to stop are stopped.
+    /// Workers receive stop commands for the tasks that are to be stopped.
     StopCommands,
     /// An older heartbeat never replaces a newer one.
     HeartbeatOrder,
     /// Jobs bound to a zone run in that zone.
     ZoneConstraint,
-    /// A part of the handling of job dependencies.
+    /// A check in the handling of job dependencies.
     JobGraph(graph::DependencyCheck),
-    /// A part of the rules by which leases are renewed.
+    /// A check in the rules for renewing leases.
     LeaseRenewal(pearford_heartbeat::DisabledCheck),
-    /// A feature is used only when every node understands it.
+    /// A feature is used only when every node supports it.
     ClusterVersion,
     /// Starts of finished jobs are not relayed.
     RelayFilter,
-    /// Users' requests are answered only after a read begun since they came.
+    /// Users' requests are answered only after a read that started after they arrived.
     ReadBeforeAnswer,
 }
 
-/// Faults that stay until the controller is restarted.
+/// Faults that persist until the controller restarts.
 #[derive(Debug, Default)]
 pub(super) struct InjectedFaults {
     /// Behaves like the version before job dependencies.
@@ -60,7 +61,7 @@
 }
 
 impl InjectedFaults {
-    /// A submission as this controller understands it.
+    /// The submission as this controller's version parses it.
     pub fn filter_submission(&self, mut spec: JobSpec) -> JobSpec {
         if self.previous_version {
             spec.needs.clear();
@@ -79,7 +80,7 @@
             DisabledCheck::RelayFilter => self.injected_faults.relays_all_starts = true,
             DisabledCheck::ReadBeforeAnswer => {
                 self.pending_requests.begin_read();
-                self.job_records_read(ReadOutcome::Succeeded);
+                self.finish_job_record_read(ReadOutcome::Succeeded);
             }
             check => {
                 let now = self.now;
@@ -90,8 +91,9 @@
         }
     }
 
-    /// Behaves like the version before job dependencies, for days on which both versions serve: it announces no
-    /// feature level, ignores `awaits` in submissions, and can't read records of dependent jobs.
+    /// Behaves like the version before job dependencies, for simulations with nodes of both versions: it
+    /// announces no feature level, ignores `awaits` in submissions, and can't parse records of dependent
+    /// jobs.
     pub fn act_as_previous_version(&mut self) {
         self.injected_faults.previous_version = true;
         self.job_cache.skip_dependent = true;
@@ -102,11 +104,11 @@
         self.job_cache.terminal_status(job).is_some()
     }
 
-    /// Compares the sums that the leader maintains with a recount of everything.
+    /// Compares the totals that the leader maintains with a full recount.
     ///
     /// # Errors
     ///
-    /// The first sum that differs.
+    /// The first total that differs.
     pub fn check_totals(&self) -> Result<(), String> {
         self.leader.as_ref().map_or(Ok(()), Leader::check_totals)
     }
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats that reach this node: answered as the leader, answered in the leader's name as its delegate,
-//! redirected to another node, or deferred until a leader is known.
+//! Workers' heartbeats that reach this node: answered as the leader, answered on the leader's behalf as its
+//! delegate, redirected to another node, or deferred until a leader is known.
 
 use super::Controller;
 use crate::cluster_version;
@@ -13,23 +13,23 @@
 use http::StatusCode;
 use pearford_heartbeat::{IncomingHeartbeat, OutgoingDigest, Routing};
 
-/// Heartbeats that wait here for a leader, at most.
+/// Maximum number of heartbeats that wait on this node for a leader.
 ///
-/// A worker that is turned away comes back after one second, one that gets no answer after five. While nobody led,
-/// turning workers away made five times the usual load, and no node got as far as to become leader (measured with
-/// four times the machines of the andina scenario).
+/// A worker retries one second after its heartbeat is rejected, but five seconds after a heartbeat without an
+/// answer. At four times the machines, rejecting all heartbeats while there was no leader multiplied the load
+/// by five, and no node managed to become leader.
 const MAX_DEFERRED: usize = 8192;
-/// How long a heartbeat waits here for a leader. Workers wait 4 s for an answer.
+/// Maximum time that a heartbeat waits for a leader. Workers time out after 4 s.
 const MAX_DEFERRAL: Duration = Duration::from_millis(2800);
-/// Deferred heartbeats answered in one step: they come beside all other work.
+/// Maximum number of deferred heartbeats answered in one step, to leave time for the node's other work.
 const DEFERRED_PER_STEP: usize = 100;
-/// A node that hears no peer counts itself as cut off only when it has been up for so long: one that has just started
-/// may be the first that is back.
+/// A node without live peers considers itself isolated only after it has been up for this time: a node that
+/// has just started may be the first one after all nodes were down.
 const ISOLATED_AFTER: Duration = Duration::from_millis(10_000);
 /// How long a read of the leader key counts as current.
-const LEADER_READ_LIFE: Duration = Duration::from_millis(3000);
+const LEADER_READ_LIFETIME: Duration = Duration::from_millis(3000);
 
-/// A heartbeat that waits for a leader to become known.
+/// A heartbeat that waits until a leader is known.
 pub(super) struct DeferredHeartbeat {
     received_at: MonotonicTime,
     request: RequestId,
@@ -46,26 +46,27 @@
             tracing::warn!(
                 machine = %heartbeat.machine,
                 fencing_token = %heartbeat.fencing_token,
-                "a heartbeat has a fencing token that no leader can have"
+                "heartbeat rejected: the key-value store can't have issued its fencing token"
             );
             return self.out.refuse(
                 request,
                 StatusCode::BAD_REQUEST,
-                "fence: no controller can have given it",
+                "fence: the key-value store can't have issued this fencing token",
             );
         }
         self.observe_fencing_token(heartbeat.fencing_token);
         if !self.answer_heartbeat(request, &heartbeat) {
-            self.worker_turned_away_at = self.now;
+            self.heartbeat_unanswered_at = self.now;
             self.defer_or_redirect(request, heartbeat);
         }
     }
 
     fn defer_or_redirect(&mut self, request: RequestId, heartbeat: Heartbeat) {
-        // If no peer is heard, it may be this node that is cut off: others may reach a leader.
+        // Without live peers, this node itself may be isolated: the worker may reach a leader through another
+        // node.
         let isolated = self.peers.live(self.now).is_empty() && self.uptime() > ISOLATED_AFTER;
-        let may_wait = self.known_leader().is_none() && !isolated;
-        if may_wait && self.deferred_heartbeats.len() < MAX_DEFERRED {
+        let may_defer = self.known_leader().is_none() && !isolated;
+        if may_defer && self.deferred_heartbeats.len() < MAX_DEFERRED {
             let deferred = DeferredHeartbeat { received_at: self.now, request, heartbeat };
             self.deferred_heartbeats.push_back(deferred);
         } else {
@@ -73,26 +74,27 @@
         }
     }
 
-    /// Answers a heartbeat as the leader or in its name; `false` if this node can do neither.
+    /// Answers a heartbeat as the leader or as its delegate; `false` if this node is neither.
     fn answer_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
         let answered = self
             .leading()
             .is_some_and(|(leader, mut context)| leader.heartbeat(&mut context, request, heartbeat));
         if answered && self.election.leads() {
-            // Should this node lose the leadership and be cut off from the next leader, it has to report whose leases
-            // its answers have renewed.
-            self.note_lease_renewed(heartbeat);
+            // If this node loses the leadership and is isolated from the next leader, its isolation report
+            // must count the workers whose leases its answers have renewed.
+            self.record_lease_renewal(heartbeat);
         }
         answered || self.answer_as_delegate(request, heartbeat)
     }
 
-    /// Remembers for isolation reports that this node's answer renews the worker's lease.
-    fn note_lease_renewed(&mut self, heartbeat: &Heartbeat) {
+    /// Records for isolation reports that this node's answer renews the worker's lease.
+    fn record_lease_renewal(&mut self, heartbeat: &Heartbeat) {
         let lease = Duration::from_secs_f64(self.settings.workers.lease_s);
         self.isolation_reporter.answered(&heartbeat.machine, &heartbeat.zone, lease, self.now);
     }
 
-    /// Answers deferred heartbeats once there is a leader, and redirects those whose worker would soon give up.
+    /// Answers deferred heartbeats once there is a leader, and redirects those whose worker would soon time
+    /// out.
     fn answer_deferred(&mut self) {
         let has_leader = self.known_leader().is_some() || self.election.leads();
         for _ in 0..DEFERRED_PER_STEP {
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Answers in the leader's name, or redirects the worker to its assigned node; `false` if the leader has not
-    /// delegated heartbeats to this node.
+    /// Answers on the leader's behalf, or redirects the worker to its assigned node; `false` if the leader
+    /// has not delegated heartbeats to this node.
     fn answer_as_delegate(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
         if self.election.leads() {
             return false;
@@ -132,11 +134,11 @@
                 self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)));
             }
             Routing::TryAnotherNode => {
-                self.worker_turned_away_at = self.now;
+                self.heartbeat_unanswered_at = self.now;
                 self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(None));
             }
             Routing::Answer(fencing_token) => {
-                self.note_lease_renewed(heartbeat);
+                self.record_lease_renewal(heartbeat);
                 let commands = self.commands_for(heartbeat, fencing_token);
                 self.out.answer(request, StatusCode::OK, workers::answer(fencing_token, &commands));
             }
@@ -144,8 +146,8 @@
         true
     }
 
-    /// Commands for a delegate's answer: what the leader has queued, and stops of jobs that this node knows to be
-    /// finished. No start ever goes this way; what the leader sends at once is relayed.
+    /// Commands for a delegate's answer: those that the leader has queued, and stops of jobs that this node
+    /// knows to be finished. Starts are never sent this way; the leader has them relayed immediately.
     fn commands_for(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> Vec<WorkerCommand> {
         let mut commands = self.relay.take_queued(&heartbeat.machine, fencing_token);
         if self.lease_renewal.stops_finished_tasks() {
@@ -160,7 +162,11 @@
             Some(leader) => {
                 self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&leader)));
             }
-            None => self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "no leader is known here"),
+            None => self.out.refuse(
+                request,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "this node knows no leader; retry later",
+            ),
         }
     }
 
@@ -216,20 +222,21 @@
         self.relay.drop_queued_before(self.highest_fencing_token);
     }
 
-    /// Acts as delegate of a leader that this node does not hear but knows from the key-value store, and reports
-    /// there whose heartbeats it answers. Otherwise the workers of a zone whose node is cut off from the leader's lose
-    /// their leases, and a leader on the smaller side never learns of the others.
+    /// Acts as delegate of a leader that this node receives no messages from but knows from the key-value
+    /// store, and reports there how many workers it answers. Otherwise workers would lose their leases if the
+    /// node of their zone is partitioned from the leader's node, and a leader on the smaller side of the
+    /// partition would never learn of the workers on the other side.
     fn tick_isolation(&mut self) {
         let delegated = heartbeats_delegated(&self.settings, self.cluster_version.reached());
         if !delegated || self.known_leader().is_some() {
             return;
         }
-        let Some(other) = self.election.other_leader(LEADER_READ_LIFE, self.now) else { return };
+        let Some(other) = self.election.other_leader(LEADER_READ_LIFETIME, self.now) else { return };
         let leader = other.node.clone();
         let fencing_token = other.fencing_token;
         self.observe_fencing_token(fencing_token);
         self.delegate.delegation_inferred(&leader, fencing_token, &self.settings.zone, self.now);
-        if self.delegate.is_fresh(self.now) || self.uptime() < LEADER_READ_LIFE {
+        if self.delegate.is_fresh(self.now) || self.uptime() < LEADER_READ_LIFETIME {
             return;
         }
         self.write_isolation_report(fencing_token);
--- a/crates/scheduler/src/node/controller/http_api.rs
+++ b/crates/scheduler/src/node/controller/http_api.rs
@@ -30,14 +30,18 @@
                 | ["v1", "report"]
                 | ["operator", "metrics" | "waiting"],
             ) => {
-                self.out.refuse(request, StatusCode::METHOD_NOT_ALLOWED, "wrong method for this path");
+                self.out.refuse(
+                    request,
+                    StatusCode::METHOD_NOT_ALLOWED,
+                    "this path doesn't support the request's method",
+                );
             }
             _ => self.out.refuse(request, StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
-    /// A node is healthy if it reaches the key-value store, or if no node does: then taking it out of the load
-    /// balancer would help nobody, and every answer says when to come back.
+    /// A node is healthy if it reaches the key-value store, or if no node does: then removing it from the
+    /// load balancer would have no benefit, and its error answers tell clients when to retry.
     fn health_check(&mut self, request: RequestId) {
         let jobs_read = self.job_cache.store_revision().is_some();
         if jobs_read && (self.store_reachable() || !self.peers.any_reaches_store(self.now)) {
@@ -46,7 +50,7 @@
             self.out.refuse(
                 request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "this node does not reach the state service",
+                "this node can't reach the key-value store",
             );
         }
     }
--- a/crates/scheduler/src/node/controller/leadership.rs
+++ b/crates/scheduler/src/node/controller/leadership.rs
@@ -7,19 +7,19 @@
 use crate::types::{Duration, FencingToken, Revision};
 use crate::wire::state::{Change, StoreRequest};
 
-/// Timeout of a leader's requests that renew its lease: a later answer is of no use to it.
+/// Timeout of a leader's requests to renew its lease: a later reply is of no use.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Timeout of requests of a campaign. Nothing has to be renewed in time yet: with the shorter timeout, a key-value
-/// store that was slow to answer left the service without a leader for 20 s.
+/// Timeout of a campaign's requests. It is longer because there is no lease to renew in time: with the
+/// shorter timeout, a slow key-value store left the service without a leader for 20 s.
 const CAMPAIGN_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a leader that resigned leaves the leadership to other nodes.
+/// How long a leader that resigned doesn't campaign, so that another node becomes leader.
 const RESIGN_BACK_OFF: Duration = Duration::from_millis(20_000);
 
 impl Controller {
     pub(super) fn send_election_request(&mut self, request: StoreRequest) {
         let timeout = if self.election.leads() { RENEWAL_TIMEOUT } else { CAMPAIGN_TIMEOUT };
         let request_id = self.out.request_store_with_timeout(request, timeout);
-        self.election.sent(request_id);
+        self.election.request_sent(request_id);
     }
 
     pub(super) fn become_leader(&mut self, fencing_token: FencingToken) {
@@ -35,16 +35,16 @@
         }
     }
 
-    /// Drops the leader's state, keeping what it counted. Does nothing on a node that does not lead.
+    /// Drops the leader's state, but keeps its counts of jobs. Does nothing on a node that is not leader.
     pub(super) fn step_down(&mut self, reason: &str) {
         if let Some(leader) = self.leader.take() {
             self.served.add(leader.into_served());
-            self.out.forget_relays();
-            tracing::warn!(reason, "no longer leader");
+            self.out.discard_relays();
+            tracing::warn!(reason, "stepped down as leader");
         }
     }
 
-    /// Acts on the leader's decision to end its leadership, if it has made one.
+    /// Ends the leadership if the leader has decided so.
     pub(super) fn end_leadership(&mut self, leadership_end: Option<LeadershipEnd>) {
         match leadership_end {
             None => {}
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Deletes the leader key if this node still holds it, so that others need not wait for the lease expiry.
+    /// Deletes the leader key if this node still holds it, so that others need not wait until the lease
+    /// expires.
     fn delete_leader_key(&mut self) {
         let fencing_token = self.election.fencing_token();
         let request = StoreRequest::Commit {
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -1,18 +1,18 @@
 //! The controller: the state machine that every node runs, leader or not.
 //!
-//! [`Controller::step`] takes one [`Input`] and returns the [`Effect`]s to carry out. Each concern has a
-//! file of its own, with an `impl Controller` of the methods for it:
+//! [`Controller::step`] takes one [`Input`] and returns the [`Effect`]s to execute. Each concern has its
+//! own file with an `impl Controller`:
 //!
 //! - `http_api`: routes requests of users, operators and workers;
 //! - `users`: submissions, status requests and cancellations;
 //! - `heartbeats`: workers' heartbeats, answered as the leader, as its delegate, or redirected;
-//! - `relay`: commands to workers that this node passes on for the leader;
-//! - `store_replies`: answers of the key-value store, and the reads that keep the job cache fresh;
+//! - `relay`: commands to workers that this node forwards for the leader;
+//! - `store_replies`: replies of the key-value store, and the reads that keep the job cache up to date;
 //! - `leadership`: winning, losing and resigning the leadership;
-//! - `fencing_tokens`: which fencing tokens are believed, and who leads by them;
+//! - `fencing_tokens`: which fencing tokens are accepted, and which leader they identify;
 //! - `peer_messages`: messages of the other controllers;
 //! - `operator_pages`: metrics and the report of waiting jobs;
-//! - `extensions`: the features beside the core.
+//! - `extensions`: runs the features outside the core, such as the Nomad API.
 
 mod extensions;
 #[cfg(any(test, feature = "simulation"))]
@@ -55,7 +55,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Upper bound in ms, exclusive, of the random delay before this node campaigns for the leadership.
+/// Exclusive upper bound of the random delay before this node campaigns for the leadership, in ms.
 const CAMPAIGN_JITTER_MS: u64 = 300;
 
 /// The state machine of one node.
@@ -76,48 +76,49 @@
     job_watcher: PrefixWatcher,
     /// Users' requests that wait for a read of the job records.
     pending_requests: PendingRequests,
-    /// This node's part of the rate at which users' requests may write.
+    /// Limits the writes of users' requests to this node's share of their rate.
     user_writes: TokenBucket,
-    /// Task counts of open jobs, as the leader broadcast them last.
+    /// Task counts of open jobs, from the leader's latest broadcasts.
     job_counts: BTreeMap<JobId, TaskCounts>,
-    /// Which machines and images tasks have succeeded on; steers placement.
+    /// Successes and failures of tasks by machine and class of jobs; used for placement.
     success_counts: SuccessCounts,
     /// Whether the stored success counts have been read.
     success_counts_loaded: bool,
-    /// Position in the leader's status broadcasts up to which this node has applied them all.
+    /// This node has applied all of the leader's status broadcasts up to this position.
     broadcast_seen: BroadcastPosition,
-    /// What was served to users, counted for the metrics.
+    /// Counts of users' jobs by stage, for the metrics.
     served: Served,
 
-    /// When the key-value store last answered a request of the core.
+    /// When the key-value store last replied. Reads that only update extensions' records don't count.
     store_answered_at: MonotonicTime,
     /// Highest revision of the key-value store that this node knows of.
     latest_revision: u64,
-    /// Highest fencing token seen anywhere.
+    /// Highest fencing token accepted from any source.
     highest_fencing_token: FencingToken,
     election: Election,
     /// The leader's state, while this node leads.
     leader: Option<Leader>,
-    /// The leader that this node heard from last.
+    /// The leader from which this node last received a message.
     leader_hint: Option<LeaderHint>,
 
     peers: Peers,
     next_ping: MonotonicTime,
-    /// Messages dropped because their sender is none of the peers.
+    /// Number of messages dropped because their sender is not a peer.
     peer_messages_dropped: u64,
-    /// The feature level that every node is known to understand.
+    /// The feature level that every node is known to support.
     cluster_version: ClusterVersion,
 
-    /// Answers heartbeats in the leader's name.
+    /// Answers heartbeats on the leader's behalf.
     delegate: Delegate,
     /// Decides whether an answer to a heartbeat may renew the worker's lease.
     lease_renewal: LeaseRenewal,
-    /// Reports to the leader, through the key-value store, which workers a node cut off from it answers.
+    /// Reports through the key-value store how many workers this node answers while it is isolated from the
+    /// leader.
     isolation_reporter: IsolationReporter,
-    /// Heartbeats that came while no leader was known, in order of arrival.
+    /// Heartbeats that arrived while no leader was known, in order of arrival.
     deferred_heartbeats: VecDeque<DeferredHeartbeat>,
-    /// When this node, not leading, last could not answer a worker's heartbeat itself.
-    worker_turned_away_at: MonotonicTime,
+    /// When this node last received a heartbeat that it could not answer itself.
+    heartbeat_unanswered_at: MonotonicTime,
     relay: Relay,
 
     /// Machine types that the cloud offers.
@@ -129,7 +130,7 @@
 }
 
 impl Controller {
-    /// A controller that has read nothing yet. `seed` determines all its random draws.
+    /// Creates a controller that has read nothing yet. `seed` determines all its random numbers.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let operator = &settings.operator;
         let election = Election::new(
@@ -170,7 +171,7 @@
             )),
             isolation_reporter: IsolationReporter::default(),
             deferred_heartbeats: VecDeque::new(),
-            worker_turned_away_at: MonotonicTime::default(),
+            heartbeat_unanswered_at: MonotonicTime::default(),
             relay: Relay::default(),
             catalogue: Catalogue::default(),
             extensions: Vec::new(),
@@ -180,10 +181,10 @@
         }
     }
 
-    /// Processes one input and returns the effects to carry out, in their order.
+    /// Processes one input and returns the effects to execute, in order.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
         self.start_step(now);
-        // A reply that only brings an extension's records up to date leaves the rest of the node as it was.
+        // A reply that only updates an extension's copy of records doesn't affect the rest of the node.
         let extension_only = matches!(
             &input,
             Input::Store { request_id, .. } if self.out.is_extension_read(*request_id)
@@ -200,9 +201,9 @@
         self.latest_revision = self.latest_revision.max(self.job_cache.store_revision().unwrap_or(0));
         self.announce_changed_jobs();
         if extension_only {
-            self.pump_extensions();
+            self.update_extensions();
         } else {
-            self.pump();
+            self.start_ready_work();
         }
         let fencing_token = self.election.fencing_token();
         self.out.take(fencing_token)
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Hands the jobs that changed in this step to the extensions and the leader.
+    /// Passes the jobs that changed in this step to the extensions and the leader.
     fn announce_changed_jobs(&mut self) {
         let changed = self.job_cache.take_changed();
         if changed.is_empty() {
@@ -237,7 +238,8 @@
         }
     }
 
-    /// The leader's state, and what of this node it may use in a step; `None` while this node does not lead.
+    /// The leader's state, and the parts of this node that it uses in a step; `None` while this node is not
+    /// leader.
     fn leading(&mut self) -> Option<(&mut Leader, StepContext<'_>)> {
         let leader = self.leader.as_mut()?;
         let context = StepContext {
@@ -257,8 +259,8 @@
         Some((leader, context))
     }
 
-    /// Work that depends on time alone. The order of these steps is part of the behaviour: it decides the order of
-    /// the effects and of the random draws.
+    /// Does the work that is due at certain times. The order of these calls is part of the behaviour: it
+    /// determines the order of the effects and of the random numbers.
     fn tick(&mut self) {
         self.refuse_overdue_requests();
         self.ping_peers();
@@ -273,10 +275,10 @@
     }
 
     fn tick_election(&mut self) {
-        let leader_heard = self.leader_heard_lately();
+        let has_recent_leader = self.has_recent_leader();
         let jitter = Duration::from_millis(self.rng.random_range(0..CAMPAIGN_JITTER_MS));
         let jobs_unread = self.job_cache.store_revision().is_none();
-        if let Some(request) = self.election.tick(self.now, leader_heard || jobs_unread, jitter) {
+        if let Some(request) = self.election.tick(self.now, has_recent_leader || jobs_unread, jitter) {
             self.send_election_request(request);
         }
     }
@@ -292,10 +294,10 @@
         }
     }
 
-    /// Starts the work that any input may have made possible.
-    fn pump(&mut self) {
-        self.pump_job_watcher();
-        self.pump_extensions();
+    /// Starts the work that this step's input may have made possible.
+    fn start_ready_work(&mut self) {
+        self.send_job_record_reads();
+        self.update_extensions();
         if let Some((leader, mut context)) = self.leading() {
             leader.pump(&mut context);
         }
@@ -315,20 +317,22 @@
         }
     }
 
-    /// How long this node has been up.
+    /// Time since this node's first step.
     fn uptime(&self) -> Duration {
         self.now.since(self.started_at.unwrap_or(self.now))
     }
 }
 
-/// Least time between reads for users. All requests that wait share one; reads of all nodes together stay
-/// within half of the store's request rate, or a rush of users would keep the leader from renewing its lease.
+/// Minimum time between reads for users' requests; all waiting requests share one read. The reads of all
+/// nodes together stay within half of the store's request rate. Otherwise a burst of users' requests would
+/// keep the leader from renewing its lease.
 fn read_interval(settings: &Settings) -> Duration {
     Duration::from_secs_f64(2.0 * node_count(settings) / settings.state.rps)
 }
 
-/// Each node has its part of the users' write rate, but may use a second's worth of all parts at once: the
-/// jobs of a pipeline come over one connection, and all nodes seldom have bursts together.
+/// Each node has an equal share of the users' write rate, but may use one second of the whole rate in a
+/// burst: the jobs of a pipeline arrive over one connection, and bursts on several nodes at the same time are
+/// rare.
 fn user_write_budget(settings: &Settings) -> TokenBucket {
     let user_rate = (settings.state.write_rps * settings.operator.user_write_share).max(1.0);
     TokenBucket::bursting((user_rate / node_count(settings)).max(1.0), user_rate)
--- a/crates/scheduler/src/node/controller/operator_pages.rs
+++ b/crates/scheduler/src/node/controller/operator_pages.rs
@@ -1,4 +1,4 @@
-//! Pages for operators: the metrics, and the report of jobs that wait.
+//! Pages for operators: the metrics, and the report of waiting jobs.
 
 use super::Controller;
 use crate::cluster_version::NodeVersion;
@@ -7,16 +7,16 @@
 use crate::types::JobId;
 use serde::Serialize;
 
-/// Jobs in each part of the waiting report, at most.
+/// Maximum number of jobs in each part of the waiting report.
 const MAX_WAITING_JOBS: usize = 250;
-/// Unfinished dependencies named for one job, at most.
+/// Maximum number of unfinished dependencies listed for one job.
 const MAX_DEPENDENCIES_SHOWN: usize = 8;
 
-/// A job that waits, as the report shows it.
+/// A waiting job in the report.
 #[derive(Serialize)]
 struct WaitingJob<'a> {
     id: &'a str,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     waiting: u32,
     #[serde(rename = "why")]
     reason: &'a str,
@@ -51,8 +51,8 @@
         lines.join("\n") + "\n"
     }
 
-    /// Which jobs wait, and for what, as JSON. Jobs that wait for machines are known to the leader alone; those that
-    /// wait for other jobs follow from the records, which every node has.
+    /// The waiting jobs and what each waits for, as JSON. Only the leader knows the jobs that wait for
+    /// machines; every node knows the jobs that wait for other jobs, from the job records.
     pub(crate) fn waiting_report(&self) -> String {
         let mut jobs: Vec<WaitingJob> = self.waiting_for_machines().collect();
         jobs.extend(self.waiting_for_dependencies());
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -6,23 +6,23 @@
 use crate::placement::{self, Factors, MachineView, PlacementOutcome, PlacementRequest, Proposal};
 use crate::types::Duration;
 
-/// How often nodes ping one another.
-const PING_EVERY: Duration = Duration::from_millis(1000);
-/// A node that turned a worker away within this time says so in its pings.
-const HEARS_WORKERS_FOR: Duration = Duration::from_millis(3000);
+/// Time between the pings that a node sends to each peer.
+const PING_INTERVAL: Duration = Duration::from_millis(1000);
+/// A node that could not answer a heartbeat within this time reports so in its pings.
+const UNANSWERED_HEARTBEAT_WINDOW: Duration = Duration::from_millis(3000);
 
 impl Controller {
     pub(super) fn ping_peers(&mut self) {
         if self.now < self.next_ping {
             return;
         }
-        self.next_ping = self.now + PING_EVERY;
+        self.next_ping = self.now + PING_INTERVAL;
         let zones_heard = self.peers.last_heartbeat_by_zone().iter();
         let ping = PeerMessage::Ping {
             store_reachable: self.store_reachable(),
             fencing_token_seen: self.highest_fencing_token,
             broadcast_seen: self.broadcast_seen,
-            hears_workers: self.now.since(self.worker_turned_away_at) < HEARS_WORKERS_FOR,
+            hears_workers: self.now.since(self.heartbeat_unanswered_at) < UNANSWERED_HEARTBEAT_WINDOW,
             zones_heard: zones_heard
                 .map(|(zone, at)| ZoneHeard { zone: zone.clone(), age: self.now.since(*at) })
                 .collect(),
@@ -47,10 +47,15 @@
                 zones_heard,
             } => {
                 self.observe_fencing_token(fencing_token_seen);
-                self.note_zones_heard(zones_heard);
-                let heard_at = self.now;
-                let state = PeerState { heard_at, store_reachable, broadcast_seen, hears_workers };
-                self.peers.pinged(from, state);
+                self.record_zone_heartbeats(zones_heard);
+                let pinged_at = self.now;
+                let state = PeerState {
+                    pinged_at,
+                    store_reachable,
+                    broadcast_seen,
+                    has_unanswered_heartbeats: hears_workers,
+                };
+                self.peers.record_ping(from, state);
             }
             PeerMessage::StatusBroadcast { position, jobs, placement_outcomes } => {
                 if self.accept_leader(position.fencing_token, &from) {
@@ -81,14 +86,14 @@
         }
     }
 
-    fn note_zones_heard(&mut self, zones_heard: Vec<ZoneHeard>) {
+    fn record_zone_heartbeats(&mut self, zones_heard: Vec<ZoneHeard>) {
         for ZoneHeard { zone, age } in zones_heard {
             self.peers.record_zone_heartbeat(&zone, self.now.before(age));
         }
     }
 
-    /// Applies a broadcast if it is the next one. After a gap this node's pings say that it has applied none, and the
-    /// leader sends a snapshot.
+    /// Applies a broadcast if it is the next in sequence. After a gap, this node's pings report that it has
+    /// applied none, and the leader sends a snapshot.
     fn apply_broadcast(
         &mut self,
         position: BroadcastPosition,
@@ -108,7 +113,7 @@
         self.job_counts.extend(jobs.into_iter().map(|job| (job.job, job.counts)));
     }
 
-    /// Places what it can of the leader's requests on the machines of this node's partition.
+    /// Proposes placements of the leader's requests on the machines of this node's partition.
     fn propose(&mut self, mut machines: Vec<MachineView>, requests: &[PlacementRequest]) -> Vec<Proposal> {
         let factors = Factors::of(&self.settings.operator);
         placement::round(&mut machines, requests, &self.success_counts, &factors, &mut self.rng)
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -1,6 +1,6 @@
-//! Commands to workers that pass through this node: relayed at once for the leader, or queued until the worker's
-//! next heartbeat. Also the workers' replies to direct commands, for the leader here or the one that they are
-//! relayed for.
+//! Commands to workers that this node forwards for the leader: relayed immediately, or queued until the
+//! worker's next heartbeat. Also processes workers' replies to direct commands, whether this node sent the
+//! command as leader or relayed it for the leader.
 
 use super::Controller;
 use crate::peer_messages::{MachineCommands, PeerMessage};
@@ -10,22 +10,24 @@
 use pearford_heartbeat::{HeartbeatPosition, RelayResult, RelayedCommand};
 use std::collections::BTreeMap;
 
-/// Relayed commands under way at a time; of more, the leader learns that they got no answer.
+/// Maximum number of relayed commands in flight. Further commands are reported to the leader as unanswered.
 const MAX_RELAYED: usize = 4096;
-/// Machines with queued commands, at most.
+/// Maximum number of machines with queued commands.
 const MAX_QUEUED_MACHINES: usize = 10_000;
 
-/// Why there is no worker's status for a command. The number stands in the place of the status in messages.
+/// Why a command has no status from its worker. Messages carry a number for it in place of the status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CommandFailure {
-    /// Not sent, and never will be: its leader is not the latest, or it only starts tasks of finished jobs.
+    /// Rejected permanently: a higher fencing token is known, or the command only starts tasks of finished
+    /// jobs.
     NotSent,
-    /// No answer came. The command may have been carried out, or may still be sent if it comes again.
+    /// No reply arrived, or too many relayed commands are in flight. The command may have been carried out; a
+    /// later attempt may succeed.
     NoAnswer,
 }
 
 impl CommandFailure {
-    /// The number that stands for it in [`RelayResult::status`].
+    /// The number for this failure in [`RelayResult::status`].
     fn status(self) -> u16 {
         match self {
             Self::NotSent => StatusCode::CONFLICT.as_u16(),
@@ -34,10 +36,10 @@
     }
 }
 
-/// A command under way to a worker for the leader at another node.
+/// A command in flight to a worker, relayed for the leader on another node.
 #[derive(Debug)]
 struct RelayedCall {
-    /// Node of the leader that sent it.
+    /// Node of the leader that sent the command.
     leader: NodeName,
     /// That leader's fencing token.
     fencing_token: FencingToken,
@@ -45,26 +47,26 @@
     call: u64,
 }
 
-/// Commands that wait for a worker's next heartbeat.
+/// Commands to be sent with the answer to a worker's next heartbeat.
 #[derive(Debug)]
 struct QueuedCommands {
-    /// Fencing token of the leader that sent them.
+    /// Fencing token of the leader that sent the commands.
     fencing_token: FencingToken,
     commands: Vec<WorkerCommand>,
 }
 
-/// What passes through this node between the leader and workers.
+/// Commands that this node forwards from the leader to workers.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
-    /// Relayed commands under way, by this node's id of the request to the worker.
+    /// Relayed commands in flight, by this node's id of the request to the worker.
     calls: BTreeMap<RequestId, RelayedCall>,
-    /// Commands that go out with the answers to the next heartbeats.
+    /// Commands to be sent with the answers to the machines' next heartbeats.
     queued_commands: BTreeMap<MachineId, QueuedCommands>,
 }
 
 impl Relay {
-    /// Takes out the commands queued for a machine. Those of another leader than the one with `fencing_token` are
-    /// dropped.
+    /// Removes and returns the commands queued for a machine. Commands of a leader with another fencing token
+    /// are dropped.
     pub(super) fn take_queued(
         &mut self,
         machine: &MachineId,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Queues a leader's commands, in place of those that are queued for the same machines.
+    /// Queues a leader's commands. They replace those queued for the same machines.
     pub(super) fn queue(&mut self, fencing_token: FencingToken, commands: Vec<MachineCommands>) {
         for MachineCommands { machine, commands } in commands {
             if self.queued_commands.len() < MAX_QUEUED_MACHINES {
@@ -85,16 +87,16 @@
         }
     }
 
-    /// Drops what leaders before the one with `fencing_token` have queued.
+    /// Drops the queued commands of leaders with a lower fencing token.
     pub(super) fn drop_queued_before(&mut self, fencing_token: FencingToken) {
         self.queued_commands.retain(|_, queued| queued.fencing_token >= fencing_token);
     }
 }
 
 impl Controller {
-    /// Relays a leader's commands to workers. One that was held up on its way to this node is as harmless as one that
-    /// was held up on its way to the worker: it names worker epoch and fencing token, and the leader has long counted
-    /// it as unacknowledged.
+    /// Relays a leader's commands to workers. A command that is delayed on its way to this node is as
+    /// harmless as one delayed on its way to the worker: it carries the worker epoch and the fencing token,
+    /// and the leader already counts it as unacknowledged.
     pub(super) fn relay_commands(
         &mut self,
         from: &NodeName,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// What is to be sent of a relayed command.
+    /// The part of a relayed command's body that is to be sent to the worker.
     fn filter_relayed(&self, fencing_token: FencingToken, body: String) -> Result<String, CommandFailure> {
         let filtered = self.without_finished_starts(&body);
         if fencing_token < self.highest_fencing_token || filtered == Filtered::Empty {
@@ -132,8 +134,8 @@
         }
     }
 
-    /// A command without the starts of finished jobs: this node may have answered a user that a job is cancelled
-    /// before the leader has learned of it.
+    /// A command without the starts of finished jobs: this node may have confirmed a job's cancellation to a
+    /// user before the leader has learned of it.
     fn without_finished_starts(&self, body: &str) -> Filtered {
         #[cfg(any(test, feature = "simulation"))]
         if self.injected_faults.relays_all_starts {
@@ -142,44 +144,50 @@
         workers::without_starts(body, |job: &JobId| self.job_cache.terminal_status(job).is_some())
     }
 
-    /// Processes a worker's reply to a direct command: as the leader, or for the one that it was relayed for.
+    /// Processes a worker's reply to a direct command, as the leader or for the leader that it was relayed
+    /// for.
     pub(super) fn worker_reply(&mut self, request_id: RequestId, status: u16, body: &[u8]) {
-        let at = serde_json::from_slice::<Heartbeat>(body).ok().map(|heartbeat| heartbeat.position());
+        let position = serde_json::from_slice::<Heartbeat>(body).ok().map(|heartbeat| heartbeat.position());
         let Some(relayed) = self.relay.calls.remove(&request_id) else {
-            return self.command_answered(request_id, status, at);
+            return self.leader_command_reply(request_id, status, position);
         };
-        if let Some(at) = at {
-            self.observe_fencing_token(at.fencing_token);
+        if let Some(position) = position {
+            self.observe_fencing_token(position.fencing_token);
         }
-        let results = vec![RelayResult { call: relayed.call, status, position: at }];
+        let results = vec![RelayResult { call: relayed.call, status, position }];
         let message = PeerMessage::RelayResults { fencing_token: relayed.fencing_token, calls: results };
         self.out.send(&relayed.leader, message);
     }
 
-    /// Hands the answer to one of this leader's own commands to the leader's state.
-    fn command_answered(&mut self, request_id: RequestId, status: u16, at: Option<HeartbeatPosition>) {
+    /// Passes the reply to one of this leader's own commands to the leader's state.
+    fn leader_command_reply(
+        &mut self,
+        request_id: RequestId,
+        status: u16,
+        position: Option<HeartbeatPosition>,
+    ) {
         let fencing_token = self
             .leading()
-            .and_then(|(leader, context)| leader.worker_reply(request_id, status, at, context.now));
+            .and_then(|(leader, context)| leader.worker_reply(request_id, status, position, context.now));
         if let Some(fencing_token) = fencing_token {
             self.observe_fencing_token(fencing_token);
         }
     }
 
-    /// Processes the results of commands that this leader has sent by way of another node.
+    /// Processes the results of commands that this leader has sent through another node.
     pub(super) fn relay_results(&mut self, results: Vec<RelayResult>) {
         for RelayResult { call, status, position } in results {
             let request_id = RequestId(call);
-            if self.out.relay_answered(request_id) {
-                self.command_answered(request_id, status, position);
+            if self.out.complete_relay(request_id) {
+                self.leader_command_reply(request_id, status, position);
             }
         }
     }
 
-    /// Gives up on relayed commands without a result: the node that relayed them may be gone.
+    /// Times out relayed commands without a result: the relaying node may have failed.
     pub(super) fn expire_relayed_commands(&mut self) {
-        for request_id in self.out.overdue_relays(self.now) {
-            self.command_answered(request_id, CommandFailure::NoAnswer.status(), None);
+        for request_id in self.out.take_overdue_relays(self.now) {
+            self.leader_command_reply(request_id, CommandFailure::NoAnswer.status(), None);
         }
     }
 }
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -1,5 +1,5 @@
-//! Replies of the key-value store, handed to whoever sent the request; and the reads that keep this node's
-//! copies of records up to date.
+//! Passes replies of the key-value store to the sender of each request, and runs the reads that keep this
+//! node's copies of records up to date.
 
 use super::Controller;
 use crate::election::ElectionChange;
@@ -9,10 +9,10 @@
 use crate::types::{Duration, RequestId};
 use crate::wire::state::{StoreReply, StoreRequest};
 
-/// Success counts read in one page, in keys.
+/// Number of keys in the page of success counts that is read.
 const SUCCESS_COUNTS_PAGE: u32 = 500;
-/// A node without a reply of the key-value store for so long counts as cut off from it.
-const STORE_SILENCE: Duration = Duration::from_millis(2500);
+/// The key-value store counts as unreachable for a node after this time without a reply.
+const STORE_REPLY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl Controller {
     pub(super) fn store_reply(&mut self, request_id: RequestId, reply: StoreReply) {
@@ -24,26 +24,26 @@
             self.election_reply(reply);
             return;
         }
-        let Some(pending) = self.out.answered(request_id) else { return };
+        let Some(pending) = self.out.take_pending(request_id) else { return };
         match pending {
-            Pending::Follow(WatchedPrefix::Jobs, read) => self.job_records_reply(read, reply),
-            Pending::Follow(WatchedPrefix::Extension(slot), read) => {
+            Pending::PrefixRead(WatchedPrefix::Jobs, read) => self.job_records_reply(read, reply),
+            Pending::PrefixRead(WatchedPrefix::Extension(slot), read) => {
                 self.extension_records_reply(slot, read, reply);
             }
-            Pending::Create { waiting, job } => self.created(waiting, job, reply),
-            Pending::Cancel { waiting } => self.cancelled(waiting, reply),
+            Pending::Create { waiting, job } => self.create_reply(waiting, job, reply),
+            Pending::Cancel { waiting } => self.cancel_reply(waiting, reply),
             Pending::SuccessCounts => self.success_counts_reply(reply),
             Pending::ClusterVersion => self.cluster_version.reply(self.now, reply),
-            // Nothing to do: the report is written again soon, whatever became of this one.
+            // Nothing to do: the report is rewritten periodically, so a failed write needs no retry.
             Pending::IsolationReport => {}
             Pending::ExtensionCommit { slot, tag, changes } => {
-                self.extension_committed(slot, tag, changes, reply);
+                self.extension_commit_reply(slot, tag, changes, reply);
             }
             Pending::ExtensionMachines { slot, tag } => self.extension_machines_reply(slot, tag, reply),
             Pending::Leader(fencing_token, leader_request) => {
                 let leadership_end = self
                     .leading()
-                    // A request of an earlier leadership of this node is void.
+                    // Ignores the reply to a request of an earlier leadership of this node.
                     .filter(|(leader, _)| leader.fencing_token() == fencing_token)
                     .and_then(|(leader, mut context)| {
                         leader.store_reply(&mut context, leader_request, reply)
@@ -72,22 +72,23 @@
         if outcome == ReadOutcome::Succeeded {
             self.lease_renewal.records_read(self.job_watcher.fresh_at(), self.now);
         }
-        self.job_records_read(outcome);
+        self.finish_job_record_read(outcome);
     }
 
-    /// Starts a read of the job records if one is needed and none is under way.
-    pub(super) fn pump_job_watcher(&mut self) {
+    /// Sends the reads of the job records that are due.
+    pub(super) fn send_job_record_reads(&mut self) {
         let fresh_at = self.job_watcher.fresh_at();
         let leader_loading = self.leader.as_ref().is_some_and(|leader| leader.wants_jobs(fresh_at));
         let wanted = self.pending_requests.needs_read() || leader_loading || self.extensions_want_read();
-        if self.job_watcher.pump(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
+        if self.job_watcher.send_due_reads(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
             self.pending_requests.begin_read();
         }
     }
 
-    /// Whether this node has read the job records and the key-value store has answered lately.
+    /// Whether this node has read the job records and the key-value store has replied recently.
     pub(super) fn store_reachable(&self) -> bool {
-        self.job_cache.store_revision().is_some() && self.now.since(self.store_answered_at) < STORE_SILENCE
+        self.job_cache.store_revision().is_some()
+            && self.now.since(self.store_answered_at) < STORE_REPLY_TIMEOUT
     }
 
     /// Reads the stored success counts, once.
@@ -106,7 +107,7 @@
         self.success_counts_loaded = true;
         for pair in pairs {
             if let Err(error) = self.success_counts.add_part(&pair.value) {
-                tracing::error!(key = pair.key, %error, "success counts can't be read; skipped");
+                tracing::error!(key = pair.key, %error, "success counts can't be parsed; skipping them");
             }
         }
     }
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -1,7 +1,8 @@
 //! Users' requests: submissions, status requests and cancellations.
 //!
-//! Whatever is not final is answered only after a read of the job records begun since the request came (a
-//! linearizable read): another node may have answered something newer.
+//! A request about a job without a final phase is answered only after a read of the job records that started
+//! after the request arrived (a linearizable read): another node may already have answered with a newer
+//! phase.
 
 use super::Controller;
 use crate::cluster_version;
@@ -16,23 +17,23 @@
 use http::StatusCode;
 use std::sync::Arc;
 
-/// How often a submission whose key another one has taken meanwhile is tried again.
+/// Maximum number of retries of a submission whose key was written concurrently.
 const MAX_SUBMIT_RETRIES: u32 = 3;
-/// How often a cancellation is tried again after the job's record has changed meanwhile.
+/// Maximum number of retries of a cancellation whose job record was changed concurrently.
 const MAX_CANCEL_RETRIES: u32 = 5;
 /// Answer to requests whose write failed or may have failed.
-const WRITE_FAILED: &str = "the state service can't be written now; come back";
+const WRITE_FAILED: &str = "the write to the key-value store failed or was not confirmed; retry later";
 
 impl Controller {
     pub(super) fn request_status(&mut self, request: RequestId, id: &str) {
-        self.request_for_job(request, id, UserRequest::Status);
+        self.request_about_job(request, id, UserRequest::Status);
     }
 
     pub(super) fn request_cancellation(&mut self, request: RequestId, id: &str) {
-        self.request_for_job(request, id, UserRequest::Cancel);
+        self.request_about_job(request, id, UserRequest::Cancel);
     }
 
-    fn request_for_job(&mut self, request: RequestId, id: &str, user_request: UserRequest) {
+    fn request_about_job(&mut self, request: RequestId, id: &str, user_request: UserRequest) {
         match users::job_id(id) {
             Some(id) => self.begin_request(request, id, user_request),
             None => self.out.refuse(request, StatusCode::NOT_FOUND, "no such job; ids look like req-000412"),
@@ -60,7 +61,7 @@
         Ok(spec)
     }
 
-    /// What submissions are checked by.
+    /// The rules that submissions are checked against.
     pub(super) fn admission(&self) -> Admission<'_> {
         Admission {
             settings: &self.settings,
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Begins to process a request about job `id`: answers what is final, writes what needs no read before, and lets
-    /// everything else wait for a read.
+    /// Starts to process a request about job `id`: answers it if the job's phase is final, writes if no read
+    /// is needed first, and otherwise queues it for a read.
     fn begin_request(&mut self, request: RequestId, id: JobId, user_request: UserRequest) {
         if let Some(phase) = self.job_cache.terminal_status(&id) {
             return self.answer_status(request, &id, phase, self.counts_of(&id));
@@ -81,21 +82,21 @@
             return self.out.refuse(
                 request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "job records are not read yet; come back",
+                "this node has not read the job records yet; retry later",
             );
         }
         if self.pending_requests.len() >= self.settings.operator.max_waiting_requests {
             return self.out.refuse(
                 request,
                 StatusCode::TOO_MANY_REQUESTS,
-                "too many requests wait here; come back",
+                "too many requests are pending on this node; retry later",
             );
         }
         let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
         let waiting = PendingRequest { request, id, operation: user_request, since: self.now, retries: 0 };
         match &waiting.operation {
-            // Setting the key if absent decides by itself; no read is needed before. A dependency that this
-            // node doesn't know may have been accepted by another one a moment ago.
+            // The write is conditional on the key being absent, so no read is needed first. But a dependency
+            // that is unknown here may just have been accepted by another node, so that case needs a read.
             UserRequest::Submit { spec: Ok(spec) }
                 if !known && self.admission().dependency_error(&waiting.id, spec).is_none() =>
             {
@@ -106,14 +107,14 @@
         }
     }
 
-    /// Writes the record of a new job, on condition that there is none.
+    /// Writes the record of a new job, conditional on the key being absent.
     fn create(&mut self, waiting: PendingRequest) {
         let UserRequest::Submit { spec: Ok(spec) } = &waiting.operation else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(
                 waiting.request,
                 StatusCode::TOO_MANY_REQUESTS,
-                "too many submissions at once; come back",
+                "the rate limit of submissions is exceeded; retry later",
             );
         }
         let job = self.admission().open(spec);
@@ -126,14 +127,14 @@
         self.out.request_store(request, Pending::Create { waiting, job });
     }
 
-    /// Replaces the record of an open job by a cancelled one, on condition that it has not changed.
+    /// Replaces the record of an open job by a cancelled one, conditional on the record's revision.
     fn cancel(&mut self, waiting: PendingRequest) {
         let Some(revision) = self.job_cache.get(&waiting.id).map(|job| job.revision) else { return };
         if !self.user_writes.take(1.0, self.now) {
             return self.out.refuse(
                 waiting.request,
                 StatusCode::TOO_MANY_REQUESTS,
-                "too many withdrawals at once; come back",
+                "the rate limit of withdrawals is exceeded; retry later",
             );
         }
         let key = jobs::key(&waiting.id);
@@ -144,42 +145,42 @@
         self.out.request_store(request, Pending::Cancel { waiting });
     }
 
-    /// Refuses requests that have waited too long for a read.
+    /// Rejects requests that have waited too long for a read.
     pub(super) fn refuse_overdue_requests(&mut self) {
         let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
         for overdue in self.pending_requests.take_timed_out(self.now, timeout) {
             self.out.refuse(
                 overdue.request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the state service does not answer; come back",
+                "the key-value store does not answer; retry later",
             );
         }
     }
 
-    /// Goes on with the requests that waited for the read that has ended.
-    pub(super) fn job_records_read(&mut self, outcome: ReadOutcome) {
+    /// Continues the requests that waited for the read that has completed.
+    pub(super) fn finish_job_record_read(&mut self, outcome: ReadOutcome) {
         for waiting in self.pending_requests.finish_read() {
             match outcome {
                 ReadOutcome::Succeeded => self.continue_request(waiting),
                 ReadOutcome::Failed => {
-                    let reason = "the state service can't be read now; come back";
+                    let reason = "the read from the key-value store failed; retry later";
                     self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, reason);
                 }
             }
         }
     }
 
-    /// Goes on with a request after a read begun since it came.
+    /// Continues a request after a read that started after it arrived.
     fn continue_request(&mut self, waiting: PendingRequest) {
         let request = waiting.request;
         let id = waiting.id.clone();
         if let Some(phase) = self.job_cache.terminal_status(&id) {
             return self.answer_status(request, &id, phase, self.counts_of(&id));
         }
-        // Whether there is such a job, and in which state, is unknown.
+        // The record exists but can't be parsed, so the job's phase is unknown.
         if self.job_cache.is_unreadable(&id) {
             let reason =
-                format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
+                format!("the record {} can't be parsed; an operator has to repair it", jobs::key(&id));
             return self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, &reason);
         }
         if self.job_cache.get(&id).is_some() {
@@ -199,7 +200,7 @@
             return self.out.refuse(
                 waiting.request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the job is changing; come back",
+                "the job's record keeps changing; retry later",
             );
         }
         self.cancel(PendingRequest { retries: waiting.retries + 1, ..waiting });
@@ -226,27 +227,30 @@
     }
 
     /// Processes the store's reply to a submission.
-    pub(super) fn created(&mut self, waiting: PendingRequest, job: Arc<OpenJob>, reply: StoreReply) {
+    pub(super) fn create_reply(&mut self, waiting: PendingRequest, job: Arc<OpenJob>, reply: StoreReply) {
         match reply {
             StoreReply::Committed { store_revision } => {
                 let id = waiting.id;
                 self.job_cache.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
                 tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "accepted");
                 self.served.count(jobs::Stage::Accepted, &job.spec);
-                // Cancelled at once, if one of its dependencies is.
+                // The job is cancelled immediately if one of its dependencies is cancelled.
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
                 self.out.answer(waiting.request, StatusCode::CREATED, users::status(&id, phase, None));
             }
             StoreReply::Conflict { .. } if waiting.retries < MAX_SUBMIT_RETRIES => {
                 self.pending_requests.push(PendingRequest { retries: waiting.retries + 1, ..waiting });
             }
-            // Refused for good, as it would be at every further try.
+            // The store rejects the record permanently, so a retry is of no use.
             StoreReply::Malformed => {
-                tracing::error!(job = %waiting.id, "the key-value store refuses the job's record");
+                tracing::error!(
+                    job = %waiting.id,
+                    "submission rejected: the key-value store doesn't accept the job's record"
+                );
                 self.out.refuse(
                     waiting.request,
                     StatusCode::UNPROCESSABLE_ENTITY,
-                    "the state service does not take the job's record",
+                    "the key-value store doesn't accept the job's record",
                 );
             }
             _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
@@ -254,7 +258,7 @@
     }
 
     /// Processes the store's reply to a cancellation.
-    pub(super) fn cancelled(&mut self, waiting: PendingRequest, reply: StoreReply) {
+    pub(super) fn cancel_reply(&mut self, waiting: PendingRequest, reply: StoreReply) {
         match reply {
             StoreReply::Committed { store_revision } => {
                 let id = waiting.id;
@@ -271,7 +275,7 @@
         self.out.answer(request, StatusCode::OK, users::status(id, phase, counts));
     }
 
-    /// Task counts of a job, as far as this node knows.
+    /// Task counts of a job, as known to this node.
     pub(super) fn counts_of(&self, id: &JobId) -> Option<TaskCounts> {
         match &self.leader {
             Some(leader) => leader.counts_of_job(id),
--- a/crates/scheduler/src/node/mod.rs
+++ b/crates/scheduler/src/node/mod.rs
@@ -1,10 +1,10 @@
 //! A node of the service: the [`Controller`], a state machine without I/O.
 //!
-//! The program (`pearford`) owns all I/O: it hands each [`Input`] to [`Controller::step`] and carries out the
-//! [`Effect`]s that it returns. The simulation does the same with stand-ins.
+//! The program (`pearford`) performs all I/O: it passes each [`Input`] to [`Controller::step`] and executes
+//! the [`Effect`]s that it returns. The simulation does the same with simulated services.
 //!
 //! - `controller`: what every node does;
-//! - `leader`: what the leader does on top;
+//! - `leader`: what the leader does in addition;
 //! - `outbox`, `peers`, `prefix_watcher`, `catalogue`: parts of the controller that the leader uses too.
 
 mod catalogue;
@@ -27,11 +27,11 @@
 /// The clocks at a step.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
-    /// The monotonic clock: for timeouts and leases.
+    /// Monotonic clock, for timeouts and leases.
     pub monotonic: MonotonicTime,
-    /// The wall clock: for users only.
+    /// Wall clock, for the timestamps of jobs and Nomad records.
     pub wall_time: WallTime,
-    /// How long the step before this one took.
+    /// Duration of the previous step.
     pub last_step_duration: Duration,
 }
 
@@ -46,10 +46,10 @@
     Other,
 }
 
-/// What happens to a node.
+/// An event that a node processes.
 #[derive(Debug)]
 pub enum Input {
-    /// Time has passed. Comes at short, regular intervals.
+    /// Time has passed. Sent at short, regular intervals.
     Tick,
     /// A request of a user, an operator or a worker; an [`Effect::Answer`] with the same id answers it.
     Http {
@@ -66,14 +66,14 @@
     Store {
         /// Id of the request.
         request_id: RequestId,
-        /// The reply, which may be that there was none.
+        /// The reply; its variants include that none arrived.
         reply: StoreReply,
     },
     /// The cloud's reply to an [`Effect::Cloud`].
     Cloud {
         /// Id of the request.
         request_id: RequestId,
-        /// The reply, which may be that there was none.
+        /// The reply; its variants include that none arrived.
         reply: CloudReply,
     },
     /// A worker's reply to an [`Effect::Worker`].
@@ -87,7 +87,8 @@
     },
     /// A message of another controller.
     Peer(Envelope),
-    /// A request to the listener of the extension in `slot`; an [`Effect::Answer`] with the same id answers it.
+    /// A request to the listener of the extension in `slot`; an [`Effect::Answer`] with the same id answers
+    /// it.
     Call {
         /// The extension's slot.
         slot: usize,
@@ -98,7 +99,7 @@
     },
 }
 
-/// What a node wants done.
+/// An action that a node requests and the program executes.
 #[derive(Debug)]
 pub enum Effect {
     /// Answer an HTTP request.
@@ -107,9 +108,9 @@
         request: RequestId,
         /// The HTTP status.
         status: u16,
-        /// Value of the `Retry-After` header in seconds, if there is to be one.
+        /// Value of the `Retry-After` header in seconds, if the header is to be sent.
         retry_after_s: Option<u32>,
-        /// Headers besides the usual ones; only extensions have any.
+        /// Additional headers; only extensions set any.
         headers: Vec<(&'static str, String)>,
         /// The body.
         body: String,
@@ -120,7 +121,7 @@
         request_id: RequestId,
         /// The request.
         request: StoreRequest,
-        /// When to give up on it.
+        /// How long to wait for the reply.
         timeout: Duration,
     },
     /// Send a request to the cloud.
@@ -129,7 +130,7 @@
         request_id: RequestId,
         /// The request.
         request: CloudRequest,
-        /// When to give up on it.
+        /// How long to wait for the reply.
         timeout: Duration,
     },
     /// Send a command to a worker.
@@ -140,7 +141,7 @@
         addr: String,
         /// The command as JSON.
         body: String,
-        /// When to give up on it.
+        /// How long to wait for the reply.
         timeout: Duration,
     },
     /// Send a message to another controller. It may be lost.
--- a/crates/scheduler/src/node/outbox.rs
+++ b/crates/scheduler/src/node/outbox.rs
@@ -1,4 +1,4 @@
-//! The outbox: collects the effects of a step in their order, and remembers what each outstanding request is for.
+//! The outbox: collects the effects of a step in order, and records what each outstanding request is for.
 //!
 //! The controller and the leader write to it; the controller takes the effects at the end of each step.
 
@@ -16,26 +16,26 @@
 
 /// Timeout of a request to the key-value store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Timeout of a read of a page of records, which may hold half a megabyte. With a shorter one, a node under load
-/// requested pages anew before they had come in, never had its copy of the job records, and no node became leader
-/// (measured with four times the machines of the andina scenario and a slow key-value store).
+/// Timeout of a read of a page of records, which may hold half a megabyte. With a shorter timeout, at four
+/// times the machines and with a slow key-value store, a node under load requested pages again before they
+/// had arrived. It never completed its copy of the job records, and no node became leader.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(6000);
-/// Added to the time that a watch may wait for changes, in ms.
+/// Added to the time that a watch may wait for changes, to get the timeout of the watch, in ms.
 const WATCH_SLACK_MS: u64 = 2500;
 /// Timeout of a request to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_millis(5000);
-/// What relaying a command by way of another node may add to its timeout.
+/// Added to the timeout of a command that another node relays.
 const RELAY_SLACK: Duration = Duration::from_millis(500);
-/// Ids of the node's own requests start here. Requests of users are numbered by the program, from 1.
+/// Ids of the node's own requests are above this number. The program numbers users' requests from 1.
 const FIRST_REQUEST_ID: u64 = 1 << 32;
-/// Value of `Retry-After` in answers that ask the client to come back, in seconds.
+/// Value of `Retry-After` in answers that ask the client to retry, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
 /// What an outstanding request to the key-value store is for.
 #[derive(Debug)]
 pub(super) enum Pending {
     /// A read that keeps a copy of records up to date.
-    Follow(WatchedPrefix, Read),
+    PrefixRead(WatchedPrefix, Read),
     /// Creates the record of a submitted job.
     Create {
         /// The user's request.
@@ -52,7 +52,7 @@
     SuccessCounts,
     /// Reads or writes records of the nodes' feature levels.
     ClusterVersion,
-    /// Writes which workers this node, cut off from the leader, answers.
+    /// Writes the report of the workers that this node answers while it is isolated from the leader.
     IsolationReport,
     /// An extension's commit.
     ExtensionCommit {
@@ -74,7 +74,7 @@
     Leader(FencingToken, LeaderRequest),
 }
 
-/// Whose records a copy is of.
+/// The records that a local copy follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchedPrefix {
     /// The job records.
@@ -86,17 +86,18 @@
 /// A read that keeps a copy of the records under a prefix up to date.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Read {
-    /// A page of all keys. Changes since the first page's revision are watched for afterwards.
+    /// One page of a listing of all keys. After the last page, a watch begins at the first page's revision.
     Page {
         /// Revision of the store at the first page; `None` if this is the first.
         first_store_revision: Option<u64>,
     },
     /// A watch that waits for changes.
     Watch,
-    /// A watch that returns at once: what it returns holds for all requests that came before `began`.
+    /// A watch that returns immediately. Its result is at least as recent as `started_at`, so it covers every
+    /// request that arrived before then.
     Sync {
         /// When the read was sent.
-        began: MonotonicTime,
+        started_at: MonotonicTime,
     },
 }
 
@@ -109,7 +110,7 @@
     LoadProgress,
     /// Commits changes of records.
     Commit,
-    /// Reads a record anew after a commit that conflicted with it.
+    /// Reads a record again after a commit conflicted with it.
     RereadRecord {
         /// The record's key.
         key: String,
@@ -118,27 +119,27 @@
     SaveCounts,
     /// Deletes the leader key.
     Resign,
-    /// Reads the reports of nodes that are cut off from the leader.
+    /// Reads the reports of nodes that are isolated from the leader.
     IsolationReports,
 }
 
-/// Effects of the step under way, and requests without an answer yet.
+/// Effects of the current step, and requests that have no reply yet.
 #[derive(Debug)]
 pub(super) struct Outbox {
     /// This node.
     node: NodeName,
     effects: Vec<Effect>,
     last_request_id: u64,
-    /// Outstanding requests to the key-value store that are not the election's.
+    /// Outstanding requests to the key-value store, without those of the election.
     pending: BTreeMap<RequestId, Pending>,
-    /// Commands of this step to be relayed, by the node that relays them.
+    /// Commands of this step to be relayed, by relaying node.
     relays: BTreeMap<NodeName, Vec<RelayedCommand>>,
-    /// Relayed commands without a result, and until when it is waited for: the node may be gone.
+    /// Deadlines of relayed commands that have no result yet: the relaying node may have failed.
     relay_deadlines: BTreeMap<RequestId, MonotonicTime>,
 }
 
 impl Outbox {
-    /// An empty outbox of `node`.
+    /// Creates the empty outbox of `node`.
     pub fn new(node: NodeName) -> Self {
         Self {
             node,
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Takes the effects of the step that ends. `fencing_token` is this leader's, for the commands to be relayed.
+    /// Takes the effects at the end of a step. `fencing_token` is this leader's, sent with the commands to be
+    /// relayed.
     pub fn take(&mut self, fencing_token: FencingToken) -> Vec<Effect> {
         for (node, calls) in std::mem::take(&mut self.relays) {
             self.send(&node, PeerMessage::RelayCommands { fencing_token, calls });
@@ -163,7 +165,7 @@
         RequestId(self.last_request_id)
     }
 
-    /// Sends a request to the key-value store, and remembers what it is for.
+    /// Sends a request to the key-value store, and records what it is for.
     pub fn request_store(&mut self, request: StoreRequest, pending: Pending) {
         let timeout = match &request {
             StoreRequest::Watch { block_ms, .. } => Duration::from_millis(block_ms + WATCH_SLACK_MS),
@@ -174,29 +176,29 @@
         self.pending.insert(request_id, pending);
     }
 
-    /// Sends a request to the key-value store whose reply the caller recognises by the returned id.
+    /// Sends a request to the key-value store. The caller recognises the reply by the returned id.
     pub fn request_store_with_timeout(&mut self, request: StoreRequest, timeout: Duration) -> RequestId {
         let request_id = self.next_request_id();
         self.effects.push(Effect::Store { request_id, request, timeout });
         request_id
     }
 
-    /// Takes out what the request with this id was for; `None` if it is unknown or already answered.
-    pub fn answered(&mut self, request_id: RequestId) -> Option<Pending> {
+    /// Removes and returns what the request with this id is for; `None` if it is unknown or already answered.
+    pub fn take_pending(&mut self, request_id: RequestId) -> Option<Pending> {
         self.pending.remove(&request_id)
     }
 
     /// Whether the request only keeps a copy of an extension's records up to date.
     pub fn is_extension_read(&self, request_id: RequestId) -> bool {
-        matches!(self.pending.get(&request_id), Some(Pending::Follow(WatchedPrefix::Extension(_), _)))
+        matches!(self.pending.get(&request_id), Some(Pending::PrefixRead(WatchedPrefix::Extension(_), _)))
     }
 
-    /// Whether a request of this kind has no answer yet.
+    /// Whether a request of this kind is outstanding.
     pub fn has_pending(&self, is_kind: impl Fn(&Pending) -> bool) -> bool {
         self.pending.values().any(is_kind)
     }
 
-    /// Requests to the key-value store without an answer yet.
+    /// Number of outstanding requests to the key-value store, without those of the election.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
@@ -215,8 +217,8 @@
         request_id
     }
 
-    /// As [`Self::command_worker`], relayed by the node `via`. That node may be gone: a command without a result may
-    /// have been carried out, as one without an answer of the worker may.
+    /// Like [`Self::command_worker`], but relayed by the node `via`, which may have failed. A command without
+    /// a result may have been carried out, like a direct command without a reply of the worker.
     pub fn relay(
         &mut self,
         via: &NodeName,
@@ -232,13 +234,13 @@
         request_id
     }
 
-    /// Whether the result of a relayed command is still waited for; from now on it is not.
-    pub fn relay_answered(&mut self, request_id: RequestId) -> bool {
+    /// Stops waiting for the result of a relayed command. Returns whether it was still awaited.
+    pub fn complete_relay(&mut self, request_id: RequestId) -> bool {
         self.relay_deadlines.remove(&request_id).is_some()
     }
 
-    /// Takes out the relayed commands whose result is not waited for any more.
-    pub fn overdue_relays(&mut self, now: MonotonicTime) -> Vec<RequestId> {
+    /// Removes and returns the relayed commands whose deadline has passed.
+    pub fn take_overdue_relays(&mut self, now: MonotonicTime) -> Vec<RequestId> {
         let deadlines = &self.relay_deadlines;
         let overdue = deadlines.iter().filter(|(_, deadline)| **deadline <= now);
         let overdue: Vec<RequestId> = overdue.map(|(request_id, _)| *request_id).collect();
@@ -248,8 +250,8 @@
         overdue
     }
 
-    /// The leadership has ended: nobody waits for the results of its commands.
-    pub fn forget_relays(&mut self) {
+    /// Discards relayed commands when the leadership ends: their results are no longer needed.
+    pub fn discard_relays(&mut self) {
         self.relays.clear();
         self.relay_deadlines.clear();
     }
@@ -262,18 +264,18 @@
 
     /// Answers an HTTP request.
     pub fn answer(&mut self, request: RequestId, status: StatusCode, body: String) {
-        let come_back = matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE);
-        let retry_after_s = come_back.then_some(RETRY_AFTER_S);
+        let is_retryable = matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE);
+        let retry_after_s = is_retryable.then_some(RETRY_AFTER_S);
         let status = status.as_u16();
         self.effects.push(Effect::Answer { request, status, retry_after_s, headers: Vec::new(), body });
     }
 
-    /// Answers an HTTP request with an error that says why.
+    /// Answers an HTTP request with an error that gives the reason.
     pub fn refuse(&mut self, request: RequestId, status: StatusCode, reason: &str) {
         self.answer(request, status, users::error(reason));
     }
 
-    /// Adds an effect as it is.
+    /// Adds an effect without changes.
     pub fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
--- a/crates/scheduler/src/node/peers.rs
+++ b/crates/scheduler/src/node/peers.rs
@@ -1,45 +1,45 @@
-//! The other controllers of the service, as their pings show them. The controller feeds it; the leader asks it who is
-//! alive and who has applied its broadcasts.
+//! The state of the other controllers of the service, from their pings. The controller records it; the leader
+//! reads which peers are alive and which have applied its broadcasts.
 
 use crate::peer_messages::BroadcastPosition;
 use crate::settings::Peer;
 use crate::types::{Duration, MonotonicTime, NodeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer without a ping for so long counts as gone.
-const SILENCE: Duration = Duration::from_millis(2500);
-/// Broadcasts that may be under way to a peer that is up to date.
+/// A peer counts as failed after this time without a ping.
+const PING_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Broadcasts that may be in flight to a peer that is up to date.
 const BROADCASTS_IN_FLIGHT: u64 = 4;
 
-/// What a peer's last ping said.
+/// The content of a peer's last ping.
 #[derive(Debug)]
 pub(super) struct PeerState {
-    /// When the ping came.
-    pub heard_at: MonotonicTime,
-    /// Whether the peer reaches the key-value store.
+    /// When the ping arrived.
+    pub pinged_at: MonotonicTime,
+    /// Whether the key-value store replies to the peer.
     pub store_reachable: bool,
-    /// Up to which status broadcast the peer has applied all.
+    /// The peer has applied all status broadcasts up to this position.
     pub broadcast_seen: BroadcastPosition,
-    /// Whether workers that found no leader have lately turned to the peer.
-    pub hears_workers: bool,
+    /// Whether the peer recently received heartbeats that it could not answer.
+    pub has_unanswered_heartbeats: bool,
 }
 
 /// All peers of this node.
 #[derive(Debug)]
 pub(super) struct Peers {
     names: Vec<NodeName>,
-    /// Of those that have sent a ping.
+    /// States of the peers that have sent a ping.
     states: BTreeMap<NodeName, PeerState>,
-    /// When a leader last heard a worker of each zone. A new leader must not take a zone that was cut off before its
-    /// time for one that has just fallen silent.
-    zones_heard: BTreeMap<Zone, MonotonicTime>,
+    /// When a leader last received a heartbeat from each zone. A new leader needs it to distinguish a zone
+    /// that was partitioned before its term from one whose heartbeats have just stopped.
+    last_heartbeat_by_zone: BTreeMap<Zone, MonotonicTime>,
 }
 
 impl Peers {
-    /// The peers that the settings name, none heard yet.
+    /// Creates the peers that the settings name; none has sent a ping yet.
     pub fn new(peers: &[Peer]) -> Self {
         let names = peers.iter().map(|peer| peer.name.clone()).collect();
-        Self { names, states: BTreeMap::new(), zones_heard: BTreeMap::new() }
+        Self { names, states: BTreeMap::new(), last_heartbeat_by_zone: BTreeMap::new() }
     }
 
     /// All peers that the settings name, alive or not.
@@ -47,13 +47,13 @@
         &self.names
     }
 
-    /// Notes a peer's ping.
-    pub fn pinged(&mut self, from: NodeName, state: PeerState) {
+    /// Records a peer's ping.
+    pub fn record_ping(&mut self, from: NodeName, state: PeerState) {
         self.states.insert(from, state);
     }
 
     fn live_states(&self, now: MonotonicTime) -> impl Iterator<Item = (&NodeName, &PeerState)> {
-        self.states.iter().filter(move |(_, peer)| now.since(peer.heard_at) < SILENCE)
+        self.states.iter().filter(move |(_, peer)| now.since(peer.pinged_at) < PING_TIMEOUT)
     }
 
     /// The peers that are alive.
@@ -61,18 +61,18 @@
         self.live_states(now).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether a live peer reaches the key-value store.
+    /// Whether any live peer reaches the key-value store.
     pub fn any_reaches_store(&self, now: MonotonicTime) -> bool {
         self.live_states(now).any(|(_, peer)| peer.store_reachable)
     }
 
-    /// Whether workers that found no leader have lately turned to a live peer.
+    /// Whether any live peer recently received heartbeats that it could not answer.
     pub fn any_has_unanswered_heartbeats(&self, now: MonotonicTime) -> bool {
-        self.live_states(now).any(|(_, peer)| peer.hears_workers)
+        self.live_states(now).any(|(_, peer)| peer.has_unanswered_heartbeats)
     }
 
-    /// Whether the peer `name` has applied the broadcasts of a leader up to `latest`, but for those that may still
-    /// be under way.
+    /// Whether the peer `name` has applied the broadcasts of a leader up to `latest`, except for those that
+    /// may still be in flight.
     pub fn is_up_to_date(&self, name: &NodeName, latest: BroadcastPosition) -> bool {
         self.states.get(name).is_some_and(|peer| {
             let seen = peer.broadcast_seen;
@@ -81,17 +81,17 @@
         })
     }
 
-    /// When a leader last heard a worker of each zone.
+    /// When a leader last received a heartbeat from each zone.
     pub fn last_heartbeat_by_zone(&self) -> &BTreeMap<Zone, MonotonicTime> {
-        &self.zones_heard
+        &self.last_heartbeat_by_zone
     }
 
-    /// Notes that a worker of `zone` was heard at `at`, here or by an earlier leader.
+    /// Records that a leader, here or on another node, received a heartbeat from `zone` at `at`.
     pub fn record_zone_heartbeat(&mut self, zone: &Zone, at: MonotonicTime) {
-        match self.zones_heard.get_mut(zone) {
-            Some(heard_at) => *heard_at = at.max(*heard_at),
+        match self.last_heartbeat_by_zone.get_mut(zone) {
+            Some(last) => *last = at.max(*last),
             None => {
-                self.zones_heard.insert(zone.clone(), at);
+                self.last_heartbeat_by_zone.insert(zone.clone(), at);
             }
         }
     }
--- a/crates/scheduler/src/node/prefix_watcher.rs
+++ b/crates/scheduler/src/node/prefix_watcher.rs
@@ -1,8 +1,9 @@
 //! Keeps a copy of all keys under one prefix of the key-value store up to date.
 //!
-//! The keys are read once, page by page; then a watch that waits for changes keeps the copy up to date. A second
-//! watch, which returns at once, proves that the copy is as new as the moment it was sent: users' requests wait for
-//! such a *sync read*. The controller has one watcher for the job records and one for each extension.
+//! The keys are read once, page by page; then a watch that waits for changes keeps the copy up to date. A
+//! second watch, which returns immediately, proves that the copy is at least as recent as the time when it
+//! was sent: users' requests wait for such a *sync read*. The controller has one watcher for the job records
+//! and one for each extension.
 
 use super::outbox::{Outbox, Pending, Read, WatchedPrefix};
 use crate::extension::Records;
@@ -17,67 +18,67 @@
 const PAGE_SIZE: u32 = 500;
 /// How long a watch may wait for changes.
 const WATCH_WAIT: Duration = Duration::from_millis(10_000);
-/// A watch with this wait returns at once.
+/// A watch with this wait returns immediately.
 const NO_WAIT: Duration = Duration::from_millis(0);
-/// Greatest age of the last sync read of the job records.
-const SYNC_EVERY: Duration = Duration::from_millis(1000);
-/// Random pause after a failed page, in ms.
-const PAGE_RETRY_MS: Range<u64> = 200..600;
-/// Random pause after a failed watch, in ms.
-const WATCH_RETRY_MS: Range<u64> = 200..500;
-/// Random pause after a failed sync read, in ms.
-const SYNC_RETRY_MS: Range<u64> = 50..150;
+/// Maximum age of the last sync read of the job records; when it is reached, another one is sent.
+const MAX_SYNC_AGE: Duration = Duration::from_millis(1000);
+/// Range of the random delay after a failed read of a page, in ms.
+const PAGE_RETRY_DELAY_MS: Range<u64> = 200..600;
+/// Range of the random delay after a failed watch, in ms.
+const WATCH_RETRY_DELAY_MS: Range<u64> = 200..500;
+/// Range of the random delay after a failed sync read, in ms.
+const SYNC_RETRY_DELAY_MS: Range<u64> = 50..150;
 
 /// A copy of records that a watcher keeps up to date.
 pub(super) trait Replica {
-    /// All changes up to this revision are in the copy, if not later ones.
-    fn reach(&mut self, store_revision: u64);
-    /// Everything has to be read again.
+    /// Records that the copy has all changes up to this revision.
+    fn advance_to(&mut self, store_revision: u64);
+    /// Marks the copy as incomplete: all keys have to be read again.
     fn forget_store_revision(&mut self);
-    /// Learns a key's value, which may be older than the known one.
+    /// Adds a key's value to the copy. The value may be older than the one there.
     fn learn_pair(&mut self, pair: &Pair);
-    /// Learns the changes that a watch has returned, which are all up to `store_revision`.
+    /// Applies the changes that a watch has returned: all changes up to `store_revision`.
     fn learn_events(&mut self, store_revision: u64, events: &[Event]);
 }
 
-/// How a sync read has ended.
+/// Outcome of a sync read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
-    /// The copy is as new as the beginning of the read.
+    /// The copy is at least as recent as the start of the read.
     Succeeded,
-    /// There was no result.
+    /// The read returned no changes that the copy could apply.
     Failed,
 }
 
-/// The reads of one prefix.
+/// Schedules the reads that keep the copy of one prefix up to date.
 #[derive(Debug)]
 pub(super) struct PrefixWatcher {
     prefix: &'static str,
     watched: WatchedPrefix,
-    /// Least time between sync reads.
+    /// Minimum time between sync reads.
     sync_interval: Duration,
-    /// A page is under way.
+    /// A read of a page is in flight.
     listing: bool,
-    /// A watch that waits for changes is under way.
+    /// A watch that waits for changes is in flight.
     watching: bool,
-    /// A sync read is under way.
+    /// A sync read is in flight.
     syncing: bool,
     /// Earliest time of the next page or watch.
     next_list: MonotonicTime,
     /// Earliest time of the next sync read.
     next_sync: MonotonicTime,
-    /// When the newest sync read that succeeded began.
+    /// Start of the latest sync read that succeeded.
     fresh_at: MonotonicTime,
-    /// Sync reads begun so far; the count at its beginning is a read's number.
-    reads_begun: u64,
-    /// Number of the newest sync read that succeeded.
+    /// Number of sync reads started so far; each read is numbered by this count at its start.
+    reads_started: u64,
+    /// Number of the latest sync read that succeeded.
     last_succeeded: u64,
-    /// Number of the newest sync read that failed.
+    /// Number of the latest sync read that failed.
     last_failed: u64,
 }
 
 impl PrefixWatcher {
-    /// A watcher that has read nothing yet.
+    /// Creates a watcher that has read nothing yet.
     pub fn new(watched: WatchedPrefix, prefix: &'static str, sync_interval: Duration) -> Self {
         Self {
             prefix,
@@ -89,37 +90,37 @@
             next_list: MonotonicTime::default(),
             next_sync: MonotonicTime::default(),
             fresh_at: MonotonicTime::default(),
-            reads_begun: 0,
+            reads_started: 0,
             last_succeeded: 0,
             last_failed: 0,
         }
     }
 
-    /// The copy has all changes up to this time.
+    /// The time up to which the copy is known to have all changes.
     pub fn fresh_at(&self) -> MonotonicTime {
         self.fresh_at
     }
 
-    /// Sync reads begun so far: a later one sees all that has happened by now.
-    pub fn reads_begun(&self) -> u64 {
-        self.reads_begun
+    /// Number of sync reads started so far. Any later read returns all changes made until now.
+    pub fn reads_started(&self) -> u64 {
+        self.reads_started
     }
 
-    /// How sync reads later than the first `reads_begun` have ended: whoever waits for one learns at once that it has
-    /// failed, unless another one has succeeded. `None` while none has ended.
-    pub fn read_after(&self, reads_begun: u64) -> Option<ReadOutcome> {
-        if self.last_succeeded > reads_begun {
+    /// Outcome of the sync reads after the first `reads_started`: a success if any of them has succeeded,
+    /// otherwise a failure as soon as one has failed. `None` while none of them has completed.
+    pub fn outcome_since(&self, reads_started: u64) -> Option<ReadOutcome> {
+        if self.last_succeeded > reads_started {
             Some(ReadOutcome::Succeeded)
-        } else if self.last_failed > reads_begun {
+        } else if self.last_failed > reads_started {
             Some(ReadOutcome::Failed)
         } else {
             None
         }
     }
 
-    /// Sends the reads that are to be sent now. `store_revision` is the copy's, `None` while it is incomplete;
-    /// `wanted` says that something waits for a sync read. Returns whether one has begun.
-    pub fn pump(
+    /// Sends the reads that are due. `store_revision` is the copy's, `None` while it is incomplete; `wanted`
+    /// is true while a request waits for a sync read. Returns whether a sync read has been started.
+    pub fn send_due_reads(
         &mut self,
         now: MonotonicTime,
         store_revision: Option<u64>,
@@ -136,31 +137,31 @@
             self.watching = true;
             self.watch(from, WATCH_WAIT, Read::Watch, out);
         }
-        // A node without requests must still learn whether it reaches the key-value store, or it
-        // would call itself unhealthy, get no requests, and never find out.
-        let stale = self.watched == WatchedPrefix::Jobs && now.since(self.fresh_at) >= SYNC_EVERY;
-        let begins = !self.syncing && now >= self.next_sync && (wanted || stale);
-        if begins {
+        // A node without requests must still check whether it reaches the key-value store. Otherwise it would
+        // report itself as unhealthy, receive no requests, and stay unhealthy.
+        let stale = self.watched == WatchedPrefix::Jobs && now.since(self.fresh_at) >= MAX_SYNC_AGE;
+        let starts = !self.syncing && now >= self.next_sync && (wanted || stale);
+        if starts {
             self.syncing = true;
-            self.reads_begun += 1;
+            self.reads_started += 1;
             self.next_sync = now + self.sync_interval;
-            self.watch(from, NO_WAIT, Read::Sync { began: now }, out);
+            self.watch(from, NO_WAIT, Read::Sync { started_at: now }, out);
         }
-        begins
+        starts
     }
 
     fn watch(&self, from: u64, wait: Duration, read: Read, out: &mut Outbox) {
         let request = StoreRequest::Watch { prefix: self.prefix, from, block_ms: wait.0 };
-        out.request_store(request, Pending::Follow(self.watched, read));
+        out.request_store(request, Pending::PrefixRead(self.watched, read));
     }
 
     fn read_page(&mut self, after: Option<String>, first_store_revision: Option<u64>, out: &mut Outbox) {
         self.listing = true;
         let request = StoreRequest::Range { prefix: self.prefix, after, most: PAGE_SIZE };
-        out.request_store(request, Pending::Follow(self.watched, Read::Page { first_store_revision }));
+        out.request_store(request, Pending::PrefixRead(self.watched, Read::Page { first_store_revision }));
     }
 
-    /// Processes the reply to one of its reads. Returns how a sync read has ended, if this was the reply to one.
+    /// Processes the reply to one of its reads. Returns the outcome if it was a sync read.
     pub fn reply(
         &mut self,
         now: MonotonicTime,
@@ -179,7 +180,7 @@
                 self.watch_reply(now, reply, replica, rng);
                 None
             }
-            Read::Sync { began } => Some(self.sync_reply(now, began, reply, replica, rng)),
+            Read::Sync { started_at } => Some(self.sync_reply(now, started_at, reply, replica, rng)),
         }
     }
 
@@ -194,15 +195,15 @@
     ) {
         self.listing = false;
         let StoreReply::Pairs { pairs, more, store_revision } = reply else {
-            self.next_list = now + random_pause(PAGE_RETRY_MS, rng);
+            self.next_list = now + random_delay(PAGE_RETRY_DELAY_MS, rng);
             return;
         };
         pairs.iter().for_each(|pair| replica.learn_pair(pair));
-        // What changed while the pages were read is learned by watching from the first page's revision.
+        // A watch from the first page's revision returns the changes made while the pages were read.
         let first = first_store_revision.unwrap_or(store_revision);
         match pairs.last() {
             Some(last) if more => self.read_page(Some(last.key.clone()), Some(first), out),
-            _ => replica.reach(first),
+            _ => replica.advance_to(first),
         }
     }
 
@@ -217,14 +218,14 @@
         match reply {
             StoreReply::Events { store_revision, events } => replica.learn_events(store_revision, &events),
             StoreReply::TooOld => replica.forget_store_revision(),
-            _ => self.next_list = now + random_pause(WATCH_RETRY_MS, rng),
+            _ => self.next_list = now + random_delay(WATCH_RETRY_DELAY_MS, rng),
         }
     }
 
     fn sync_reply(
         &mut self,
         now: MonotonicTime,
-        began: MonotonicTime,
+        started_at: MonotonicTime,
         reply: StoreReply,
         replica: &mut impl Replica,
         rng: &mut StdRng,
@@ -232,25 +233,25 @@
         self.syncing = false;
         if let StoreReply::Events { store_revision, events } = reply {
             replica.learn_events(store_revision, &events);
-            self.fresh_at = self.fresh_at.max(began);
-            self.last_succeeded = self.reads_begun;
+            self.fresh_at = self.fresh_at.max(started_at);
+            self.last_succeeded = self.reads_started;
             return ReadOutcome::Succeeded;
         }
-        self.last_failed = self.reads_begun;
+        self.last_failed = self.reads_started;
         if reply == StoreReply::TooOld {
             replica.forget_store_revision();
         }
-        self.next_sync = now + random_pause(SYNC_RETRY_MS, rng);
+        self.next_sync = now + random_delay(SYNC_RETRY_DELAY_MS, rng);
         ReadOutcome::Failed
     }
 }
 
-fn random_pause(range_ms: Range<u64>, rng: &mut StdRng) -> Duration {
+fn random_delay(range_ms: Range<u64>, rng: &mut StdRng) -> Duration {
     Duration::from_millis(rng.random_range(range_ms))
 }
 
 impl Replica for JobCache {
-    fn reach(&mut self, store_revision: u64) {
+    fn advance_to(&mut self, store_revision: u64) {
         JobCache::reach(self, store_revision);
     }
 
@@ -268,7 +269,7 @@
 }
 
 impl Replica for Records {
-    fn reach(&mut self, store_revision: u64) {
+    fn advance_to(&mut self, store_revision: u64) {
         Records::reach(self, store_revision);
     }
 
