--- a/crates/heartbeat/src/coordinator/balancing.rs
+++ b/crates/heartbeat/src/coordinator/balancing.rs
@@ -1,6 +1,6 @@
 //! Balances machines over nodes: a node that has far more than its share gets a lower weight.
 //!
-//! Used by the [`Coordinator`](super::Coordinator) as it makes a delegation.
+//! Used by the [`Coordinator`](super::Coordinator) when it makes a delegation.
 
 use super::LiveNode;
 use pearford_types::{Duration, MonotonicTime, NodeName};
@@ -8,27 +8,27 @@
 
 /// Initial weight of a node.
 const INITIAL_WEIGHT: u16 = 100;
-/// Initial weight of the leader's node, which has scheduling and commits to do besides.
+/// Initial weight of the leader's node, which also runs scheduling and commits.
 const INITIAL_LEADER_WEIGHT: u16 = 40;
-/// How often weights are adjusted to the numbers of machines.
+/// Interval at which weights are adjusted to the numbers of machines.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(10_000);
-/// Factor by which a weight is lowered or, as divisor, raised at a time.
-const ADJUSTMENT: f64 = 0.8;
-/// A node with more than this many times its share gets a lower weight, one with less than the inverse a
-/// higher one.
-const IMBALANCE: f64 = 1.25;
-/// A weight is lowered to the initial one divided by this at least.
+/// One adjustment multiplies a weight by this factor to lower it, and divides by it to raise it.
+const ADJUSTMENT_FACTOR: f64 = 0.8;
+/// A node with more than this many times its share of the machines gets a lower weight, and one with less
+/// than the reciprocal of it a higher weight.
+const IMBALANCE_THRESHOLD: f64 = 1.25;
+/// The lowest weight of a node is its initial weight divided by this.
 const MAX_REDUCTION: f64 = 10.0;
-/// A weight is raised to this many times the initial one at most.
+/// The highest weight of a node is its initial weight times this.
 const MAX_INCREASE: f64 = 2.0;
-/// With fewer machines per node chance decides who has how many, and balancing gains nothing.
+/// With fewer machines per node on average the differences are mostly random, and balancing has no use.
 const MIN_MACHINES_PER_NODE: f64 = 50.0;
 
 /// The nodes' weights.
 #[derive(Debug, Clone)]
 pub(super) struct WeightBalancer {
     leader: NodeName,
-    /// Weights that differ from the initial one.
+    /// Weights that were adjusted; the other nodes have their initial weights.
     adjusted: BTreeMap<NodeName, u16>,
     next_balance_at: MonotonicTime,
 }
@@ -48,9 +48,10 @@
         if *node == self.leader { INITIAL_LEADER_WEIGHT } else { INITIAL_WEIGHT }
     }
 
-    /// If it is time for it, lowers the weight of nodes that have far more machines than the others, and
-    /// raises it where it was lowered too far: zones differ in how many machines they have.
-    /// `nodes_of_machines`: for each machine the node that received its newest heartbeat.
+    /// Once per [`BALANCE_INTERVAL`], lowers the weight of nodes that have far more than their share of the
+    /// machines and raises that of nodes that have far less. Equal weights don't give equal shares, since
+    /// zones differ in their number of machines. `nodes_of_machines`: for each machine the node that received
+    /// its newest heartbeat.
     pub(super) fn balance<'a>(
         &mut self,
         live: &[LiveNode],
@@ -77,22 +78,22 @@
         }
     }
 
-    /// The next weight of a node that has `load` times its share of the machines, if it is to change.
+    /// The new weight of a node that has `load` times its share of the machines; `None`: no change.
     fn adjusted_weight(&self, node: &NodeName, load: f64) -> Option<u16> {
         let initial = f64::from(self.initial_weight(node));
         let weight = f64::from(self.weight(node));
-        let next = if load > IMBALANCE {
-            (weight * ADJUSTMENT).max(initial / MAX_REDUCTION)
-        } else if load < 1.0 / IMBALANCE {
-            (weight / ADJUSTMENT).min(initial * MAX_INCREASE)
+        let adjusted = if load > IMBALANCE_THRESHOLD {
+            (weight * ADJUSTMENT_FACTOR).max(initial / MAX_REDUCTION)
+        } else if load < 1.0 / IMBALANCE_THRESHOLD {
+            (weight / ADJUSTMENT_FACTOR).min(initial * MAX_INCREASE)
         } else {
             return None;
         };
-        Some(next.round() as u16)
+        Some(adjusted.round() as u16)
     }
 }
 
-/// How many machines each live node has.
+/// The number of machines of each live node.
 fn machine_counts<'a, 'b>(
     live: &'a [LiveNode],
     nodes_of_machines: impl Iterator<Item = &'b NodeName>,
--- a/crates/heartbeat/src/coordinator/contacts.rs
+++ b/crates/heartbeat/src/coordinator/contacts.rs
@@ -1,43 +1,43 @@
-//! Which nodes the leader hears, and which of them hear the leader, by the digests that they send.
+//! Tracks which nodes the leader exchanges messages with in both directions, by the digests that they send.
 //!
-//! Used by the [`Coordinator`](super::Coordinator) to choose a way to a worker and to assign no machines to a
-//! node that does not respond.
+//! Used by the [`Coordinator`](super::Coordinator) to choose a route to a worker, and to assign no machines to
+//! a node that does not respond.
 
 use super::LiveNode;
 use pearford_types::{Duration, MonotonicTime, NodeName};
 use std::collections::BTreeMap;
 
-/// How old a node's last digest may be for commands to go through that node.
+/// A node is responsive only while its last digest is younger than this.
 const MAX_DIGEST_AGE: Duration = Duration::from_millis(1500);
-/// How old the delegation may be that this digest names.
+/// A node is responsive only while the delegation to which its last digest refers is younger than this.
 const MAX_DELEGATION_AGE: Duration = Duration::from_millis(3500);
-/// How long a node has to send its first digest before no machine is assigned to it.
+/// A live node that has sent no digest within this time counts as unresponsive.
 const FIRST_DIGEST_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// The last digest of a node.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastDigest {
-    /// When it came.
+    /// When the leader received it.
     pub(super) received_at: MonotonicTime,
-    /// When the delegation was sent that it names.
+    /// When the leader sent the delegation to which it refers.
     pub(super) delegation_sent_at: MonotonicTime,
 }
 
-/// What the leader knows of its connections to the nodes.
+/// The leader's contacts with the nodes.
 #[derive(Debug, Clone)]
 pub(super) struct NodeContacts {
-    me: NodeName,
+    own_node: NodeName,
     last_digests: BTreeMap<NodeName, LastDigest>,
-    /// Since when nodes have been alive while this leader was ready for digests.
+    /// For each live node, since when the leader has expected digests of it.
     expected_since: BTreeMap<NodeName, MonotonicTime>,
 }
 
 impl NodeContacts {
-    pub(super) fn new(me: NodeName) -> Self {
-        Self { me, last_digests: BTreeMap::new(), expected_since: BTreeMap::new() }
+    pub(super) fn new(own_node: NodeName) -> Self {
+        Self { own_node, last_digests: BTreeMap::new(), expected_since: BTreeMap::new() }
     }
 
-    /// These nodes are alive. Digests are expected of them once the leader is `ready`.
+    /// Updates the set of live nodes. Digests are expected of them once the leader is `ready`.
     pub(super) fn update_live(&mut self, live: &[LiveNode], ready: bool, now: MonotonicTime) {
         self.expected_since.retain(|node, _| live.iter().any(|live_node| live_node.node == *node));
         if ready {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// A node has sent a digest.
+    /// Records a node's digest.
     pub(super) fn digest_received(&mut self, from: &NodeName, digest: LastDigest) {
         self.last_digests.insert(from.clone(), digest);
     }
 
-    /// Whether a node is heard and hears this one.
+    /// Whether messages arrive in both directions between a node and this one.
     pub(super) fn is_responsive(&self, node: &NodeName, now: MonotonicTime) -> bool {
         self.last_digests.get(node).is_some_and(|digest| {
             now.since(digest.received_at) < MAX_DIGEST_AGE
@@ -60,18 +60,18 @@
         })
     }
 
-    /// The nodes that are heard and hear this one, by name.
+    /// The responsive nodes, ordered by name.
     pub(super) fn responsive_nodes(&self, now: MonotonicTime) -> impl Iterator<Item = &NodeName> {
         self.last_digests.keys().filter(move |node| self.is_responsive(node, now))
     }
 
-    /// Whether a live node doesn't receive what is sent to it, or what it sends gets lost: then no machine
-    /// may be assigned to it. (A node to which connections were refused still reached the leader: it answered
-    /// workers and reported them under a delegation long past, and 440 machines that it heard were given up;
-    /// simulated fleet "andina", fault "apart".)
+    /// Whether messages to or from a live node are lost. No machine may be assigned to such a node: one that
+    /// refuses connections but can send would keep answering workers under an outdated delegation, and since
+    /// heartbeats reported under it count as old, the leader would declare the machines lost. (That happened
+    /// to 440 machines.)
     pub(super) fn is_unresponsive(&self, node: &NodeName, now: MonotonicTime) -> bool {
         let expected_since = self.expected_since.get(node);
-        *node != self.me
+        *node != self.own_node
             && expected_since.is_some_and(|since| now.since(*since) >= FIRST_DIGEST_TIMEOUT)
             && !self.is_responsive(node, now)
     }
--- a/crates/heartbeat/src/coordinator/tests.rs
+++ b/crates/heartbeat/src/coordinator/tests.rs
@@ -17,7 +17,7 @@
 /// The leader `l` with the nodes `a` and `b`, and its first delegation, sent at 1 s.
 fn coordinator() -> (Coordinator, Delegation) {
     let mut coordinator = Coordinator::new("l".into(), FencingToken(7), at_ms(1_000));
-    let delegation = coordinator.delegation(&live_nodes(), true, at_ms(1_000)).expect("due");
+    let delegation = coordinator.delegation(&live_nodes(), true, at_ms(1_000)).expect("a delegation is due");
     (coordinator, delegation)
 }
 
@@ -47,72 +47,90 @@
     HeartbeatDigest { sequence, ..digest(vec![], vec![]) }
 }
 
-/// A machine moved from a to b, reported something else there, and came back to a, to which it reported what
-/// it had reported there before: taken for what it reported to b, that would prove tasks gone that run.
+/// A worker reports to node a, then with other content to node b, then to a again with the first content,
+/// which a reports as unchanged. If the leader used the content that b reported, it would conclude that
+/// running tasks are gone.
 #[test]
-fn an_unchanged_heartbeat_counts_only_where_the_same_content_is_known() {
+fn accepts_unchanged_heartbeat_only_if_same_content_is_known() {
     let (mut coordinator, _) = coordinator();
     let a = NodeName::from("a");
     let b = NodeName::from("b");
-    let runs = digest(vec![full(1, "runs x")], vec![]);
-    assert_eq!(coordinator.digest_received(&a, runs, at_ms(1_100)).len(), 1);
-    let nothing = digest(vec![full(2, "nothing")], vec![]);
-    assert_eq!(coordinator.digest_received(&b, nothing.clone(), at_ms(1_200)).len(), 1);
-    let as_before = digest(vec![], vec![unchanged(3, "runs x")]);
-    assert!(coordinator.digest_received(&a, as_before, at_ms(1_300)).is_empty());
+    let runs_x = digest(vec![full(1, "runs x")], vec![]);
+    assert_eq!(coordinator.digest_received(&a, runs_x, at_ms(1_100)).len(), 1);
+    let runs_nothing = digest(vec![full(2, "nothing")], vec![]);
+    assert_eq!(coordinator.digest_received(&b, runs_nothing.clone(), at_ms(1_200)).len(), 1);
+    let runs_x_unchanged = digest(vec![], vec![unchanged(3, "runs x")]);
+    assert!(coordinator.digest_received(&a, runs_x_unchanged, at_ms(1_300)).is_empty());
     let resend = ResendRequest { node: a.clone(), machines: vec!["m".into()] };
     assert_eq!(coordinator.take_resend_requests(), [resend]);
 
     let resent = digest(vec![full(3, "runs x")], vec![]);
     let received = coordinator.digest_received(&a, resent, at_ms(1_400));
     assert!(received[0].content_changed);
-    assert_eq!(coordinator.known_heartbeat(&"m".into()).expect("known").content, b"runs x");
-    let as_before = digest(vec![], vec![unchanged(4, "runs x")]);
-    let received = coordinator.digest_received(&a, as_before.clone(), at_ms(1_500));
+    assert_eq!(coordinator.known_heartbeat(&"m".into()).expect("machine m is known").content, b"runs x");
+    let runs_x_unchanged = digest(vec![], vec![unchanged(4, "runs x")]);
+    let received = coordinator.digest_received(&a, runs_x_unchanged.clone(), at_ms(1_500));
     assert!(!received[0].content_changed && received[0].position.serial == 4);
 
-    assert!(coordinator.digest_received(&b, nothing, at_ms(1_600)).is_empty(), "overtaken");
-    assert!(coordinator.digest_received(&a, as_before, at_ms(1_700)).is_empty(), "repeated");
+    let received = coordinator.digest_received(&b, runs_nothing, at_ms(1_600));
+    assert!(received.is_empty(), "its heartbeat is older than the known one");
+    let received = coordinator.digest_received(&a, runs_x_unchanged, at_ms(1_700));
+    assert!(received.is_empty(), "a repeated digest has nothing new");
     assert!(coordinator.take_resend_requests().is_empty());
-    let of_other = HeartbeatDigest { fencing_token: FencingToken(6), ..digest(vec![full(9, "")], vec![]) };
-    assert!(coordinator.digest_received(&a, of_other, at_ms(1_800)).is_empty(), "for another leader");
+    let for_other_leader =
+        HeartbeatDigest { fencing_token: FencingToken(6), ..digest(vec![full(9, "")], vec![]) };
+    let received = coordinator.digest_received(&a, for_other_leader, at_ms(1_800));
+    assert!(received.is_empty(), "the digest is for another leader");
 }
 
-/// Held back by a network partition for a minute, a digest says that its machines were heard just now.
+/// After a network partition has delayed a digest by a minute, the ages in it suggest that its machines
+/// reported just now.
 #[test]
-fn a_digest_that_was_held_back_does_not_make_its_machines_look_alive() {
+fn bounds_heartbeat_time_of_delayed_digest_by_its_delegation() {
     let (mut coordinator, _) = coordinator();
-    let late = digest(vec![full(1, "x")], vec![]);
-    let received = coordinator.digest_received(&"a".into(), late, at_ms(60_000));
+    let delayed = digest(vec![full(1, "x")], vec![]);
+    let received = coordinator.digest_received(&"a".into(), delayed, at_ms(60_000));
     assert!(received[0].received_at <= at_ms(1_000) + MAX_DIGEST_DELAY);
     let of_unknown_delegation = HeartbeatDigest { sequence: 0, ..digest(vec![full(2, "x")], vec![]) };
     assert!(coordinator.digest_received(&"a".into(), of_unknown_delegation, at_ms(60_000)).is_empty());
 }
 
 #[test]
-fn commands_go_through_a_responsive_node_and_else_directly() {
+fn routes_commands_through_responsive_node_or_else_directly() {
     let (mut coordinator, _) = coordinator();
     let machine = MachineId::from("m");
     let a = NodeName::from("a");
     let b = NodeName::from("b");
     coordinator.digest_received(&a, digest(vec![full(1, "x")], vec![]), at_ms(1_100));
     assert_eq!(coordinator.route(&machine, at_ms(1_200)), Some(&a));
-    assert_eq!(coordinator.route(&machine, at_ms(4_000)), None, "a is silent");
-    assert_eq!(coordinator.alternative_route(&machine, at_ms(1_200)), None, "directly, for once");
+    assert_eq!(coordinator.route(&machine, at_ms(4_000)), None, "a has sent no recent digest");
+    assert_eq!(
+        coordinator.alternative_route(&machine, at_ms(1_200)),
+        None,
+        "the alternative to the route through a is direct"
+    );
     coordinator.digest_received(&b, empty_digest(1), at_ms(4_000));
     assert_eq!(coordinator.alternative_route(&machine, at_ms(4_000)), Some(&b));
     coordinator.digest_received(&b, empty_digest(1), at_ms(5_000));
-    assert_eq!(coordinator.alternative_route(&machine, at_ms(5_000)), None, "b is heard, and hears nothing");
+    assert_eq!(
+        coordinator.alternative_route(&machine, at_ms(5_000)),
+        None,
+        "b sends digests, but receives no delegations"
+    );
     coordinator.heartbeat_received_here(&machine, position(2), b"x".to_vec());
-    assert_eq!(coordinator.alternative_route(&machine, at_ms(1_200)), Some(&a), "this node may have lost it");
+    assert_eq!(
+        coordinator.alternative_route(&machine, at_ms(1_200)),
+        Some(&a),
+        "the leader may have lost its connection to the machine"
+    );
     assert_eq!(coordinator.route(&machine, at_ms(1_200)), None);
-    assert_eq!(coordinator.route(&"unheard".into(), at_ms(1_200)), None);
+    assert_eq!(coordinator.route(&"unknown".into(), at_ms(1_200)), None);
 }
 
-/// A node's digests came, under a delegation long past: a third of all machines was assigned to it, and no
-/// command and no delegation reached it.
+/// A node kept sending digests under an outdated delegation, while no command and no delegation reached it. A
+/// third of all machines was still assigned to it.
 #[test]
-fn a_node_that_hears_nothing_gets_no_machines_until_it_hears_again() {
+fn assigns_no_machines_to_node_that_receives_no_delegations() {
     let (mut coordinator, _) = coordinator();
     let have_weight = |delegation: &Delegation| {
         delegation.node_weights.nodes().iter().map(|node| node.weight > 0).collect::<Vec<_>>()
@@ -122,22 +140,23 @@
         for (node, sequence) in [("a", second - 1), ("b", 1)] {
             coordinator.digest_received(&node.into(), empty_digest(sequence), at_ms(second * 1_000 - 100));
         }
-        let delegation = coordinator.delegation(&live_nodes(), true, at_ms(second * 1_000)).expect("due");
+        let delegation =
+            coordinator.delegation(&live_nodes(), true, at_ms(second * 1_000)).expect("a delegation is due");
         last = have_weight(&delegation);
-        assert!(second > 4 || last == [true; 3], "it has some time");
+        assert!(second > 4 || last == [true; 3], "b is not unresponsive before the timeout");
     }
-    assert_eq!(last, [true, false, true], "a, b, l");
+    assert_eq!(last, [true, false, true], "of a, b and l only b has no weight");
     coordinator.digest_received(&"b".into(), empty_digest(9), at_ms(9_900));
-    let delegation = coordinator.delegation(&live_nodes(), true, at_ms(10_000)).expect("due");
+    let delegation = coordinator.delegation(&live_nodes(), true, at_ms(10_000)).expect("a delegation is due");
     assert_eq!(have_weight(&delegation), [true; 3]);
 }
 
 #[test]
-fn a_node_with_far_more_than_its_share_gets_a_lower_weight() {
+fn lowers_weight_of_node_with_far_more_than_its_share() {
     let (mut coordinator, first) = coordinator();
     let weight = |delegation: &Delegation, node: &str| {
         let mut nodes = delegation.node_weights.nodes().iter();
-        nodes.find(|weighted| weighted.node.as_str() == node).expect("there").weight
+        nodes.find(|weighted| weighted.node.as_str() == node).expect("node has a weight").weight
     };
     for i in 0..400 {
         let machine = MachineId::from(format!("m-{i}").as_str());
@@ -151,6 +170,6 @@
             coordinator.digest_received(&node.into(), empty_digest(second), at_ms(second * 1_000 + 500));
         }
     }
-    let later = coordinator.delegation(&live_nodes(), true, at_ms(12_000)).expect("due");
+    let later = coordinator.delegation(&live_nodes(), true, at_ms(12_000)).expect("a delegation is due");
     assert!(weight(&later, "a") < weight(&first, "a") && weight(&later, "b") > weight(&first, "b"));
 }
--- a/crates/heartbeat/src/delegate.rs
+++ b/crates/heartbeat/src/delegate.rs
@@ -1,8 +1,8 @@
-//! The part of every node: which workers' heartbeats it answers, and what it reports of them to the leader.
+//! The part of every node: decides which workers' heartbeats the node answers, and reports them to the leader.
 //!
-//! The scheduler's controller owns one [`Delegate`], hands it the leader's delegations and the workers'
-//! heartbeats, and sends the digests that it makes. The leader's [`Coordinator`](crate::Coordinator) has one
-//! too, to decide where workers belong that report to the leader itself.
+//! The scheduler's controller owns one [`Delegate`], passes it the leader's delegations and the workers'
+//! heartbeats, and sends the digests that it makes. The leader's [`Coordinator`](crate::Coordinator) has its
+//! own, to decide whether workers that report to the leader itself are redirected.
 
 mod heartbeat_log;
 mod redirects;
@@ -14,58 +14,59 @@
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, Zone};
 use redirects::{RedirectReason, Redirects};
 
-/// How old the last delegation may be for the leader to count as reachable from here.
+/// The leader counts as reachable while its newest delegation is younger than this.
 const MAX_DELEGATION_AGE: Duration = Duration::from_millis(3000);
-/// How often machines are forgotten that have not been heard for long.
+/// Interval at which old heartbeats and redirects are removed.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(5000);
 
-/// A heartbeat, as far as it matters which node is to answer it.
+/// A received heartbeat, in the form that [`Delegate::heartbeat_received`] needs.
 #[derive(Debug)]
 pub struct IncomingHeartbeat<'a> {
     /// The machine whose worker sent it.
     pub machine: &'a MachineId,
     /// The machine's zone.
     pub zone: &'a Zone,
-    /// When in the worker's life it was sent.
+    /// Which of the worker's heartbeats it is.
     pub position: HeartbeatPosition,
     /// What the worker reports, as in [`FullHeartbeat::content`].
     pub content: Vec<u8>,
 }
 
-/// What becomes of a heartbeat.
+/// How a heartbeat is answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Routing {
     /// It is answered with 200 and this fencing token.
     Answer(FencingToken),
-    /// The worker is redirected to the node that its machine is assigned to.
+    /// The worker is redirected to the node to which its machine is assigned.
     Redirect(NodeName),
-    /// The worker is to try whichever node comes next in its list.
+    /// The worker is redirected to the next node in its list.
     TryAnotherNode,
-    /// This node may not answer it: as if there were no delegation.
+    /// This node may not answer it, as if it had no delegation.
     NoDelegation,
 }
 
-/// The delegation that this node answers by.
+/// The delegation under which this node answers heartbeats.
 #[derive(Debug, Clone)]
-struct HeldDelegation {
+struct CurrentDelegation {
     leader: NodeName,
     fencing_token: FencingToken,
     sequence: u64,
-    /// When it came. For an inferred one: long enough ago for the leader to count as unreachable.
+    /// When it was received. For an inferred delegation, a time so long ago that the leader counts as
+    /// unreachable.
     received_at: MonotonicTime,
     ready: bool,
     node_weights: NodeWeights,
-    /// Only workers of this zone are answered by it; `None`: all workers.
+    /// Only workers of this zone are answered; `None`: all workers.
     only_zone: Option<Zone>,
 }
 
-impl HeldDelegation {
+impl CurrentDelegation {
     fn is_fresh(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) < MAX_DELEGATION_AGE
     }
 }
 
-/// A digest and where it goes.
+/// A digest and its destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDigest {
     /// The leader's node.
@@ -74,12 +75,12 @@
     pub digest: HeartbeatDigest,
 }
 
-/// Answers workers in the leader's name on one node.
+/// Answers workers on behalf of the leader on one node.
 #[derive(Debug, Clone)]
 pub struct Delegate {
-    me: NodeName,
-    held: Option<HeldDelegation>,
-    /// Fencing token of the newest leader to which all known heartbeats have been reported in full.
+    own_node: NodeName,
+    current: Option<CurrentDelegation>,
+    /// Fencing token of the newest leader to which all known heartbeats were reported in full.
     fully_reported_to: FencingToken,
     log: HeartbeatLog,
     redirects: Redirects,
@@ -88,11 +89,11 @@
 }
 
 impl Delegate {
-    /// A node without a delegation.
-    pub fn new(me: NodeName) -> Self {
+    /// The delegate of `own_node`, which has no delegation yet.
+    pub fn new(own_node: NodeName) -> Self {
         Self {
-            me,
-            held: None,
+            own_node,
+            current: None,
             fully_reported_to: FencingToken(0),
             log: HeartbeatLog::default(),
             redirects: Redirects::default(),
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Switches a safety check off.
+    /// Disables a safety check.
     #[cfg(test)]
     pub(crate) fn disable(&mut self, check: DisabledCheck) {
         self.checks.disable(check);
@@ -109,40 +110,40 @@
 
     /// The fencing token that this node answers with.
     pub fn fencing_token(&self) -> Option<FencingToken> {
-        self.held.as_ref().map(|held| held.fencing_token)
+        self.current.as_ref().map(|current| current.fencing_token)
     }
 
-    /// How many workers' heartbeats this node has answered lately.
+    /// Number of workers whose heartbeats this node has answered recently.
     pub fn len(&self) -> usize {
         self.log.len()
     }
 
-    /// Whether this node has answered no worker lately.
+    /// Whether this node has answered no worker recently.
     pub fn is_empty(&self) -> bool {
         self.log.len() == 0
     }
 
-    /// This node leads now and answers in its own right. Returns the heartbeats that it received as a
-    /// delegate, for the [`Coordinator`](crate::Coordinator) of its own.
+    /// Drops the delegation because this node has become leader. Returns the recent heartbeats that it
+    /// received as a delegate, for its own [`Coordinator`](crate::Coordinator).
     pub fn became_leader(&mut self, now: MonotonicTime) -> Vec<FullHeartbeat> {
-        self.held = None;
+        self.current = None;
         self.log.take_recent(now)
     }
 
-    /// A delegation came. One of an older leader, or an older one of the same leader, changes nothing however
-    /// late it comes.
+    /// Adopts a delegation. One of an older leader, or an older one of the same leader, is ignored.
     pub fn delegation_received(&mut self, from: &NodeName, delegation: Delegation, now: MonotonicTime) {
         let Delegation { fencing_token, sequence, ready, node_weights } = delegation;
-        let held = self.held.as_ref().map(|held| (held.fencing_token, held.sequence));
-        if held.is_some_and(|held| (fencing_token, sequence) <= held) {
+        let current = self.current.as_ref().map(|current| (current.fencing_token, current.sequence));
+        if current.is_some_and(|current| (fencing_token, sequence) <= current) {
             return;
         }
         if ready && self.fully_reported_to < fencing_token {
-            // A new leader knows nothing yet: what the nodes know spares it a rush of all workers.
+            // A new leader has no heartbeats yet; those of its delegates spare it a burst of reports from all
+            // workers.
             self.fully_reported_to = fencing_token;
             self.log.report_all_in_full(now);
         }
-        self.held = Some(HeldDelegation {
+        self.current = Some(CurrentDelegation {
             leader: from.clone(),
             fencing_token,
             sequence,
@@ -153,11 +154,12 @@
         });
     }
 
-    /// The key-value store says who leads, though no delegation comes from there. What a leader delegates to
-    /// all nodes alike this node may do too, with limits: no machine is assigned to a node by it, and nothing
-    /// is reported to the leader. A worker is sent on once, as another node may reach the leader, and
-    /// answered when it comes back. Only workers of this node's `own_zone` are answered: others may reach
-    /// more nodes than this one, and the leader doesn't hear those that stay here.
+    /// Infers a delegation from the leader record in the key-value store, when none arrives from that leader.
+    /// A leader delegates to all nodes alike, so this node may assume the delegation, with restrictions: it
+    /// assigns no machines to nodes, and nothing is reported to the leader. A worker is redirected once, since
+    /// another node may reach the leader, and answered when it returns. Only workers of `own_zone` are
+    /// answered: the others may be able to reach other nodes, and the leader would not learn of workers that
+    /// stay with this one.
     pub fn delegation_inferred(
         &mut self,
         leader: &NodeName,
@@ -165,8 +167,8 @@
         own_zone: &Zone,
         now: MonotonicTime,
     ) {
-        if self.held.as_ref().is_none_or(|held| held.fencing_token < fencing_token) {
-            self.held = Some(HeldDelegation {
+        if self.current.as_ref().is_none_or(|current| current.fencing_token < fencing_token) {
+            self.current = Some(CurrentDelegation {
                 leader: leader.clone(),
                 fencing_token,
                 sequence: 0,
@@ -178,23 +180,23 @@
         }
     }
 
-    /// The leader lacks the content of these machines' newest heartbeats.
+    /// Schedules the newest heartbeats of these machines to be reported with content, which the leader lacks.
     pub fn resend_requested(&mut self, machines: Vec<MachineId>) {
         self.log.report_in_full(machines);
     }
 
-    /// When the newest delegation came; the clock's zero if none ever did.
+    /// When the current delegation was received; the clock's zero if there is none.
     pub fn last_delegation_at(&self) -> MonotonicTime {
-        self.held.as_ref().map(|held| held.received_at).unwrap_or_default()
+        self.current.as_ref().map(|current| current.received_at).unwrap_or_default()
     }
 
-    /// Whether the leader counts as reachable from here.
+    /// Whether the leader counts as reachable from this node.
     pub fn is_fresh(&self, now: MonotonicTime) -> bool {
-        self.held.as_ref().is_some_and(|held| held.is_fresh(now))
+        self.current.as_ref().is_some_and(|current| current.is_fresh(now))
     }
 
-    /// Takes in a heartbeat and decides what becomes of it. `highest_token`: the highest fencing token that
-    /// this node knows of. `may_renew`: this node may renew the worker's lease, see
+    /// Decides how a heartbeat is answered, and logs it if this node answers it. `highest_token`: the highest
+    /// fencing token that this node knows. `may_renew`: this node may renew the worker's lease, see
     /// [`LeaseRenewal::delegate_may_renew`](crate::LeaseRenewal::delegate_may_renew).
     pub fn heartbeat_received(
         &mut self,
@@ -203,20 +205,20 @@
         may_renew: bool,
         now: MonotonicTime,
     ) -> Routing {
-        let Some(held) = &self.held else { return Routing::NoDelegation };
-        let fencing_token = held.fencing_token;
-        // A worker drops an answer with a lower fencing token than it has seen, and stays here while its
-        // lease runs out. (The second condition only comes earlier: the worker says with its next heartbeat
-        // that it has seen a higher one.)
+        let Some(current) = &self.current else { return Routing::NoDelegation };
+        let fencing_token = current.fencing_token;
+        // A worker ignores an answer with a lower fencing token than it has seen, but would keep reporting to
+        // this node until its lease expires. The second condition only takes effect earlier: the worker itself
+        // would report the higher token with its next heartbeat.
         let outdated = fencing_token < heartbeat.position.fencing_token || fencing_token < highest_token;
-        if outdated && self.checks.performs(DisabledCheck::OlderFencingToken) {
+        if outdated && self.checks.is_enabled(DisabledCheck::OlderFencingToken) {
             return Routing::NoDelegation;
         }
-        if held.only_zone.as_ref().is_some_and(|zone| zone != heartbeat.zone) {
+        if current.only_zone.as_ref().is_some_and(|zone| zone != heartbeat.zone) {
             return Routing::NoDelegation;
         }
-        // A cancellation may have been confirmed since this node's last read of the job records, without any
-        // node on this side of a network partition seeing it; see the design document, "Outages".
+        // Since this node's last read of the job records a cancellation may have been confirmed that no node
+        // on this side of a network partition knows of; see `docs/design.md`, "Outages".
         if !may_renew {
             return Routing::TryAnotherNode;
         }
@@ -227,7 +229,7 @@
         Routing::Answer(fencing_token)
     }
 
-    /// Where a worker is sent instead of being answered here, if it is.
+    /// The redirect of a worker that is not answered here; `None`: it is answered here.
     pub(crate) fn redirect_for(
         &mut self,
         machine: &MachineId,
@@ -235,17 +237,17 @@
         now: MonotonicTime,
     ) -> Option<Routing> {
         let reason = self.redirect_reason(machine, zone, now)?;
-        if self.redirects.came_back(machine, &reason, now) {
+        if self.redirects.has_returned(machine, &reason, now) {
             return None;
         }
         let routing = match &reason {
-            RedirectReason::AssignedTo(_) if !self.redirects.may_move(now) => return None,
+            RedirectReason::AssignedTo(_) if !self.redirects.count_move(now) => return None,
             RedirectReason::AssignedTo(node) => Routing::Redirect(node.clone()),
             RedirectReason::LeaderUnreachable { .. } => Routing::TryAnotherNode,
         };
         self.redirects.record(machine.clone(), &reason, now);
-        // What the worker reports next, to another node, is not known here.
-        self.log.forget(machine);
+        // The worker's next heartbeats go to another node.
+        self.log.remove(machine);
         Some(routing)
     }
 
@@ -255,31 +257,31 @@
         zone: &Zone,
         now: MonotonicTime,
     ) -> Option<RedirectReason> {
-        let held = self.held.as_ref()?;
-        if !held.is_fresh(now) {
-            // Another node may reach the leader. A worker that finds none which does comes back.
-            return Some(RedirectReason::LeaderUnreachable { since: held.received_at });
+        let current = self.current.as_ref()?;
+        if !current.is_fresh(now) {
+            // Another node may reach the leader. A worker that finds no such node returns to this one.
+            return Some(RedirectReason::LeaderUnreachable { since: current.received_at });
         }
-        let assigned = held.node_weights.assigned_node(machine, zone)?;
-        (*assigned != self.me).then(|| RedirectReason::AssignedTo(assigned.clone()))
+        let assigned = current.node_weights.assigned_node(machine, zone)?;
+        (*assigned != self.own_node).then(|| RedirectReason::AssignedTo(assigned.clone()))
     }
 
-    /// The digest to send now, if it is time for one.
+    /// The digest to send, if one is due.
     pub fn next_digest(&mut self, now: MonotonicTime) -> Option<OutgoingDigest> {
         self.prune(now);
-        let held = self.held.as_ref().filter(|held| held.ready)?;
-        let digest = self.log.next_digest(held.fencing_token, held.sequence, now)?;
-        Some(OutgoingDigest { leader: held.leader.clone(), digest })
+        let current = self.current.as_ref().filter(|current| current.ready)?;
+        let digest = self.log.next_digest(current.fencing_token, current.sequence, now)?;
+        Some(OutgoingDigest { leader: current.leader.clone(), digest })
     }
 
-    /// Forgets machines that have not been heard for long, here or after they were sent elsewhere.
+    /// Removes old heartbeats and redirects.
     pub(crate) fn prune(&mut self, now: MonotonicTime) {
         if now < self.next_prune_at {
             return;
         }
         self.next_prune_at = now + PRUNE_INTERVAL;
         self.log.prune(now);
-        let last_delegation_at = self.held.as_ref().map(|held| held.received_at);
+        let last_delegation_at = self.current.as_ref().map(|current| current.received_at);
         self.redirects.prune(last_delegation_at, now);
     }
 }
--- a/crates/heartbeat/src/delegate/heartbeat_log.rs
+++ b/crates/heartbeat/src/delegate/heartbeat_log.rs
@@ -1,4 +1,4 @@
-//! The newest heartbeats that this node has answered, and what of them the leader has not been told.
+//! The newest heartbeats that this node has answered, and which of them are not yet reported to the leader.
 //!
 //! Used by the [`Delegate`](super::Delegate).
 
@@ -8,15 +8,15 @@
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long changed heartbeats wait for more of them.
+/// Minimum interval between digests with changed heartbeats, which batches them.
 const CHANGED_INTERVAL: Duration = Duration::from_millis(100);
-/// How long unchanged heartbeats wait for more of them.
+/// Interval between digests with unchanged heartbeats, which batches them.
 const UNCHANGED_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes of content after which a digest is full; the rest goes with the next one.
+/// Bytes of content after which a digest is full; the remaining heartbeats are sent with the next one.
 const MAX_DIGEST_BYTES: usize = 128 * 1024;
-/// A heartbeat that is older is not reported to a new leader: the worker may have gone to another node.
+/// Heartbeats older than this are not reported to a new leader, since the worker may report to another node.
 const MAX_AGE_FOR_NEW_LEADER: Duration = Duration::from_millis(15_000);
-/// A heartbeat that is older is forgotten.
+/// Heartbeats older than this are removed.
 const MAX_AGE: Duration = Duration::from_millis(30_000);
 
 /// The newest heartbeat of a machine.
@@ -28,8 +28,8 @@
     hash: u64,
 }
 
-/// Heartbeats by machine. Of a machine in `changed` or `unchanged` the newest one has not been reported yet;
-/// no machine is in both.
+/// The newest heartbeat of each machine. `changed` and `unchanged` hold the machines whose newest heartbeat is
+/// not reported yet.
 #[derive(Debug, Clone, Default)]
 pub(super) struct HeartbeatLog {
     newest: BTreeMap<MachineId, LoggedHeartbeat>,
@@ -46,7 +46,7 @@
         self.newest.len()
     }
 
-    /// This node answers a heartbeat. One that was overtaken by a newer one changes nothing.
+    /// Logs a heartbeat that this node answers. It is ignored if a newer one is known.
     pub(super) fn received(&mut self, heartbeat: IncomingHeartbeat<'_>, now: MonotonicTime) {
         let IncomingHeartbeat { machine, position, content, .. } = heartbeat;
         let hash = content_hash(&content);
@@ -66,19 +66,19 @@
         self.newest.insert(machine.clone(), logged);
     }
 
-    /// A machine's worker reports to another node now.
-    pub(super) fn forget(&mut self, machine: &MachineId) {
+    /// Removes the heartbeat of a machine whose worker is redirected to another node.
+    pub(super) fn remove(&mut self, machine: &MachineId) {
         self.newest.remove(machine);
         self.changed.remove(machine);
         self.unchanged.remove(machine);
     }
 
-    /// Reports these machines' newest heartbeats with content, as far as they are known.
+    /// Schedules the newest heartbeats of these machines, if known, to be reported with content.
     pub(super) fn report_in_full(&mut self, machines: Vec<MachineId>) {
         self.changed.extend(machines.into_iter().filter(|machine| self.newest.contains_key(machine)));
     }
 
-    /// Reports all recent heartbeats with content, at once; older ones are forgotten.
+    /// Schedules all recent heartbeats to be reported with content at once; older ones are removed.
     pub(super) fn report_all_in_full(&mut self, now: MonotonicTime) {
         self.newest.retain(|_, logged| now.since(logged.received_at) < MAX_AGE_FOR_NEW_LEADER);
         self.changed = self.newest.keys().cloned().collect();
@@ -103,8 +103,8 @@
             .collect()
     }
 
-    /// What has not been reported, if it is time for a digest. One without heartbeats is due, too: it tells
-    /// the leader that this node responds.
+    /// A digest of the heartbeats that are not reported yet, if one is due. A digest is sent even if it
+    /// contains no heartbeats, so that the leader knows that this node responds.
     pub(super) fn next_digest(
         &mut self,
         fencing_token: FencingToken,
@@ -158,7 +158,7 @@
         unchanged
     }
 
-    /// Forgets machines that have not been heard for long.
+    /// Removes old heartbeats.
     pub(super) fn prune(&mut self, now: MonotonicTime) {
         self.newest.retain(|_, logged| now.since(logged.received_at) < MAX_AGE);
     }
--- a/crates/heartbeat/src/delegate/redirects.rs
+++ b/crates/heartbeat/src/delegate/redirects.rs
@@ -1,24 +1,25 @@
-//! Which workers this node has sent to other nodes, when and for what reason.
+//! Records which workers this node has redirected to other nodes, when and for what reason.
 //!
-//! Used by the [`Delegate`](super::Delegate): a worker that comes back found nobody there and is answered
-//! here, and workers are moved to the nodes that they are assigned to a few at a time.
+//! Used by the [`Delegate`](super::Delegate). A worker that returns after a redirect got no answer from the
+//! other nodes, and is answered here. The rate of redirects to assigned nodes is limited.
 
 use pearford_types::{Duration, MachineId, MonotonicTime, NodeName};
 use std::collections::BTreeMap;
 
-/// A worker that comes back within this time found that its assigned node does not answer.
-const COMES_BACK_WITHIN: Duration = Duration::from_millis(30_000);
+/// If a worker returns within this time, its assigned node did not answer it.
+const RETURN_WINDOW: Duration = Duration::from_millis(30_000);
 /// Period over which [`MAX_MOVES`] counts.
 const MOVE_PERIOD: Duration = Duration::from_millis(1000);
-/// Workers that are sent to their assigned nodes within [`MOVE_PERIOD`], so that they never move all at once.
+/// Maximum number of workers redirected to their assigned nodes per [`MOVE_PERIOD`], so that they never all
+/// move at once.
 pub(super) const MAX_MOVES: u32 = 60;
 
-/// Why a worker is sent to another node.
+/// Why a worker is redirected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum RedirectReason {
     /// Its machine is assigned to that node.
     AssignedTo(NodeName),
-    /// This node has not heard the leader since that time; another one may reach it.
+    /// This node has received no delegation since that time; another one may reach the leader.
     LeaderUnreachable { since: MonotonicTime },
 }
 
@@ -39,10 +40,10 @@
     unreachable_since: Option<MonotonicTime>,
 }
 
-/// How many workers have been sent to their assigned nodes since the period began.
+/// Number of workers redirected to their assigned nodes in the current period.
 #[derive(Debug, Clone, Default)]
 struct MoveCount {
-    period_began: MonotonicTime,
+    period_start: MonotonicTime,
     moves: u32,
 }
 
@@ -54,43 +55,50 @@
 }
 
 impl Redirects {
-    /// Whether the worker was sent elsewhere for the same reason before, and so found nobody there.
+    /// Whether the worker was already redirected for the same reason, so that its return means that no other
+    /// node answered it.
     ///
-    /// A worker that was sent to its assigned node, and is now here because that node has lost the leader
-    /// too, was not: it must go on until it meets the leader. (Otherwise 440 machines were answered by nodes
-    /// that the leader did not hear, and given up; simulated fleet "andina", fault "apart".)
-    pub(super) fn came_back(&self, machine: &MachineId, reason: &RedirectReason, now: MonotonicTime) -> bool {
+    /// A redirect to the assigned node does not count once this node has lost the leader: the worker may be
+    /// here because the assigned node has lost the leader too, and must try the other nodes until it finds one
+    /// that reaches the leader. (When it did count, 440 machines were answered by nodes from which the leader
+    /// received nothing, and the leader declared them lost.)
+    pub(super) fn has_returned(
+        &self,
+        machine: &MachineId,
+        reason: &RedirectReason,
+        now: MonotonicTime,
+    ) -> bool {
         let Some(last) = self.last.get(machine) else { return false };
         match reason {
             RedirectReason::LeaderUnreachable { since } => last.unreachable_since == Some(*since),
             RedirectReason::AssignedTo(_) => {
-                last.unreachable_since.is_none() && now.since(last.at) < COMES_BACK_WITHIN
+                last.unreachable_since.is_none() && now.since(last.at) < RETURN_WINDOW
             }
         }
     }
 
-    /// Counts one more worker that is to move to its assigned node; false: too many have within this period.
-    pub(super) fn may_move(&mut self, now: MonotonicTime) -> bool {
-        if now.since(self.move_count.period_began) >= MOVE_PERIOD {
-            self.move_count = MoveCount { period_began: now, moves: 0 };
+    /// Counts a worker that is to be redirected to its assigned node. Returns false if the limit of this
+    /// period is exceeded and the worker may not be redirected.
+    pub(super) fn count_move(&mut self, now: MonotonicTime) -> bool {
+        if now.since(self.move_count.period_start) >= MOVE_PERIOD {
+            self.move_count = MoveCount { period_start: now, moves: 0 };
         }
         self.move_count.moves += 1;
         self.move_count.moves <= MAX_MOVES
     }
 
-    /// A worker is sent elsewhere.
+    /// Records the redirect of a worker.
     pub(super) fn record(&mut self, machine: MachineId, reason: &RedirectReason, now: MonotonicTime) {
         let redirect = Redirect { at: now, unreachable_since: reason.unreachable_since() };
         self.last.insert(machine, redirect);
     }
 
-    /// Forgets what happened long ago, but for redirects of workers that may still come back because the
-    /// leader has been unreachable since `last_delegation_at`.
+    /// Removes old redirects, except those for the reason that the leader has been unreachable since
+    /// `last_delegation_at`: while it still is, the workers may return at any time.
     pub(super) fn prune(&mut self, last_delegation_at: Option<MonotonicTime>, now: MonotonicTime) {
         let still_unreachable = |redirect: &Redirect| {
             redirect.unreachable_since.is_some() && redirect.unreachable_since == last_delegation_at
         };
-        self.last
-            .retain(|_, redirect| now.since(redirect.at) < COMES_BACK_WITHIN || still_unreachable(redirect));
+        self.last.retain(|_, redirect| now.since(redirect.at) < RETURN_WINDOW || still_unreachable(redirect));
     }
 }
--- a/crates/heartbeat/src/delegate/tests.rs
+++ b/crates/heartbeat/src/delegate/tests.rs
@@ -6,7 +6,7 @@
     MonotonicTime::from_millis(ms)
 }
 
-/// A delegation by which all machines are assigned to one node.
+/// A delegation that assigns all machines to one node.
 fn delegation(fencing_token: u64, sequence: u64, assigned_node: &str) -> Delegation {
     let node = NodeWeight { node: assigned_node.into(), zone: "z".into(), weight: 100 };
     Delegation {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Node `a`, which holds a delegation of leader `l` with fencing token 5 since the clock's zero.
+/// The delegate of node `a`, which received a delegation of leader `l` with fencing token 5 at time 0.
 fn delegate(assigned_node: &str) -> Delegate {
     let mut delegate = Delegate::new("a".into());
     delegate.delegation_received(&"l".into(), delegation(5, 1, assigned_node), at_ms(0));
@@ -41,7 +41,7 @@
     delegate.heartbeat_received(heartbeat, FencingToken(highest_token), true, now)
 }
 
-/// A heartbeat of a worker that has seen `seen_token`, at a node that knows of `highest_token`.
+/// A heartbeat of a worker that has seen `seen_token`, received by a node that knows `highest_token`.
 fn report_seen(
     delegate: &mut Delegate,
     serial: u64,
@@ -54,31 +54,32 @@
     report_by(delegate, "m", position, "", highest_token, now)
 }
 
-/// A heartbeat where all have seen fencing token 5.
+/// A heartbeat where both the worker and the node know fencing token 5.
 fn report(delegate: &mut Delegate, serial: u64, now: MonotonicTime) -> Routing {
     report_seen(delegate, serial, 5, 5, now)
 }
 
-/// The worker would drop the 200 and stay there while its lease runs out.
+/// A worker ignores a 200 with a lower fencing token than it has seen, but keeps reporting to the same node
+/// until its lease expires.
 #[test]
-fn a_worker_is_never_answered_with_a_lower_fencing_token_than_it_has_seen() {
+fn never_answers_with_lower_fencing_token_than_worker_has_seen() {
     let mut delegate = Delegate::new("a".into());
     assert_eq!(report_seen(&mut delegate, 1, 0, 0, at_ms(1)), Routing::NoDelegation);
     delegate.delegation_received(&"l".into(), delegation(5, 1, "a"), at_ms(1));
     assert_eq!(report(&mut delegate, 1, at_ms(2)), Routing::Answer(FencingToken(5)));
     let seen_by_worker = report_seen(&mut delegate, 2, 6, 5, at_ms(3));
-    assert_eq!(seen_by_worker, Routing::NoDelegation, "the worker has seen a later leader");
+    assert_eq!(seen_by_worker, Routing::NoDelegation, "the worker has seen a newer leader");
     let known_here = report_seen(&mut delegate, 2, 5, 6, at_ms(3));
-    assert_eq!(known_here, Routing::NoDelegation, "this node has heard of one");
+    assert_eq!(known_here, Routing::NoDelegation, "this node knows a newer leader");
     delegate.delegation_received(&"k".into(), delegation(6, 1, "a"), at_ms(4));
     delegate.delegation_received(&"l".into(), delegation(5, 9, "a"), at_ms(5));
-    assert_eq!(delegate.fencing_token(), Some(FencingToken(6)), "a late delegation changes nothing");
+    assert_eq!(delegate.fencing_token(), Some(FencingToken(6)), "an older leader's delegation is ignored");
     assert_eq!(report_seen(&mut delegate, 3, 6, 6, at_ms(6)), Routing::Answer(FencingToken(6)));
 }
 
-/// Workers that others might reach must not stay with a node that the leader doesn't hear.
+/// Workers that could reach other nodes must not stay with a node that can't reach the leader.
 #[test]
-fn by_the_leader_key_alone_only_workers_of_the_same_zone_are_answered() {
+fn answers_only_workers_of_own_zone_under_inferred_delegation() {
     let mut delegate = Delegate::new("a".into());
     delegate.delegation_inferred(&"l".into(), FencingToken(5), &"z".into(), at_ms(9_000));
     assert_eq!(report(&mut delegate, 1, at_ms(9_100)), Routing::TryAnotherNode);
@@ -94,33 +95,33 @@
 }
 
 #[test]
-fn without_the_leader_a_worker_is_sent_on_once_and_answered_when_it_comes_back() {
+fn without_leader_redirects_worker_once_and_answers_it_when_it_returns() {
     let mut delegate = delegate("a");
     assert_eq!(report(&mut delegate, 1, at_ms(2_900)), Routing::Answer(FencingToken(5)));
     assert_eq!(report(&mut delegate, 2, at_ms(7_000)), Routing::TryAnotherNode);
     for i in 0..20 {
         let now = at_ms(17_000 + 5_000 * i);
         let routing = report(&mut delegate, 3 + i, now);
-        assert_eq!(routing, Routing::Answer(FencingToken(5)), "nobody else was there");
+        assert_eq!(routing, Routing::Answer(FencingToken(5)), "no other node answered the worker");
     }
     delegate.delegation_received(&"l".into(), delegation(5, 2, "a"), at_ms(120_000));
     let after_next_loss = report(&mut delegate, 40, at_ms(124_000));
-    assert_eq!(after_next_loss, Routing::TryAnotherNode, "the leader was lost anew");
+    assert_eq!(after_next_loss, Routing::TryAnotherNode, "the leader became unreachable again");
 }
 
 #[test]
-fn a_worker_is_redirected_once_and_answered_here_when_its_assigned_node_does_not_answer() {
+fn redirects_worker_once_and_answers_it_if_assigned_node_does_not() {
     let mut delegate = delegate("b");
     assert_eq!(report(&mut delegate, 1, at_ms(1)), Routing::Redirect("b".into()));
     assert_eq!(report(&mut delegate, 2, at_ms(2_000)), Routing::Answer(FencingToken(5)));
     delegate.delegation_received(&"l".into(), delegation(5, 2, "b"), at_ms(31_000));
-    assert_eq!(report(&mut delegate, 3, at_ms(31_500)), Routing::Redirect("b".into()), "b may be back");
+    assert_eq!(report(&mut delegate, 3, at_ms(31_500)), Routing::Redirect("b".into()), "b may respond again");
 }
 
-/// It was redirected shortly before all nodes lost the leader, came from its assigned node, and was taken for
-/// one that had found nobody.
+/// A worker was redirected to its assigned node shortly before all nodes lost the leader, and the assigned
+/// node redirected it in turn. When it returned, this node wrongly concluded that no other node had answered.
 #[test]
-fn a_worker_that_comes_from_an_assigned_node_without_the_leader_is_sent_on() {
+fn redirects_worker_that_returns_from_assigned_node_without_leader() {
     let mut delegate = delegate("b");
     assert_eq!(report(&mut delegate, 1, at_ms(2_000)), Routing::Redirect("b".into()));
     assert_eq!(report(&mut delegate, 3, at_ms(8_000)), Routing::TryAnotherNode);
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn digests_carry_changed_heartbeats_in_full_and_the_others_by_hash() {
+fn digests_contain_changed_heartbeats_in_full_and_others_by_hash() {
     let mut delegate = delegate("a");
     let report_x = |delegate: &mut Delegate, serial: u64, now: MonotonicTime| {
         let fencing_token = FencingToken(5);
@@ -136,28 +137,28 @@
         report_by(delegate, "m", position, "x", 5, now)
     };
     report_x(&mut delegate, 1, at_ms(10));
-    let first = delegate.next_digest(at_ms(20)).expect("something is new");
+    let first = delegate.next_digest(at_ms(20)).expect("a digest is due");
     assert_eq!(first.leader.as_str(), "l");
     assert_eq!((first.digest.full.len(), first.digest.unchanged.len()), (1, 0));
     report_x(&mut delegate, 2, at_ms(600));
-    let second = delegate.next_digest(at_ms(700)).expect("due").digest;
+    let second = delegate.next_digest(at_ms(700)).expect("a digest is due").digest;
     assert_eq!((second.full.len(), second.unchanged.len()), (0, 1));
     let unchanged = &second.unchanged[0];
     assert_eq!((unchanged.position.serial, unchanged.age), (2, Duration::from_millis(100)));
     assert_eq!(unchanged.hash, content_hash(b"x"));
 
     delegate.resend_requested(vec!["m".into(), "unknown".into()]);
-    let resent = delegate.next_digest(at_ms(900)).expect("due").digest;
-    assert_eq!(resent.full[0].content, b"x", "what the leader lacks");
+    let resent = delegate.next_digest(at_ms(900)).expect("a digest is due").digest;
+    assert_eq!(resent.full[0].content, b"x", "the leader has requested the content");
     delegate.delegation_received(&"k".into(), delegation(8, 1, "a"), at_ms(1_000));
-    let to_new_leader = delegate.next_digest(at_ms(1_001)).expect("at once");
+    let to_new_leader = delegate.next_digest(at_ms(1_001)).expect("a digest to a new leader is due at once");
     assert_eq!(to_new_leader.leader.as_str(), "k");
-    assert_eq!(to_new_leader.digest.full.len(), 1, "a new leader knows nothing");
+    assert_eq!(to_new_leader.digest.full.len(), 1, "a new leader has no heartbeats");
     assert_eq!(to_new_leader.digest.fencing_token, FencingToken(8));
 }
 
 #[test]
-fn a_limited_number_of_workers_is_redirected_each_second() {
+fn limits_redirects_to_assigned_nodes_per_second() {
     let mut delegate = delegate("b");
     let mut moved = 0;
     for i in 0..1000 {
@@ -167,5 +168,5 @@
         moved += u32::from(routing == Routing::Redirect("b".into()));
     }
     assert_eq!(moved, redirects::MAX_MOVES);
-    assert_eq!(delegate.len(), 940, "the others are answered meanwhile");
+    assert_eq!(delegate.len(), 940, "the other workers are answered here");
 }
--- a/crates/heartbeat/src/lease_renewal/tests.rs
+++ b/crates/heartbeat/src/lease_renewal/tests.rs
@@ -5,6 +5,7 @@
 }
 const TOKEN: FencingToken = FencingToken(7);
 
+/// Lease renewal of a node whose last read of the job records was started at 1000 s.
 fn with_read_at_1000_s() -> LeaseRenewal {
     let mut renewal = LeaseRenewal::new(RenewalBounds::with_answer_window(Duration::from_millis(26_000)));
     renewal.records_read(at_ms(1_000_000), at_ms(1_001_500));
@@ -12,21 +13,22 @@
 }
 
 #[test]
-fn a_read_counts_from_when_it_was_begun_and_without_one_nothing_is_renewed() {
+fn counts_read_age_from_start_of_read_and_renews_nothing_without_read() {
     let mut renewal = LeaseRenewal::new(RenewalBounds::with_answer_window(Duration::from_millis(26_000)));
     assert!(
         !renewal.may_renew(at_ms(1_000)) && !renewal.leader_may_renew(false, at_ms(1_000)),
-        "just started"
+        "no read has succeeded yet"
     );
     renewal.records_read(at_ms(2_000), at_ms(9_000));
     renewal.records_read(at_ms(1_000), at_ms(9_500));
     assert!(renewal.may_renew(at_ms(27_999)) && !renewal.may_renew(at_ms(28_000)));
 }
 
-/// A start was held up for longer than `cancel_s` and reached a worker epoch that other nodes had kept alive
-/// without the key-value store: its job had been cancelled all that time (13 of 300 seeds).
+/// A start that is delayed for longer than `cancel_s` may arrive after its job was cancelled, in a worker
+/// epoch whose lease other nodes kept renewing while the key-value store was unreachable. This happened in 13
+/// of 300 simulated runs.
 #[test]
-fn where_a_start_may_arrive_leases_are_not_renewed_without_the_key_value_store() {
+fn does_not_renew_without_key_value_store_if_start_may_still_arrive() {
     let mut renewal = with_read_at_1000_s();
     let machine = MachineId::from("m-1");
     renewal.unacknowledged_starts_received(
@@ -41,13 +43,14 @@
         !renewal.delegate_may_renew(&machine, TOKEN, true, at_ms(1_003_000))
             && !renewal.leader_may_renew(true, at_ms(1_003_000))
     );
-    assert!(renewal.leader_may_renew(false, at_ms(1_025_999)), "other machines are renewed");
+    assert!(renewal.leader_may_renew(false, at_ms(1_025_999)), "leases of other machines are renewed");
     let other = MachineId::from("m-2");
     assert!(renewal.delegate_may_renew(&other, TOKEN, true, at_ms(1_021_000)));
-    // Since the leader's last announcement starts may have left, for jobs cancelled up to `fresh` before it.
+    // After its last announcement the leader may have sent starts for jobs that were cancelled up to
+    // `max_age_for_starts` before it.
     assert!(!renewal.delegate_may_renew(&other, TOKEN, true, at_ms(1_021_500)));
-    // An older announcement changes nothing. A leader that has announced nothing is trusted only if its
-    // version can't.
+    // An older announcement is ignored. For a leader without an announcement, leases are renewed only if its
+    // version may not support announcements.
     renewal.unacknowledged_starts_received(
         UnacknowledgedStarts::new(TOKEN, 2, Vec::new(), Vec::new()),
         at_ms(1_006_000),
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn machines_never_to_be_renewed_are_not_and_too_many_to_name_means_all_machines() {
+fn respects_never_renew_and_treats_overlong_list_as_all_machines() {
     let mut renewal = with_read_at_1000_s();
     let machine = MachineId::from("m-1");
     renewal.unacknowledged_starts_received(
--- a/crates/heartbeat/src/lib.rs
+++ b/crates/heartbeat/src/lib.rs
@@ -2,14 +2,15 @@
 //!
 //! If one node answered every heartbeat, its sockets and processor would have to be sized for the whole
 //! service. Instead the leader delegates its right to answer. Each node is the *assigned node* of a part of
-//! the machines: it answers their heartbeats with the leader's fencing token, reports what has changed to the
-//! leader in digests, and relays the leader's commands. `docs/design/heartbeat.md` weighs the alternatives
-//! and has the safety argument.
+//! the machines: it answers their heartbeats with the leader's fencing token, reports changes to the leader
+//! in digests, and relays the leader's commands. `docs/design/heartbeat.md` compares the alternatives and
+//! gives the safety argument.
 //!
-//! [`Delegate`] is the part of every node, [`Coordinator`] that of the leader. [`LeaseRenewal`] bounds until
-//! when a node may renew workers' leases, and [`IsolationReporter`] and [`IsolationReports`] carry what nodes
-//! that can't reach the leader report through the key-value store. All of them are state machines without
-//! I/O: the time is an argument, and what is to be sent is the return value.
+//! Every node has a [`Delegate`]; the leader also has a [`Coordinator`]. [`LeaseRenewal`] bounds how long a
+//! node may continue to renew workers' leases. Nodes that can't reach the leader report through the key-value
+//! store: [`IsolationReporter`] makes these reports, [`IsolationReports`] collects them on the leader. All of
+//! these types are state machines without I/O: the current time is an argument, and messages to send are
+//! return values.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -34,7 +35,7 @@
 };
 pub use rendezvous::{NodeWeight, NodeWeights};
 
-/// Hash by which nodes recognise that two heartbeats have the same content (xxh3, 64 bits).
+/// Hash for recognising that two heartbeats have the same content (xxh3, 64 bits).
 pub fn content_hash(content: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(content)
 }
--- a/crates/heartbeat/src/messages.rs
+++ b/crates/heartbeat/src/messages.rs
@@ -1,46 +1,49 @@
 //! Messages about heartbeats between the leader and its delegates.
 //!
-//! They travel between nodes in postcard: the order of fields is part of the format, and so is the order of
-//! variants in what contains them.
+//! They are encoded with postcard: the order of fields is part of the format, and so is the order of variants
+//! in the enum that contains these messages.
 
 use crate::rendezvous::NodeWeights;
 use pearford_types::{Duration, FencingToken, MachineId, WorkerEpoch};
 use serde::{Deserialize, Serialize};
 
-/// When in its life a worker sent a heartbeat, and the highest fencing token that it had seen by then.
+/// Identifies a heartbeat among those of its worker, with the highest fencing token that the worker had seen
+/// when it sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatPosition {
     /// The worker's epoch; higher after each of its restarts.
     pub worker_epoch: WorkerEpoch,
-    /// Counts the worker's heartbeats.
+    /// Serial number of the heartbeat within the worker epoch.
     pub serial: u64,
     /// The highest fencing token that the worker had seen.
     pub fencing_token: FencingToken,
 }
 
 impl HeartbeatPosition {
-    /// Whether this heartbeat was made after `other`.
+    /// Whether this heartbeat was sent after `other`.
     pub fn is_newer(&self, other: &HeartbeatPosition) -> bool {
         (self.worker_epoch, self.serial) > (other.worker_epoch, other.serial)
     }
 
-    /// Whether both heartbeats come from the same worker epoch and had seen the same fencing token: then
-    /// equal content proves the same.
+    /// Whether both heartbeats come from the same worker epoch and carry the same fencing token. Only then
+    /// does equal content prove the same facts.
     pub(crate) fn has_same_context(&self, other: &HeartbeatPosition) -> bool {
         (self.worker_epoch, self.fencing_token) == (other.worker_epoch, other.fencing_token)
     }
 }
 
-/// Sent by the leader once a second: whoever receives it may answer heartbeats with this fencing token.
+/// Sent by the leader to all nodes once a second: a node that has received it may answer heartbeats with this
+/// fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delegation {
     /// The leader's fencing token.
     pub fencing_token: FencingToken,
-    /// Counts the leader's delegations. A digest names the last one that its sender had received.
+    /// Sequence number among the leader's delegations. A digest contains that of the newest delegation that its
+    /// sender had received.
     pub sequence: u64,
-    /// The leader has read all records, so it can make use of digests.
+    /// The leader has read all records, so it can process digests.
     pub ready: bool,
-    /// The nodes that machines are assigned to.
+    /// The nodes to which machines are assigned.
     pub node_weights: NodeWeights,
 }
 
@@ -49,11 +52,11 @@
 pub struct FullHeartbeat {
     /// The machine whose worker sent it.
     pub machine: MachineId,
-    /// When in the worker's life it was sent.
+    /// Which of the worker's heartbeats it is.
     pub position: HeartbeatPosition,
-    /// How long before the digest left the heartbeat was received.
+    /// Time from the receipt of the heartbeat to the sending of the digest.
     pub age: Duration,
-    /// What the worker reported, in the encoding of the scheduler's nodes; opaque here.
+    /// What the worker reported, in the encoding of the scheduler's nodes; opaque to this crate.
     pub content: Vec<u8>,
 }
 
@@ -62,32 +65,32 @@
 pub struct UnchangedHeartbeat {
     /// The machine whose worker sent it.
     pub machine: MachineId,
-    /// When in the worker's life it was sent.
+    /// Which of the worker's heartbeats it is.
     pub position: HeartbeatPosition,
-    /// How long before the digest left the heartbeat was received.
+    /// Time from the receipt of the heartbeat to the sending of the digest.
     pub age: Duration,
-    /// [`content_hash`](crate::content_hash) of the content. A receiver that knows other content for this
-    /// machine must not take that for this heartbeat's.
+    /// [`content_hash`](crate::content_hash) of the content. A receiver that has other content for this
+    /// machine must not use that content for this heartbeat.
     pub hash: u64,
 }
 
 /// Sent by a delegate to the leader: the heartbeats received since its last digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatDigest {
-    /// Fencing token of the delegation that the sender holds.
+    /// Fencing token of the newest delegation that the sender has received.
     pub fencing_token: FencingToken,
-    /// Sequence number of the delegation that the sender holds.
+    /// Sequence number of the newest delegation that the sender has received.
     pub sequence: u64,
-    /// Heartbeats whose content has changed, or that the leader has asked for.
+    /// Heartbeats whose content has changed, or whose content the leader has requested.
     pub full: Vec<FullHeartbeat>,
     /// Heartbeats whose content has not changed.
     pub unchanged: Vec<UnchangedHeartbeat>,
 }
 
-/// A direct command for a worker that a delegate is to relay.
+/// A direct command to a worker, for a delegate to relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedCommand {
-    /// The leader's request id, by which it recognises the [`RelayResult`].
+    /// The leader's request id, which the [`RelayResult`] repeats.
     pub call: u64,
     /// The worker's address.
     pub addr: String,
@@ -97,13 +100,13 @@
     pub timeout: Duration,
 }
 
-/// What became of a relayed command.
+/// Result of a relayed command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayResult {
     /// The request id of the [`RelayedCommand`].
     pub call: u64,
-    /// HTTP status of the worker's answer. 0: no answer came, and the command may still run.
+    /// HTTP status of the worker's answer; 0 if there was no answer, in which case the command may still run.
     pub status: u16,
-    /// When in its life the worker answered, if its answer says so.
+    /// Worker epoch, serial number and fencing token in the worker's answer, if it contains them.
     pub position: Option<HeartbeatPosition>,
 }
--- a/crates/heartbeat/src/rendezvous.rs
+++ b/crates/heartbeat/src/rendezvous.rs
@@ -1,36 +1,37 @@
 //! Assigns machines to nodes by weighted rendezvous hashing over the leader's list of nodes.
 //!
-//! No list of machines is sent: all nodes that have the same list of nodes agree. When a node comes, goes or
-//! gets another weight, only machines assigned to or from that node move. The leader makes the list
-//! ([`Coordinator`](crate::Coordinator)), and every node looks machines up in it
+//! No assignments are sent: nodes with the same list of nodes compute the same ones. When a node is added or
+//! removed or its weight changes, only machines assigned to or from that node move. The leader makes the list
+//! ([`Coordinator`](crate::Coordinator)), and every node looks up machines in it
 //! ([`Delegate`](crate::Delegate)).
 
 use pearford_types::{MachineId, NodeName, Zone};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Factor on the weight of a node in the machine's own zone: its workers reach it when the zone is cut off,
-/// and their heartbeats don't cross zones. With a higher factor a zone with many machines and one node would
-/// overload that node: with 8, weights had to go down so far that balancing swung from one node to the other.
+/// Factor on the weight of a node in the machine's own zone. Workers can reach such a node even if the zone is
+/// partitioned from the others, and their heartbeats don't cross zones. A higher factor would overload the
+/// only node of a zone with many machines: with 8, the weights had to be lowered so far that balancing
+/// oscillated between nodes.
 const SAME_ZONE_FACTOR: f64 = 4.0;
 
-/// A node that machines may be assigned to.
+/// A node to which machines may be assigned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeWeight {
     /// The node.
     pub node: NodeName,
-    /// The zone that it runs in.
+    /// The zone in which it runs.
     pub zone: Zone,
-    /// How many machines it gets, relative to the weights of the others; 0: none.
+    /// Its share of the machines, relative to the weights of the other nodes; 0: no machines.
     pub weight: u16,
 }
 
-/// All nodes that machines may be assigned to, ordered by name.
+/// All nodes to which machines may be assigned, ordered by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeWeights(Vec<NodeWeight>);
 
 impl NodeWeights {
-    /// The list of these nodes, in whichever order they come.
+    /// The list of these nodes, which may be given in any order.
     pub fn new(mut nodes: Vec<NodeWeight>) -> Self {
         nodes.sort_by(|a, b| a.node.cmp(&b.node));
         Self(nodes)
@@ -41,8 +42,8 @@
         &self.0
     }
 
-    /// The node that a machine is assigned to: the one with the highest score. `None` if no node has a
-    /// weight.
+    /// The node to which a machine is assigned: the one with the highest score. `None` if no node has a
+    /// weight above 0.
     pub fn assigned_node(&self, machine: &MachineId, zone: &Zone) -> Option<&NodeName> {
         let seed = xxh3_64_with_seed(machine.as_str().as_bytes(), 0);
         let candidates = self.0.iter().filter(|candidate| candidate.weight > 0);
--- a/crates/heartbeat/src/rendezvous/tests.rs
+++ b/crates/heartbeat/src/rendezvous/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn machines_are_assigned_within_their_zone_and_only_those_of_a_lost_node_move() {
+fn prefers_nodes_of_same_zone_and_moves_only_machines_of_removed_node() {
     let all = node_weights(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
     for (node, count) in shares(&all) {
         assert!((900..1100).contains(&count), "{node}: {count}");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_lower_weight_moves_machines_away_from_that_node_only() {
+fn lower_weight_moves_only_machines_of_that_node() {
     let before = node_weights(&[("a", "x", 100), ("b", "y", 100), ("c", "z", 100)]);
     let after = node_weights(&[("a", "x", 50), ("b", "y", 100), ("c", "z", 100)]);
     assert!(shares(&after)[&NodeName::from("a")] < shares(&before)[&NodeName::from("a")]);
--- a/crates/heartbeat/src/tests.rs
+++ b/crates/heartbeat/src/tests.rs
@@ -1,8 +1,8 @@
 //! Searches all orders of events in a small model: one worker that reports one of two contents to either of
-//! two delegates; digests delivered in any order, lost, repeated and held back; a second leader. Checked
-//! after each event: what the leader takes for a heartbeat's content is what the worker reported in it, and
-//! no worker is answered with a lower fencing token than it has seen. With a safety check switched off the
-//! search finds how its rule breaks.
+//! two delegates; digests that are delivered in any order, lost, repeated or delayed; and a second leader.
+//! Two invariants are checked after each event: the content that the leader has for a heartbeat is what the
+//! worker reported in it, and no worker is answered with a lower fencing token than it has seen. With the
+//! safety check for an invariant disabled, the search finds a violation.
 
 use crate::{
     Coordinator, Delegate, Delegation, DisabledCheck, HeartbeatDigest, HeartbeatPosition, IncomingHeartbeat,
@@ -12,13 +12,12 @@
 use pearford_types::{Duration, FencingToken, MachineId, MonotonicTime, NodeName, WorkerEpoch, Zone};
 use std::collections::HashSet;
 
-/// Bounds of the model: heartbeats that the worker sends, digests that are made, digests on their way at a
-/// time.
-const HEARTBEATS: usize = 3;
-const DIGESTS: usize = 3;
-const IN_FLIGHT: usize = 1;
+/// Bounds of the model: number of heartbeats, of digests, and of digests in flight at the same time.
+const MAX_HEARTBEATS: usize = 3;
+const MAX_DIGESTS: usize = 3;
+const MAX_IN_FLIGHT: usize = 1;
 
-/// A digest on its way from a delegate.
+/// A digest in flight from a delegate.
 #[derive(Debug, Clone)]
 struct DigestInFlight {
     from: usize,
@@ -38,7 +37,7 @@
     digests: usize,
     /// The second leader has announced its fencing token to the worker.
     second_leader_announced: bool,
-    /// The second leader has delegated.
+    /// The second leader has sent a delegation.
     second_leader_delegated: bool,
 }
 
@@ -46,13 +45,13 @@
     ["a", "b"][i].into()
 }
 
-/// A delegation by which all machines are assigned to this node.
+/// A delegation that assigns all machines to this node.
 fn delegation(fencing_token: u64, sequence: u64, i: usize) -> Delegation {
     let node_weights = NodeWeights::new(vec![NodeWeight { node: node(i), zone: "z".into(), weight: 1 }]);
     Delegation { fencing_token: FencingToken(fencing_token), sequence, ready: true, node_weights }
 }
 
-/// What comes of one event: the next state, or how a rule is broken.
+/// Result of one event: the next state, or a description of the violated invariant.
 type Step = Result<SmallCluster, String>;
 
 impl SmallCluster {
@@ -100,9 +99,10 @@
             content: vec![content],
         };
         match self.delegates[i].heartbeat_received(heartbeat, FencingToken(0), true, self.now) {
-            Routing::Answer(fencing_token) if fencing_token.0 < self.seen_token => {
-                Err(format!("answered by {fencing_token} whoever has seen {}", self.seen_token))
-            }
+            Routing::Answer(fencing_token) if fencing_token.0 < self.seen_token => Err(format!(
+                "worker that has seen token {} was answered with {fencing_token}",
+                self.seen_token
+            )),
             _ => Ok(self),
         }
     }
@@ -117,16 +117,21 @@
         Ok(self)
     }
 
-    /// A digest arrives, and may arrive again.
+    /// A digest is delivered, and may be delivered again.
     fn deliver(mut self, k: usize) -> Step {
         let DigestInFlight { from, digest } = self.in_flight[k].clone();
         for received in self.coordinator.digest_received(&node(from), digest, self.now) {
-            let known =
-                self.coordinator.known_heartbeat(&received.machine).ok_or("received and not known")?;
+            let known = self
+                .coordinator
+                .known_heartbeat(&received.machine)
+                .ok_or("a received heartbeat is not known")?;
             let serial = received.position.serial;
             let reported = self.reported[serial as usize - 1];
             if known.content != [reported] {
-                return Err(format!("heartbeat {serial} had {reported}, taken for {:?}", known.content));
+                return Err(format!(
+                    "heartbeat {serial} had content {reported}, the leader has {:?}",
+                    known.content
+                ));
             }
         }
         for resend in self.coordinator.take_resend_requests() {
@@ -135,7 +140,7 @@
         Ok(self)
     }
 
-    fn deliver_for_the_last_time(self, k: usize) -> Step {
+    fn deliver_and_remove(self, k: usize) -> Step {
         self.deliver(k)?.lose(k)
     }
 
@@ -156,21 +161,21 @@
         Ok(self)
     }
 
-    /// All that may happen next.
+    /// The results of all events that are possible in this state.
     fn next(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for i in 0..2 {
-            if self.reported.len() < HEARTBEATS {
+            if self.reported.len() < MAX_HEARTBEATS {
                 steps.push(self.clone().report(i, 0));
                 steps.push(self.clone().report(i, 1));
             }
-            if self.digests < DIGESTS && self.in_flight.len() < IN_FLIGHT {
+            if self.digests < MAX_DIGESTS && self.in_flight.len() < MAX_IN_FLIGHT {
                 steps.push(self.clone().send_digest(i));
             }
         }
         for k in 0..self.in_flight.len() {
             steps.push(self.clone().deliver(k));
-            steps.push(self.clone().deliver_for_the_last_time(k));
+            steps.push(self.clone().deliver_and_remove(k));
             steps.push(self.clone().lose(k));
         }
         if !self.second_leader_announced {
@@ -183,24 +188,24 @@
     }
 }
 
-/// What a search has found.
-struct Findings {
-    /// The first broken rule.
-    fault: Option<String>,
-    /// How many states were seen.
+/// Result of a search.
+struct SearchResult {
+    /// The first violation of an invariant.
+    violation: Option<String>,
+    /// Number of states visited.
     states: usize,
 }
 
-/// Visits all states within `depth` events, up to the first broken rule.
-fn search(first: SmallCluster, depth: usize) -> Findings {
+/// Visits all states within `depth` events, up to the first violation.
+fn search(initial: SmallCluster, depth: usize) -> SearchResult {
     let mut seen = HashSet::new();
-    let mut level = vec![first];
+    let mut level = vec![initial];
     for _ in 0..depth {
         let mut next_level = Vec::new();
         for step in level.iter().flat_map(SmallCluster::next) {
             let state = match step {
                 Ok(state) => state,
-                Err(fault) => return Findings { fault: Some(fault), states: seen.len() },
+                Err(violation) => return SearchResult { violation: Some(violation), states: seen.len() },
             };
             if seen.insert(crate::content_hash(format!("{state:?}").as_bytes())) {
                 next_level.push(state);
@@ -208,33 +213,33 @@
         }
         level = next_level;
     }
-    Findings { fault: None, states: seen.len() }
+    SearchResult { violation: None, states: seen.len() }
 }
 
 #[test]
-fn in_no_order_of_events_is_content_mistaken_or_a_worker_answered_with_a_lower_token() {
-    for (first, depth) in [(SmallCluster::with_one_leader(), 9), (SmallCluster::with_two_leaders(), 5)] {
-        let Findings { fault, states } = search(first, depth);
-        assert_eq!(fault, None);
-        assert!(states > 1_000, "{states}");
+fn invariants_hold_in_every_order_of_events() {
+    for (initial, depth) in [(SmallCluster::with_one_leader(), 9), (SmallCluster::with_two_leaders(), 5)] {
+        let SearchResult { violation, states } = search(initial, depth);
+        assert_eq!(violation, None);
+        assert!(states > 1_000, "only {states} states were visited");
     }
 }
 
 #[test]
-fn without_its_safety_check_the_search_finds_how_each_rule_breaks() {
-    let mut trusting = SmallCluster::with_one_leader();
-    trusting.coordinator.disable(DisabledCheck::DigestContent);
-    let fault = search(trusting, 9).fault;
-    assert!(fault.as_ref().is_some_and(|fault| fault.contains("taken for")), "{fault:?}");
-    let mut outdated = SmallCluster::with_two_leaders();
-    for delegate in &mut outdated.delegates {
+fn search_finds_violation_if_safety_check_is_disabled() {
+    let mut without_content_check = SmallCluster::with_one_leader();
+    without_content_check.coordinator.disable(DisabledCheck::DigestContent);
+    let violation = search(without_content_check, 9).violation;
+    assert!(violation.as_ref().is_some_and(|text| text.contains("the leader has")), "{violation:?}");
+    let mut without_token_check = SmallCluster::with_two_leaders();
+    for delegate in &mut without_token_check.delegates {
         delegate.disable(DisabledCheck::OlderFencingToken);
     }
-    let fault = search(outdated, 5).fault;
-    assert!(fault.as_ref().is_some_and(|fault| fault.contains("answered by")), "{fault:?}");
+    let violation = search(without_token_check, 5).violation;
+    assert!(violation.as_ref().is_some_and(|text| text.contains("was answered with")), "{violation:?}");
 }
 
-/// Whatever bytes come as a digest or a delegation: nothing panics.
+/// Delegates and coordinators must not panic on any decodable digest or delegation.
 #[test]
 fn arbitrary_digests_and_delegations_do_not_panic() {
     arbtest(|input| {
