--- a/crates/heartbeat/src/coordinator.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -205,8 +205,8 @@
     }
 
     /// Processes a digest and returns its new heartbeats. A heartbeat counts only if it is newer than the
-    /// known one of its machine, and one that is reported as unchanged only if the same content is known
-    /// here. Otherwise the content is requested, see [`Self::take_resend_requests`].
+    /// known one of its machine. One that is reported as unchanged counts only if the same content is known
+    /// here; if not, the content is requested, see [`Self::take_resend_requests`].
     pub fn digest_received(
         &mut self,
         from: &NodeName,
@@ -216,7 +216,8 @@
         if digest.fencing_token != self.fencing_token {
             return Vec::new();
         }
-        // The delegation's sending time bounds the age of a digest that a network partition delayed.
+        // The sending time of the delegation gives a minimum age of the digest, in case a network partition has
+        // delayed it.
         let Some(delegation) = self.sent_delegations.iter().find(|sent| sent.sequence == digest.sequence)
         else {
             return Vec::new();
--- a/crates/heartbeat/src/delegate.rs
+++ b/crates/heartbeat/src/delegate.rs
@@ -229,7 +229,7 @@
         Routing::Answer(fencing_token)
     }
 
-    /// The redirect of a worker that is not answered here; `None`: it is answered here.
+    /// The redirect with which a worker is answered; `None`: this node answers its heartbeat itself.
     pub(crate) fn redirect_for(
         &mut self,
         machine: &MachineId,
--- a/crates/scheduler/src/workers/capacity.rs
+++ b/crates/scheduler/src/workers/capacity.rs
@@ -1,12 +1,12 @@
-//! What a machine's assignments take and leave free: sums that are kept, since scheduling passes ask for them
-//! far more often than assignments change.
+//! Resources that a machine's assignments use and leave free. The sums are stored, since scheduling passes
+//! read them far more often than assignments change.
 
 use super::machine::Machine;
 use crate::assignments::MachineRecord;
 use crate::types::{MonotonicTime, Resources, TeamName};
 use std::collections::BTreeMap;
 
-/// What a team's assignments take on one machine.
+/// Resources that a team's assignments use on one machine.
 #[derive(Debug)]
 struct TeamUsage {
     team: TeamName,
@@ -16,42 +16,42 @@
 /// Sums over a machine's assignments.
 #[derive(Debug)]
 pub(super) struct CapacitySums {
-    /// What the assignments leave free.
+    /// Resources that the assignments leave free.
     free: Resources,
-    /// No assignment takes resources, and the machine has no unknown tasks.
+    /// Whether no assignment uses resources and the machine has no unknown tasks.
     is_idle: bool,
-    /// What each team takes, in the order of their first assignments.
+    /// Resources that each team uses, in the order of the teams' first assignments.
     by_team: Vec<TeamUsage>,
     /// Size of the assignments in the machine's record.
     record_bytes: usize,
 }
 
 impl CapacitySums {
-    /// A machine without assignments.
+    /// The sums of a machine without assignments.
     pub(super) fn of_empty_machine(total: Resources) -> Self {
         Self { free: total, is_idle: true, by_team: Vec::new(), record_bytes: 0 }
     }
 }
 
 impl Machine {
-    /// What the assignments leave free.
+    /// Resources that the assignments leave free.
     pub fn free(&self) -> Resources {
         self.capacity_sums.free
     }
 
-    /// Whether no assignment takes resources, and there are no unknown tasks.
+    /// Whether no assignment uses resources and there are no unknown tasks.
     pub fn is_empty(&self) -> bool {
         self.capacity_sums.is_idle
     }
 
-    /// Whether its record, of at most `limit` bytes, can hold an assignment of `bytes` more.
+    /// Whether its record has room for a further assignment of `bytes` within `limit` bytes.
     pub fn record_holds(&self, bytes: usize, limit: usize) -> bool {
         let record_bytes = self.capacity_sums.record_bytes + bytes;
         MachineRecord::holds(record_bytes, &self.type_name, &self.zone, limit)
     }
 
-    /// Brings the kept sums in line with the assignments, and with them `used`, what each team takes on all
-    /// machines. To be called after every change of the assignments or unknown tasks.
+    /// Recomputes the sums from the assignments, and updates `used`, the resources that each team uses on all
+    /// machines. Must be called after every change of the assignments or unknown tasks.
     pub fn recount(&mut self, used: &mut BTreeMap<TeamName, Resources>, now: MonotonicTime) {
         self.subtract_from(used);
         self.sum_up_assignments();
--- a/crates/scheduler/src/workers/commands.rs
+++ b/crates/scheduler/src/workers/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to a worker: in the answer to its heartbeat, through the node that answered it, or directly.
+//! Commands to a worker, sent in the answer to its heartbeat, through the node that answered it, or directly.
 
 use super::machine::{Machine, MachineStatus, TaskAttempt};
 use crate::assignments::{Assignment, AssignmentState, Stop, UNACKNOWLEDGED_SERIAL};
@@ -6,51 +6,51 @@
 use crate::wire::workers::{Heartbeat, TaskPhase, WorkerCommand};
 use pearford_recovery::Decision;
 
-/// Most commands in one answer, which keeps its one line below 64 KiB.
+/// Maximum number of commands in one answer, which keeps its single line below 64 KiB.
 const MAX_COMMANDS: usize = 200;
 
 /// Direct commands to a worker.
 #[derive(Debug, Default)]
 pub struct DirectCommands {
-    /// What to send.
+    /// The commands to send.
     pub commands: Vec<WorkerCommand>,
     /// The starts among them.
     pub starts: Vec<TaskAttempt>,
 }
 
-/// Commands that follow from a heartbeat which another node has answered.
+/// Commands after a heartbeat that another node has answered.
 #[derive(Debug)]
 pub struct DelegateCommands {
-    /// For that node to send with its next answer to the worker.
+    /// Commands for that node to send with its next answer to the worker.
     pub queued: Vec<WorkerCommand>,
     /// Starts to send directly.
     pub direct_starts: Vec<WorkerCommand>,
 }
 
-/// What became of a direct command.
+/// Result of a direct command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectAnswer {
-    /// The worker has carried it out, by this position in its life.
+    /// The worker had executed it when it sent the answer with this epoch and serial number.
     Executed {
         /// The worker's epoch.
         worker_epoch: WorkerEpoch,
-        /// Serial in that epoch.
+        /// Serial number in that epoch.
         serial: u64,
     },
-    /// The worker has refused it: nothing runs.
+    /// The worker has refused it: nothing was started or stopped.
     Refused,
-    /// No usable answer came: it may still run.
+    /// There was no usable answer: the worker may still execute it.
     Missing,
 }
 
-/// Adds to `commands` stops for all listed tasks of finished jobs, but for what `commands` stop already.
+/// Adds stops of all reported tasks of finished jobs to `commands`, except for those that it already contains.
 ///
-/// Every answer that renews a lease stops these, whichever node gives it: the leader during its leadership
-/// lease, one that holds on without the key-value store or has not read the records yet, or another node in
-/// the leader's name. The bound on how long leases are renewed after a read covers only cancellations that
-/// the read can't see; the tasks of those that it saw must not live on by that answer. (A leader that had not
-/// read the records as the key-value store went away renewed the leases of cancelled tasks without a stop
-/// until its answer window ended: simulation seeds 3182, 3284.)
+/// Every answer that renews a lease must contain these stops, whichever node sends it: the leader during its
+/// leadership lease, a leader that keeps leading without the key-value store or has not read the records yet,
+/// or a delegate. The bound on how long leases are renewed after a read covers only cancellations that the
+/// read can't show. Tasks of cancellations that it did show must be stopped by the answer itself. (Otherwise a
+/// leader that lost the key-value store before it had read all records renewed the leases of cancelled tasks
+/// until its answer window ended.)
 pub fn stop_tasks_of_finished_jobs(
     heartbeat: &Heartbeat,
     is_finished: impl Fn(&JobId) -> bool,
@@ -66,8 +66,9 @@
 }
 
 impl Machine {
-    /// Asks a task to stop, with `grace_s` seconds to save a checkpoint; a shorter grace replaces a longer
-    /// one. Returns the assignment if it is removed at once, since no command can have reached the worker.
+    /// Requests the stop of a task, with `grace_s` seconds to save a checkpoint; a shorter grace period
+    /// replaces a longer one. Returns the assignment if it was removed at once, because no start for it can
+    /// have reached the worker.
     pub fn stop(&mut self, task: &TaskId, grace_s: f64, now: MonotonicTime) -> Option<Assignment> {
         let assignment = self.assignments.get_mut(task)?;
         if assignment.unsent() {
@@ -85,7 +86,7 @@
         None
     }
 
-    /// Whether starts could leave now.
+    /// Whether there are starts that could be sent now.
     pub fn has_sendable_starts(&self) -> bool {
         self.assignments.values().any(|assignment| {
             assignment.state == AssignmentState::Ready
@@ -94,14 +95,14 @@
         })
     }
 
-    /// Whether a direct command may reach the worker, which must have seen this leader's fencing token.
+    /// Whether direct commands can be sent to the worker, which must have seen this leader's fencing token.
     pub fn reachable(&self, fencing_token: FencingToken) -> bool {
         self.addr.is_some() && self.status == MachineStatus::Up && self.fencing_token == fencing_token
     }
 
-    /// The commands that answer `heartbeat`. Starts leave only with `may_start`; `may_stop` tells which stops
-    /// may leave without it. What has no assignment is stopped or forgotten only while the leadership is
-    /// valid (`leads`).
+    /// The commands for the answer to `heartbeat`. Starts are sent only if `may_start`; `may_stop` selects the
+    /// stops that may be sent even without it. Tasks without an assignment are stopped, and may be forgotten,
+    /// only while the leadership is valid (`leads`).
     pub fn commands(
         &mut self,
         heartbeat: &Heartbeat,
@@ -124,7 +125,7 @@
                     assignment.state = AssignmentState::Sent { worker_epoch: heartbeat.worker_epoch, serial };
                     commands.push(task_attempt.into_start());
                 }
-                // A task that already saves got its stop; a second one would cut it short.
+                // A task that is saving has received its stop; a second one would interrupt the saving.
                 (AssignmentState::Saving, Some(stop)) if stop.grace_s > 0.0 => {}
                 (AssignmentState::Planned | AssignmentState::Ready | AssignmentState::Done, _) => {}
                 (_, Some(stop)) if may_start || may_stop(task) => {
@@ -137,7 +138,8 @@
         commands
     }
 
-    /// Stops reported tasks that have no assignment, and lets the worker forget those that have ended.
+    /// Commands that stop reported tasks without an assignment, and let the worker forget those that have
+    /// ended.
     fn commands_for_unassigned(&self, heartbeat: &Heartbeat) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         for reported in &heartbeat.tasks {
@@ -155,7 +157,7 @@
         commands
     }
 
-    /// Commands to send directly to the worker: starts that are durable now, and new stops.
+    /// Commands to send directly to the worker: starts that have become durable, and new stops.
     pub fn direct_commands(&mut self, may_start: bool, now: MonotonicTime) -> DirectCommands {
         let mut direct = DirectCommands::default();
         for (task, assignment) in &mut self.assignments {
@@ -180,8 +182,8 @@
         direct
     }
 
-    /// Commands for a heartbeat that another node has answered. Starts among them go directly, the rest may
-    /// wait for the answer to the next heartbeat. An unacknowledged start goes again: it may be that none has
+    /// Commands after a heartbeat that another node has answered. Starts are sent directly, the others with
+    /// the answer to the next heartbeat. Unacknowledged starts are sent again, since possibly none has
     /// arrived.
     pub fn commands_for_delegate(
         &mut self,
@@ -206,7 +208,7 @@
         DelegateCommands { queued, direct_starts }
     }
 
-    /// The starts of a direct command to `worker_epoch` were answered, or won't be any more.
+    /// Applies the answer to the starts of a direct command to `worker_epoch`, or the lack of one.
     pub fn direct_starts_answered(
         &mut self,
         starts: Vec<TaskAttempt>,
@@ -215,7 +217,7 @@
     ) {
         for task_attempt in starts {
             let Some(assignment) = self.assignments.get_mut(&task_attempt.task) else { continue };
-            // If a heartbeat has listed it meanwhile, the command has run.
+            // If a heartbeat has reported the task since, the command was executed.
             let still_direct = assignment.state == AssignmentState::Direct;
             if assignment.attempt != task_attempt.attempt || !still_direct {
                 continue;
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -1,7 +1,6 @@
 //! What a worker's heartbeat changes in the leader's state of its machine.
 //!
-//! `pearford_recovery` decides what each task's absence or presence proves; here its decisions are carried
-//! out.
+//! `pearford_recovery` decides what each task's presence or absence proves; this module applies its decisions.
 
 use super::machine::{Machine, MachineStatus, TaskAttempt};
 use crate::assignments::{Assignment, AssignmentState};
@@ -10,15 +9,15 @@
 use pearford_recovery::{Decision, Observation, Outcome, RecordedState, ReportedState, TaskExit, reconcile};
 use std::collections::BTreeMap;
 
-/// A worker whose epoch ends more often than this does not get its tasks back: they go elsewhere.
+/// Tasks are not restarted on a machine on which more worker epochs than this have ended.
 const MAX_EPOCHS_ENDED: u32 = 2;
-/// How late a start that was carried out may come again.
-const START_REPEATS_WITHIN: Duration = Duration::from_millis(600_000);
-/// Attempts that are kept listed on a machine since their start may come again: a machine with more takes
-/// nothing new and is returned once it is empty.
+/// How long after it was sent a start may arrive a second time.
+const MAX_START_REPEAT_DELAY: Duration = Duration::from_millis(600_000);
+/// Maximum number of ended attempts that a worker has to keep because their starts may arrive again. A machine
+/// with more is drained.
 const MAX_KEPT_ATTEMPTS: usize = 256;
 
-/// A task that is proved gone from its machine.
+/// A task that is proved not to be on its machine any more.
 #[derive(Debug)]
 pub struct GoneTask {
     /// The task.
@@ -30,35 +29,35 @@
 /// What a heartbeat changed.
 #[derive(Debug, Default)]
 pub struct HeartbeatOutcome {
-    /// Tasks that are proved gone; their assignments are removed.
+    /// Tasks that are proved gone; their assignments have been removed.
     pub gone: Vec<GoneTask>,
-    /// Tasks that are done; their assignments stay until that is recorded.
+    /// Tasks that are done; their assignments remain until that is recorded.
     pub done: Vec<TaskAttempt>,
-    /// Tasks that have their image now, or had it here.
+    /// Tasks that are first known to have fetched their image.
     pub fetched: Vec<TaskId>,
-    /// Tasks that are not there any more and start again right here.
+    /// Tasks that are not on the machine any more and are restarted there.
     pub restarting: Vec<TaskId>,
-    /// Tasks that began to run.
+    /// Tasks that have started to run.
     pub started: Vec<TaskId>,
-    /// Whether it was overtaken by a newer one, and says nothing.
+    /// Whether the heartbeat was ignored because a newer one is known.
     pub stale: bool,
 }
 
-/// What the decision on one assignment depends on besides the assignment and the reported task.
+/// What the reconciliation of each assignment with a heartbeat depends on.
 struct Reconciliation<'a> {
     heartbeat: &'a Heartbeat,
-    /// This leader's.
+    /// This leader's fencing token.
     fencing_token: FencingToken,
-    /// Tasks that are to start again right here if they are not there any more.
+    /// Tasks to restart on this machine if they are not there any more.
     restart_here: &'a [TaskId],
-    /// The machine may take tasks again.
-    machine_is_open: bool,
+    /// Whether tasks may be restarted on the machine.
+    restarts_allowed: bool,
     now: MonotonicTime,
 }
 
 impl Machine {
-    /// Takes in a heartbeat. `fencing_token` is this leader's; `restart_here`: tasks that are to start again
-    /// right here if they are not there any more.
+    /// Applies a heartbeat. `fencing_token` is this leader's; `restart_here`: tasks to restart on this machine
+    /// if they are not there any more.
     pub fn process_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -71,25 +70,26 @@
             outcome.stale = true;
             return outcome;
         }
-        self.update_starts(heartbeat.worker_epoch, now);
+        self.update_sent_starts(heartbeat.worker_epoch, now);
         self.update_status(heartbeat, now);
-        let listed = self.sort_reported_tasks(heartbeat);
-        let machine_is_open = !self.draining
+        let reported_tasks = self.assigned_reported_tasks(heartbeat);
+        let restarts_allowed = !self.draining
             && self.spot_reclaim_at.is_none()
             && self.status == MachineStatus::Up
             && self.unknown_tasks.is_empty()
             && self.epochs_ended <= MAX_EPOCHS_ENDED;
-        let reconciliation = Reconciliation { heartbeat, fencing_token, restart_here, machine_is_open, now };
+        let reconciliation = Reconciliation { heartbeat, fencing_token, restart_here, restarts_allowed, now };
         let tasks: Vec<TaskId> = self.assignments.keys().cloned().collect();
         for task in tasks {
-            let reported = listed.get(&task).copied();
+            let reported = reported_tasks.get(&task).copied();
             self.reconcile_assignment(task, reported, &reconciliation, &mut outcome);
         }
         outcome
     }
 
-    /// Forgets sent starts that can't act any more, by the end of a worker epoch or by time.
-    fn update_starts(&mut self, worker_epoch: WorkerEpoch, now: MonotonicTime) {
+    /// Removes sent starts that can't be executed any more, since their worker epoch has ended or enough time
+    /// has passed, and counts the ended epoch.
+    fn update_sent_starts(&mut self, worker_epoch: WorkerEpoch, now: MonotonicTime) {
         if worker_epoch > self.worker_epoch {
             self.unacknowledged_starts.retain(|_, named_epoch| *named_epoch >= worker_epoch);
             self.sent_starts.clear();
@@ -97,7 +97,7 @@
                 self.epochs_ended += 1;
             }
         }
-        self.sent_starts.retain(|_, sent_at| now.since(*sent_at) < START_REPEATS_WITHIN);
+        self.sent_starts.retain(|_, sent_at| now.since(*sent_at) < MAX_START_REPEAT_DELAY);
     }
 
     fn update_status(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
@@ -114,15 +114,19 @@
         self.spot_reclaim_at = heartbeat.notice_s.map(|notice_s| now + Duration::from_secs_f64(notice_s));
     }
 
-    /// The reported tasks that have an assignment. The others are unknown, or ended and kept listed.
-    fn sort_reported_tasks<'a>(&mut self, heartbeat: &'a Heartbeat) -> BTreeMap<TaskId, &'a ReportedTask> {
-        let mut listed = BTreeMap::new();
+    /// The reported tasks that have an assignment. Of the others, updates `unknown_tasks` with those that must
+    /// be stopped, and counts the ended ones that the worker has to keep.
+    fn assigned_reported_tasks<'a>(
+        &mut self,
+        heartbeat: &'a Heartbeat,
+    ) -> BTreeMap<TaskId, &'a ReportedTask> {
+        let mut assigned = BTreeMap::new();
         let mut kept = 0;
         self.unknown_tasks.clear();
         for reported in &heartbeat.tasks {
             let Some(task) = reported.task() else { continue };
             if self.is_assigned(&task, reported) {
-                listed.insert(task, reported);
+                assigned.insert(task, reported);
                 continue;
             }
             match self.reconcile_unassigned(&task, reported) {
@@ -135,7 +139,7 @@
         }
         self.reported_task_count = heartbeat.tasks.len() - kept;
         self.draining |= kept > MAX_KEPT_ATTEMPTS;
-        listed
+        assigned
     }
 
     /// Whether the reported attempt has an assignment.
@@ -147,8 +151,8 @@
     pub(super) fn reconcile_unassigned(&self, task: &TaskId, reported: &ReportedTask) -> Decision {
         let task_attempt = TaskAttempt::of(task, reported.attempt);
         let reported_state = reported.reported_state();
-        // Started again, a task that is done ends as soon as it has its image. One whose start had no answer
-        // may be anything.
+        // If the start of a task that is done arrives again, the worker fetches the image and the task ends at
+        // once, which is harmless. A start without an answer may still arrive in any case.
         let is_done = reported_state == ReportedState::Ended(TaskExit::Done);
         let may_repeat = !is_done && self.sent_starts.contains_key(&task_attempt);
         let may_still_arrive = may_repeat || self.unacknowledged_starts.contains_key(&task_attempt);
@@ -170,13 +174,13 @@
             reported_state: reported.map_or(ReportedState::Absent, ReportedTask::reported_state),
             after_command: assignment.state.is_before(heartbeat.worker_epoch, heartbeat.serial),
             saw_fencing_token: heartbeat.fencing_token == reconciliation.fencing_token,
-            wanted_here: reconciliation.machine_is_open && reconciliation.restart_here.contains(&task),
+            wanted_here: reconciliation.restarts_allowed && reconciliation.restart_here.contains(&task),
             may_still_arrive: false,
         };
         match reconcile(&observation) {
             Decision::Present => update_phase(assignment, observation.reported_state, now, &task, outcome),
             Decision::Done => {
-                note_fetched(assignment, &task, outcome);
+                record_fetched(assignment, &task, outcome);
                 assignment.state = AssignmentState::Done;
                 outcome.done.push(TaskAttempt { task, attempt: assignment.attempt });
             }
@@ -191,7 +195,7 @@
             }
             Decision::Gone(departure) => {
                 if departure == Outcome::Ended(TaskExit::GangBroke) {
-                    note_fetched(assignment, &task, outcome);
+                    record_fetched(assignment, &task, outcome);
                 }
                 self.planned_writes.remove(&task);
                 self.assignments.remove(&task);
@@ -201,8 +205,8 @@
         }
     }
 
-    /// Whether a heartbeat with the same content as the last one has nothing to prove and needs no commands:
-    /// each task in it has an assignment, and nothing is under way to or from the worker.
+    /// Whether a heartbeat with the same content as the last one proves nothing new and needs no commands: each
+    /// task in it has an assignment, and no command or answer is in flight.
     pub fn is_settled(&self) -> bool {
         let reported = self.assignments.values().filter(|assignment| !assignment.unsent()).count();
         self.unknown_tasks.is_empty()
@@ -210,7 +214,7 @@
             && self.assignments.values().all(is_assignment_settled)
     }
 
-    /// Takes in a heartbeat with the same content as the last one, of a settled machine.
+    /// Applies a heartbeat with the same content as the last one. The machine must be settled.
     pub fn heartbeat_unchanged(
         &mut self,
         worker_epoch: WorkerEpoch,
@@ -227,7 +231,8 @@
 
 #[cfg(any(test, feature = "simulation"))]
 impl Machine {
-    /// Leaves out the check that what was started directly is not forgotten.
+    /// Injects a fault: with the record of sent starts removed, workers forget ended attempts whose starts may
+    /// arrive again.
     pub fn forget_sent_starts(&mut self) {
         self.sent_starts.clear();
     }
@@ -236,7 +241,8 @@
 fn is_assignment_settled(assignment: &Assignment) -> bool {
     match assignment.state {
         AssignmentState::Planned => true,
-        // Its start could not be sent while the worker had not seen this leader's fencing token.
+        // Without `after_fetches` the start is still to be sent: it could not be while the worker had not seen
+        // this leader's fencing token.
         AssignmentState::Ready => assignment.after_fetches,
         AssignmentState::Preparing
         | AssignmentState::Running
@@ -246,7 +252,7 @@
     }
 }
 
-/// Takes over the phase of a task that is there.
+/// Updates the assignment of a task that is on the machine with its reported phase.
 fn update_phase(
     assignment: &mut Assignment,
     reported_state: ReportedState,
@@ -255,7 +261,7 @@
     outcome: &mut HeartbeatOutcome,
 ) {
     if matches!(reported_state, ReportedState::Waiting | ReportedState::Running) {
-        note_fetched(assignment, task, outcome);
+        record_fetched(assignment, task, outcome);
     }
     assignment.state = match reported_state {
         ReportedState::Running => AssignmentState::Running,
@@ -268,8 +274,8 @@
     }
 }
 
-/// The task has its image.
-fn note_fetched(assignment: &mut Assignment, task: &TaskId, outcome: &mut HeartbeatOutcome) {
+/// Records that the task has its image.
+fn record_fetched(assignment: &mut Assignment, task: &TaskId, outcome: &mut HeartbeatOutcome) {
     if !assignment.has_image {
         assignment.has_image = true;
         outcome.fetched.push(task.clone());
--- a/crates/scheduler/src/workers/images.rs
+++ b/crates/scheduler/src/workers/images.rs
@@ -1,15 +1,16 @@
 //! The images that a machine has fetched.
 //!
-//! Placement prefers machines that have a task's image; the cache is part of the machine's stored record,
-//! since a new leader that didn't know it would have images fetched anew on other machines.
+//! Placement prefers machines that have a task's image. The cache is part of the machine's stored record:
+//! without it, a new leader would place tasks where their images have to be fetched again.
 
 use crate::assignments::CachedImage;
 use crate::types::Image;
 
-/// Most images that are remembered, which bounds a machine's record however small its images are.
+/// Maximum number of images recorded for a machine, which bounds the size of its record even if the images are
+/// small.
 const MAX_IMAGES: usize = 64;
 
-/// Images that tasks have fetched to a machine, the last used one last.
+/// Images that tasks have fetched to a machine, most recently used last.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ImageCache(Vec<CachedImage>);
 
@@ -24,7 +25,7 @@
         self.0.clone()
     }
 
-    /// The images, the last used one last.
+    /// The images, most recently used last.
     pub fn iter(&self) -> impl Iterator<Item = &Image> {
         self.0.iter().map(|cached| &cached.image)
     }
@@ -34,13 +35,13 @@
         self.0.is_empty()
     }
 
-    /// Whether an image is there.
+    /// Whether an image is in the cache.
     pub fn contains(&self, image: &Image) -> bool {
         self.iter().any(|cached| cached == image)
     }
 
-    /// A task uses an image. The machine keeps the most recently used ones, as many as `capacity_gb` holds,
-    /// and the last one in any case.
+    /// Records that a task uses an image. The machine keeps the most recently used images, as many as fit in
+    /// `capacity_gb`, but always at least one.
     pub fn remember(&mut self, image: &Image, size_gb: f64, capacity_gb: f64) {
         self.0.retain(|cached| cached.image != *image);
         self.0.push(CachedImage { image: image.clone(), size_gb });
--- a/crates/scheduler/src/workers/machine.rs
+++ b/crates/scheduler/src/workers/machine.rs
@@ -18,18 +18,19 @@
     Booting,
     /// Its worker has reported.
     Up,
-    /// Being returned: nothing new goes there, and its tasks count until the cloud confirms with 200.
+    /// Being returned: no task is placed there, and its tasks count as running until the cloud has confirmed
+    /// the return with 200.
     Releasing,
 }
 
-/// How long ago a machine's worker was heard.
+/// Health of a machine, by the time since its worker's last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Health {
-    /// Its heartbeats come.
+    /// Its heartbeats arrive in time.
     Healthy,
     /// Its heartbeat is late.
     Degraded,
-    /// It has never been heard.
+    /// No heartbeat has been received yet.
     Unknown,
     /// Its heartbeat is so late that the machine may be lost.
     Unreachable,
@@ -50,19 +51,19 @@
     }
 }
 
-/// Free resources that are held for one job.
+/// A hold on the free resources of a machine for one job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CapacityHold {
-    /// The job for which other tasks were preempted.
+    /// The job for which the resources are held, for example after a preemption.
     pub job: JobId,
-    /// Until when only this job may be placed here.
+    /// Until when only this job may be placed on the machine.
     pub until: MonotonicTime,
 }
 
 /// The leader's state of a machine and its worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// The cloud's name for it.
+    /// Its id in the cloud.
     pub id: MachineId,
     /// The worker's address, once it is known.
     pub addr: Option<String>,
@@ -70,9 +71,9 @@
     pub type_name: TypeName,
     /// Its zone.
     pub zone: Zone,
-    /// It is a spot instance.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// What it has.
+    /// Its total resources.
     pub total: Resources,
     /// Where it is between being rented and being returned.
     pub status: MachineStatus,
@@ -80,54 +81,57 @@
     pub rented_at: MonotonicTime,
     /// When its worker's newest heartbeat was received.
     pub last_heartbeat: Option<MonotonicTime>,
-    /// Probes in a row since the last heartbeat that the worker didn't answer.
+    /// Number of consecutive probes without an answer since the last heartbeat.
     pub unanswered_probes: u32,
-    /// When it last answered a probe.
+    /// When the worker last answered a probe.
     pub last_probe_answer: MonotonicTime,
     /// The worker's epoch, by its newest heartbeat.
     pub worker_epoch: WorkerEpoch,
-    /// Serial of its newest heartbeat; 0: this leader has not heard it.
+    /// Serial number of its newest heartbeat; 0 if this leader has received none.
     pub serial: u64,
     /// The highest fencing token that the worker had seen, by its newest heartbeat.
     pub fencing_token: FencingToken,
-    /// When the cloud will take a spot instance back, if it has given notice.
+    /// When the cloud will reclaim the spot instance, if it has given notice.
     pub spot_reclaim_at: Option<MonotonicTime>,
-    /// What may be on the machine.
+    /// The tasks that may be on the machine.
     pub assignments: BTreeMap<TaskId, Assignment>,
     pub(super) capacity_sums: CapacitySums,
-    /// Reported tasks that have no assignment: they are stopped, and until then nothing starts here.
+    /// Reported tasks that have no assignment. They are stopped, and no task is placed on the machine as long
+    /// as there are any.
     pub unknown_tasks: BTreeSet<TaskId>,
-    /// Images that are there.
+    /// Images that are on the machine.
     pub images: ImageCache,
-    /// Since when it has had nothing to do.
+    /// Since when the machine has been empty.
     pub empty_since: Option<MonotonicTime>,
-    /// Nothing is placed here before this time.
+    /// No task is placed on the machine before this time.
     pub no_placement_before: MonotonicTime,
-    /// The worker epoch that a direct command should name, as far as an earlier leader knew it.
+    /// The worker epoch by an earlier leader's record, or by the worker's answer to a push of the fencing
+    /// token. Requests to the worker contain it if it is newer than that of the newest heartbeat.
     pub last_known_epoch: WorkerEpoch,
     /// The write that makes each planned assignment durable.
     pub planned_writes: BTreeMap<TaskId, WriteVersion>,
-    /// Nothing new goes there, and it is returned once it is empty.
+    /// Whether the machine accepts no new tasks and is returned once it is empty.
     pub draining: bool,
-    /// Jobs that have failed here since one was done.
+    /// Jobs of which a task has failed here since a task was last done here.
     pub failed_jobs: Vec<JobId>,
-    /// The job that its free resources are held for.
+    /// The job for which its free resources are held.
     pub capacity_hold: Option<CapacityHold>,
-    /// Starts that were sent directly and never answered, with the worker epoch that they name: while that
-    /// lasts they may still act. Their absence proves nothing, and one that has ended isn't forgotten, since
-    /// the worker would then start it again.
+    /// Starts that were sent directly and got no answer, with the worker epoch that they name. They may still
+    /// be executed until that epoch ends: until then the absence of the task from a heartbeat proves nothing,
+    /// and the worker must not forget the attempt if it has ended, or it would start it again.
     pub unacknowledged_starts: BTreeMap<TaskAttempt, WorkerEpoch>,
-    /// Starts that were sent directly in its present epoch, and when: one that was answered may come again
-    /// all the same, so what has ended without a result is not forgotten.
+    /// Starts that were sent directly in the current worker epoch, and when. Even one that was answered may
+    /// arrive a second time, so the worker must not forget an attempt that has ended without being done.
     pub(super) sent_starts: BTreeMap<TaskAttempt, MonotonicTime>,
-    /// Tasks in its last heartbeat, but for those that have ended and are only kept listed.
+    /// Number of tasks in its last heartbeat, without ended attempts that are only kept because their start
+    /// may arrive again.
     pub(super) reported_task_count: usize,
-    /// Epochs of its worker that have ended while this leader heard it.
+    /// Number of worker epochs that have ended since this leader received the first heartbeat.
     pub(super) epochs_ended: u32,
 }
 
 impl Machine {
-    /// A machine that has just been rented, or that this leader has just learnt of.
+    /// A machine that has just been rented, or that this leader did not know before.
     pub fn new(
         id: MachineId,
         type_name: TypeName,
@@ -170,7 +174,7 @@
         }
     }
 
-    /// What is stored of it, for the next leader.
+    /// Its record in the key-value store, for the next leader.
     pub fn record(&self) -> MachineRecord {
         let assignments = self.assignments.iter().map(|(task, assignment)| RecordedAssignment {
             task: task.clone(),
@@ -199,29 +203,29 @@
         unreachable_after: f64,
     ) -> Health {
         let Some(last_heartbeat) = self.last_heartbeat else { return Health::Unknown };
-        let silence = now.since(last_heartbeat);
-        if silence > heartbeat_interval.times(unreachable_after) {
+        let elapsed = now.since(last_heartbeat);
+        if elapsed > heartbeat_interval.times(unreachable_after) {
             Health::Unreachable
-        } else if silence > heartbeat_interval.times(degraded_after) {
+        } else if elapsed > heartbeat_interval.times(degraded_after) {
             Health::Degraded
         } else {
             Health::Healthy
         }
     }
 
-    /// Whether this leader has heard the worker. The record of a machine that was returned may outlive the
-    /// machine, where its removal was not written before a failover.
+    /// Whether this leader has received a heartbeat of the worker. A machine without one may not exist any
+    /// more: the record of a returned machine remains if a failover occurred before its removal was written.
     pub fn has_reported(&self) -> bool {
         self.serial > 0
     }
 
-    /// Whether a start of this leader's may still arrive there, for all that is known.
+    /// Whether a start that this leader has sent may still arrive at the machine.
     pub fn has_unacknowledged_starts(&self) -> bool {
         !self.unacknowledged_starts.is_empty()
             || self.assignments.values().any(|assignment| assignment.state == AssignmentState::Direct)
     }
 
-    /// Whether new tasks may go there.
+    /// Whether tasks may be placed on the machine.
     pub fn is_schedulable(&self, now: MonotonicTime) -> bool {
         self.status == MachineStatus::Up
             && self.has_reported()
@@ -232,17 +236,17 @@
             && self.assignments.len() < MAX_ASSIGNMENTS
     }
 
-    /// The job that its free resources are held for, if the hold lasts.
+    /// The job for which its free resources are held, if the hold has not expired.
     pub fn held_for(&self, now: MonotonicTime) -> Option<&JobId> {
         self.capacity_hold.as_ref().filter(|hold| now < hold.until).map(|hold| &hold.job)
     }
 
-    /// A task uses an image here. The machine keeps as many images as `cache_gb` holds.
+    /// Records that a task uses an image on the machine, whose image cache holds `cache_gb`.
     pub fn remember_image(&mut self, image: &Image, size_gb: f64, cache_gb: f64) {
         self.images.remember(image, size_gb, cache_gb);
     }
 
-    /// Whether an image is here.
+    /// Whether an image is on the machine.
     pub fn has_image(&self, image: &Image) -> bool {
         self.images.contains(image)
     }
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,8 +1,8 @@
-//! Workers, as the leader knows them: what their heartbeats say, what that proves, and the commands they get.
+//! The leader's state of workers: what their heartbeats report and prove, and the commands that they are sent.
 //!
 //! A [`Machine`] is the leader's state of one machine and its worker: identity, health and capacity
-//! (`machine`, `capacity`, `images`), what a heartbeat changes (`heartbeats`), and the commands that follow
-//! (`commands`). The leader owns all machines; delegates use [`stop_tasks_of_finished_jobs`] only.
+//! (`machine`, `capacity`, `images`), what a heartbeat changes (`heartbeats`), and the commands to the worker
+//! (`commands`). The leader owns all machines; delegates use only [`stop_tasks_of_finished_jobs`].
 
 mod capacity;
 mod commands;
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -29,10 +29,10 @@
     .expect("valid")
 }
 
-/// A new leader placed tasks on machines that its predecessor had returned a minute before, whose records
-/// were still there, and waited for them to be given up (simulated fleet "andina", incident inc-72db).
+/// The previous leader had returned machines a minute before a failover, but their records still existed. The
+/// new leader placed tasks on them, which waited until it declared these machines lost.
 #[test]
-fn nothing_is_placed_on_a_machine_that_this_leader_has_not_heard() {
+fn is_not_schedulable_before_first_heartbeat_to_this_leader() {
     let (mut machine, _) = machine_with(AssignmentState::Inherited);
     let now = at_ms(9_000);
     machine.status = MachineStatus::Up;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn silence_about_an_inherited_task_proves_nothing_until_the_worker_saw_the_fencing_token() {
+fn inherited_task_is_gone_only_if_absent_after_worker_saw_fencing_token() {
     let (mut machine, _) = machine_with(AssignmentState::Inherited);
     assert!(machine.process_heartbeat(&heartbeat(1, 1, 8, ""), TOKEN, &[], at_ms(1)).gone.is_empty());
     assert_eq!(
@@ -53,19 +53,19 @@
 }
 
 #[test]
-fn a_start_counts_until_a_later_heartbeat_lacks_it() {
+fn sent_start_counts_until_absent_from_newer_heartbeat() {
     let (mut machine, task) = machine_with(AssignmentState::Ready);
     let first = heartbeat(1, 5, 9, "");
     machine.process_heartbeat(&first, TOKEN, &[], at_ms(1));
     assert_eq!(machine.commands(&first, true, |_| false, true).len(), 1);
-    assert!(machine.stop(&task, 0.0, at_ms(2)).is_none(), "sent: needs proof");
+    assert!(machine.stop(&task, 0.0, at_ms(2)).is_none(), "a sent start must be proved gone");
     assert!(machine.process_heartbeat(&heartbeat(1, 4, 9, ""), TOKEN, &[], at_ms(3)).stale);
     let gone = machine.process_heartbeat(&heartbeat(1, 6, 9, ""), TOKEN, &[], at_ms(4)).gone;
     assert_eq!(gone[0].outcome, Outcome::NeverStarted);
 }
 
 #[test]
-fn nothing_starts_before_it_is_durable_nor_without_leadership() {
+fn sends_no_start_before_it_is_durable_or_without_leadership() {
     let (mut machine, _) = machine_with(AssignmentState::Planned);
     let received = heartbeat(1, 1, 9, "");
     assert!(machine.commands(&received, true, |_| false, true).is_empty());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_done_task_is_not_forgotten_before_it_is_recorded() {
+fn forgets_done_task_only_after_its_assignment_is_removed() {
     let (mut machine, task) = machine_with(AssignmentState::Running);
     let received = heartbeat(1, 1, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"done"}"#);
     assert_eq!(machine.process_heartbeat(&received, TOKEN, &[], at_ms(1)).done.len(), 1);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_direct_start_without_answer_is_neither_disproved_by_heartbeats_nor_forgotten_until_the_epoch_ends() {
+fn unacknowledged_start_is_neither_gone_nor_forgotten_until_epoch_ends() {
     let (mut machine, task) = machine_with(AssignmentState::Ready);
     machine.process_heartbeat(&heartbeat(1, 5, 9, ""), TOKEN, &[], at_ms(1));
     let direct = machine.direct_commands(true, at_ms(1));
@@ -96,26 +96,29 @@
     machine.stop(&task, 0.0, at_ms(2));
     assert!(
         machine.process_heartbeat(&heartbeat(1, 7, 9, ""), TOKEN, &[], at_ms(3)).gone.is_empty(),
-        "may come late"
+        "the start may still arrive"
     );
     let ended = heartbeat(1, 8, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"stopped"}"#);
     assert_eq!(machine.process_heartbeat(&ended, TOKEN, &[], at_ms(4)).gone.len(), 1);
-    assert!(machine.commands(&ended, true, |_| false, true).is_empty(), "forgotten, it would start again");
+    assert!(
+        machine.commands(&ended, true, |_| false, true).is_empty(),
+        "if the worker forgot it, it would start it again"
+    );
     let next = heartbeat(2, 9, 9, r#"{"shard":"req-1/0","try":7,"phase":"ended","cause":"stopped"}"#);
     machine.process_heartbeat(&next, TOKEN, &[], at_ms(5));
     assert_eq!(
         machine.commands(&next, true, |_| false, true).len(),
         1,
-        "a new worker epoch ends the uncertainty"
+        "in a new worker epoch the start can't arrive any more"
     );
 }
 
 #[test]
-fn tasks_without_assignment_are_stopped_and_keep_the_machine_closed_until_then() {
+fn unknown_tasks_are_stopped_and_machine_is_not_schedulable_until_then() {
     let (mut machine, _) = machine_with(AssignmentState::Running);
     let received = heartbeat(1, 1, 9, r#"{"shard":"req-1/0","try":6,"phase":"running"}"#);
     let outcome = machine.process_heartbeat(&received, TOKEN, &[], at_ms(1));
-    assert_eq!(outcome.gone.len(), 1, "attempt 7 is not there");
+    assert_eq!(outcome.gone.len(), 1, "attempt 7 is not reported");
     assert!(!machine.is_schedulable(at_ms(1)));
     assert!(matches!(
         machine.commands(&received, true, |_| false, true)[..],
