--- a/crates/scheduler/src/peer_messages/mod.rs
+++ b/crates/scheduler/src/peer_messages/mod.rs
@@ -41,7 +41,7 @@
         fencing_token_seen: FencingToken,
         /// Position of the last of the leader's status broadcasts up to which the sender has applied all.
         broadcast_seen: BroadcastPosition,
-        /// Whether the sender recently turned away the heartbeat of a worker that found no leader.
+        /// Whether the sender recently received heartbeats that it could not answer.
         has_unanswered_heartbeats: bool,
         /// Time since a worker of each zone last reached a leader, as far as the sender knows. From it, a new
         /// leader can tell a zone that was unreachable before its term from one that has just become
