--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -241,8 +241,8 @@
 fn is_assignment_settled(assignment: &Assignment) -> bool {
     match assignment.state {
         AssignmentState::Planned => true,
-        // Without `waits_for_gang_fetches` the start is still to be sent: it could not be while the worker had not seen
-        // this leader's fencing token.
+        // Without `waits_for_gang_fetches` the start is still to be sent: it could not be while the worker had
+        // not seen this leader's fencing token.
         AssignmentState::Ready => assignment.waits_for_gang_fetches,
         AssignmentState::Preparing
         | AssignmentState::Running
