--- a/crates/scheduler/src/peer_messages/tests.rs
+++ b/crates/scheduler/src/peer_messages/tests.rs
@@ -1,15 +1,18 @@
 use super::*;
 
 #[test]
-fn messages_survive_encoding_and_garbage_is_not_decoded() {
+fn decodes_encoded_messages_and_rejects_invalid_bytes() {
     let bytes = encode(
         &"n0".into(),
         PeerMessage::Ping {
             store_reachable: true,
             fencing_token_seen: FencingToken(4),
             broadcast_seen: BroadcastPosition { fencing_token: FencingToken(4), sequence: 9 },
-            hears_workers: false,
-            zones_heard: vec![ZoneHeard { zone: "z".into(), age: Duration::from_millis(1200) }],
+            has_unanswered_heartbeats: false,
+            last_heartbeat_by_zone: vec![ZoneHeartbeat {
+                zone: "z".into(),
+                age: Duration::from_millis(1200),
+            }],
         },
     );
     let decoded = decode(&bytes).expect("readable");
--- a/crates/scheduler/src/workers/capacity.rs
+++ b/crates/scheduler/src/workers/capacity.rs
@@ -47,7 +47,7 @@
     /// Whether its record has room for a further assignment of `bytes` within `limit` bytes.
     pub fn record_holds(&self, bytes: usize, limit: usize) -> bool {
         let record_bytes = self.capacity_sums.record_bytes + bytes;
-        MachineRecord::holds(record_bytes, &self.type_name, &self.zone, limit)
+        MachineRecord::can_hold(record_bytes, &self.type_name, &self.zone, limit)
     }
 
     /// Recomputes the sums from the assignments, and updates `used`, the resources that each team uses on all
