--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -51,7 +51,7 @@
             return self.out.refuse(
                 request,
                 StatusCode::BAD_REQUEST,
-                "fence: the key-value store can't have issued this fencing token",
+                "fence: no controller can have given it",
             );
         }
         self.observe_fencing_token(heartbeat.fencing_token);
@@ -166,11 +166,7 @@
             Some(leader) => {
                 self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&leader)));
             }
-            None => self.out.refuse(
-                request,
-                StatusCode::SERVICE_UNAVAILABLE,
-                "this node knows no leader; retry later",
-            ),
+            None => self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "no leader is known here"),
         }
     }
 
--- a/crates/scheduler/src/node/controller/http_api.rs
+++ b/crates/scheduler/src/node/controller/http_api.rs
@@ -30,11 +30,7 @@
                 | ["v1", "report"]
                 | ["operator", "metrics" | "waiting"],
             ) => {
-                self.out.refuse(
-                    request,
-                    StatusCode::METHOD_NOT_ALLOWED,
-                    "this path doesn't support the request's method",
-                );
+                self.out.refuse(request, StatusCode::METHOD_NOT_ALLOWED, "wrong method for this path");
             }
             _ => self.out.refuse(request, StatusCode::NOT_FOUND, "no such path"),
         }
@@ -50,7 +46,7 @@
             self.out.refuse(
                 request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "this node can't reach the key-value store",
+                "this node does not reach the state service",
             );
         }
     }
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -22,7 +22,7 @@
 /// Maximum number of retries of a cancellation whose job record was changed concurrently.
 const MAX_CANCEL_RETRIES: u32 = 5;
 /// Answer to requests whose write failed or may have failed.
-const WRITE_FAILED: &str = "the write to the key-value store failed or was not confirmed; retry later";
+const WRITE_FAILED: &str = "the state service can't be written now; come back";
 
 impl Controller {
     pub(super) fn request_status(&mut self, request: RequestId, id: &str) {
@@ -82,14 +82,14 @@
             return self.out.refuse(
                 request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "this node has not read the job records yet; retry later",
+                "job records are not read yet; come back",
             );
         }
         if self.pending_requests.len() >= self.settings.operator.max_waiting_requests {
             return self.out.refuse(
                 request,
                 StatusCode::TOO_MANY_REQUESTS,
-                "too many requests are pending on this node; retry later",
+                "too many requests wait here; come back",
             );
         }
         let known = self.job_cache.get(&id).is_some() && !self.job_cache.is_unreadable(&id);
@@ -114,7 +114,7 @@
             return self.out.refuse(
                 waiting.request,
                 StatusCode::TOO_MANY_REQUESTS,
-                "the rate limit of submissions is exceeded; retry later",
+                "too many submissions at once; come back",
             );
         }
         let job = self.admission().open(spec);
@@ -134,7 +134,7 @@
             return self.out.refuse(
                 waiting.request,
                 StatusCode::TOO_MANY_REQUESTS,
-                "the rate limit of withdrawals is exceeded; retry later",
+                "too many withdrawals at once; come back",
             );
         }
         let key = jobs::key(&waiting.id);
@@ -152,7 +152,7 @@
             self.out.refuse(
                 overdue.request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the key-value store does not answer; retry later",
+                "the state service does not answer; come back",
             );
         }
     }
@@ -163,7 +163,7 @@
             match outcome {
                 ReadOutcome::Succeeded => self.continue_request(waiting),
                 ReadOutcome::Failed => {
-                    let reason = "the read from the key-value store failed; retry later";
+                    let reason = "the state service can't be read now; come back";
                     self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, reason);
                 }
             }
@@ -180,7 +180,7 @@
         // The record exists but can't be parsed, so the job's phase is unknown.
         if self.job_cache.is_unreadable(&id) {
             let reason =
-                format!("the record {} can't be parsed; an operator has to repair it", jobs::key(&id));
+                format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
             return self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, &reason);
         }
         if self.job_cache.get(&id).is_some() {
@@ -200,7 +200,7 @@
             return self.out.refuse(
                 waiting.request,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the job's record keeps changing; retry later",
+                "the job is changing; come back",
             );
         }
         self.cancel(PendingRequest { retries: waiting.retries + 1, ..waiting });
@@ -250,7 +250,7 @@
                 self.out.refuse(
                     waiting.request,
                     StatusCode::UNPROCESSABLE_ENTITY,
-                    "the key-value store doesn't accept the job's record",
+                    "the state service does not take the job's record",
                 );
             }
             _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
