--- a/crates/nomad/src/translate/group.rs
+++ b/crates/nomad/src/translate/group.rs
@@ -64,8 +64,8 @@
             spread,
             spot: meta.flag("spot"),
             estimate: Duration::from_secs_f64(estimate_s),
-            checkpoint: Duration::from_secs_f64(meta.amount("snapshot_every_s").unwrap_or(0.0)),
-            save: Duration::from_secs_f64(meta.amount("snapshot_s").unwrap_or(0.0)),
+            checkpoint_interval: Duration::from_secs_f64(meta.amount("snapshot_every_s").unwrap_or(0.0)),
+            checkpoint_duration: Duration::from_secs_f64(meta.amount("snapshot_s").unwrap_or(0.0)),
             deadline: meta.amount("due_s").map(Duration::from_secs_f64),
             needs: meta.names("awaits").map(JobId::from).collect(),
         };
--- a/crates/nomad/tests/round_trip.rs
+++ b/crates/nomad/tests/round_trip.rs
@@ -18,8 +18,8 @@
     let mut meta = vec![
         ("class", spec.kind.to_string()),
         ("image_gb", spec.image_gb.to_string()),
-        ("snapshot_every_s", spec.checkpoint.as_secs_f64().to_string()),
-        ("snapshot_s", spec.save.as_secs_f64().to_string()),
+        ("snapshot_every_s", spec.checkpoint_interval.as_secs_f64().to_string()),
+        ("snapshot_s", spec.checkpoint_duration.as_secs_f64().to_string()),
         ("together", spec.together.to_string()),
         ("spot", spec.spot.to_string()),
         ("gang", (spec.job_type == JobType::Gang).to_string()),
@@ -145,8 +145,8 @@
             spread: placing == 2,
             spot,
             estimate: Duration::from_secs_f64(if job_type == JobType::Service { 0.0 } else { quarters(estimate) }),
-            checkpoint: Duration::from_secs_f64(quarters(checkpoint)),
-            save: Duration::from_secs_f64(quarters(save)),
+            checkpoint_interval: Duration::from_secs_f64(quarters(checkpoint)),
+            checkpoint_duration: Duration::from_secs_f64(quarters(save)),
             deadline: deadline.map(|d| Duration::from_secs_f64(quarters(d))),
             needs: needs.into_iter().map(|n| format!("req-{n:06}").as_str().into()).collect(),
         }
--- a/crates/scheduler/src/autoscaler/mod.rs
+++ b/crates/scheduler/src/autoscaler/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// A price for a task's place is dear from this multiple of the cheapest price on.
-const DEAR: f64 = 2.0;
+const PRICE_CAP_RATIO: f64 = 2.0;
 /// Machines planned for one request at a time, so that a large one is spread over zones.
 const MACHINES_AT_ONCE: u32 = 4;
 /// Added to the limit on a machine's boot time, in seconds.
@@ -51,7 +51,7 @@
     /// All tasks of it must be in one zone.
     pub together: bool,
     /// Running tasks will soon make way for it: nothing dear is rented.
-    pub patient: bool,
+    pub price_capped: bool,
 }
 
 impl CapacityRequest {
@@ -177,7 +177,7 @@
                 best = Some(ranked);
             }
         }
-        best.filter(|best| !request.patient || best.cost <= cheapest * DEAR)
+        best.filter(|best| !request.price_capped || best.cost <= cheapest * PRICE_CAP_RATIO)
     }
 
     /// All offers that the request may use, refused ones among them.
--- a/crates/scheduler/src/autoscaler/tests.rs
+++ b/crates/scheduler/src/autoscaler/tests.rs
@@ -17,7 +17,7 @@
         spot,
         zones: vec![("a".into(), 99_999), ("b".into(), 99_999)],
         together: false,
-        patient: false,
+        price_capped: false,
     }
 }
 
@@ -39,10 +39,10 @@
     assert_eq!(plan(&mut offers, capacity_request(2, 1.0, false), incoming), []);
     offers.refuse(offer("small", "a", true), MonotonicTime::from_millis(9));
     offers.refuse(offer("small", "b", true), MonotonicTime::from_millis(9));
-    let mut patient = capacity_request(1, 1.0, true);
-    assert_eq!(plan(&mut offers, patient.clone(), vec![]), [one("small", "a", false)]);
-    patient.patient = true;
-    assert_eq!(plan(&mut offers, patient, vec![]), [], "three times the price, and it can wait");
+    let mut price_capped = capacity_request(1, 1.0, true);
+    assert_eq!(plan(&mut offers, price_capped.clone(), vec![]), [one("small", "a", false)]);
+    price_capped.price_capped = true;
+    assert_eq!(plan(&mut offers, price_capped, vec![]), [], "three times the price, and it can wait");
     offers.refuse(offer("small", "a", false), MonotonicTime::from_millis(9));
     assert_eq!(plan(&mut offers, capacity_request(1, 1.0, false), vec![]), [one("small", "b", false)]);
 }
--- a/crates/scheduler/src/cluster_version/tests.rs
+++ b/crates/scheduler/src/cluster_version/tests.rs
@@ -35,8 +35,8 @@
         spread: false,
         spot: true,
         estimate: Duration::from_secs_f64(240.0),
-        checkpoint: Duration::from_secs_f64(30.0),
-        save: Duration::from_secs_f64(4.0),
+        checkpoint_interval: Duration::from_secs_f64(30.0),
+        checkpoint_duration: Duration::from_secs_f64(4.0),
         deadline: Some(Duration::from_secs_f64(900.0)),
         needs: Vec::new(),
     };
@@ -52,7 +52,7 @@
 
 fn success_counts() -> SuccessCounts {
     let mut c = SuccessCounts::default();
-    placement_outcomes().iter().for_each(|l| c.learn(l));
+    placement_outcomes().iter().for_each(|l| c.record(l));
     c
 }
 
--- a/crates/scheduler/src/gangs/mod.rs
+++ b/crates/scheduler/src/gangs/mod.rs
@@ -20,6 +20,6 @@
 
 /// Seconds of grace that a graceful stop needs for saving a checkpoint; 0 if the job never saves one.
 pub fn save_grace_s(spec: &JobSpec) -> f64 {
-    let saves_checkpoints = spec.checkpoint.0 > 0;
-    if saves_checkpoints { spec.save.as_secs_f64() + SAVE_MARGIN_S } else { 0.0 }
+    let saves_checkpoints = spec.checkpoint_interval.0 > 0;
+    if saves_checkpoints { spec.checkpoint_duration.as_secs_f64() + SAVE_MARGIN_S } else { 0.0 }
 }
--- a/crates/scheduler/src/jobs/golden.rs
+++ b/crates/scheduler/src/jobs/golden.rs
@@ -23,8 +23,8 @@
         spread: false,
         spot: true,
         estimate: Duration::from_millis(240_000),
-        checkpoint: Duration::from_millis(30_000),
-        save: Duration::from_millis(4_000),
+        checkpoint_interval: Duration::from_millis(30_000),
+        checkpoint_duration: Duration::from_millis(4_000),
         deadline: Some(Duration::from_millis(900_000)),
         needs: Vec::new(),
     }
--- a/crates/scheduler/src/jobs/served.rs
+++ b/crates/scheduler/src/jobs/job_counters.rs
@@ -11,7 +11,7 @@
 
 /// What happened to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum JobMilestone {
     /// Its record was stored.
     Accepted,
     /// Its first task ran.
@@ -20,15 +20,15 @@
     Done,
 }
 
-impl Stage {
-    const ALL: [Stage; 3] = [Stage::Accepted, Stage::Started, Stage::Done];
+impl JobMilestone {
+    const ALL: [JobMilestone; 3] = [JobMilestone::Accepted, JobMilestone::Started, JobMilestone::Done];
 
     /// Its part of the metric's name.
     fn metric_name(self) -> &'static str {
         match self {
-            Stage::Accepted => "accepted",
-            Stage::Started => "started",
-            Stage::Done => "done",
+            JobMilestone::Accepted => "accepted",
+            JobMilestone::Started => "started",
+            JobMilestone::Done => "done",
         }
     }
 }
@@ -42,14 +42,14 @@
 
 /// Number of jobs that reached each stage.
 #[derive(Debug, Clone, Copy, Default)]
-struct StageCounts([u64; Stage::ALL.len()]);
+struct StageCounts([u64; JobMilestone::ALL.len()]);
 
 impl StageCounts {
-    fn get(&self, stage: Stage) -> u64 {
+    fn get(&self, stage: JobMilestone) -> u64 {
         self.0[stage as usize]
     }
 
-    fn increment(&mut self, stage: Stage) {
+    fn increment(&mut self, stage: JobMilestone) {
         self.0[stage as usize] += 1;
     }
 
@@ -62,15 +62,15 @@
 
 /// Counters of jobs by class, team and stage.
 #[derive(Debug, Clone, Default)]
-pub struct Served {
+pub struct JobCounters {
     counts: BTreeMap<Series, StageCounts>,
     /// Jobs of the pairs beyond `MAX_SERIES`.
     others: StageCounts,
 }
 
-impl Served {
+impl JobCounters {
     /// Counts a job that reached `stage`.
-    pub fn count(&mut self, stage: Stage, spec: &JobSpec) {
+    pub fn count(&mut self, stage: JobMilestone, spec: &JobSpec) {
         let series = Series { kind: spec.kind.clone(), team: spec.team.clone() };
         self.counts_of(series).increment(stage);
     }
@@ -84,7 +84,7 @@
     }
 
     /// Adds what was counted during a leadership that has ended.
-    pub fn add(&mut self, other: Served) {
+    pub fn add(&mut self, other: JobCounters) {
         for (series, counts) in other.counts {
             self.counts_of(series).add(&counts);
         }
@@ -93,7 +93,7 @@
 
     /// Appends a line for each counter that isn't 0, in the text format of Prometheus.
     pub fn metrics(&self, lines: &mut Vec<String>) {
-        for stage in Stage::ALL {
+        for stage in JobMilestone::ALL {
             let name = stage.metric_name();
             for (Series { kind, team }, counts) in &self.counts {
                 let count = counts.get(stage);
--- a/crates/scheduler/src/jobs/job_state.rs
+++ b/crates/scheduler/src/jobs/job_state.rs
@@ -90,7 +90,7 @@
     /// No machine has enough free resources.
     NoCapacity,
     /// Machines are being moved to the partition of its controller.
-    MachinesMove,
+    PartitionMove,
     /// Other tasks are being preempted for it.
     Preempting,
 }
@@ -110,7 +110,7 @@
             WaitingReason::GangStillPlaced => "the gang's last attempt is not off its machines yet",
             WaitingReason::TeamAtLimit => "its team is at its limit",
             WaitingReason::NoCapacity => "no machine has room for it",
-            WaitingReason::MachinesMove => "machines move to its controller's block",
+            WaitingReason::PartitionMove => "machines move to its controller's block",
             WaitingReason::Preempting => "others are making room for it",
         }
     }
@@ -129,7 +129,7 @@
     /// Number of tasks neither done nor placed, kept up to date since every round needs it.
     waiting: u32,
     /// Number of its tasks in a round now under way.
-    pub offered: u32,
+    pub tasks_in_round: u32,
     /// The node whose controller places it now.
     pub assigned_node: NodeName,
     /// Capacity version at which placing failed last; it isn't tried again until the version moves on.
@@ -166,7 +166,7 @@
             job,
             done: TaskSet::default(),
             placed: BTreeMap::new(),
-            offered: 0,
+            tasks_in_round: 0,
             failed_capacity_version: 0,
             not_before: MonotonicTime::default(),
             attempt: None,
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -3,24 +3,24 @@
 //! - [`spec`]: what a job asks for; [`admission`]: the checks before it is stored.
 //! - [`record`]: what is stored; [`cache`]: each node's copy of that; [`graph`]: dependencies between jobs.
 //! - [`job_state`]: the tasks of a job, as the leader sees them.
-//! - [`pending_requests`]: users' requests that wait for the key-value store; [`served`]: counters for operators.
+//! - [`pending_requests`]: users' requests that wait for the key-value store; [`job_counters`]: counters for operators.
 
 mod admission;
 mod cache;
 pub mod graph;
+mod job_counters;
 mod job_state;
 mod pending_requests;
 mod record;
-mod served;
 mod spec;
 mod task_counts;
 
 pub use admission::Admission;
 pub use cache::{CachedJob, JobCache};
+pub use job_counters::{JobCounters, JobMilestone};
 pub use job_state::{JobState, TASKS_PER_CHUNK, TaskSet, WaitingReason};
 pub use pending_requests::{PendingRequest, PendingRequests, Refusal, UserRequest};
 pub use record::{OpenJob, PREFIX, PROGRESS_PREFIX, Phase, Record, key};
-pub use served::{Served, Stage};
 pub use spec::{AdmissionError, JobSpec, JobType, MAX_TASKS, Priority};
 pub use task_counts::TaskCounts;
 
--- a/crates/scheduler/src/jobs/spec.rs
+++ b/crates/scheduler/src/jobs/spec.rs
@@ -72,9 +72,11 @@
     /// How long a task is expected to run.
     pub estimate: Duration,
     /// Interval between a task's checkpoints; zero if it makes none.
-    pub checkpoint: Duration,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_interval: Duration,
     /// How long one checkpoint takes to be written.
-    pub save: Duration,
+    #[serde(rename = "save")]
+    pub checkpoint_duration: Duration,
     /// Time after submission by which the job should be done, if its user gave one.
     pub deadline: Option<Duration>,
     /// Jobs that have to be done before any of its tasks starts, each once.
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -19,8 +19,8 @@
         spread: true,
         spot: false,
         estimate: Duration::from_secs_f64(1.0),
-        checkpoint: Duration::from_millis(0),
-        save: Duration::from_millis(0),
+        checkpoint_interval: Duration::from_millis(0),
+        checkpoint_duration: Duration::from_millis(0),
         deadline: None,
         needs: Vec::new(),
     }
--- a/crates/scheduler/src/node/controller/leadership.rs
+++ b/crates/scheduler/src/node/controller/leadership.rs
@@ -38,7 +38,7 @@
     /// Drops the leader's state, but keeps its counts of jobs. Does nothing on a node that is not leader.
     pub(super) fn step_down(&mut self, reason: &str) {
         if let Some(leader) = self.leader.take() {
-            self.served.add(leader.into_served());
+            self.job_counters.add(leader.into_job_counters());
             self.out.discard_relays();
             tracing::warn!(reason, "stepped down as leader");
         }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -38,7 +38,7 @@
 use super::{Effect, Input, Now};
 use crate::cluster_version::ClusterVersion;
 use crate::election::Election;
-use crate::jobs::{self, JobCache, PendingRequests, Served, TaskCounts};
+use crate::jobs::{self, JobCache, JobCounters, PendingRequests, TaskCounts};
 use crate::peer_messages::BroadcastPosition;
 use crate::placement::SuccessCounts;
 use crate::rate_limit::TokenBucket;
@@ -87,7 +87,7 @@
     /// This node has applied all of the leader's status broadcasts up to this position.
     broadcast_seen: BroadcastPosition,
     /// Counts of users' jobs by stage, for the metrics.
-    served: Served,
+    job_counters: JobCounters,
 
     /// When the key-value store last replied. Reads that only update extensions' records don't count.
     store_answered_at: MonotonicTime,
@@ -154,7 +154,7 @@
             success_counts: SuccessCounts::default(),
             success_counts_loaded: false,
             broadcast_seen: BroadcastPosition::NONE,
-            served: Served::default(),
+            job_counters: JobCounters::default(),
             store_answered_at: MonotonicTime::default(),
             latest_revision: 0,
             highest_fencing_token: FencingToken(0),
--- a/crates/scheduler/src/node/controller/operator_pages.rs
+++ b/crates/scheduler/src/node/controller/operator_pages.rs
@@ -41,12 +41,12 @@
         }
         lines.push(format!("pearford_level_reached {}", self.cluster_version.reached()));
         lines.push(format!("pearford_jobs_awaiting {}", self.job_cache.graph().waiting_count()));
-        let mut served = self.served.clone();
+        let mut job_counters = self.job_counters.clone();
         if let Some(leader) = &self.leader {
             leader.metrics(&mut lines);
-            served.add(leader.served().clone());
+            job_counters.add(leader.job_counters().clone());
         }
-        served.metrics(&mut lines);
+        job_counters.metrics(&mut lines);
         self.extension_metrics(&mut lines);
         lines.join("\n") + "\n"
     }
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -102,7 +102,7 @@
     ) {
         if self.broadcast_seen == position.previous() {
             self.broadcast_seen = position;
-            placement_outcomes.iter().for_each(|outcome| self.success_counts.learn(outcome));
+            placement_outcomes.iter().for_each(|outcome| self.success_counts.record(outcome));
             self.update_job_counts(jobs);
         } else if self.broadcast_seen != position {
             self.broadcast_seen = BroadcastPosition::NONE;
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -233,7 +233,7 @@
                 let id = waiting.id;
                 self.job_cache.learn(id.clone(), Revision(store_revision), Record::Open(job.clone()));
                 tracing::info!(job = %id, class = %job.spec.kind, team = %job.spec.team, "accepted");
-                self.served.count(jobs::Stage::Accepted, &job.spec);
+                self.job_counters.count(jobs::JobMilestone::Accepted, &job.spec);
                 // The job is cancelled immediately if one of its dependencies is cancelled.
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
                 self.out.answer(waiting.request, StatusCode::CREATED, users::status(&id, phase, None));
--- a/crates/scheduler/src/node/leader/broadcast.rs
+++ b/crates/scheduler/src/node/leader/broadcast.rs
@@ -97,11 +97,11 @@
         let all_up_to_date = up_to_date.iter().all(|up_to_date| *up_to_date);
         let all_jobs = if all_up_to_date { Vec::new() } else { self.job_counts(self.job_states.keys()) };
         let placement_outcomes = std::mem::take(&mut self.broadcaster.placement_outcomes);
-        placement_outcomes.iter().for_each(|outcome| context.success_counts.learn(outcome));
+        placement_outcomes.iter().for_each(|outcome| context.success_counts.record(outcome));
         let save_counts = self.loaded() && self.broadcaster.begin_counts_save(context.now);
         if save_counts {
             let present: BTreeSet<MachineId> = self.machines.ids().cloned().collect();
-            context.success_counts.keep(|id| present.contains(id));
+            context.success_counts.retain(|id| present.contains(id));
         }
         for (peer, up_to_date) in context.peers.names().iter().zip(up_to_date) {
             let message = if up_to_date {
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::delegation::is_newest;
 use super::{Leader, StepContext};
 use crate::assignments::{self, Assignment};
-use crate::jobs::{JobSpec, Stage};
+use crate::jobs::{JobMilestone, JobSpec};
 use crate::types::{JobId, MachineId, MonotonicTime, RequestId, Resources, TaskId};
 use crate::wire::cloud::MachineType;
 use crate::wire::workers::{self, Heartbeat, WorkerCommand};
@@ -210,7 +210,7 @@
         job_state.started = true;
         let spec = &job_state.job.spec;
         tracing::info!(job = %task.job, class = %spec.kind, team = %spec.team, "started");
-        self.served.count(Stage::Started, spec);
+        self.job_counters.count(JobMilestone::Started, spec);
     }
 
     /// Records that the job's image is on the machine.
--- a/crates/scheduler/src/node/leader/job_changes.rs
+++ b/crates/scheduler/src/node/leader/job_changes.rs
@@ -3,7 +3,9 @@
 
 use super::Leader;
 use crate::assignments::{AssignmentState, CommitPriority};
-use crate::jobs::{self, CachedJob, JobCache, JobState, OpenJob, PROGRESS_PREFIX, Phase, Record, Stage};
+use crate::jobs::{
+    self, CachedJob, JobCache, JobMilestone, JobState, OpenJob, PROGRESS_PREFIX, Phase, Record,
+};
 use crate::types::{JobId, MachineId, MonotonicTime, TaskId};
 use std::sync::Arc;
 
@@ -43,7 +45,7 @@
         let Some(job_state) = self.job_states.get(id) else { return };
         let spec = &job_state.job.spec;
         tracing::info!(job = %id, class = %spec.kind, team = %spec.team, "done");
-        self.served.count(Stage::Done, spec);
+        self.job_counters.count(JobMilestone::Done, spec);
     }
 
     fn job_ready(
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -53,7 +53,7 @@
 use super::peers::Peers;
 use crate::autoscaler::InstanceOffers;
 use crate::gangs::Attempts;
-use crate::jobs::{JobCache, JobState, Served};
+use crate::jobs::{JobCache, JobCounters, JobState};
 use crate::partitions::Partitions;
 use crate::placement::SuccessCounts;
 use crate::settings::Settings;
@@ -144,7 +144,7 @@
     attempts: Attempts,
     coordinator: Coordinator,
     heartbeat_collection: HeartbeatCollection,
-    served: Served,
+    job_counters: JobCounters,
 
     // One component for each concern.
     record_loading: RecordLoading,
@@ -192,7 +192,7 @@
             attempts: Attempts::new(fencing_token),
             coordinator: Coordinator::new(settings.node.clone(), fencing_token, now),
             heartbeat_collection,
-            served: Served::default(),
+            job_counters: JobCounters::default(),
             record_loading: RecordLoading::new(early_heartbeats),
             failover_log: FailoverLog::new(fencing_token, now),
             commits: CommitState::new(fencing_token, &settings, now),
--- a/crates/scheduler/src/node/leader/partition_moves.rs
+++ b/crates/scheduler/src/node/leader/partition_moves.rs
@@ -58,7 +58,7 @@
                 job_state.reason = WaitingReason::NoCapacity;
                 return false;
             }
-            job_state.reason = WaitingReason::MachinesMove;
+            job_state.reason = WaitingReason::PartitionMove;
             let largest_zone =
                 || fit.with_moves.iter().max_by_key(|(_, slots)| **slots).map(|(zone, _)| (*zone).clone());
             let only_zone = if gang && request.together { largest_zone() } else { None };
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -39,7 +39,7 @@
         let mut by_job = self.placements_in_partition(node, proposals);
         for request in requests {
             let Some(job_state) = self.job_states.get_mut(&request.job) else { continue };
-            job_state.offered = 0;
+            job_state.tasks_in_round = 0;
             let mut placements = by_job.remove(&request.job).unwrap_or_default();
             placements.retain(|placement| request.tasks.contains(&placement.index));
             self.commit_placements(&request, placements, now);
--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -6,7 +6,7 @@
 use crate::gangs;
 use crate::jobs::{JobSpec, JobState, JobType, Priority, WaitingReason};
 use crate::placement::PlacementRequest;
-use crate::preemption::{Candidate, Clearing, Victim, Wanted, choose};
+use crate::preemption::{Candidate, PreemptionRequest, PreemptionTarget, Victim, choose};
 use crate::types::{Duration, JobId, MonotonicTime};
 use crate::workers::{CapacityHold, Health, Machine};
 use std::collections::BTreeSet;
@@ -120,7 +120,7 @@
     ) -> u32 {
         let Some(candidates) = self.preemption_candidates(request, spec, preemption, now) else { return 0 };
         let one_at_a_time = matches!(preemption, Preemption::BeyondGuarantee(_));
-        let wanted = Wanted {
+        let wanted = PreemptionRequest {
             resources: &request.resources,
             tasks: if one_at_a_time { 1 } else { request.tasks.len() as u32 },
             gang: request.job_type == JobType::Gang,
@@ -200,9 +200,14 @@
     }
 
     /// Stops the victims on the chosen machines. Returns the longest grace period of any of them, in seconds.
-    fn stop_victims(&mut self, chosen: &[Clearing], preemption: Preemption, now: MonotonicTime) -> f64 {
+    fn stop_victims(
+        &mut self,
+        chosen: &[PreemptionTarget],
+        preemption: Preemption,
+        now: MonotonicTime,
+    ) -> f64 {
         let mut longest_grace_s = 0.0f64;
-        for Clearing { machine, victims } in chosen {
+        for PreemptionTarget { machine, victims } in chosen {
             for task in victims {
                 let Some(job_state) = self.job_states.get(&task.job) else { continue };
                 let grace_s = preemption.grace_s(&job_state.job.spec);
@@ -223,11 +228,11 @@
     fn hold_freed_resources(
         &mut self,
         job: &JobId,
-        chosen: &[Clearing],
+        chosen: &[PreemptionTarget],
         hold_all: bool,
         until: MonotonicTime,
     ) {
-        for Clearing { machine, victims } in chosen {
+        for PreemptionTarget { machine, victims } in chosen {
             if (hold_all || victims.len() > 1)
                 && let Some(machine) = self.machines.get_mut(machine)
             {
@@ -241,8 +246,8 @@
 fn loss_s(job_state: &JobState, assignment: &Assignment, now: MonotonicTime) -> f64 {
     let spec = &job_state.job.spec;
     // Work since the last checkpoint, or since the start if the job saves no checkpoints.
-    let repeated_s = if spec.checkpoint.0 > 0 {
-        spec.save.as_secs_f64()
+    let repeated_s = if spec.checkpoint_interval.0 > 0 {
+        spec.checkpoint_duration.as_secs_f64()
     } else {
         assignment.running_since.map_or(0.0, |since| now.since(since).as_secs_f64())
     };
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -171,11 +171,11 @@
             spot: spec.spot,
             zones: self.zone_capacity(id, job_state),
             together: spec.together,
-            patient: spec.job_type == JobType::Array && spec.estimate.0 > 0,
+            price_capped: spec.job_type == JobType::Array && spec.estimate.0 > 0,
         })
     }
 
-    /// Clears `patient` unless the waiting tasks of arrays will get slots soon. Array tasks reuse the slots
+    /// Clears `price_capped` unless the waiting tasks of arrays will get slots soon. Array tasks reuse the slots
     /// of finished ones. If all waiting tasks can finish on the present and booting slots before a new
     /// machine could boot and finish a task, they need no expensive machines. Otherwise they do not
     /// wait for cheap ones.
@@ -189,8 +189,8 @@
             waiting += tasks;
             work_s += tasks * job_state.job.spec.estimate.as_secs_f64();
         }
-        let first_patient = requests.iter().find(|request| request.patient);
-        let Some(resources) = first_patient.map(|request| request.resources) else { return };
+        let first_price_capped = requests.iter().find(|request| request.price_capped);
+        let Some(resources) = first_price_capped.map(|request| request.resources) else { return };
         let placed: usize = arrays().map(|job_state| job_state.placed().len()).sum();
         let booting = self.machines.iter().filter(|machine| machine.status == MachineStatus::Booting);
         let booting_slots: u32 = booting.map(|machine| machine.free().count_of(&resources)).sum();
@@ -200,7 +200,7 @@
         let mean_task_s = if waiting > 0.0 { work_s / waiting } else { 0.0 };
         let finish_soon = work_s / slots <= boot_s + mean_task_s;
         for request in requests {
-            request.patient &= finish_soon;
+            request.price_capped &= finish_soon;
         }
     }
 
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -92,7 +92,7 @@
             .job_states
             .iter()
             .filter(|(_, job_state)| {
-                job_state.offered == 0 && !job_state.finishing && job_state.not_before <= now
+                job_state.tasks_in_round == 0 && !job_state.finishing && job_state.not_before <= now
             })
             .filter(|(_, job_state)| job_state.failed_capacity_version < self.capacity_version)
             .filter(|(_, job_state)| job_state.waiting_count() > 0)
@@ -121,10 +121,10 @@
     /// Resources that each team uses, including those of tasks offered in rounds in progress.
     fn used_including_offered(&self) -> BTreeMap<TeamName, Resources> {
         let mut used = self.machines.used_by_teams().clone();
-        for job_state in self.job_states.values().filter(|job_state| job_state.offered > 0) {
+        for job_state in self.job_states.values().filter(|job_state| job_state.tasks_in_round > 0) {
             let spec = &job_state.job.spec;
             let sum = used.entry(spec.team.clone()).or_default();
-            *sum = sum.plus(&spec.resources.times(f64::from(job_state.offered)));
+            *sum = sum.plus(&spec.resources.times(f64::from(job_state.tasks_in_round)));
         }
         used
     }
@@ -220,7 +220,7 @@
         let machines: Vec<MachineView> = machines.cloned().collect();
         for request in &requests {
             if let Some(job_state) = self.job_states.get_mut(&request.job) {
-                job_state.offered = request.tasks.len() as u32;
+                job_state.tasks_in_round = request.tasks.len() as u32;
             }
         }
         Some(Round { node, partition, machines, requests })
--- a/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
@@ -80,7 +80,7 @@
     cluster.add_job("req-0", "n1", Priority::Production, 2);
     cluster.add_job("req-1", "n2", Priority::Low, 9);
     cluster.build_rounds(); // divides the partitions
-    cluster.leader.job_states.values_mut().for_each(|job_state| job_state.offered = 0);
+    cluster.leader.job_states.values_mut().for_each(|job_state| job_state.tasks_in_round = 0);
     let all: Vec<MachineId> = cluster.leader.machines.ids().cloned().collect();
     cluster.leader.partitions.transfer(&"n1".into(), all);
     let mut offered = offered(&cluster.build_rounds());
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -180,7 +180,7 @@
             for request in pending.requests {
                 if let Some(job_state) = self.job_states.get_mut(&request.job) {
                     // The proposals are lost: this node offers the tasks again in its own round.
-                    job_state.offered = 0;
+                    job_state.tasks_in_round = 0;
                     job_state.assigned_node = self.settings.node.clone();
                 }
             }
--- a/crates/scheduler/src/node/leader/status.rs
+++ b/crates/scheduler/src/node/leader/status.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::assignments::Assignment;
-use crate::jobs::{JobState, Served, TaskCounts, WaitingReason};
+use crate::jobs::{JobCounters, JobState, TaskCounts, WaitingReason};
 use crate::types::{JobId, MonotonicTime, Resources, TaskId, TeamName};
 use crate::workers::MachineStatus;
 
@@ -42,13 +42,13 @@
     }
 
     /// Counts of jobs started and done under this leadership.
-    pub(in crate::node) fn served(&self) -> &Served {
-        &self.served
+    pub(in crate::node) fn job_counters(&self) -> &JobCounters {
+        &self.job_counters
     }
 
-    /// Like [`Leader::served`], for the end of the leadership.
-    pub(in crate::node) fn into_served(self) -> Served {
-        self.served
+    /// Like [`Leader::job_counters`], for the end of the leadership.
+    pub(in crate::node) fn into_job_counters(self) -> JobCounters {
+        self.job_counters
     }
 
     /// Appends this leader's metrics, one per line.
--- a/crates/scheduler/src/node/leader/write_budget/tests.rs
+++ b/crates/scheduler/src/node/leader/write_budget/tests.rs
@@ -81,7 +81,7 @@
     add_job(&mut leader, "req-2", JobType::Service, 3);
     let mut seen = Vec::new();
     for _ in 0..4 {
-        leader.job_states.values_mut().for_each(|job_state| job_state.offered = 0);
+        leader.job_states.values_mut().for_each(|job_state| job_state.tasks_in_round = 0);
         let (job, machines) = run_pass(&mut leader);
         seen.push((job.to_string(), machines.len()));
     }
--- a/crates/scheduler/src/peer_messages/golden.rs
+++ b/crates/scheduler/src/peer_messages/golden.rs
@@ -24,7 +24,7 @@
 
 fn success_counts() -> SuccessCounts {
     let mut success_counts = SuccessCounts::default();
-    placement_outcomes().iter().for_each(|l| success_counts.learn(l));
+    placement_outcomes().iter().for_each(|l| success_counts.record(l));
     success_counts
 }
 
--- a/crates/scheduler/src/placement/success_counts.rs
+++ b/crates/scheduler/src/placement/success_counts.rs
@@ -141,7 +141,7 @@
 
 impl SuccessCounts {
     /// Counts an outcome.
-    pub fn learn(&mut self, outcome: &PlacementOutcome) {
+    pub fn record(&mut self, outcome: &PlacementOutcome) {
         self.changed.insert(part_of(&outcome.machine));
         let machine = self.machines.entry(outcome.machine.clone()).or_default();
         machine.all_kinds.add(outcome.success);
@@ -155,7 +155,7 @@
     }
 
     /// Forgets machines that are gone, so that the counts don't outgrow the machines.
-    pub fn keep(&mut self, present: impl Fn(&MachineId) -> bool) {
+    pub fn retain(&mut self, present: impl Fn(&MachineId) -> bool) {
         let changed = &mut self.changed;
         self.machines.retain(|id, _| {
             let stays = present(id);
--- a/crates/scheduler/src/placement/success_counts/golden.rs
+++ b/crates/scheduler/src/placement/success_counts/golden.rs
@@ -11,7 +11,7 @@
     for (machine, kind, success) in
         [("m-000231", "train", true), ("m-000231", "serve", false), ("m-000007", "serve", false)]
     {
-        counts.learn(&PlacementOutcome { machine: machine.into(), kind: kind.into(), success });
+        counts.record(&PlacementOutcome { machine: machine.into(), kind: kind.into(), success });
     }
     counts
 }
--- a/crates/scheduler/src/placement/success_counts/tests.rs
+++ b/crates/scheduler/src/placement/success_counts/tests.rs
@@ -4,7 +4,7 @@
 fn every_part_of_the_counts_is_saved_in_turn_within_its_size() {
     let mut counts = SuccessCounts::default();
     for i in 0..500 {
-        counts.learn(&PlacementOutcome {
+        counts.record(&PlacementOutcome {
             machine: format!("m-{i}").as_str().into(),
             kind: "k".into(),
             success: true,
@@ -18,7 +18,7 @@
     }
     assert_eq!(restored.machines, counts.machines, "every part has its turn");
     assert!(counts.take_changed(99, 1024).is_empty(), "only what has changed is written");
-    counts.learn(&PlacementOutcome { machine: "m-3".into(), kind: "k".into(), success: true });
+    counts.record(&PlacementOutcome { machine: "m-3".into(), kind: "k".into(), success: true });
     let mut restored = SuccessCounts::default();
     for part in counts.take_changed(99, 99_999) {
         restored.add_part(&part.value).expect("readable");
--- a/crates/scheduler/src/placement/tests.rs
+++ b/crates/scheduler/src/placement/tests.rs
@@ -64,8 +64,8 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = SuccessCounts::default();
     for _ in 0..20 {
-        counts.learn(&PlacementOutcome { machine: "bad".into(), kind: "k".into(), success: false });
-        counts.learn(&PlacementOutcome { machine: "good".into(), kind: "other".into(), success: true });
+        counts.record(&PlacementOutcome { machine: "bad".into(), kind: "k".into(), success: false });
+        counts.record(&PlacementOutcome { machine: "good".into(), kind: "other".into(), success: true });
     }
     let mut bad = 0;
     let mut empty = 0;
@@ -87,7 +87,7 @@
     let mut counts = SuccessCounts::default();
     for m in ["has", "lacks"] {
         for _ in 0..20 {
-            counts.learn(&PlacementOutcome { machine: m.into(), kind: "k".into(), success: true });
+            counts.record(&PlacementOutcome { machine: m.into(), kind: "k".into(), success: true });
         }
     }
     let won = (0..100).filter(|_| {
@@ -106,7 +106,7 @@
     let mut counts = SuccessCounts::default();
     for m in ["busy", "quiet", "same"] {
         for _ in 0..20 {
-            counts.learn(&PlacementOutcome { machine: m.into(), kind: "k".into(), success: true });
+            counts.record(&PlacementOutcome { machine: m.into(), kind: "k".into(), success: true });
         }
     }
     let mut won = |a: &str, b: &str| {
--- a/crates/scheduler/src/preemption/mod.rs
+++ b/crates/scheduler/src/preemption/mod.rs
@@ -35,7 +35,7 @@
 
 /// Tasks that wait for resources.
 #[derive(Debug, Clone)]
-pub struct Wanted<'a> {
+pub struct PreemptionRequest<'a> {
     /// What each task takes of its machine.
     pub resources: &'a Resources,
     /// How many tasks wait.
@@ -50,7 +50,7 @@
 
 /// A machine to be used, and the tasks that have to leave it; none if its free resources suffice.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Clearing {
+pub struct PreemptionTarget {
     /// The machine.
     pub machine: MachineId,
     /// The tasks to stop there.
@@ -64,58 +64,59 @@
     zone: Zone,
     /// How many waiting tasks it would hold.
     slots: u32,
-    clearing: Clearing,
+    target: PreemptionTarget,
 }
 
-/// Machines that hold the wanted tasks together.
+/// Machines that hold the request tasks together.
 struct Plan {
     cost: f64,
-    clearings: Vec<Clearing>,
+    targets: Vec<PreemptionTarget>,
 }
 
 /// Tasks that leave one machine.
-struct Eviction {
+struct VictimSet {
     loss_s: f64,
     victims: Vec<TaskId>,
 }
 
 /// The machines where freeing resources loses least. For a gang they hold all its tasks, machines with enough
 /// free resources among them; for other jobs as many tasks as possible.
-pub fn choose(candidates: Vec<Candidate>, wanted: &Wanted) -> Vec<Clearing> {
+pub fn choose(candidates: Vec<Candidate>, request: &PreemptionRequest) -> Vec<PreemptionTarget> {
     let mut choices: Vec<Choice> =
-        candidates.into_iter().filter_map(|candidate| choice(candidate, wanted)).collect();
+        candidates.into_iter().filter_map(|candidate| choice(candidate, request)).collect();
     choices.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-    let plan = if wanted.gang && wanted.together {
-        let plans = wanted.zones.iter().filter_map(|zone| plan(&choices, wanted, std::slice::from_ref(zone)));
+    let plan = if request.gang && request.together {
+        let plans =
+            request.zones.iter().filter_map(|zone| plan(&choices, request, std::slice::from_ref(zone)));
         plans.min_by(|a, b| a.cost.total_cmp(&b.cost))
     } else {
-        plan(&choices, wanted, wanted.zones)
+        plan(&choices, request, request.zones)
     };
-    plan.map(|plan| plan.clearings).unwrap_or_default()
+    plan.map(|plan| plan.targets).unwrap_or_default()
 }
 
-/// What the machine offers to the wanted tasks, if anything.
-fn choice(candidate: Candidate, wanted: &Wanted) -> Option<Choice> {
-    let slots = candidate.free.count_of(wanted.resources);
+/// What the machine offers to the request tasks, if anything.
+fn choice(candidate: Candidate, request: &PreemptionRequest) -> Option<Choice> {
+    let slots = candidate.free.count_of(request.resources);
     if slots == 0 {
-        let Eviction { loss_s, victims } = least_loss(&candidate, wanted.resources)?;
-        let clearing = Clearing { machine: candidate.machine, victims };
-        return Some(Choice { cost: loss_s + candidate.fetch_s, zone: candidate.zone, slots: 1, clearing });
+        let VictimSet { loss_s, victims } = least_loss(&candidate, request.resources)?;
+        let target = PreemptionTarget { machine: candidate.machine, victims };
+        return Some(Choice { cost: loss_s + candidate.fetch_s, zone: candidate.zone, slots: 1, target });
     }
     // Scheduling rounds place all other work on free resources.
-    wanted.gang.then(|| Choice {
+    request.gang.then(|| Choice {
         cost: candidate.fetch_s,
         zone: candidate.zone,
         slots,
-        clearing: Clearing { machine: candidate.machine, victims: Vec::new() },
+        target: PreemptionTarget { machine: candidate.machine, victims: Vec::new() },
     })
 }
 
-/// The cheapest choices for the wanted tasks in `zones`. `choices` are sorted by cost.
-fn plan(choices: &[Choice], wanted: &Wanted, zones: &[(Zone, u32)]) -> Option<Plan> {
+/// The cheapest choices for the request tasks in `zones`. `choices` are sorted by cost.
+fn plan(choices: &[Choice], request: &PreemptionRequest, zones: &[(Zone, u32)]) -> Option<Plan> {
     let mut zones = zones.to_vec();
-    let mut remaining = wanted.tasks;
-    let mut plan = Plan { cost: 0.0, clearings: Vec::new() };
+    let mut remaining = request.tasks;
+    let mut plan = Plan { cost: 0.0, targets: Vec::new() };
     for choice in choices {
         let zone = zones.iter_mut().find(|(zone, allowed)| *zone == choice.zone && *allowed > 0);
         let Some((_, allowed)) = zone else { continue };
@@ -123,16 +124,16 @@
         *allowed -= slots;
         remaining -= slots;
         plan.cost += choice.cost;
-        plan.clearings.push(choice.clearing.clone());
+        plan.targets.push(choice.target.clone());
         if remaining == 0 {
             break;
         }
     }
-    (remaining == 0 || !wanted.gang).then_some(plan)
+    (remaining == 0 || !request.gang).then_some(plan)
 }
 
 /// The tasks that leave the machine so that `need` fits; `None` if it doesn't fit even without all victims.
-fn least_loss(candidate: &Candidate, need: &Resources) -> Option<Eviction> {
+fn least_loss(candidate: &Candidate, need: &Resources) -> Option<VictimSet> {
     let mut by_loss: Vec<&Victim> = candidate.victims.iter().collect();
     by_loss.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
     let mut free = candidate.free;
@@ -160,7 +161,7 @@
         !unnecessary
     });
     let victims: Vec<TaskId> = leaving.into_iter().map(|victim| victim.task.clone()).collect();
-    (!victims.is_empty()).then_some(Eviction { loss_s, victims })
+    (!victims.is_empty()).then_some(VictimSet { loss_s, victims })
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/preemption/tests.rs
+++ b/crates/scheduler/src/preemption/tests.rs
@@ -29,14 +29,15 @@
         candidate("d", 0.0, &[(1.0, 0.1)], 0.0),
     ];
     let zones = [("x".into(), 9), ("y".into(), 9)];
-    let wanted = |tasks, gang, together| Wanted { resources: &need, tasks, gang, together, zones: &zones };
-    let one = choose(all.clone(), &wanted(1, false, false));
+    let request =
+        |tasks, gang, together| PreemptionRequest { resources: &need, tasks, gang, together, zones: &zones };
+    let one = choose(all.clone(), &request(1, false, false));
     assert_eq!(one.len(), 1);
     assert_eq!((one[0].machine.as_str(), one[0].victims.len(), one[0].victims[0].index), ("b", 1, 1));
-    assert_eq!(choose(all.clone(), &wanted(9, false, false)).len(), 3, "as many as there are");
-    assert!(choose(all.clone(), &wanted(4, true, false)).is_empty(), "a gang: all or none");
-    let gang = choose(all, &wanted(2, true, true));
-    let machines: Vec<&str> = gang.iter().map(|clearing| clearing.machine.as_str()).collect();
+    assert_eq!(choose(all.clone(), &request(9, false, false)).len(), 3, "as many as there are");
+    assert!(choose(all.clone(), &request(4, true, false)).is_empty(), "a gang: all or none");
+    let gang = choose(all, &request(2, true, true));
+    let machines: Vec<&str> = gang.iter().map(|target| target.machine.as_str()).collect();
     assert_eq!(machines, ["b", "a"], "all of it fits, in one zone");
 }
 
@@ -46,8 +47,8 @@
     let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
     let all = vec![candidate("a", 2.0, &[], 0.0), candidate("b", 0.0, &[(2.0, 3.0)], 0.0)];
     let zones = [("x".into(), 9)];
-    let wanted = Wanted { resources: &need, tasks: 2, gang: true, together: true, zones: &zones };
-    let clearings = choose(all, &wanted);
-    let victims = |clearing: &Clearing| (clearing.machine.to_string(), clearing.victims.len());
-    assert_eq!(clearings.iter().map(victims).collect::<Vec<_>>(), [("a".into(), 0), ("b".into(), 1)]);
+    let request = PreemptionRequest { resources: &need, tasks: 2, gang: true, together: true, zones: &zones };
+    let targets = choose(all, &request);
+    let victims = |target: &PreemptionTarget| (target.machine.to_string(), target.victims.len());
+    assert_eq!(targets.iter().map(victims).collect::<Vec<_>>(), [("a".into(), 0), ("b".into(), 1)]);
 }
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -247,8 +247,8 @@
         spread: submission.spread,
         spot: submission.preemptible,
         estimate: duration("expected_s", submission.expected_s)?,
-        checkpoint: duration("snapshot_every_s", submission.snapshot_every_s)?,
-        save: duration("snapshot_s", submission.snapshot_s)?,
+        checkpoint_interval: duration("snapshot_every_s", submission.snapshot_every_s)?,
+        checkpoint_duration: duration("snapshot_s", submission.snapshot_s)?,
         deadline: submission.due_s.map(|due_s| duration("due_s", due_s)).transpose()?,
         needs,
     })
@@ -283,8 +283,8 @@
         spread: spec.spread,
         preemptible: spec.spot,
         expected_s: spec.estimate.as_secs_f64(),
-        snapshot_every_s: spec.checkpoint.as_secs_f64(),
-        snapshot_s: spec.save.as_secs_f64(),
+        snapshot_every_s: spec.checkpoint_interval.as_secs_f64(),
+        snapshot_s: spec.checkpoint_duration.as_secs_f64(),
         due_s: spec.deadline.map(Duration::as_secs_f64),
         awaits: match spec.needs.as_slice() {
             [] => serde_json::Value::Null,
--- a/crates/scheduler/src/wire/users/golden.rs
+++ b/crates/scheduler/src/wire/users/golden.rs
@@ -19,8 +19,8 @@
         spread: false,
         spot: true,
         estimate: Duration::from_millis(240_500),
-        checkpoint: Duration::from_millis(30_500),
-        save: Duration::from_millis(4_500),
+        checkpoint_interval: Duration::from_millis(30_500),
+        checkpoint_duration: Duration::from_millis(4_500),
         deadline: Some(Duration::from_millis(900_500)),
         needs: vec!["req-000001".into(), "req-000002".into()],
     }
