--- a/crates/scheduler/src/peer_messages/golden.rs
+++ b/crates/scheduler/src/peer_messages/golden.rs
@@ -24,7 +24,7 @@
 
 fn success_counts() -> SuccessCounts {
     let mut success_counts = SuccessCounts::default();
-    placement_outcomes().iter().for_each(|outcome| success_counts.learn(outcome));
+    placement_outcomes().iter().for_each(|outcome| success_counts.record(outcome));
     success_counts
 }
 
