--- a/crates/nomad/src/api/cluster_info.rs
+++ b/crates/nomad/src/api/cluster_info.rs
@@ -22,7 +22,7 @@
     match info {
         ClusterInfo::Namespaces => namespaces(view, settings),
         ClusterInfo::Leader => {
-            let address = view.leads.map(|_| view.settings.api_addr.to_string()).unwrap_or_default();
+            let address = view.leadership.map(|_| view.settings.api_addr.to_string()).unwrap_or_default();
             Reply::json(status::OK, None, &json!(address))
         }
         ClusterInfo::Peers => peers(view),
--- a/crates/nomad/src/api/machines.rs
+++ b/crates/nomad/src/api/machines.rs
@@ -50,7 +50,7 @@
             Scope::One(id) if !is_name(id) => Machines::One("-".into()),
             Scope::One(id) => Machines::One(id.as_str().into()),
             Scope::Page { after, most, .. } => {
-                Machines::Page { after: after.clone(), most: u32::try_from(*most).unwrap_or(1) }
+                Machines::Page { after: after.clone(), limit: u32::try_from(*most).unwrap_or(1) }
             }
         }
     }
--- a/crates/nomad/src/api/maintenance.rs
+++ b/crates/nomad/src/api/maintenance.rs
@@ -8,7 +8,7 @@
 use crate::decode;
 use crate::fault::Faults;
 use crate::translate::{Context, Job, translate};
-use pearford_scheduler::extension::{Action, Outcome, Share, View};
+use pearford_scheduler::extension::{Action, Outcome, View, WriteBudget};
 use pearford_scheduler::types::{Duration, FencingToken, MonotonicTime, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,13 +73,13 @@
         context: &dyn Fn() -> Context,
         tag: u64,
     ) -> Option<Action> {
-        if self.fencing_token != view.leads {
+        if self.fencing_token != view.leadership {
             // What an earlier leader saw counts for nothing: health is counted anew.
-            self.fencing_token = view.leads;
+            self.fencing_token = view.leadership;
             self.health.clear();
             self.committing = None;
         }
-        if view.leads.is_none() || self.committing.is_some() || view.now < self.next {
+        if view.leadership.is_none() || self.committing.is_some() || view.now < self.next {
             return None;
         }
         self.next = view.now + INTERVAL;
@@ -107,7 +107,7 @@
         }
         let Writes { conditions, changes } = writes.or_else(|| self.tidy(view))?;
         self.committing = Some(tag);
-        Some(Action::Commit { tag, share: Share::Upkeep, conditions, changes })
+        Some(Action::Commit { tag, budget: WriteBudget::Maintenance, conditions, changes })
     }
 
     fn tidy(&mut self, view: &View<'_>) -> Option<Writes> {
--- a/crates/nomad/src/api/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -7,7 +7,7 @@
 use super::writes::Writes;
 use super::{NomadApi, Waiting, answers, ids};
 use crate::translate::Job;
-use pearford_scheduler::extension::{Action, Outcome, Share, View};
+use pearford_scheduler::extension::{Action, Outcome, View, WriteBudget};
 use pearford_scheduler::types::RequestId;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -118,7 +118,7 @@
                 let tag = self.next_tag();
                 self.waiting.insert(tag, Waiting::Committing(write));
                 let Writes { conditions, changes } = writes;
-                vec![Action::Commit { tag, share: Share::Users, conditions, changes }]
+                vec![Action::Commit { tag, budget: WriteBudget::Users, conditions, changes }]
             }
         }
     }
--- a/crates/scheduler/src/cluster_version/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -134,7 +134,7 @@
             return Some(self.raise_request(common_level, fencing_token));
         }
         self.under_way = Some(Step::Read);
-        Some(StoreRequest::Range { prefix: PREFIX, after: None, most: PAGE })
+        Some(StoreRequest::Range { prefix: PREFIX, after: None, limit: PAGE })
     }
 
     /// The highest level that all configured nodes, and this program, understand.
--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -253,7 +253,7 @@
 
     fn request_lease(&mut self, now: MonotonicTime, replaces: Revision) -> ElectionStep {
         self.state = CampaignState::GrantingLease { sent: now, replaces };
-        ElectionStep::request(StoreRequest::GrantLease { life_ms: self.lease_duration.0 })
+        ElectionStep::request(StoreRequest::GrantLease { ttl_ms: self.lease_duration.0 })
     }
 
     fn lease_granted(&mut self, sent: MonotonicTime, replaces: Revision, reply: StoreReply) -> ElectionStep {
--- a/crates/scheduler/src/extension/mod.rs
+++ b/crates/scheduler/src/extension/mod.rs
@@ -33,7 +33,7 @@
     /// This node's copy of the extension's own records.
     pub records: &'a Records,
     /// The fencing token by which this node leads with a valid lease; `None` if it does not.
-    pub leads: Option<FencingToken>,
+    pub leadership: Option<FencingToken>,
     /// What every submission is checked by, whichever API it comes through.
     pub admission: Admission<'a>,
     pub(crate) task_counts: &'a dyn Fn(&JobId) -> Option<TaskCounts>,
@@ -155,7 +155,7 @@
         /// The last machine of the page before; `None` for the first page.
         after: Option<MachineId>,
         /// Machines in the page, at most.
-        most: u32,
+        limit: u32,
     },
 }
 
@@ -179,11 +179,11 @@
 
 /// Whose write budget a commit takes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Share {
+pub enum WriteBudget {
     /// The users' budget, as for submissions.
     Users,
     /// What the leader can spare. The commit is conditional on this node's leadership.
-    Upkeep,
+    Maintenance,
 }
 
 /// What an extension wants done.
@@ -207,7 +207,7 @@
         /// Identifies the commit in [`Input::Committed`].
         tag: u64,
         /// Whose budget it takes from.
-        share: Share,
+        budget: WriteBudget,
         /// Keys, and the revisions that they must have; 0 for a key that must not exist.
         conditions: Vec<(String, Revision)>,
         /// The changes.
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -4,7 +4,8 @@
 use crate::assignments;
 use crate::election;
 use crate::extension::{
-    Action, Call, Extension, Input, MachinePage, Machines, Outcome, RecordedMachine, Records, Share, View,
+    Action, Call, Extension, Input, MachinePage, Machines, Outcome, RecordedMachine, Records, View,
+    WriteBudget,
 };
 use crate::jobs;
 use crate::node::Effect;
@@ -205,7 +206,7 @@
             settings: &self.settings,
             jobs: &self.job_cache,
             records: &self.extensions[slot].records,
-            leads: fencing_token.filter(|_| leader.is_some()),
+            leadership: fencing_token.filter(|_| leader.is_some()),
             admission: self.admission(),
             task_counts: &|id| self.counts_of(id),
             waiting: &|id| leader.and_then(|leader| leader.waiting_task_count(id)),
@@ -228,8 +229,8 @@
                 self.extensions[slot].reads.push(read);
             }
             Action::Machines { tag, which } => self.read_machines(slot, tag, which),
-            Action::Commit { tag, share, conditions, changes } => {
-                self.commit_for_extension(slot, tag, share, conditions, changes);
+            Action::Commit { tag, budget, conditions, changes } => {
+                self.commit_for_extension(slot, tag, budget, conditions, changes);
             }
         }
     }
@@ -240,10 +241,10 @@
         }
         let request = match which {
             Machines::One(id) => StoreRequest::Get { key: assignments::key(&id) },
-            Machines::Page { after, most } => StoreRequest::Range {
+            Machines::Page { after, limit } => StoreRequest::Range {
                 prefix: assignments::PREFIX,
                 after: after.map(|id| assignments::key(&id)),
-                most,
+                limit,
             },
         };
         self.out.request_store(request, Pending::ExtensionMachines { slot, tag });
@@ -268,14 +269,14 @@
         &mut self,
         slot: usize,
         tag: u64,
-        share: Share,
+        budget: WriteBudget,
         mut conditions: Vec<(String, Revision)>,
         changes: Vec<Change>,
     ) {
         let now = self.now;
-        let within_budget = match share {
-            Share::Users => self.user_writes.take(changes.len() as f64, now),
-            Share::Upkeep => {
+        let within_budget = match budget {
+            WriteBudget::Users => self.user_writes.take(changes.len() as f64, now),
+            WriteBudget::Maintenance => {
                 conditions.push((election::LEADER_KEY.into(), Revision(self.election.fencing_token().0)));
                 self.election.valid(now)
                     && self.leader.as_mut().is_some_and(|leader| leader.take_spare_writes(changes.len(), now))
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -98,7 +98,7 @@
         {
             return;
         }
-        let request = StoreRequest::Range { prefix: COUNTS_PREFIX, after: None, most: SUCCESS_COUNTS_PAGE };
+        let request = StoreRequest::Range { prefix: COUNTS_PREFIX, after: None, limit: SUCCESS_COUNTS_PAGE };
         self.out.request_store(request, Pending::SuccessCounts);
     }
 
--- a/crates/scheduler/src/node/leader/cloud_calls.rs
+++ b/crates/scheduler/src/node/leader/cloud_calls.rs
@@ -141,7 +141,7 @@
     }
 
     fn send_listing(&mut self, context: &mut StepContext, after: Option<MachineId>) {
-        let request = CloudRequest::List { after, most: LIST_PAGE_SIZE };
+        let request = CloudRequest::List { after, limit: LIST_PAGE_SIZE };
         self.send(context, PlannedCall { request, call: CloudCall::List });
     }
 }
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -96,7 +96,7 @@
             return;
         }
         self.isolation.next_read = context.now + READ_INTERVAL;
-        let request = StoreRequest::Range { prefix: PREFIX, after: None, most: MAX_REPORTS };
+        let request = StoreRequest::Range { prefix: PREFIX, after: None, limit: MAX_REPORTS };
         context
             .outbox
             .request_store(request, Pending::Leader(self.fencing_token, LeaderRequest::IsolationReports));
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -97,7 +97,7 @@
     }
 
     fn load_page(&self, context: &mut StepContext, kind: RecordKind, after: Option<String>) {
-        let request = StoreRequest::Range { prefix: kind.prefix(), after, most: PAGE_SIZE };
+        let request = StoreRequest::Range { prefix: kind.prefix(), after, limit: PAGE_SIZE };
         context.outbox.request_store(request, Pending::Leader(self.fencing_token, kind.request()));
     }
 
--- a/crates/scheduler/src/node/prefix_watcher.rs
+++ b/crates/scheduler/src/node/prefix_watcher.rs
@@ -157,7 +157,7 @@
 
     fn read_page(&mut self, after: Option<String>, first_store_revision: Option<u64>, out: &mut Outbox) {
         self.listing = true;
-        let request = StoreRequest::Range { prefix: self.prefix, after, most: PAGE_SIZE };
+        let request = StoreRequest::Range { prefix: self.prefix, after, limit: PAGE_SIZE };
         out.request_store(request, Pending::PrefixRead(self.watched, Read::Page { first_store_revision }));
     }
 
--- a/crates/scheduler/src/settings/golden.rs
+++ b/crates/scheduler/src/settings/golden.rs
@@ -28,7 +28,7 @@
 fn golden_platform_facts() {
     let s = settings();
     assert_eq!(s.zones, ["z0".into(), "z1".into()]);
-    assert_eq!(s.time_bound, Duration::from_millis(5));
+    assert_eq!(s.max_clock_difference, Duration::from_millis(5));
     let team = &s.teams[&TeamName::from("red")];
     assert_eq!(team.name, "red".into());
     assert_eq!((team.guaranteed_cpus, team.max_cpus), (Some(1.5), Some(2.5)));
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -64,7 +64,7 @@
     /// The zones that machines may be in.
     pub zones: Vec<Zone>,
     /// By how much the clocks of two nodes may differ.
-    pub time_bound: Duration,
+    pub max_clock_difference: Duration,
     /// The teams, by name.
     pub teams: BTreeMap<TeamName, Team>,
     /// What the users expect of classes of jobs.
--- a/crates/scheduler/src/settings/platform.rs
+++ b/crates/scheduler/src/settings/platform.rs
@@ -98,7 +98,9 @@
             cloud_addr: checker.address("outside.cloud", &self.outside.cloud),
             state_addr: checker.address("outside.state", &self.outside.state),
             zones: facts.zones.iter().map(|zone| zone.as_str().into()).collect(),
-            time_bound: Duration::from_millis(facts.time_bound_ms.clamp(0.0, MAX_TIME_BOUND_MS).ceil() as u64),
+            max_clock_difference: Duration::from_millis(
+                facts.time_bound_ms.clamp(0.0, MAX_TIME_BOUND_MS).ceil() as u64,
+            ),
             teams,
             objectives: facts.objectives,
             workers: facts.workers,
--- a/crates/scheduler/src/simulation/cloud.rs
+++ b/crates/scheduler/src/simulation/cloud.rs
@@ -100,7 +100,7 @@
                 machines.iter().for_each(|id| self.release_machine(id));
                 CloudReply::Released
             }
-            CloudRequest::List { after, most } => self.list_machines(after.as_ref(), most as usize),
+            CloudRequest::List { after, limit } => self.list_machines(after.as_ref(), limit as usize),
         }
     }
 
--- a/crates/scheduler/src/simulation/store.rs
+++ b/crates/scheduler/src/simulation/store.rs
@@ -248,14 +248,14 @@
                 Some(stored) => StoreReply::Found(stored.pair(key)),
                 None => StoreReply::Missing { store_revision: self.store_revision },
             },
-            StoreRequest::Range { prefix, after, most } => {
-                self.range(prefix, after.as_deref().unwrap_or_default(), most as usize)
+            StoreRequest::Range { prefix, after, limit } => {
+                self.range(prefix, after.as_deref().unwrap_or_default(), limit as usize)
             }
             StoreRequest::Commit { conditions, changes } => self.commit(&conditions, changes),
-            StoreRequest::GrantLease { life_ms } => {
+            StoreRequest::GrantLease { ttl_ms } => {
                 self.last_id += 1;
                 let lease = LeaseId(self.last_id);
-                self.leases.insert(lease, Lease { ends: now + life_ms, ttl_ms: life_ms });
+                self.leases.insert(lease, Lease { ends: now + ttl_ms, ttl_ms });
                 StoreReply::LeaseGranted(lease)
             }
             StoreRequest::RenewLease { lease } => match self.leases.get_mut(&lease) {
--- a/crates/scheduler/src/wire/cloud.rs
+++ b/crates/scheduler/src/wire/cloud.rs
@@ -126,7 +126,7 @@
         /// Only machines after this one.
         after: Option<MachineId>,
         /// Most machines in the answer.
-        most: u32,
+        limit: u32,
     },
 }
 
@@ -204,10 +204,10 @@
             CloudRequest::Release { machines } => {
                 HttpRequest::post("/machines/release", write(&ReleaseBody { hosts: machines }))
             }
-            CloudRequest::List { after, most } => {
+            CloudRequest::List { after, limit } => {
                 let path = match after {
-                    Some(id) => format!("/machines?from={id}&most={most}"),
-                    None => format!("/machines?most={most}"),
+                    Some(id) => format!("/machines?from={id}&most={limit}"),
+                    None => format!("/machines?most={limit}"),
                 };
                 HttpRequest::get(path)
             }
--- a/crates/scheduler/src/wire/cloud/golden.rs
+++ b/crates/scheduler/src/wire/cloud/golden.rs
@@ -19,7 +19,7 @@
     CloudRequest::Release { machines: vec!["m-1".into(), "m-2".into()] }
 }
 fn list(after: Option<MachineId>) -> CloudRequest {
-    CloudRequest::List { after, most: 500 }
+    CloudRequest::List { after, limit: 500 }
 }
 
 #[test]
--- a/crates/scheduler/src/wire/state.rs
+++ b/crates/scheduler/src/wire/state.rs
@@ -67,7 +67,7 @@
         /// Only keys after this one.
         after: Option<String>,
         /// Most keys in the answer.
-        most: u32,
+        limit: u32,
     },
     /// Make all changes if all conditions hold, else none.
     Commit {
@@ -79,7 +79,7 @@
     /// Make a lease.
     GrantLease {
         /// How many ms it lives unless it is renewed.
-        life_ms: u64,
+        ttl_ms: u64,
     },
     /// Start a lease's life anew.
     RenewLease {
@@ -264,15 +264,15 @@
     pub fn http(&self) -> HttpRequest {
         match self {
             StoreRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
-            StoreRequest::Range { prefix, after, most } => {
+            StoreRequest::Range { prefix, after, limit } => {
                 let after = after.as_ref().map(|after| format!("&from={after}")).unwrap_or_default();
-                HttpRequest::get(format!("/kv?under={prefix}{after}&most={most}"))
+                HttpRequest::get(format!("/kv?under={prefix}{after}&most={limit}"))
             }
             StoreRequest::Commit { conditions, changes } => {
                 HttpRequest::post("/multi", commit_body(conditions, changes))
             }
-            StoreRequest::GrantLease { life_ms } => {
-                HttpRequest::post("/grants", format!("{{\"life_ms\":{life_ms}}}").into_bytes())
+            StoreRequest::GrantLease { ttl_ms } => {
+                HttpRequest::post("/grants", format!("{{\"life_ms\":{ttl_ms}}}").into_bytes())
             }
             StoreRequest::RenewLease { lease } => {
                 HttpRequest::post(format!("/grants/{lease}/renew"), b"{}".to_vec())
--- a/crates/scheduler/src/wire/state/golden.rs
+++ b/crates/scheduler/src/wire/state/golden.rs
@@ -10,7 +10,7 @@
     StoreRequest::Get { key: "leader".into() }
 }
 fn range(after: Option<String>) -> StoreRequest {
-    StoreRequest::Range { prefix: "j/", after, most: 500 }
+    StoreRequest::Range { prefix: "j/", after, limit: 500 }
 }
 fn commit() -> StoreRequest {
     let put = |key: &str, lease| Change::Put { key: key.into(), value: "{\"x\":[1, 2]}".into(), lease };
@@ -24,7 +24,7 @@
     }
 }
 fn grant() -> StoreRequest {
-    StoreRequest::GrantLease { life_ms: 4000 }
+    StoreRequest::GrantLease { ttl_ms: 4000 }
 }
 fn renew() -> StoreRequest {
     StoreRequest::RenewLease { lease: LeaseId(77) }
