--- a/crates/scheduler/src/cluster_version/mod.rs
+++ b/crates/scheduler/src/cluster_version/mod.rs
@@ -135,7 +135,7 @@
             return Some(self.raise_request(common_level, fencing_token));
         }
         self.in_flight = Some(Step::Read);
-        Some(StoreRequest::Range { prefix: PREFIX, after: None, most: MAX_KEYS_PER_READ })
+        Some(StoreRequest::Range { prefix: PREFIX, after: None, limit: MAX_KEYS_PER_READ })
     }
 
     /// The highest level that all configured nodes and this program understand.
