--- a/crates/nomad/benches/rollouts.rs
+++ b/crates/nomad/benches/rollouts.rs
@@ -18,7 +18,7 @@
 
 /// Plays an hour with services of `count` replicas; gives rolls and changes under both prefixes.
 fn play(count: u32) -> (u64, usize, usize, u64) {
-    let mut w = Simulation::new(5).with_feature(api);
+    let mut w = Simulation::new(5).with_extension(api);
     w.run_until(5_000);
     let (mut rollouts, mut refused, mut run) = (0, 0, 0);
     while w.now < HOUR_MS {
--- a/crates/nomad/src/api/tests/golden.rs
+++ b/crates/nomad/src/api/tests/golden.rs
@@ -47,7 +47,7 @@
 
 /// A world in which a service of two replicas runs.
 fn with_a_service() -> Simulation {
-    let mut w = Simulation::new(5).with_feature(api);
+    let mut w = Simulation::new(5).with_extension(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
     answer(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &service), 200);
--- a/crates/nomad/src/api/tests/histories.rs
+++ b/crates/nomad/src/api/tests/histories.rs
@@ -105,7 +105,7 @@
 
 impl Play {
     fn new(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Self {
-        let mut w = Simulation::new(seed).with_feature(api);
+        let mut w = Simulation::new(seed).with_extension(api);
         faults(&mut w);
         let mut rng = StdRng::seed_from_u64(seed);
         let users = users(&mut rng);
--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -8,7 +8,7 @@
 
 /// A world with a leader, a job, and no more that happens by itself.
 fn world() -> Simulation {
-    let mut w = Simulation::new(77).with_feature(api);
+    let mut w = Simulation::new(77).with_extension(api);
     w.run_until(6_000);
     w.call(
         0,
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn every_node_lists_the_machines_that_hold_tasks_and_what_they_hold() {
-    let mut w = Simulation::new(5).with_feature(api);
+    let mut w = Simulation::new(5).with_extension(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
     w.call(0, 1, call(Verb::Post, "/v1/jobs", "namespace=red", &service));
@@ -60,7 +60,7 @@
 /// Each read may bring half a megabyte of records to a small node.
 #[test]
 fn machines_are_read_a_few_times_a_second_at_most() {
-    let mut w = Simulation::new(5).with_feature(api);
+    let mut w = Simulation::new(5).with_extension(api);
     w.run_until(6_000);
     for tag in 0..50 {
         w.call(0, tag, call(Verb::Get, "/v1/nodes", "", &Value::Null));
--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -72,7 +72,7 @@
 
 /// Plays a day; every submission is repeated at other nodes until it is accepted.
 fn starts(seed: u64, through_api: bool, troubled: bool, change: fn(&mut Value)) -> Vec<Start> {
-    let mut w = Simulation::new(seed).with_feature(api);
+    let mut w = Simulation::new(seed).with_extension(api);
     if troubled {
         troubles(&mut w);
     }
--- a/crates/nomad/src/api/tests/rollouts.rs
+++ b/crates/nomad/src/api/tests/rollouts.rs
@@ -39,7 +39,7 @@
 
     fn begin(seed: u64, count: u32, edit: impl Fn(&mut Value)) -> Self {
         let mut roll =
-            Rollout { w: Simulation::new(seed).with_feature(api), name: "quotes", fewest: 0, most: 0 };
+            Rollout { w: Simulation::new(seed).with_extension(api), name: "quotes", fewest: 0, most: 0 };
         roll.w.run_until(6_000);
         let job = roll.file(count, 0, &edit);
         assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
--- a/crates/scheduler/src/simulation/cloud.rs
+++ b/crates/scheduler/src/simulation/cloud.rs
@@ -42,9 +42,9 @@
     /// Every request is refused.
     pub outage: bool,
     /// Machines rented out for one request at most, if more than 4.
-    pub generous: u32,
+    pub max_machines_per_request: u32,
     /// Injected fault: answers 200 to a release and leaves the machine running.
-    pub lazy: bool,
+    pub ignores_releases: bool,
 }
 
 /// The machine types that the cloud offers.
@@ -90,7 +90,7 @@
                 if self.rng.random_bool(NO_CAPACITY_SHARE) {
                     return CloudReply::NoCapacity;
                 }
-                let number = number.min(self.cloud.generous.max(LEAST_RENTED_AT_ONCE));
+                let number = number.min(self.cloud.max_machines_per_request.max(LEAST_RENTED_AT_ONCE));
                 let ids: Vec<MachineId> =
                     (0..number).map(|_| self.rent_machine(&type_name, &zone, spot)).collect();
                 self.cloud.claims.insert(claim, ids.clone());
@@ -130,7 +130,7 @@
         if self.is_at_work(machine) {
             self.needless.push(format!("at {now} ms: {id} is returned with work on it"));
         }
-        if !self.cloud.lazy {
+        if !self.cloud.ignores_releases {
             self.machine_ends(machine);
         }
     }
--- a/crates/scheduler/src/simulation/combined_faults.rs
+++ b/crates/scheduler/src/simulation/combined_faults.rs
@@ -70,7 +70,7 @@
         "done answered early"
     );
     assert!(
-        !broken(&|simulation| simulation.state.careless = true).is_empty(),
+        !broken(&|simulation| simulation.state.ignores_conditions = true).is_empty(),
         "late transactions without conditions"
     );
 }
--- a/crates/scheduler/src/simulation/days/combined_faults.rs
+++ b/crates/scheduler/src/simulation/days/combined_faults.rs
@@ -85,7 +85,7 @@
             let ms = simulation.rng.random_range(200..4_000);
             schedule_period(simulation, from, to, Fault::SlowStore(ms), Fault::SlowStore(0));
         }
-        DrawnFault::LeaderEnds => schedule_fault(simulation, from, Fault::Leader(LeaderFault::Ends, 0)),
+        DrawnFault::LeaderEnds => schedule_fault(simulation, from, Fault::Leader(LeaderFault::Crashes, 0)),
         DrawnFault::LeaderIsolated => {
             schedule_fault(simulation, from, Fault::Leader(LeaderFault::Isolated, to - from));
         }
@@ -130,7 +130,7 @@
         if simulation.rng.random_bool(0.2) {
             crash_all_nodes(simulation, at);
         } else {
-            schedule_fault(simulation, at, Fault::Leader(LeaderFault::Ends, 0));
+            schedule_fault(simulation, at, Fault::Leader(LeaderFault::Crashes, 0));
         }
         at += simulation.rng_ms(2_000, 12_000);
     }
@@ -184,7 +184,7 @@
     let mut drawn = Vec::new();
     let simulation = day(seed, |simulation| {
         simulation.keeps_images = true;
-        simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
+        simulation.restart_delay_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
         simulation.drift_ppm = vec![500, -500, 0];
         add_short_jobs(simulation);
         for part in [10_000..45_000, 48_000..TROUBLE_ENDS - 1_000] {
--- a/crates/scheduler/src/simulation/days/directed/mod.rs
+++ b/crates/scheduler/src/simulation/days/directed/mod.rs
@@ -51,7 +51,7 @@
         name: "only the answer of a transaction is lost",
         day: scenarios::lost_answers,
         occurrences: &[("only the answer lost", 1), ("a close read after the terminal status", 1)],
-        without: |simulation| simulation.state.careless = true,
+        without: |simulation| simulation.state.ignores_conditions = true,
     },
     Row {
         name: "every team at its limit",
--- a/crates/scheduler/src/simulation/days/directed/scenarios.rs
+++ b/crates/scheduler/src/simulation/days/directed/scenarios.rs
@@ -7,10 +7,10 @@
 
 /// Leaders end every so often, and are back within a fraction of a second on every second seed.
 fn leaders_end(simulation: &mut Simulation, seed: u64, from: u64, to: u64, every: u64) {
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
+    simulation.restart_delay_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     let mut ms = from;
     while ms < to {
-        schedule_fault(simulation, ms, Fault::Leader(LeaderFault::Ends, 0));
+        schedule_fault(simulation, ms, Fault::Leader(LeaderFault::Crashes, 0));
         ms += simulation.rng_ms(every / 2, every * 3 / 2);
     }
 }
@@ -77,8 +77,8 @@
 
 /// Every team is at its limit; many jobs are cancelled while their machines hang or can't be asked, and the leader ends.
 pub(super) fn full_teams(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 6);
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
+    let mut simulation = Simulation::with_nodes(seed, NODES, 6);
+    simulation.restart_delay_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     for number in 0..40 {
         let mut body = job(number, "array", 1);
         body["expected_s"] = simulation.rng.random_range(15.0..30.0).into();
@@ -91,7 +91,7 @@
         schedule_fault(&mut simulation, ms, Fault::CancelNow(5, 13_000));
         (0..3).for_each(|_| schedule_fault(&mut simulation, ms - 200, Fault::CommandsLost(12_000)));
         let ends = ms + simulation.rng_ms(0, 4_000);
-        schedule_fault(&mut simulation, ends, Fault::Leader(LeaderFault::Ends, 0));
+        schedule_fault(&mut simulation, ends, Fault::Leader(LeaderFault::Crashes, 0));
     }
     simulation
 }
@@ -151,8 +151,8 @@
 
 /// One-task jobs, four a second for over a minute, a quarter of them cancelled.
 pub(super) fn small_jobs(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 60);
-    simulation.cloud.generous = 12;
+    let mut simulation = Simulation::with_nodes(seed, NODES, 60);
+    simulation.cloud.max_machines_per_request = 12;
     for number in 0..280 {
         let mut body = job(number, "array", 1);
         body["expected_s"] = 2.0.into();
@@ -197,14 +197,14 @@
         stream(simulation, 20, 30, 75_000, 0.3);
         machines_fail(simulation, 3);
     });
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
+    simulation.restart_delay_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     schedule_fault(&mut simulation, 20_000, Fault::AllHeartbeatsLost(25_000));
-    schedule_fault(&mut simulation, 22_000, Fault::Leader(LeaderFault::Ends, 0));
+    schedule_fault(&mut simulation, 22_000, Fault::Leader(LeaderFault::Crashes, 0));
     schedule_fault(&mut simulation, 26_000, Fault::CancelNow(6, 10_000));
     (0..5).for_each(|repetition| {
         schedule_fault(&mut simulation, 52_000 + 10 * repetition, Fault::HeartbeatsLost(30_000));
     });
-    schedule_fault(&mut simulation, 60_000, Fault::Leader(LeaderFault::Ends, 0));
+    schedule_fault(&mut simulation, 60_000, Fault::Leader(LeaderFault::Crashes, 0));
     simulation
 }
 
@@ -231,8 +231,8 @@
 
 /// Far more work than resources, urgent and not, over slow links; and odd requests all along.
 pub(super) fn overload(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 8);
-    simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
+    let mut simulation = Simulation::with_nodes(seed, NODES, 8);
+    simulation.restart_delay_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     for number in 0..80 {
         let mut body = job(number, ["array", "ensemble", "array"][number % 3], 1 + number as u32 % 4);
         body["urgency"] = ["urgent", "idle", "normal", "production"][number % 4].into();
@@ -249,7 +249,7 @@
 
 /// Jobs bound to one zone, arrays too, lose machines there.
 pub(super) fn bound_to_a_zone(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 40);
+    let mut simulation = Simulation::with_nodes(seed, NODES, 40);
     for number in 0..20 {
         let mut body = job(number, ["array", "daemon", "ensemble"][number % 3], 3);
         body["region"] = ["z0", "z1"][number % 2].into();
@@ -279,7 +279,7 @@
     simulation.run_until(25_000);
     cut_zone(&mut simulation, seed as usize % NODES, true);
     schedule_fault(&mut simulation, 27_000, Fault::CancelNow(6, 0));
-    schedule_fault(&mut simulation, 40_000, Fault::Leader(LeaderFault::Ends, 0));
+    schedule_fault(&mut simulation, 40_000, Fault::Leader(LeaderFault::Crashes, 0));
     simulation.run_until(70_000);
     simulation.count("a zone cut off");
     cut_zone(&mut simulation, seed as usize % NODES, false);
@@ -292,7 +292,7 @@
         stream(simulation, 20, 30, 70_000, 0.3);
         machines_fail(simulation, 3);
     });
-    simulation.away_ms = 19_000..30_000;
+    simulation.restart_delay_ms = 19_000..30_000;
     for node in 0..NODES {
         schedule_fault(&mut simulation, 25_000 + 40 * node as u64, Fault::Crash(node));
     }
--- a/crates/scheduler/src/simulation/days/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/days/isolated_leader.rs
@@ -9,8 +9,8 @@
 
 /// Clocks at the ends of their drift, and images that stay where they are.
 fn drifting_simulation(seed: u64, gpus: u32) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, gpus);
-    simulation.cloud.generous = 30;
+    let mut simulation = Simulation::with_nodes(seed, NODES, gpus);
+    simulation.cloud.max_machines_per_request = 30;
     simulation.keeps_images = true;
     simulation.drift_ppm =
         (0..NODES as u64).map(|node| if (seed >> node) & 1 == 0 { -500 } else { 500 }).collect();
@@ -64,7 +64,7 @@
     let lasts_ms = simulation.rng_ms(2_000, 20_000);
     let fault = match simulation.rng.random_range(0..4) {
         0 => LeaderFault::Isolated,
-        1 => LeaderFault::Ends,
+        1 => LeaderFault::Crashes,
         _ => LeaderFault::Refused,
     };
     schedule_fault(simulation, at_ms, Fault::Leader(fault, lasts_ms));
@@ -72,7 +72,7 @@
 
 /// A change of the leader, all nodes ending, or a slow key-value store in the midst.
 fn disturb_takeover(simulation: &mut Simulation, first: u64) {
-    simulation.away_ms = if simulation.rng.random_bool(0.5) { 20..300 } else { 1_000..9_000 };
+    simulation.restart_delay_ms = if simulation.rng.random_bool(0.5) { 20..300 } else { 1_000..9_000 };
     let at = simulation.rng_ms(first, first + 8_000);
     match simulation.rng.random_range(0..4) {
         0 => {
@@ -80,7 +80,7 @@
                 schedule_fault(simulation, at + 30 * node as u64, Fault::Crash(node));
             }
         }
-        1 => schedule_fault(simulation, at, Fault::Leader(LeaderFault::Ends, 0)),
+        1 => schedule_fault(simulation, at, Fault::Leader(LeaderFault::Crashes, 0)),
         2 => {
             let slow_ms = simulation.rng.random_range(100..2_500);
             schedule_period(simulation, at, at + 20_000, Fault::SlowStore(slow_ms), Fault::SlowStore(0));
--- a/crates/scheduler/src/simulation/days/kinds.rs
+++ b/crates/scheduler/src/simulation/days/kinds.rs
@@ -184,8 +184,10 @@
             simulation.injected_fault =
                 Some(|controller, _| controller.disable_check(DisabledCheck::TaskCompletion));
         }),
-        DayKind::with_fault_injected("lazy-cloud", |simulation| simulation.cloud.lazy = true),
-        DayKind::with_fault_injected("careless-state", |simulation| simulation.state.careless = true),
+        DayKind::with_fault_injected("lazy-cloud", |simulation| simulation.cloud.ignores_releases = true),
+        DayKind::with_fault_injected("careless-state", |simulation| {
+            simulation.state.ignores_conditions = true;
+        }),
         DayKind::usual("pipelines-without-order", 700, |seed| {
             pipelines_without(DependencyCheck::Order, seed)
         }),
@@ -259,7 +261,7 @@
         }),
         DayKind::recovery("forgotten-attempts", 5_000, |seed| {
             let mut simulation = recovery::day_of_quick_returns(seed, 30);
-            simulation.again = 0.3;
+            simulation.duplicate_share = 0.3;
             simulation.injected_fault =
                 Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
             simulation
--- a/crates/scheduler/src/simulation/days/ordinary.rs
+++ b/crates/scheduler/src/simulation/days/ordinary.rs
@@ -78,7 +78,7 @@
     seed: u64,
     injected_fault: Option<fn(&mut Controller, u64)>,
 ) -> (Simulation, usize) {
-    let mut simulation = Simulation::of(seed, NODES, 40);
+    let mut simulation = Simulation::with_nodes(seed, NODES, 40);
     simulation.injected_fault = injected_fault;
     for number in 0..16 {
         let mut body = job(number, ["daemon", "array"][number % 2], 4);
@@ -158,7 +158,7 @@
 /// faults come, some days all at once in between; then the key-value store lowers its limits.
 pub fn upgrade_day(seed: u64, hard: bool) -> Simulation {
     let mut simulation = Simulation::new(seed);
-    simulation.begin_old();
+    simulation.start_with_previous_version();
     let ordinary = day(seed, |_| {});
     for user in ordinary.users {
         let at = simulation.rng_ms(500, 50_000);
@@ -253,8 +253,8 @@
 
 /// Five nodes, more than a hundred machines, and a crash of all nodes during an outage.
 pub fn day_of_a_large_fleet(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, 5, 300);
-    simulation.cloud.generous = 50;
+    let mut simulation = Simulation::with_nodes(seed, 5, 300);
+    simulation.cloud.max_machines_per_request = 50;
     for number in 0..60 {
         let job_type = ["array", "ensemble", "daemon"][number % 3];
         let tasks = simulation.rng.random_range(2..if job_type == "array" { 24 } else { 9 });
@@ -274,7 +274,7 @@
 /// Two of three nodes are upgraded, and a job that depends on another is submitted to one of them.
 pub fn day_of_a_mixed_version(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
-    simulation.begin_old();
+    simulation.start_with_previous_version();
     schedule_fault(&mut simulation, 3_000, Fault::Upgrade(0));
     schedule_fault(&mut simulation, 6_000, Fault::Upgrade(1));
     simulation.add_user(12_000, job(0, "array", 3), None);
--- a/crates/scheduler/src/simulation/days/recovery.rs
+++ b/crates/scheduler/src/simulation/days/recovery.rs
@@ -33,8 +33,8 @@
 
 /// Jobs of all shapes and both teams, and the day's crashes and faults.
 pub fn day(seed: u64, down: Down, jobs: usize) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 400);
-    simulation.cloud.generous = 50;
+    let mut simulation = Simulation::with_nodes(seed, NODES, 400);
+    simulation.cloud.max_machines_per_request = 50;
     for number in 0..jobs {
         add_job(&mut simulation, number);
     }
@@ -126,8 +126,8 @@
 /// lease and transactions of the process before live on; what was sent comes again up to 20 s later.
 pub fn day_of_quick_returns(seed: u64, jobs: usize) -> Simulation {
     let mut simulation = day(seed, Down::Once, jobs);
-    simulation.away_ms = if seed.is_multiple_of(3) { 20..5_000 } else { 20..300 };
-    simulation.again = if seed.is_multiple_of(2) { 0.05 } else { 0.3 };
+    simulation.restart_delay_ms = if seed.is_multiple_of(3) { 20..5_000 } else { 20..300 };
+    simulation.duplicate_share = if seed.is_multiple_of(2) { 0.05 } else { 0.3 };
     let mut at = simulation.rng_ms(8_000, 12_000);
     while at < 60_000 {
         let node = simulation.rng.random_range(0..NODES);
@@ -150,8 +150,8 @@
 
 /// Services only; all leases run out while nobody leads.
 pub fn day_of_lost_leases(seed: u64) -> Simulation {
-    let mut simulation = Simulation::of(seed, NODES, 400);
-    simulation.cloud.generous = 50;
+    let mut simulation = Simulation::with_nodes(seed, NODES, 400);
+    simulation.cloud.max_machines_per_request = 50;
     for number in 0..20 {
         let mut body = job(number, "daemon", 4);
         body["spread"] = number.is_multiple_of(2).into();
--- a/crates/scheduler/src/simulation/faults.rs
+++ b/crates/scheduler/src/simulation/faults.rs
@@ -78,7 +78,7 @@
     /// What it sends to each second machine, also to those to come, is held back.
     CommandsHeld,
     /// Its process ends.
-    Ends,
+    Crashes,
 }
 
 /// The faults that last, as they are now. Shares are from 0 to 1.
@@ -118,7 +118,7 @@
         match fault {
             Fault::Crash(node) => self.crash_node(node),
             Fault::Upgrade(node) => {
-                self.old.remove(&node);
+                self.previous_version.remove(&node);
                 self.crash_node(node);
             }
             Fault::Cut { a, b, on: true, late } => self.cut_link(a, b, late),
@@ -180,7 +180,7 @@
         let Some(leader) = self.leader() else { return };
         let host = Host::Node(leader);
         match fault {
-            LeaderFault::Ends => self.crash_node(leader),
+            LeaderFault::Crashes => self.crash_node(leader),
             LeaderFault::Refused => self.apply_for(ms, |on| Fault::StoreRefuses(leader, on)),
             LeaderFault::CommandsHeld => {
                 for machine in (0..self.workers.len() + MACHINES_TO_COME).step_by(2) {
--- a/crates/scheduler/src/simulation/links.rs
+++ b/crates/scheduler/src/simulation/links.rs
@@ -120,7 +120,7 @@
 
     /// Now and then schedules a second arrival of a message, however long ago the first was handled.
     pub(super) fn maybe_duplicate(&mut self, copy: impl FnOnce() -> Event) {
-        if self.again > 0.0 && self.rng.random_bool(self.again) {
+        if self.duplicate_share > 0.0 && self.rng.random_bool(self.duplicate_share) {
             let ms = self.rng_ms(1, DUPLICATE_WITHIN_MS);
             self.after(ms, copy());
         }
--- a/crates/scheduler/src/simulation/mod.rs
+++ b/crates/scheduler/src/simulation/mod.rs
@@ -65,7 +65,7 @@
     /// The nodes' settings.
     pub settings: Vec<Arc<Settings>>,
     /// Nodes that still run the version before dependencies, and the settings it read.
-    pub old: BTreeMap<usize, Arc<Settings>>,
+    pub previous_version: BTreeMap<usize, Arc<Settings>>,
     pub nodes: Vec<Node>,
     /// The stand-in of the key-value store.
     pub state: store::Service,
@@ -98,9 +98,9 @@
     /// Answers to the test itself, in the order in which they came.
     pub answers: Vec<Answered>,
     /// How long a node that ends is away, in milliseconds.
-    pub away_ms: Range<u64>,
+    pub restart_delay_ms: Range<u64>,
     /// The share of all that nodes send which arrives a second time, up to 20 s later.
-    pub again: f64,
+    pub duplicate_share: f64,
     /// Changes a controller after each of its steps, at that time: a check that is disabled.
     pub injected_fault: Option<fn(&mut Controller, u64)>,
 }
@@ -116,11 +116,11 @@
 impl Simulation {
     /// A day with the usual nodes and limits.
     pub fn new(seed: u64) -> Self {
-        Self::of(seed, NODES, settings::USUAL_GPUS)
+        Self::with_nodes(seed, NODES, settings::USUAL_GPUS)
     }
 
     /// A day with `nodes` controllers, and teams that may take `gpus` accelerators each.
-    pub fn of(seed: u64, nodes: usize, gpus: u32) -> Self {
+    pub fn with_nodes(seed: u64, nodes: usize, gpus: u32) -> Self {
         let settings: Vec<Arc<Settings>> =
             (0..nodes).map(|node| Arc::new(settings::settings_of(node, nodes, gpus))).collect();
         let mut simulation = Self {
@@ -146,10 +146,10 @@
             feature_prefix: None,
             described: 0,
             answers: Vec::new(),
-            away_ms: 1_000..4_000,
-            again: 0.0,
+            restart_delay_ms: 1_000..4_000,
+            duplicate_share: 0.0,
             injected_fault: None,
-            old: BTreeMap::new(),
+            previous_version: BTreeMap::new(),
             settings,
         };
         (0..nodes).for_each(|_| simulation.add_node());
--- a/crates/scheduler/src/simulation/nodes.rs
+++ b/crates/scheduler/src/simulation/nodes.rs
@@ -114,7 +114,7 @@
     }
 
     /// Gives every node an extension, from its next start on.
-    pub fn with_feature(mut self, feature: fn() -> Box<dyn Extension>) -> Self {
+    pub fn with_extension(mut self, feature: fn() -> Box<dyn Extension>) -> Self {
         self.feature_prefix = Some(feature().prefix());
         self.feature = Some(feature);
         self
@@ -122,15 +122,15 @@
 
     /// All nodes begin with the version before dependencies, and the key-value store with the limits
     /// that it has then. The settings name its next ones.
-    pub fn begin_old(&mut self) {
+    pub fn start_with_previous_version(&mut self) {
         let nodes = self.settings.len();
-        self.old = self.settings.iter().cloned().enumerate().collect();
+        self.previous_version = self.settings.iter().cloned().enumerate().collect();
         self.settings = (0..nodes).map(|node| Arc::new(next_settings(node, nodes))).collect();
     }
 
     pub(super) fn start_node(&mut self, index: usize) {
         let seed = self.rng.random();
-        let previous_settings = self.old.get(&index);
+        let previous_settings = self.previous_version.get(&index);
         let settings = previous_settings.unwrap_or(&self.settings[index]).clone();
         let mut controller = Controller::new(settings, seed);
         if previous_settings.is_some() {
@@ -148,10 +148,10 @@
         self.after(1, Event::Tick { node: index, incarnation });
     }
 
-    /// Ends a node's process, if it runs; it starts again after a time drawn from `away_ms`.
+    /// Ends a node's process, if it runs; it starts again after a time drawn from `restart_delay_ms`.
     pub(super) fn crash_node(&mut self, index: usize) {
         if self.nodes[index].controller.take().is_some() {
-            let ms = self.rng.random_range(self.away_ms.clone());
+            let ms = self.rng.random_range(self.restart_delay_ms.clone());
             self.after(ms, Event::Restart(index));
         }
     }
@@ -222,7 +222,7 @@
         let incarnation = self.nodes[node].incarnation;
         let Some(controller) = &mut self.nodes[node].controller else { return };
         let effects = controller.step(now, input);
-        if self.old.contains_key(&node) {
+        if self.previous_version.contains_key(&node) {
             controller.act_as_previous_version();
         }
         if let Some(injected_fault) = self.injected_fault {
--- a/crates/scheduler/src/simulation/recovery.rs
+++ b/crates/scheduler/src/simulation/recovery.rs
@@ -149,7 +149,7 @@
 fn the_rules_notice_ended_attempts_that_are_forgotten_too_soon() {
     let broken = (5_000..5_040).any(|seed| {
         let mut simulation = day_of_quick_returns(seed, 30);
-        simulation.again = 0.3;
+        simulation.duplicate_share = 0.3;
         simulation.injected_fault =
             Some(|controller, _| controller.disable_check(DisabledCheck::UnacknowledgedStarts));
         simulation.run_until(120_000);
--- a/crates/scheduler/src/simulation/store.rs
+++ b/crates/scheduler/src/simulation/store.rs
@@ -58,7 +58,7 @@
     /// Values and transactions that were refused for being over the limits.
     pub too_large: Vec<String>,
     /// Injected fault: takes every transaction, whatever its conditions.
-    pub careless: bool,
+    pub ignores_conditions: bool,
 }
 
 impl StoredValue {
@@ -95,7 +95,7 @@
             refused: BTreeSet::new(),
             limits,
             too_large: Vec::new(),
-            careless: false,
+            ignores_conditions: false,
         }
     }
 
@@ -204,7 +204,7 @@
             .filter(|(key, revision)| !holds(key, *revision))
             .map(|(key, _)| key.clone())
             .collect();
-        if !failed.is_empty() && !self.careless {
+        if !failed.is_empty() && !self.ignores_conditions {
             return StoreReply::Conflict { failed };
         }
         self.store_revision += 1;
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -385,6 +385,12 @@
 
 #[test]
 fn the_rules_notice_stand_ins_that_break_the_protocol() {
-    assert!(rules_notice(|simulation| simulation.cloud.lazy = true), "released machines that go on");
-    assert!(rules_notice(|simulation| simulation.state.careless = true), "transactions without conditions");
+    assert!(
+        rules_notice(|simulation| simulation.cloud.ignores_releases = true),
+        "released machines that go on"
+    );
+    assert!(
+        rules_notice(|simulation| simulation.state.ignores_conditions = true),
+        "transactions without conditions"
+    );
 }
