--- a/crates/scheduler/src/simulation/bad_records.rs
+++ b/crates/scheduler/src/simulation/bad_records.rs
@@ -1,4 +1,5 @@
-//! Records that can't be read or say the impossible, messages from unknown senders, heartbeats that contradict themselves.
+//! Guards against failures from bad input: records that cannot be parsed or have impossible content, messages from
+//! unknown senders, and heartbeats that contradict themselves.
 
 #![cfg(test)]
 
@@ -13,7 +14,7 @@
 use crate::types::FencingToken;
 
 #[test]
-fn a_job_whose_record_cannot_be_read_is_never_called_unknown_and_goes_on_once_it_can() {
+fn job_with_unreadable_record_is_never_reported_unknown_and_resumes_once_readable() {
     for (number, bad) in BAD.iter().enumerate() {
         let seed = 9_200 + number as u64;
         let simulation = run(seed, unreadable_job_record(seed, bad));
@@ -21,18 +22,18 @@
     }
 }
 
-/// Tasks on answer machine whose record can't be read were unknown to the next leader, and were started elsewhere.
+/// The next leader did not know the tasks on a machine whose record cannot be parsed, and started them elsewhere.
 #[test]
-fn nothing_starts_until_a_machine_whose_record_cannot_be_read_is_gone() {
+fn starts_no_task_twice_when_a_machine_record_is_unreadable() {
     for (number, bad) in BAD.iter().enumerate() {
         let seed = 9_220 + number as u64;
         run(seed, unreadable_machine_records(seed, bad));
     }
 }
 
-/// Records that are whole JSON and say what nobody can have stored.
+/// The records are valid JSON with content that no controller stores.
 #[test]
-fn impossible_job_records_take_no_node_down() {
+fn impossible_job_records_crash_no_node() {
     let simulation = impossible_job_records(9_240);
     assert!(
         simulation.answers.iter().all(|answer| answer.status == 503) && simulation.answers.len() == 4,
@@ -42,12 +43,13 @@
     run(9_240, simulation);
 }
 
-/// What comes from no peer, or under answer leader's name from one that does not lead, changes nothing and is counted.
+/// A status snapshot from a sender that is no peer, with a fencing token above the leader's, must not replace the
+/// leader's state. The leader drops and counts it.
 #[test]
-fn messages_of_unknown_senders_are_dropped_and_counted() {
+fn drops_and_counts_messages_from_unknown_senders() {
     let mut simulation = day(9_250, |_| {});
     simulation.run_until(10_000);
-    let leader = simulation.leader().expect("somebody leads");
+    let leader = simulation.leader().expect("a node leads");
     for (number, from) in ["n9", "", "stranger"].into_iter().enumerate() {
         let message = PeerMessage::StatusSnapshot {
             position: BroadcastPosition {
@@ -58,7 +60,7 @@
             success_counts: Default::default(),
         };
         let bytes = peer_messages::encode(&from.into(), message);
-        let envelope = peer_messages::decode(&bytes).expect("well formed");
+        let envelope = peer_messages::decode(&bytes).expect("the message is well formed");
         for node in 0..NODES {
             let incarnation = simulation.nodes[node].incarnation;
             let input = Input::Peer(envelope.clone());
@@ -73,10 +75,10 @@
     run(9_250, simulation);
 }
 
-/// The same task twice in answer heartbeat, one of answer job nobody submitted, names that are none: stopped or ignored, and
-/// nothing else moves.
+/// A heartbeat that lists a task twice, a task of a job that was never submitted and malformed names must not create
+/// jobs or disturb others.
 #[test]
-fn heartbeats_that_contradict_themselves_prove_nothing() {
+fn contradicting_heartbeats_change_no_job() {
     let simulation = contradicting_heartbeats(9_260);
     assert_eq!(simulation.answers.len(), 1);
     assert!(matches!(simulation.answers[0].status, 200 | 400 | 421), "{:?}", simulation.answers[0]);
--- a/crates/scheduler/src/simulation/cancellations.rs
+++ b/crates/scheduler/src/simulation/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations at chosen moments: while a job runs, with its machine hanging, and as it ends.
+//! Cancellations at chosen moments: while a job runs, while its machine hangs, and as the job completes.
 
 use super::Simulation;
 use super::events::Event;
@@ -6,24 +6,24 @@
 use super::workers::Worker;
 use rand::RngExt;
 
-/// How many machines hang at most as their jobs are cancelled.
-const MOST_HANGS: usize = 8;
+/// The largest number of machines that hang when their jobs are cancelled.
+const MAX_HANGS: usize = 8;
 
-/// A user whose job runs, and the first machine that it runs on.
+/// A user whose job is running, and the first machine that runs a task of it.
 struct RunningJob {
     user: usize,
     machine: usize,
 }
 
 impl Simulation {
-    /// A job's task has completed; if it was the last, close reads and a cancellation may follow.
+    /// Handles the completion of a job's task. If it was the last, close reads and a cancellation may follow.
     pub(super) fn task_completed(&mut self, id: &str) {
         if !self.rules.all_done(id) {
             return;
         }
         let Some(user) = self.users.iter().position(|user| user.id == id) else { return };
         if self.faults.close_reads {
-            self.read_closely(user);
+            self.send_close_reads(user);
         }
         if self.faults.cancel_at_end > 0.0
             && self.users[user].stage == Stage::Polling
@@ -34,16 +34,17 @@
         }
     }
 
-    /// A user cancels its job within so many milliseconds.
+    /// Makes a user cancel its job within `within_ms` milliseconds.
     fn cancel_within(&mut self, user: usize, within_ms: u64) {
         let at = self.now + self.rng_ms(0, within_ms);
         self.users[user].cancel_at = Some(at);
         self.at(at, Event::User(user));
     }
 
-    /// Users cancel up to `count` jobs that run; machines of some of them hang for `hang_ms`, if that is not 0.
+    /// Makes users cancel up to `count` running jobs. With `hang_ms` above 0, up to `MAX_HANGS` of their machines hang for
+    /// that time.
     pub(super) fn cancel_now(&mut self, count: usize, hang_ms: u64) {
-        let mut hangs_left = if hang_ms > 0 { MOST_HANGS } else { 0 };
+        let mut hangs_left = if hang_ms > 0 { MAX_HANGS } else { 0 };
         for RunningJob { user, machine } in self.running_jobs(count) {
             self.count("cancelled now");
             self.cancel_within(user, 200);
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The first `count` jobs that run and that nobody means to cancel.
+    /// Returns the first `count` running jobs that no user is going to cancel.
     fn running_jobs(&self, count: usize) -> Vec<RunningJob> {
         let machine_of = |id: &str| {
             let runs_job =
--- a/crates/scheduler/src/simulation/close_reads.rs
+++ b/crates/scheduler/src/simulation/close_reads.rs
@@ -1,4 +1,5 @@
-//! Close reads: requests beside a user's own, to all nodes within milliseconds, with repeats and cancellations.
+//! Close reads: requests for a user's job besides the user's own. They reach all nodes within milliseconds of a change
+//! of the job, and include repeated submissions and cancellations.
 
 use super::Simulation;
 use super::events::Event;
@@ -9,7 +10,7 @@
 use rand::RngExt;
 use serde_json::Value;
 
-/// A request beside a user's own, at one node.
+/// A request besides a user's own, to one node.
 #[derive(Debug, Clone)]
 pub struct CloseRead {
     pub node: usize,
@@ -18,21 +19,21 @@
     pub request: CloseReadRequest,
 }
 
-/// What a close read asks for.
+/// The content of a close read.
 #[derive(Debug, Clone)]
 pub enum CloseReadRequest {
     /// The job's state.
     Status,
-    /// The submission again, as it was or with a fault in it.
+    /// The submission again, unchanged or with an error in it.
     Repeat(String),
     /// The job's cancellation.
     Cancel,
-    /// Something that can never run or lacks a field, or a question about a job that nobody submitted.
+    /// A submission that can never run or lacks a field (`Some`), or a query for a job that was never submitted (`None`).
     AdmissionError(Option<String>),
 }
 
 impl Simulation {
-    /// Sends a request; one that finds nobody is not sent again.
+    /// Sends a close read. If the connection fails, it is not retried.
     pub(super) fn close_read(&mut self, close_read: CloseRead) {
         let before = self.rules.known(&close_read.id);
         let (method, path, body) = match &close_read.request {
@@ -43,7 +44,7 @@
                 (Method::Post, "/submissions".to_string(), body.clone())
             }
             CloseReadRequest::Cancel => {
-                self.rules.asked_to_cancel(&close_read.id);
+                self.rules.record_cancel_request(&close_read.id);
                 (Method::Post, format!("/submissions/{}/withdraw", close_read.id), String::new())
             }
         };
@@ -57,7 +58,7 @@
         );
     }
 
-    /// Checks the answer to a close read, given what users knew as it was sent.
+    /// Checks the answer to a close read against what users knew when it was sent.
     pub(super) fn close_read_answer(
         &mut self,
         close_read: CloseRead,
@@ -83,15 +84,15 @@
         });
         let broken_before = self.rules.broken.len();
         let repeat = matches!(close_read.request, CloseReadRequest::Repeat(_));
-        self.rules.answered(self.now, &close_read.id, before, repeat, status, phase);
+        self.rules.check_answer(self.now, &close_read.id, before, repeat, status, phase);
         if self.rules.broken.len() > broken_before {
             let now = self.now;
-            self.rules.fail(now, format!("(that was a close read: {close_read:?}, answered by node {node})"));
+            self.rules.fail(now, format!("(the answer of node {node} to close read {close_read:?})"));
         }
     }
 
-    /// Sends every node two requests for a user's job within milliseconds.
-    pub(super) fn read_closely(&mut self, user: usize) {
+    /// Sends every node two close reads for a user's job within 30 ms.
+    pub(super) fn send_close_reads(&mut self, user: usize) {
         let id = self.users[user].id.clone();
         let body = self.users[user].body.clone();
         for node in 0..self.nodes.len() {
--- a/crates/scheduler/src/simulation/cloud.rs
+++ b/crates/scheduler/src/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the cloud.
+//! The simulated cloud.
 
 use super::Simulation;
 use super::links::Host;
@@ -10,19 +10,19 @@
 use rand::RngExt;
 use std::collections::BTreeMap;
 
-/// How old a list of machines is at least, in milliseconds; at most twice as old.
+/// The smallest age of a list of machines, in milliseconds. The largest is twice this.
 const LIST_LAG_MS: u64 = 4_000;
-/// The share of requests for machines that the cloud has no capacity for.
+/// The share of rent requests that fail for lack of capacity.
 const NO_CAPACITY_SHARE: f64 = 0.2;
-/// How many machines the cloud rents out for one request, if it isn't more generous.
-const LEAST_RENTED_AT_ONCE: u32 = 4;
+/// The lower bound of [`Cloud::max_machines_per_request`].
+const MIN_MACHINES_PER_REQUEST: u32 = 4;
 
-/// A machine that was rented, with times in milliseconds.
+/// A rented machine, with times in milliseconds.
 #[derive(Debug, Clone)]
 struct Rented {
     listed: ListedMachine,
     rented_at: u64,
-    /// When it was returned or taken back.
+    /// When the machine was released or preempted.
     gone_at: Option<u64>,
     failed_at: Option<u64>,
 }
@@ -33,39 +33,39 @@
     }
 }
 
-/// The machines that the cloud rents out, and its faults.
+/// The rented machines and the cloud's faults.
 #[derive(Debug, Default)]
 pub struct Cloud {
     machines: BTreeMap<MachineId, Rented>,
-    /// The machines rented for each claim: a repeated request gets the same.
+    /// The machines rented for each claim: a repeated request gets the same machines.
     claims: BTreeMap<String, Vec<MachineId>>,
-    /// Every request is refused.
+    /// Whether every request is refused.
     pub outage: bool,
-    /// Machines rented out for one request at most, if more than 4.
+    /// The largest number of machines per rent request; values below 4 mean 4.
     pub max_machines_per_request: u32,
-    /// Injected fault: answers 200 to a release and leaves the machine running.
+    /// Injected fault: confirms a release but leaves the machine running.
     pub ignores_releases: bool,
 }
 
-/// The machine types that the cloud offers.
+/// Returns the machine types that the cloud offers.
 pub fn types() -> Vec<MachineType> {
     serde_json::from_str(
         r#"[{"name":"small","vcpus":8,"accelerators":2,"memory_gb":16,"hourly":3.0,"low_price":1.0,"ready_s":3,"regions":["z0","z1","z2"]},
             {"name":"big","vcpus":16,"accelerators":4,"memory_gb":64,"hourly":5.0,"low_price":2.0,"ready_s":5,"regions":["z0","z1"]}]"#,
     )
-    .expect("valid")
+    .expect("the machine types are valid JSON")
 }
 
 impl Cloud {
-    /// A machine has failed, which later lists show.
-    pub fn fail(&mut self, id: &MachineId, now: u64) {
+    /// Marks a machine as failed in later lists.
+    pub fn mark_failed(&mut self, id: &MachineId, now: u64) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.failed_at = Some(now);
         }
     }
 
-    /// A machine is gone, and missing from later lists.
-    pub fn take(&mut self, id: &MachineId, now: u64) {
+    /// Removes a machine from later lists.
+    pub fn mark_gone(&mut self, id: &MachineId, now: u64) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.gone_at = Some(now);
         }
@@ -90,7 +90,7 @@
                 if self.rng.random_bool(NO_CAPACITY_SHARE) {
                     return CloudReply::NoCapacity;
                 }
-                let number = number.min(self.cloud.max_machines_per_request.max(LEAST_RENTED_AT_ONCE));
+                let number = number.min(self.cloud.max_machines_per_request.max(MIN_MACHINES_PER_REQUEST));
                 let ids: Vec<MachineId> =
                     (0..number).map(|_| self.rent_machine(&type_name, &zone, spot)).collect();
                 self.cloud.claims.insert(claim, ids.clone());
@@ -122,20 +122,20 @@
         id
     }
 
-    /// Takes a machine back; one at work shows that the leader returned it for no reason.
+    /// Releases a machine. If it runs wanted tasks, the leader had no reason to return it, which is recorded.
     fn release_machine(&mut self, id: &MachineId) {
         let now = self.now;
-        self.cloud.take(id, now);
+        self.cloud.mark_gone(id, now);
         let Some(machine) = self.workers.iter().position(|worker| worker.id == *id) else { return };
-        if self.is_at_work(machine) {
-            self.needless.push(format!("at {now} ms: {id} is returned with work on it"));
+        if self.runs_wanted_tasks(machine) {
+            self.needless_returns.push(format!("at {now} ms: {id} is returned while it runs wanted tasks"));
         }
         if !self.cloud.ignores_releases {
-            self.machine_ends(machine);
+            self.end_machine(machine);
         }
     }
 
-    /// The machines as they were some seconds ago.
+    /// Lists the machines as they were a few seconds ago.
     fn list_machines(&mut self, after: Option<&MachineId>, most: usize) -> CloudReply {
         let at_ms = self.now.saturating_sub(self.rng_ms(LIST_LAG_MS, 2 * LIST_LAG_MS));
         let mut machines: Vec<ListedMachine> = self
--- a/crates/scheduler/src/simulation/combined_faults.rs
+++ b/crates/scheduler/src/simulation/combined_faults.rs
@@ -1,40 +1,42 @@
-//! Two faults at once, as operators have met them: pairs that overlap, drawn by the seed.
+//! Guards against failures that appear only while two faults overlap: pairs of faults that occur in practice, drawn by
+//! the seed.
 
 #![cfg(test)]
 
 use super::days::combined_faults::day_of_combined_faults;
 use super::days::ordinary::day;
 use super::days::{DAY_ENDS, TROUBLE_ENDS};
-use super::isolated_leader::of_seeds;
+use super::isolated_leader::failures_of_seeds;
 use super::recovery::seeds;
 use super::tests::run;
 use super::{NODES, Simulation};
 use crate::node::{Controller, DisabledCheck, Method};
 use serde_json::json;
 
-/// How long questions about answer job may go without an answer once all faults have ended, in milliseconds.
+/// How long a user's requests may go unanswered once all faults have ended, in milliseconds.
 const UNANSWERED_MS: u64 = 75_000;
 
-/// A job that was accepted and has no record, or of which questions go unanswered.
-pub(super) fn forgotten_job(simulation: &Simulation) -> Option<String> {
+/// Returns a message about an accepted job that has no record, or whose user's requests go unanswered.
+pub(super) fn lost_job(simulation: &Simulation) -> Option<String> {
     let accepted = simulation.users.iter().filter(|user| simulation.rules.accepted(&user.id));
     let mut wrong = accepted.filter_map(|user| {
-        let silent = DAY_ENDS.saturating_sub(user.answered_at.max(TROUBLE_ENDS));
+        let unanswered_ms = DAY_ENDS.saturating_sub(user.answered_at.max(TROUBLE_ENDS));
         if simulation.state.key(&format!("j/{}", user.id)).is_none() {
-            return Some(format!("{} was accepted and has no record", user.id));
+            return Some(format!("{} was accepted but has no record", user.id));
         }
-        (silent > UNANSWERED_MS).then(|| format!("{}: no question answered for {silent} ms", user.id))
+        (unanswered_ms > UNANSWERED_MS)
+            .then(|| format!("{}: no request answered for {unanswered_ms} ms", user.id))
     });
     wrong.next()
 }
 
 #[test]
-fn two_overlapping_faults_break_no_rule_and_no_job_is_forgotten() {
-    let wrong = of_seeds(seeds(4_000, 40), |seed| {
+fn two_overlapping_faults_break_no_rule_and_lose_no_job() {
+    let wrong = failures_of_seeds(seeds(4_000, 40), |seed| {
         let (simulation, faults) = day_of_combined_faults(seed);
         let end = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run(seed, simulation)));
         match end {
-            Ok(simulation) => forgotten_job(&simulation).map(|what| format!("{faults:?}: {what}")),
+            Ok(simulation) => lost_job(&simulation).map(|what| format!("{faults:?}: {what}")),
             Err(what) => {
                 let what = what.downcast_ref::<String>().cloned().unwrap_or_default();
                 Some(format!("{faults:?}: {what}"))
@@ -44,9 +46,10 @@
     assert!(wrong.is_empty(), "{} broken:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// Checks of the controllers disabled, and answer key-value store that ignores conditions, in the same days.
+/// The same days with a disabled check of the controllers, or a key-value store that ignores conditions, must break a
+/// rule.
 #[test]
-fn the_rules_notice_injected_faults_on_days_of_combined_faults() {
+fn rules_detect_injected_faults_on_days_of_combined_faults() {
     fn expire_leases_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
     }
@@ -54,7 +57,7 @@
         controller.disable_check(DisabledCheck::TaskCompletion);
     }
     let broken = |corrupt: &(dyn Fn(&mut Simulation) + Sync)| {
-        of_seeds(4_000..4_032, |seed| {
+        failures_of_seeds(4_000..4_032, |seed| {
             let (mut simulation, _) = day_of_combined_faults(seed);
             corrupt(&mut simulation);
             simulation.run_until(DAY_ENDS);
@@ -63,21 +66,22 @@
     };
     assert!(
         !broken(&|simulation| simulation.injected_fault = Some(expire_leases_early)).is_empty(),
-        "silence taken for proof"
+        "no rule was broken although leases were treated as expired too early"
     );
     assert!(
         !broken(&|simulation| simulation.injected_fault = Some(finish_early)).is_empty(),
-        "done answered early"
+        "no rule was broken although jobs were reported done too early"
     );
     assert!(
         !broken(&|simulation| simulation.state.ignores_conditions = true).is_empty(),
-        "late transactions without conditions"
+        "no rule was broken although the store ignored the conditions of late transactions"
     );
 }
 
-/// A heartbeat that names answer fencing token, answer serial number or an attempt which nobody can have given changes nothing for the others.
+/// A heartbeat with a fencing token, a serial number or an attempt that was never issued must not affect the leader or
+/// other machines. Fencing tokens near the largest value are refused.
 #[test]
-fn impossible_numbers_in_a_heartbeat_are_refused_and_move_no_fencing_token() {
+fn refuses_heartbeats_with_impossible_numbers_and_keeps_the_leader() {
     let mut simulation = day(4_990, |_| {});
     simulation.run_until(20_000);
     let leader = simulation.leader().expect("somebody leads");
@@ -97,5 +101,5 @@
     let refused = simulation.answers.iter().filter(|answer| answer.tag < 2);
     assert!(refused.clone().count() == 2 * NODES && refused.clone().all(|answer| answer.status == 400));
     let simulation = run(4_990, simulation);
-    assert!(forgotten_job(&simulation).is_none());
+    assert!(lost_job(&simulation).is_none());
 }
--- a/crates/scheduler/src/simulation/digest.rs
+++ b/crates/scheduler/src/simulation/digest.rs
@@ -1,13 +1,13 @@
-//! A digest of what the nodes of a simulation do: the same for days that went the same way.
+//! A digest of the effects of a simulation's nodes. Runs with the same effects at the same times have equal digests.
 //!
-//! It covers each effect as it goes over the wire, and never a Rust name, `Debug` output or a derived
-//! `Hash`, so that names can change without a change of the digest.
+//! It covers each effect as it is sent over the network, and no Rust name, `Debug` output or derived `Hash`, so
+//! renaming items does not change the digest.
 
 use crate::node::Effect;
 use crate::types::{Duration, LeaseId, RequestId, Revision};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Tells the kinds of effects apart.
+/// A tag that distinguishes the kinds of hashed data.
 #[derive(Clone, Copy)]
 enum Section {
     Answer = 1,
@@ -18,14 +18,14 @@
     StoredValue = 6,
 }
 
-/// A running hash over effects and stored values, in their order.
+/// An incremental hash over effects and stored values, in order.
 #[derive(Clone, Default)]
 pub struct Digest {
     hasher: Xxh3Default,
 }
 
 impl Digest {
-    /// Adds what a node did at a simulated time, in milliseconds.
+    /// Adds an effect of a node at a simulated time, in milliseconds.
     pub fn effect(&mut self, now_ms: u64, node: usize, effect: &Effect) {
         self.number(now_ms);
         self.number(node as u64);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Adds a value that the key-value store holds, with its revision and the lease that it is bound to.
+    /// Adds a value of the key-value store with its revision and the lease that it is bound to.
     pub fn stored(&mut self, key: &str, value: &str, revision: Revision, lease: Option<LeaseId>) {
         self.section(Section::StoredValue);
         self.bytes(key.as_bytes());
@@ -74,7 +74,7 @@
         self.optional_number(lease.map(|lease| lease.0));
     }
 
-    /// The hash of all that was added so far.
+    /// Returns the hash of everything added so far.
     pub fn finish(&self) -> u64 {
         self.hasher.digest()
     }
@@ -101,7 +101,7 @@
         self.number(number.unwrap_or_default());
     }
 
-    /// With the length before, so that no two sequences of fields give the same bytes.
+    /// Adds the length before the bytes, so that different sequences of fields never hash the same bytes.
     fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         self.hasher.update(bytes);
--- a/crates/scheduler/src/simulation/directed.rs
+++ b/crates/scheduler/src/simulation/directed.rs
@@ -1,20 +1,20 @@
-//! Each combination of faults by itself: a day that brings it about, a count that shows that it took place, and the check
-//! that the day shows to be needed. `docs/design/combined_failures.md` has the rows.
+//! Runs each known combination of faults on days of its own: a count shows that the combination occurred, and with one
+//! check of the controllers disabled the days must show a failure. `docs/design/combined_failures.md` lists the rows.
 
 #![cfg(test)]
 
 use super::Simulation;
-use super::combined_faults::forgotten_job;
+use super::combined_faults::lost_job;
 use super::days::directed::{ROWS, Row};
 use super::days::{DAY_ENDS, TROUBLE_ENDS};
-use super::isolated_leader::of_seeds;
+use super::isolated_leader::failures_of_seeds;
 use super::recovery::seeds;
-use super::tests::judged;
+use super::tests::unserved_job;
 use super::waiting::Waiting;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// Plays a row's day, with its check or without; what is wrong with it, and the day.
+/// Runs a row's day, with or without the row's check. Returns the first failure, if any, and the day.
 fn play(row: &Row, seed: u64, without_check: bool) -> (Option<String>, Simulation) {
     let mut simulation = (row.day)(seed);
     if without_check {
@@ -34,22 +34,22 @@
         .broken
         .first()
         .cloned()
-        .or_else(|| forgotten_job(&simulation))
-        .or_else(|| judged(&simulation));
+        .or_else(|| lost_job(&simulation))
+        .or_else(|| unserved_job(&simulation));
     (wrong, simulation)
 }
 
-/// How many seeds each row is played with; the rows' least counts are for so many.
+/// The default number of seeds per row. The rows' minimum counts are for this number.
 const SEEDS: u64 = 4;
 
 #[test]
-fn each_combination_takes_place_and_no_rule_breaks() {
+fn each_combination_occurs_and_breaks_no_rule() {
     let mut wrong = Vec::new();
     for row in &ROWS {
         let counts = Mutex::new(BTreeMap::<&str, u64>::new());
         let all = seeds(6_000, SEEDS);
-        let asked = all.end - all.start;
-        let broken = of_seeds(all, |seed| {
+        let seed_count = all.end - all.start;
+        let broken = failures_of_seeds(all, |seed| {
             let (wrong, simulation) = play(row, seed, false);
             let mut counts = counts.lock().expect("no thread panicked");
             simulation
@@ -61,28 +61,29 @@
         let counts = counts.into_inner().expect("no thread panicked");
         println!("{}: {counts:?}", row.name);
         wrong.extend(broken.into_iter().map(|b| format!("{}: {b}", row.name)));
-        let is_too_rare = |(what, least): &&(&str, u64)| {
-            counts.get(what).copied().unwrap_or(0) < (*least * asked).div_ceil(SEEDS)
+        let is_too_rare = |(situation, least): &&(&str, u64)| {
+            counts.get(situation).copied().unwrap_or(0) < (*least * seed_count).div_ceil(SEEDS)
         };
         wrong.extend(
             row.occurrences
                 .iter()
                 .filter(is_too_rare)
-                .map(|situation| format!("{}: did not take place: {situation:?}", row.name)),
+                .map(|situation| format!("{}: occurred too rarely: {situation:?}", row.name)),
         );
     }
-    assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(wrong.is_empty(), "{} failures:\n{}", wrong.len(), wrong.join("\n"));
 }
 
 #[test]
-fn each_row_notices_its_disabled_check() {
-    let unnoticed: Vec<&str> = ROWS
+fn each_row_fails_with_its_check_disabled() {
+    let undetected: Vec<&str> = ROWS
         .iter()
         .filter(|row| {
-            let first = |from: u64| !of_seeds(from..from + 8, |seed| play(row, seed, true).0).is_empty();
-            !(0..4).any(|k| first(6_000 + 8 * k))
+            let fails =
+                |from: u64| !failures_of_seeds(from..from + 8, |seed| play(row, seed, true).0).is_empty();
+            !(0..4).any(|k| fails(6_000 + 8 * k))
         })
         .map(|row| row.name)
         .collect();
-    assert!(unnoticed.is_empty(), "nothing noticed: {unnoticed:?}");
+    assert!(undetected.is_empty(), "rows without a failure although their check is disabled: {undetected:?}");
 }
--- a/crates/scheduler/src/simulation/effects.rs
+++ b/crates/scheduler/src/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects of a node's step: requests and answers go onto the simulated network.
+//! Carries out the effects of a node's step: sends its requests and answers over the simulated network.
 
 use super::Simulation;
 use super::events::{Event, Service};
@@ -10,7 +10,7 @@
 use crate::wire::state::StoreRequest;
 
 impl Simulation {
-    /// Carries out an effect of a step that a node's incarnation made.
+    /// Carries out an effect of a step of a node's incarnation.
     pub(super) fn carry_out(&mut self, node: usize, incarnation: u64, effect: Effect) {
         let caller = |request_id| Caller { node, incarnation, request_id };
         match effect {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Sends an answer to whoever waits for it, if anybody still does.
+    /// Sends an answer to its requester, if the node still has the request open.
     fn send_answer(&mut self, request: RequestId, answer: Answered) {
         let node = answer.node;
         let Some(requester) = self.nodes[node].requesters.remove(&request) else { return };
@@ -49,7 +49,7 @@
                 (Host::User, Event::CloseReadAnswer { close_read, before, node, status, body })
             }
             Requester::Test { tag } => (Host::User, Event::Answered(Answered { tag, body, ..answer })),
-            Requester::Nobody => return,
+            Requester::Dropped => return,
         };
         self.send(Host::Node(node), to, event);
     }
@@ -59,11 +59,11 @@
         let Some(envelope) = crate::peer_messages::decode(bytes) else { return };
         let incarnation = self.nodes[node].incarnation;
         let event = |envelope| Event::Input { node, incarnation, input: crate::node::Input::Peer(envelope) };
-        self.maybe_duplicate(|| event(envelope.clone()));
+        self.duplicate_at_random(|| event(envelope.clone()));
         self.send(Host::Node(from), Host::Node(node), event(envelope));
     }
 
-    /// Notes that a node waits for an answer, and for how long.
+    /// Records an open request of a node and schedules its timeout.
     fn open_request(&mut self, caller: Caller, service: Service, timeout: Duration) {
         self.nodes[caller.node].open_requests.insert(caller.request_id);
         self.after(timeout.0, Event::Timeout { caller, service });
@@ -74,7 +74,7 @@
         let delay = self.store_delay(&request);
         let event = |request| Event::Store { caller, request };
         if !matches!(request, StoreRequest::Watch { .. }) {
-            self.maybe_duplicate(|| event(request.clone()));
+            self.duplicate_at_random(|| event(request.clone()));
         }
         self.send_with_delay(Host::Node(caller.node), Host::Store, event(request), delay);
     }
@@ -82,17 +82,17 @@
     fn send_to_cloud(&mut self, caller: Caller, request: CloudRequest, timeout: Duration) {
         self.open_request(caller, Service::Cloud, timeout);
         let event = |request| Event::Cloud { caller, request };
-        self.maybe_duplicate(|| event(request.clone()));
+        self.duplicate_at_random(|| event(request.clone()));
         self.send(Host::Node(caller.node), Host::Cloud, event(request));
     }
 
-    /// Sends commands to the machine at an address; if there is none, the request times out.
+    /// Sends commands to the machine at an address. If there is no such machine, the request times out.
     fn send_to_worker(&mut self, caller: Caller, addr: String, body: String, timeout: Duration) {
         self.check_commands(caller.node, &body);
         self.open_request(caller, Service::Worker, timeout);
         let Some(machine) = self.workers.iter().position(|worker| worker.addr == addr) else { return };
         let event = |addr, body| Event::Command { caller, addr, body };
-        self.maybe_duplicate(|| event(addr.clone(), body.clone()));
+        self.duplicate_at_random(|| event(addr.clone(), body.clone()));
         self.send(Host::Node(caller.node), Host::Machine(machine), event(addr, body));
     }
 }
--- a/crates/scheduler/src/simulation/events.rs
+++ b/crates/scheduler/src/simulation/events.rs
@@ -10,50 +10,50 @@
 use crate::wire::state::StoreRequest;
 use std::collections::BTreeMap;
 
-/// What happens at a set time.
+/// An event that takes place at a scheduled time.
 #[derive(Debug)]
 pub enum Event {
-    /// The next periodic step of a node's incarnation.
+    /// The next periodic step of an incarnation of a node.
     Tick { node: usize, incarnation: u64 },
-    /// An input reaches a node's incarnation.
+    /// An input reaches an incarnation of a node.
     Input { node: usize, incarnation: u64, input: Input },
     /// A request reaches the key-value store.
     Store { caller: Caller, request: StoreRequest },
-    /// The key-value store has finished a slow answer to a node, which is sent now.
+    /// The key-value store sends an answer to a node that it delayed.
     SlowStoreAnswer { node: usize, answer: Box<Event> },
-    /// A transaction whose sender got no answer is carried out.
+    /// A delayed transaction is carried out; its sender gets no answer.
     LateWrite(StoreRequest),
-    /// The watch with this number is answered.
+    /// The watch with this number ends and is answered.
     WatchEnds(u64),
     /// A request reaches the cloud.
     Cloud { caller: Caller, request: CloudRequest },
     /// A request with commands reaches the machine at an address.
     Command { caller: Caller, addr: String, body: String },
-    /// A node's request has gone without an answer for as long as it waits for one.
+    /// A request of a node reaches its timeout.
     Timeout { caller: Caller, service: Service },
     /// A node's process starts.
     Restart(usize),
-    /// A worker's next step.
+    /// The next step of the worker on this machine.
     Worker(usize),
     /// A node's answer to a heartbeat reaches its worker.
     HeartbeatAnswer { heartbeat: SentHeartbeat, node: usize, status: u16, body: String },
-    /// A worker stops waiting for the answer to a heartbeat, named by its number.
+    /// The heartbeat with this number reaches its timeout.
     HeartbeatTimeout { machine: usize, heartbeat: u64 },
-    /// A user sends a request beside those of its own job.
+    /// A close read is sent.
     CloseRead(CloseRead),
-    /// A node's answer to such a request; `before` is what users knew as it was sent.
+    /// A node's answer to a close read arrives; `before` is what users knew when it was sent.
     CloseReadAnswer { close_read: CloseRead, before: Known, node: usize, status: u16, body: String },
     /// The next malformed or impossible request is sent.
     OddRequest,
     /// A copy of a heartbeat is sent to a node.
     HeartbeatCopy { machine: usize, node: usize, body: String },
-    /// A user's next request.
+    /// A user sends its next request.
     User(usize),
     /// A node's answer reaches a user.
     UserAnswer { user: usize, request: u64, status: u16, body: String },
-    /// A user stops waiting for the answer to a request.
+    /// A user's request reaches its timeout.
     UserTimeout { user: usize, request: u64 },
-    /// An answer reaches the test itself.
+    /// An answer to a request of the test itself arrives.
     Answered(Answered),
     /// A fault begins or ends.
     Fault(Fault),
@@ -67,14 +67,14 @@
     Worker,
 }
 
-/// When an event takes place; those of one millisecond in the order in which they were added.
+/// The position of an event in the queue: by time, and within one millisecond in the order of insertion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at_ms: u64,
     sequence: u64,
 }
 
-/// Events to come, in the order in which they take place.
+/// Pending events in the order in which they take place.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
@@ -89,7 +89,7 @@
         self.events.insert(key, event);
     }
 
-    /// Takes the next event and its time, if it takes place by `end_ms`.
+    /// Removes and returns the next event and its time, if it takes place no later than `end_ms`.
     pub(super) fn pop_until(&mut self, end_ms: u64) -> Option<(u64, Event)> {
         let next = self.events.first_entry()?;
         let at_ms = next.key().at_ms;
--- a/crates/scheduler/src/simulation/faults.rs
+++ b/crates/scheduler/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a day brings about: what they are, and how each changes the stand-ins and links.
+//! The faults that days inject, and how each changes the simulated components and links.
 
 use super::Simulation;
 use super::events::Event;
@@ -7,113 +7,114 @@
 use crate::types::Revision;
 use rand::RngExt;
 
-/// How long a spot machine runs on after the cloud has announced that it takes it back, in milliseconds.
+/// The time between the cloud's preemption notice for a spot machine and the preemption, in milliseconds.
 const SPOT_NOTICE_MS: u64 = 8_000;
-/// How many machines beyond those there are the fault of held commands covers: some are added while it lasts.
+/// For how many machines beyond the existing ones `CommandsHeld` holds the links: some are added while it lasts.
 const MACHINES_TO_COME: usize = 100;
 
-/// A change of what the simulated surroundings do to the nodes. Times are in milliseconds, shares from 0 to 1.
+/// The begin or the end of a fault. Times are in milliseconds, shares from 0 to 1.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// A node's process ends, and starts again later.
+    /// A node's process ends and restarts later.
     Crash(usize),
-    /// The key-value store is down for everybody, or up again.
+    /// The key-value store refuses all requests, or serves them again.
     StoreOutage(bool),
-    /// The key-value store refuses a node, or serves it again.
+    /// The key-value store refuses one node's requests, or serves them again.
     StoreRefuses(usize, bool),
-    /// Cuts (true) or mends a link both ways; `late`: what was sent meanwhile arrives after.
+    /// Partitions (`on`) or heals a link in both directions. With `late`, messages sent during the partition arrive after
+    /// it; otherwise they are lost.
     Cut { a: Host, b: Host, on: bool, late: bool },
-    /// The cloud refuses every request, or answers again.
+    /// The cloud refuses every request, or serves them again.
     CloudOutage(bool),
-    /// Holds back what goes from `a` to `b` alone, and delivers it in its order when that has ended.
+    /// Holds back messages from `a` to `b`, in this direction only, and delivers them in order when the fault ends.
     Hold { a: Host, b: Host, on: bool },
-    /// A fault of whichever node leads then, for so long.
+    /// A fault of the node that leads when it begins, for this time.
     Leader(LeaderFault, u64),
-    /// That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
+    /// This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
     LateWrites(f64),
-    /// Of that share of the workers' heartbeats a copy arrives again, 2 s to two leases later.
+    /// A copy of this share of the workers' heartbeats arrives, from 2 s to two worker leases later.
     LateHeartbeats(f64),
-    /// That share of transactions is carried out at once, and only the answer is lost.
+    /// This share of transactions is carried out immediately, but the answer is lost.
     LostStoreAnswers(f64),
-    /// Of that share of the workers' heartbeats a copy is kept until a new leader has acted, and sent to it then.
+    /// A copy of this share of the workers' heartbeats is kept until there is a new leader, and sent then.
     HeartbeatCopiesForNextLeader(f64),
-    /// The key-value store takes up to so long for an answer.
+    /// The key-value store takes up to this time for an answer.
     SlowStore(u64),
-    /// Users cancel that many jobs that run and have long to go, within a fifth of a second; up to eight of their
-    /// machines hang for so long.
+    /// Users cancel up to this number of running jobs within a fifth of a second; up to eight of their machines hang for
+    /// the given time.
     CancelNow(usize, u64),
-    /// That share of the jobs that end is cancelled at the moment of the end.
+    /// This share of the jobs that complete is cancelled at the moment of completion.
     CancelAtEnd(f64),
-    /// Users send requests to all nodes within milliseconds after a job was accepted, ended or cancelled.
+    /// Users send requests to all nodes within milliseconds after a job was accepted, completed or cancelled.
     CloseReads(bool),
-    /// Users repeat submissions with faults in them, cancel what is done, and send what can't run.
+    /// Users repeat submissions with errors in them, cancel completed jobs and submit jobs that can never run.
     OddRequests(bool),
-    /// A machine's heartbeats reach no node for so long, while direct commands reach it.
+    /// A machine's heartbeats are lost for this time, while direct commands reach it.
     HeartbeatsLost(u64),
-    /// The same of all machines there are.
+    /// The heartbeats of all running machines are lost for this time, while direct commands reach them.
     AllHeartbeatsLost(u64),
-    /// New machines are up within two seconds.
+    /// New machines boot within two seconds.
     FastBoots(bool),
-    /// A machine ends, and the cloud lists it as failed.
+    /// A machine stops, and the cloud lists it as failed.
     MachineDies,
-    /// A machine does nothing for so long.
+    /// A machine hangs for this time.
     MachineHangs(u64),
-    /// A machine's heartbeats arrive for so long; answers and direct commands to it are lost.
+    /// Answers and direct commands to a machine are lost for this time, while its heartbeats arrive.
     CommandsLost(u64),
-    /// The cloud announces that it takes a spot machine back.
+    /// The cloud sends a preemption notice for a spot machine.
     SpotNotice,
-    /// Ends a node's process, which comes back with the new version.
+    /// A node's process ends and restarts later with the new version.
     Upgrade(usize),
-    /// The key-value store's next limits come into force.
+    /// The key-value store's next limits take effect.
     NextStoreLimits,
 }
 
-/// A fault of the node that leads.
+/// A fault of the leader.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaderFault {
-    /// The key-value store refuses it.
+    /// The key-value store refuses the leader's requests.
     Refused,
-    /// It reaches neither the key-value store nor its peers, but workers and users.
+    /// The leader is partitioned from the key-value store and its peers, but not from workers and users.
     Isolated,
-    /// What it sends to each second machine, also to those to come, is held back.
+    /// Messages of the leader to every second machine, including machines rented later, are held back.
     CommandsHeld,
-    /// Its process ends.
+    /// The leader's process ends and restarts later.
     Crashes,
 }
 
-/// The faults that last, as they are now. Shares are from 0 to 1.
+/// The current state of the faults that last. Shares are from 0 to 1.
 #[derive(Debug, Default)]
 pub(super) struct ActiveFaults {
-    /// The share of transactions carried out late.
+    /// The share of transactions that are carried out late.
     pub(super) late_writes: f64,
     /// The share of heartbeats that arrive a second time.
     pub(super) late_heartbeats: f64,
-    /// The share of transactions of which the answer is lost.
+    /// The share of transactions whose answer is lost.
     pub(super) lost_store_answers: f64,
-    /// The share of heartbeats of which a copy is kept for the next leader.
+    /// The share of heartbeats whose copy is kept for the next leader.
     pub(super) copies_for_next_leader: f64,
     /// Heartbeats kept for the next leader.
     pub(super) kept_copies: Vec<KeptCopy>,
     pub(super) fast_boots: bool,
-    /// The share of jobs cancelled as they end.
+    /// The share of jobs that are cancelled on completion.
     pub(super) cancel_at_end: f64,
     pub(super) close_reads: bool,
     pub(super) odd_requests: bool,
-    /// The longest time that the key-value store takes for an answer, in milliseconds; 0: it takes none.
+    /// The longest time that the key-value store takes for an answer, in milliseconds; 0 turns the fault off.
     pub(super) slow_store_ms: u64,
 }
 
 /// A copy of a heartbeat that is kept for the next leader.
 #[derive(Debug)]
 pub(super) struct KeptCopy {
-    /// The leader key's revision as the copy was made.
+    /// The leader key's revision when the copy was made.
     pub(super) leader_key: Option<Revision>,
     pub(super) machine: usize,
     pub(super) body: String,
 }
 
 impl Simulation {
-    /// Brings a fault about, or ends it.
+    /// Begins or ends a fault.
     pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash(node) => self.crash_node(node),
@@ -121,8 +122,8 @@
                 self.previous_version.remove(&node);
                 self.crash_node(node);
             }
-            Fault::Cut { a, b, on: true, late } => self.cut_link(a, b, late),
-            Fault::Cut { a, b, on: false, .. } => self.mend_link(a, b),
+            Fault::Cut { a, b, on: true, late } => self.partition_link(a, b, late),
+            Fault::Cut { a, b, on: false, .. } => self.heal_link(a, b),
             Fault::Hold { a, b, on: true } => self.hold_link(a, b),
             Fault::Hold { a, b, on: false } => self.release_link(a, b),
             Fault::Leader(fault, ms) => self.apply_leader_fault(fault, ms),
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Brings a fault of a machine about; any machine that is up and fits may have it.
+    /// Applies a machine fault to all running machines, or to a random one that is eligible.
     fn apply_machine_fault(&mut self, fault: &Fault) {
         let now = self.now;
         if let Fault::AllHeartbeatsLost(ms) = fault {
@@ -160,7 +161,7 @@
             return running.for_each(|worker| worker.heartbeats_lost_until = now + ms);
         }
         let only_spot = *fault == Fault::SpotNotice;
-        let Some(machine) = self.any_machine(|worker| worker.spot || !only_spot) else { return };
+        let Some(machine) = self.random_machine(|worker| worker.spot || !only_spot) else { return };
         let worker = &mut self.workers[machine];
         match fault {
             Fault::HeartbeatsLost(ms) => worker.heartbeats_lost_until = now + ms,
@@ -168,14 +169,14 @@
             Fault::MachineHangs(ms) => worker.hung_until = now + ms,
             Fault::SpotNotice => worker.taken_at = Some(now + SPOT_NOTICE_MS),
             Fault::MachineDies => {
-                self.machine_ends(machine);
-                self.cloud.fail(&self.workers[machine].id, now);
+                self.end_machine(machine);
+                self.cloud.mark_failed(&self.workers[machine].id, now);
             }
             _ => {}
         }
     }
 
-    /// Brings a fault of the leader about for so many milliseconds, if a node leads.
+    /// Applies a fault to the leader for `ms` milliseconds, if there is a leader.
     fn apply_leader_fault(&mut self, fault: LeaderFault, ms: u64) {
         let Some(leader) = self.leader() else { return };
         let host = Host::Node(leader);
@@ -188,7 +189,7 @@
                 }
             }
             LeaderFault::Isolated => {
-                // A day chooses by the time's parity what becomes of the messages.
+                // Days choose by the parity of the duration: even delivers the messages late, odd loses them.
                 let late = ms.is_multiple_of(2);
                 let peers = (0..self.nodes.len()).filter(|node| *node != leader).map(Host::Node);
                 for other in peers.chain([Host::Store]) {
@@ -198,14 +199,14 @@
         }
     }
 
-    /// Brings a fault about now, and ends it after so many milliseconds.
+    /// Begins a fault now and ends it after `ms` milliseconds.
     fn apply_for(&mut self, ms: u64, fault: impl Fn(bool) -> Fault) {
         self.apply_fault(fault(true));
         self.after(ms, Event::Fault(fault(false)));
     }
 
-    /// Draws one of the machines that are up and suit.
-    fn any_machine(&mut self, suits: impl Fn(&Worker) -> bool) -> Option<usize> {
+    /// Draws one of the running machines that satisfy a condition.
+    fn random_machine(&mut self, suits: impl Fn(&Worker) -> bool) -> Option<usize> {
         let candidates: Vec<usize> = (0..self.workers.len())
             .filter(|machine| self.workers[*machine].up && suits(&self.workers[*machine]))
             .collect();
--- a/crates/scheduler/src/simulation/fields.rs
+++ b/crates/scheduler/src/simulation/fields.rs
@@ -1,4 +1,5 @@
-//! What answer submission may hold, field by field, at every node; also at one that has just started and at answer repeat.
+//! Checks the validation of submissions field by field at every node, also at a node that has just started and for
+//! repeated submissions.
 
 #![cfg(test)]
 
@@ -10,17 +11,17 @@
 use serde_json::Value;
 
 #[test]
-fn nothing_that_cannot_run_or_lacks_a_field_is_accepted_by_any_node() {
+fn every_node_refuses_submissions_that_cannot_run_or_lack_a_field() {
     let mut simulation = Simulation::new(9_100);
     simulation.run_until(5_000);
     for RefusedSubmission { body, status } in refused() {
         for node in 0..NODES {
-            let announced = submit(&mut simulation, node, &body);
-            assert_eq!(announced, status, "node {node}: {body:.400}");
+            let answered = submit(&mut simulation, node, &body);
+            assert_eq!(answered, status, "node {node}: {body:.400}");
         }
     }
     assert!(simulation.state.key("j/req-000001").is_none());
-    // One that fits the limits exactly, and what may be null or left out.
+    // Accepted: a submission that meets the limits exactly, and one without the optional fields.
     let mut number = 10;
     for node in 0..NODES {
         let mut body = job(number, "ensemble", 12);
@@ -35,16 +36,16 @@
     }
 }
 
-/// A repeat gets its job's state whatever is wrong with it now, at every node.
+/// A repeated submission of a known job gets the job's state at every node, even if its content is now invalid.
 #[test]
-fn a_repeat_of_a_known_job_is_never_refused_whatever_it_says() {
+fn repeated_submission_of_a_known_job_is_never_refused() {
     let mut simulation = Simulation::new(9_101);
     simulation.run_until(5_000);
     assert_eq!(submit(&mut simulation, 0, &job(1, "array", 2).to_string()), 201);
     let bodies = refused().into_iter().map(|submission| submission.body);
     for body in bodies.filter(|body| body.contains("\"req-000001\"") && body.starts_with('{')) {
         if serde_json::from_str::<Value>(&body).is_err() {
-            continue; // without JSON there is no id
+            continue; // a body that is not JSON has no ID
         }
         for node in 0..NODES {
             assert_eq!(submit(&mut simulation, node, &body), 200, "node {node}: {body:.400}");
@@ -52,18 +53,18 @@
     }
 }
 
-/// A node that has just started, and does not know the machine types while the cloud is away, decides nothing that
-/// depends on them, and accepts nothing.
+/// A node that starts during an outage of the cloud does not know the machine types. It accepts no job, and answers 503
+/// where the decision depends on the machine types.
 #[test]
-fn a_node_without_the_machine_types_accepts_nothing() {
+fn node_without_machine_types_accepts_no_job() {
     let mut simulation = Simulation::new(9_102);
     restart_without_machine_types(&mut simulation);
     for node in 0..NODES {
         assert_eq!(submit(&mut simulation, node, &job(1, "array", 2).to_string()), 503);
         for RefusedSubmission { body, status } in refused() {
-            let announced = submit(&mut simulation, node, &body);
-            let undecided = status == 422 && announced == 503;
-            assert!(announced == status || undecided, "node {node}: {announced} for {body:.300}");
+            let answered = submit(&mut simulation, node, &body);
+            let undecided = status == 422 && answered == 503;
+            assert!(answered == status || undecided, "node {node}: {answered} for {body:.300}");
         }
     }
     assert!(simulation.state.key("j/req-000001").is_none());
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn questions_about_unknown_jobs_get_404_and_what_is_done_stays_done() {
+fn unknown_jobs_get_404_and_cancelling_a_done_job_leaves_it_done() {
     let mut simulation = Simulation::new(9_103);
     simulation.add_user(2_000, job(1, "array", 1), None);
     simulation.run_until(30_000);
--- a/crates/scheduler/src/simulation/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/isolated_leader.rs
@@ -1,5 +1,6 @@
-//! An isolated leader: the key-value store refuses the leader alone while another node confirms cancellations, and is
-//! then down for everybody for longer than a cancelled task may live, while workers go on sending heartbeats.
+//! Guards against cancelled tasks that outlive their cancellation under an isolated leader: the key-value store refuses
+//! only the leader while another node confirms cancellations, and then refuses all nodes for longer than a cancelled
+//! task may run, while workers keep sending heartbeats.
 
 #![cfg(test)]
 
@@ -13,8 +14,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What is wrong with each of some seeds' days, played on all processors.
-pub fn of_seeds(seeds: Range<u64>, play: impl Fn(u64) -> Option<String> + Sync) -> Vec<String> {
+/// Runs a day for each seed, on all processors, and returns the days' failures.
+pub fn failures_of_seeds(seeds: Range<u64>, play: impl Fn(u64) -> Option<String> + Sync) -> Vec<String> {
     let next = AtomicU64::new(seeds.start);
     let wrong = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -35,7 +36,7 @@
     wrong.into_inner().expect("no thread panicked")
 }
 
-/// Plays a day until two minutes after its last fault; the first rule that breaks.
+/// Runs a day until two minutes after its last fault, and returns the first broken rule.
 fn first_broken_rule(
     day: fn(u64) -> (Simulation, u64),
     seed: u64,
@@ -48,20 +49,21 @@
 }
 
 #[test]
-fn cancelled_tasks_are_gone_in_time_though_the_store_refuses_the_leader_and_then_everybody() {
-    let wrong = of_seeds(seeds(3_000, 24), |seed| first_broken_rule(isolated_leader_day, seed, None));
+fn cancelled_tasks_end_in_time_when_the_store_refuses_the_leader_and_then_all_nodes() {
+    let wrong =
+        failures_of_seeds(seeds(3_000, 24), |seed| first_broken_rule(isolated_leader_day, seed, None));
     assert!(wrong.is_empty(), "{} broken:\n{}", wrong.len(), wrong.join("\n"));
 }
 
 #[test]
-fn starts_held_up_for_longer_than_a_cancellation_may_take_reach_no_living_worker_epoch() {
-    let wrong = of_seeds(seeds(3_500, 16), |seed| first_broken_rule(held_starts_day, seed, None));
+fn delayed_starts_of_cancelled_tasks_run_in_no_current_worker_epoch() {
+    let wrong = failures_of_seeds(seeds(3_500, 16), |seed| first_broken_rule(held_starts_day, seed, None));
     assert!(wrong.is_empty(), "{} broken:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// Checks are disabled after every step of a controller.
+/// Each check of the lease renewal is disabled after every step of a controller, and some day must break a rule.
 #[test]
-fn the_rules_notice_each_disabled_check_of_lease_renewal() {
+fn rules_detect_each_disabled_check_of_lease_renewal() {
     fn ignore_stops(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
     }
@@ -73,22 +75,30 @@
         controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::UnacknowledgedStarts));
     }
     assert!(
-        !of_seeds(3_238..3_250, |seed| first_broken_rule(isolated_leader_day, seed, Some(ignore_stops)))
-            .is_empty(),
-        "answers that stop nothing"
+        !failures_of_seeds(3_238..3_250, |seed| first_broken_rule(
+            isolated_leader_day,
+            seed,
+            Some(ignore_stops)
+        ))
+        .is_empty(),
+        "no rule was broken although lease renewal ignored pending stops"
     );
     assert!(
-        !of_seeds(3_000..3_032, |seed| first_broken_rule(isolated_leader_day, seed, Some(renew_for_longer)))
-            .is_empty(),
-        "renewed for longer"
+        !failures_of_seeds(3_000..3_032, |seed| first_broken_rule(
+            isolated_leader_day,
+            seed,
+            Some(renew_for_longer)
+        ))
+        .is_empty(),
+        "no rule was broken although leases were renewed for longer than allowed"
     );
     assert!(
-        !of_seeds(3_500..3_532, |seed| first_broken_rule(
+        !failures_of_seeds(3_500..3_532, |seed| first_broken_rule(
             held_starts_day,
             seed,
             Some(ignore_unacknowledged_starts)
         ))
         .is_empty(),
-        "unacknowledged starts"
+        "no rule was broken although lease renewal ignored unacknowledged starts"
     );
 }
--- a/crates/scheduler/src/simulation/links.rs
+++ b/crates/scheduler/src/simulation/links.rs
@@ -1,18 +1,18 @@
-//! The network between nodes, stand-ins and users: delays, cuts, and links that hold messages back.
+//! The simulated network: message delays, partitioned links, and links that hold messages back.
 
 use super::events::Event;
 use super::{Simulation, nodes};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How late a message may arrive a second time, in milliseconds.
+/// The longest time until a duplicated message arrives again, in milliseconds.
 const DUPLICATE_WITHIN_MS: u64 = 20_000;
-/// The share of messages that take long.
+/// The share of messages with a long delay.
 const SLOW_SHARE: f64 = 0.01;
-/// How many messages that were held back arrive within one millisecond.
+/// How many of the messages that were held back arrive per millisecond once they are released.
 const RELEASED_PER_MS: u64 = 50;
 
-/// An end of a link.
+/// An endpoint of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Host {
     /// A node, by its index.
@@ -26,16 +26,16 @@
     User,
 }
 
-/// How long a message is on its way.
+/// The delay of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Delay {
-    /// A time drawn by the seed.
+    /// A random time.
     Drawn,
-    /// One millisecond, without a draw, so that the rest of the simulation draws what it would without the message.
+    /// One millisecond, without a draw, so that the message does not change the random numbers of the rest of the run.
     Fixed,
 }
 
-/// What becomes of a message on a link that is cut.
+/// What happens to messages on a partitioned link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Cut {
     HeldBack,
@@ -49,14 +49,14 @@
     event: Event,
 }
 
-/// The links that don't work as usual; all others do.
+/// The links with a fault; all others work.
 #[derive(Debug, Default)]
 pub(super) struct Links {
-    /// Cut both ways, by the ordered pair of their ends.
+    /// Links partitioned in both directions, by the ordered pair of their endpoints.
     cuts: BTreeMap<(Host, Host), Cut>,
-    /// Held back one way: from the first end to the second.
+    /// Links that hold back messages in one direction, from the first endpoint to the second.
     holds: BTreeSet<(Host, Host)>,
-    /// Messages held back by a cut or a hold, in the order in which they were sent.
+    /// Messages held back by a partition or a hold, in the order in which they were sent.
     held: Vec<HeldMessage>,
 }
 
@@ -69,8 +69,8 @@
         self.cuts.get(&both_ways(a, b)).copied()
     }
 
-    /// Whether the link is cut, whatever becomes of its messages.
-    pub(super) fn is_cut(&self, a: Host, b: Host) -> bool {
+    /// Whether the link is partitioned, no matter whether its messages are lost or held back.
+    pub(super) fn is_partitioned(&self, a: Host, b: Host) -> bool {
         self.cut(a, b).is_some()
     }
 
@@ -89,7 +89,7 @@
 }
 
 impl Simulation {
-    /// Sends over a link: with a delay, held back by a cut, or lost in it.
+    /// Sends a message over a link. A fault of the link may hold it back or lose it.
     pub fn send(&mut self, from: Host, to: Host, event: Event) {
         self.send_with_delay(from, to, event, Delay::Drawn);
     }
@@ -118,40 +118,40 @@
         self.rng_ms(1, 8)
     }
 
-    /// Now and then schedules a second arrival of a message, however long ago the first was handled.
-    pub(super) fn maybe_duplicate(&mut self, copy: impl FnOnce() -> Event) {
+    /// Schedules a second arrival of a message with the probability `duplicate_share`.
+    pub(super) fn duplicate_at_random(&mut self, copy: impl FnOnce() -> Event) {
         if self.duplicate_share > 0.0 && self.rng.random_bool(self.duplicate_share) {
             let ms = self.rng_ms(1, DUPLICATE_WITHIN_MS);
             self.after(ms, copy());
         }
     }
 
-    /// Cuts a link both ways; what is sent meanwhile arrives after (`late`) or is lost.
-    pub(super) fn cut_link(&mut self, a: Host, b: Host, late: bool) {
+    /// Partitions a link in both directions. Messages sent during the partition arrive after it (`late`) or are lost.
+    pub(super) fn partition_link(&mut self, a: Host, b: Host, late: bool) {
         let cut = if late { Cut::HeldBack } else { Cut::Lost };
         self.links.cuts.insert(both_ways(a, b), cut);
     }
 
-    /// Mends a link that was cut; what it held back arrives.
-    pub(super) fn mend_link(&mut self, a: Host, b: Host) {
+    /// Heals a partitioned link and delivers the messages that it held back.
+    pub(super) fn heal_link(&mut self, a: Host, b: Host) {
         let link = both_ways(a, b);
         self.links.cuts.remove(&link);
         self.release(|from, to| both_ways(from, to) == link);
     }
 
-    /// Holds back what goes one way over a link.
+    /// Holds back messages in one direction of a link.
     pub(super) fn hold_link(&mut self, from: Host, to: Host) {
         self.links.holds.insert((from, to));
     }
 
-    /// Ends a hold, if there is one; what it held back arrives.
+    /// Ends a hold, if there is one, and delivers the messages that it held back.
     pub(super) fn release_link(&mut self, from: Host, to: Host) {
         if self.links.holds.remove(&(from, to)) {
             self.release(|start, end| (start, end) == (from, to));
         }
     }
 
-    /// Messages that were held back arrive, in the order in which they were sent.
+    /// Delivers messages that were held back, in the order in which they were sent.
     fn release(&mut self, is_released: impl Fn(Host, Host) -> bool) {
         let released = self.links.take_held(is_released);
         for (position, message) in released.into_iter().enumerate() {
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Whether a machine is cut off from any of the nodes.
-    pub(super) fn is_cut_from_a_node(&self, machine: usize) -> bool {
-        nodes::hosts(self.nodes.len()).any(|node| self.links.is_cut(node, Host::Machine(machine)))
+    /// Whether a machine is partitioned from any of the nodes.
+    pub(super) fn is_partitioned_from_a_node(&self, machine: usize) -> bool {
+        nodes::hosts(self.nodes.len()).any(|node| self.links.is_partitioned(node, Host::Machine(machine)))
     }
 }
--- a/crates/scheduler/src/simulation/mod.rs
+++ b/crates/scheduler/src/simulation/mod.rs
@@ -1,9 +1,11 @@
-//! The seeded simulation: controllers against stand-ins of the key-value store, the cloud, workers and users, with
-//! delays, late delivery, cuts, crashes, hangs and outages. [`rules`] checks every rule of the protocol, from what
-//! the stand-ins see and never from the controllers' own records.
+//! The seeded simulation: real controllers run against simulated versions of the key-value store, the cloud, the
+//! workers and the users, with message delays, late delivery, network partitions, crashes, hangs and outages.
+//! [`rules`] checks every rule of the protocol from what the simulated components observe, never from the
+//! controllers' own records.
 //!
-//! Everything random is drawn from one generator in the order of events, so a seed names a day exactly. [`days`]
-//! builds days; the tests of this folder, of other packages and the example `simulation_digest` play them.
+//! A simulated run is called a day. All randomness comes from one generator, which is used in the order of events,
+//! so a seed determines a day exactly. [`days`] builds days; the tests in this folder, those of other packages and
+//! the example `simulation_digest` run them.
 
 mod bad_records;
 mod cancellations;
@@ -52,74 +54,74 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// How many nodes a day has, if it names no other number.
+/// The default number of nodes of a day.
 pub const NODES: usize = 3;
 
-/// A day under way: the nodes, the stand-ins, and the events to come.
+/// A running day: the nodes, the simulated components and the pending events.
 pub struct Simulation {
-    /// The simulated time since the day began, in milliseconds.
+    /// The simulated time since the start of the day, in milliseconds.
     pub now: u64,
     /// The only source of randomness.
     pub rng: StdRng,
     queue: events::EventQueue,
     /// The nodes' settings.
     pub settings: Vec<Arc<Settings>>,
-    /// Nodes that still run the version before dependencies, and the settings it read.
+    /// Nodes that still run the version without job dependencies, with the settings that this version reads.
     pub previous_version: BTreeMap<usize, Arc<Settings>>,
     pub nodes: Vec<Node>,
-    /// The stand-in of the key-value store.
+    /// The simulated key-value store.
     pub state: store::Service,
     pub cloud: cloud::Cloud,
-    /// All machines that were ever rented, in the order of their numbers.
+    /// All machines ever rented, indexed by machine number.
     pub workers: Vec<workers::Worker>,
     pub users: Vec<User>,
     links: links::Links,
     faults: faults::ActiveFaults,
-    /// How fast each node's monotonic clock runs, in millionths beyond true time.
+    /// How much faster than true time each node's monotonic clock runs, in parts per million.
     pub drift_ppm: Vec<i64>,
-    /// A task whose image its machine has fetched before starts at once.
+    /// Whether a task starts without a fetch on a machine that has fetched the task's image before.
     pub keeps_images: bool,
-    /// How many impossible requests were sent.
+    /// How many requests were sent that can never be accepted.
     impossible_requests: u64,
-    /// How often each situation that a day is to bring about took place.
+    /// How often each situation that days are meant to produce has occurred.
     pub occurrences: BTreeMap<&'static str, u64>,
     leadership: Leadership,
     pub rules: Rules,
-    /// Commands that a heartbeat on its way would have made needless: living machines returned with work on them.
-    pub needless: Vec<String>,
-    /// Over all that the nodes did so far, and when.
+    /// Returns of healthy machines that were still running wanted tasks; a heartbeat in transit would have shown that.
+    pub needless_returns: Vec<String>,
+    /// The digest of all effects of the nodes so far, with their times.
     effects: digest::Digest,
-    /// The extension that each node is given as it starts.
-    feature: Option<fn() -> Box<dyn Extension>>,
+    /// Creates the extension that each node gets at its start.
+    extension: Option<fn() -> Box<dyn Extension>>,
     /// The prefix of the extension's keys.
-    feature_prefix: Option<&'static str>,
-    /// Up to which revision jobs' descriptions are uploaded.
-    described: u64,
-    /// Answers to the test itself, in the order in which they came.
+    extension_prefix: Option<&'static str>,
+    /// The store revision up to which the submissions of an extension's jobs have been passed to the rules.
+    described_revision: u64,
+    /// Answers to requests that the test itself sent, in order of arrival.
     pub answers: Vec<Answered>,
-    /// How long a node that ends is away, in milliseconds.
+    /// The range of the time between a node's crash and its restart, in milliseconds.
     pub restart_delay_ms: Range<u64>,
-    /// The share of all that nodes send which arrives a second time, up to 20 s later.
+    /// The share of the nodes' messages that arrive a second time, up to 20 s later.
     pub duplicate_share: f64,
-    /// Changes a controller after each of its steps, at that time: a check that is disabled.
+    /// Called with a controller after each of its steps, and the simulated time; used to disable one of its checks.
     pub injected_fault: Option<fn(&mut Controller, u64)>,
 }
 
-/// Whose leadership it is, by the leader key's revision.
+/// The current leadership, identified by the leader key's revision.
 #[derive(Debug, Default)]
 struct Leadership {
     leader_key: Option<Revision>,
-    /// When the key was first seen with that revision, in milliseconds.
+    /// When the leader key was first observed with that revision, in milliseconds.
     since_ms: u64,
 }
 
 impl Simulation {
-    /// A day with the usual nodes and limits.
+    /// Creates a day with the default number of nodes and the default team limits.
     pub fn new(seed: u64) -> Self {
         Self::with_nodes(seed, NODES, settings::USUAL_GPUS)
     }
 
-    /// A day with `nodes` controllers, and teams that may take `gpus` accelerators each.
+    /// Creates a day with `nodes` controllers and teams that may use `gpus` accelerators each.
     pub fn with_nodes(seed: u64, nodes: usize, gpus: u32) -> Self {
         let settings: Vec<Arc<Settings>> =
             (0..nodes).map(|node| Arc::new(settings::settings_of(node, nodes, gpus))).collect();
@@ -140,11 +142,11 @@
             occurrences: BTreeMap::new(),
             leadership: Leadership::default(),
             rules: Rules::new(settings[0].workers.cancel_s, &settings[0].teams),
-            needless: Vec::new(),
+            needless_returns: Vec::new(),
             effects: digest::Digest::default(),
-            feature: None,
-            feature_prefix: None,
-            described: 0,
+            extension: None,
+            extension_prefix: None,
+            described_revision: 0,
             answers: Vec::new(),
             restart_delay_ms: 1_000..4_000,
             duplicate_share: 0.0,
@@ -156,22 +158,22 @@
         simulation
     }
 
-    /// Draws a time in milliseconds, from `from` up to, but not including, `to`.
+    /// Draws a time in milliseconds from `from` up to, but not including, `to`.
     pub fn rng_ms(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    /// Schedules an event at a simulated time in milliseconds, or now if that has passed.
+    /// Schedules an event at a simulated time in milliseconds, or now if that time has passed.
     pub fn at(&mut self, time: u64, event: Event) {
         self.queue.push(time.max(self.now), event);
     }
 
-    /// Schedules an event so many milliseconds from now.
+    /// Schedules an event `ms` milliseconds from now.
     fn after(&mut self, ms: u64, event: Event) {
         self.at(self.now + ms, event);
     }
 
-    /// Plays on until a simulated time in milliseconds, or until a rule breaks.
+    /// Handles events until the simulated time `end`, in milliseconds, or until a rule is broken.
     pub fn run_until(&mut self, end: u64) {
         while let Some((at_ms, event)) = self.queue.pop_until(end) {
             self.now = at_ms;
@@ -191,24 +193,24 @@
             Event::Restart(node) => self.start_node(node),
             Event::Store { caller, request } => self.store_request(caller, request),
             Event::SlowStoreAnswer { node, answer } => self.send(Host::Store, Host::Node(node), *answer),
-            Event::LateWrite(request) => self.late_write(request),
-            Event::WatchEnds(watch) => self.watch_ends(watch),
+            Event::LateWrite(request) => self.commit_late(request),
+            Event::WatchEnds(watch) => self.end_watch(watch),
             Event::Cloud { caller, request } => self.cloud_request(caller, request),
             Event::Command { caller, addr, body } => self.receive_command(caller, &addr, &body),
-            Event::Worker(machine) => self.worker_turn(machine),
+            Event::Worker(machine) => self.step_worker(machine),
             Event::HeartbeatAnswer { heartbeat, node, status, body } => {
                 self.heartbeat_answer(heartbeat, node, status, &body);
             }
             Event::HeartbeatTimeout { machine, heartbeat } => self.heartbeat_timeout(machine, heartbeat),
             Event::HeartbeatCopy { machine, node, body } => {
-                self.send_heartbeat(machine, node, Requester::Nobody, body);
+                self.send_heartbeat(machine, node, Requester::Dropped, body);
             }
             Event::CloseRead(close_read) => self.close_read(close_read),
             Event::CloseReadAnswer { close_read, before, node, status, body } => {
                 self.close_read_answer(close_read, &before, node, status, &body);
             }
-            Event::OddRequest => self.odd_turn(),
-            Event::User(user) => self.user_turn(user),
+            Event::OddRequest => self.send_odd_request(),
+            Event::User(user) => self.send_next_request(user),
             Event::UserAnswer { user, request, status, body } => {
                 self.user_answer(user, request, status, &body);
             }
@@ -218,13 +220,13 @@
         }
     }
 
-    /// Sends a heartbeat of a machine to a node; false: the connection fails.
+    /// Sends a machine's heartbeat to a node. Returns false if the connection fails.
     fn send_heartbeat(&mut self, machine: usize, node: usize, requester: Requester, body: String) -> bool {
         let path = "/v1/report".to_string();
         self.request(node, requester, Host::Machine(machine), Method::Post, path, body)
     }
 
-    /// A hash over all that the nodes did, and when, and over what the key-value store holds now.
+    /// Returns a hash of all effects of the nodes with their times, and of the key-value store's current content.
     pub fn digest(&self) -> u64 {
         let mut digest = self.effects.clone();
         self.state
--- a/crates/scheduler/src/simulation/nodes.rs
+++ b/crates/scheduler/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes' processes: starts, clocks, steps, and requests that reach them over HTTP.
+//! The nodes' processes: starts, clocks, steps, and HTTP requests to them.
 
 use super::Simulation;
 use super::close_reads::CloseRead;
@@ -16,24 +16,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How often a node steps without other input, in milliseconds; up to `TICK_JITTER_MS` more each time.
+/// The time between a node's periodic steps, in milliseconds; up to `TICK_JITTER_MS` more each time.
 const TICK_MS: u64 = 50;
 const TICK_JITTER_MS: u64 = 4;
-/// What a monotonic clock shows as the simulation begins, in milliseconds.
+/// The value of the monotonic clocks at the start of the simulation, in milliseconds.
 const MONOTONIC_START_MS: u64 = 1_000_000;
-/// What a wall clock shows as the simulation begins, in milliseconds since 1970.
+/// The value of the wall clocks at the start of the simulation, in milliseconds since 1970.
 const WALL_START_MS: u64 = 1_700_000_000_000;
 
-/// A node, with its process while it runs.
+/// A node, with its process if it is running.
 pub struct Node {
-    /// The running process; none while the node is down.
+    /// The running process; `None` while the node is down.
     pub controller: Option<Controller>,
     /// How often the node has started.
     pub incarnation: u64,
-    /// Who waits for the answers to requests at this node.
+    /// The requesters that wait for answers from this node.
     pub(super) requesters: BTreeMap<RequestId, Requester>,
     last_request: u64,
-    /// The node's own requests that have neither been answered nor timed out.
+    /// The node's own requests that have been neither answered nor timed out.
     pub(super) open_requests: BTreeSet<RequestId>,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A node's request, and the incarnation that waits for its answer.
+/// The request of a node, with the incarnation that waits for the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Caller {
     pub node: usize,
@@ -62,13 +62,13 @@
 }
 
 impl Caller {
-    /// The arrival of an answer.
+    /// Returns the event of an answer's arrival.
     pub(super) fn input(self, input: Input) -> Event {
         Event::Input { node: self.node, incarnation: self.incarnation, input }
     }
 }
 
-/// Who waits for the answer to a request at a node.
+/// The recipient of the answer to a request at a node.
 #[derive(Debug)]
 pub(super) enum Requester {
     User {
@@ -80,15 +80,15 @@
         close_read: CloseRead,
         before: Known,
     },
-    /// Nobody any more: the request is a copy of a heartbeat.
-    Nobody,
-    /// The test itself.
+    /// The answer is dropped: the request is a copy of a heartbeat.
+    Dropped,
+    /// The test itself, which identifies the request by a number.
     Test {
         tag: u64,
     },
 }
 
-/// An answer to the test itself.
+/// An answer to a request of the test itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answered {
     /// The number that the test gave the request.
@@ -100,13 +100,13 @@
     pub body: String,
 }
 
-/// The first `count` nodes as ends of links.
+/// Returns the first `count` nodes as hosts.
 pub(super) fn hosts(count: usize) -> impl Iterator<Item = Host> {
     (0..count).map(Host::Node)
 }
 
 impl Simulation {
-    /// Adds a node that starts within the first 300 ms.
+    /// Adds a node that starts within the first 300 ms of the day.
     pub(super) fn add_node(&mut self) {
         self.nodes.push(Node::down());
         let at_ms = self.rng_ms(1, 300);
@@ -114,14 +114,14 @@
     }
 
     /// Gives every node an extension, from its next start on.
-    pub fn with_extension(mut self, feature: fn() -> Box<dyn Extension>) -> Self {
-        self.feature_prefix = Some(feature().prefix());
-        self.feature = Some(feature);
+    pub fn with_extension(mut self, extension: fn() -> Box<dyn Extension>) -> Self {
+        self.extension_prefix = Some(extension().prefix());
+        self.extension = Some(extension);
         self
     }
 
-    /// All nodes begin with the version before dependencies, and the key-value store with the limits
-    /// that it has then. The settings name its next ones.
+    /// Makes all nodes start with the version without job dependencies and the key-value store's present limits. The
+    /// settings of upgraded nodes name the next limits.
     pub fn start_with_previous_version(&mut self) {
         let nodes = self.settings.len();
         self.previous_version = self.settings.iter().cloned().enumerate().collect();
@@ -136,8 +136,8 @@
         if previous_settings.is_some() {
             controller.act_as_previous_version();
         }
-        if let Some(feature) = self.feature {
-            controller = controller.with_extension(feature());
+        if let Some(extension) = self.extension {
+            controller = controller.with_extension(extension());
         }
         let node = &mut self.nodes[index];
         node.incarnation += 1;
@@ -148,7 +148,7 @@
         self.after(1, Event::Tick { node: index, incarnation });
     }
 
-    /// Ends a node's process, if it runs; it starts again after a time drawn from `restart_delay_ms`.
+    /// Ends a node's process if it is running. It starts again after a time drawn from `restart_delay_ms`.
     pub(super) fn crash_node(&mut self, index: usize) {
         if self.nodes[index].controller.take().is_some() {
             let ms = self.rng.random_range(self.restart_delay_ms.clone());
@@ -162,7 +162,7 @@
         }
         let jitter = self.rng_ms(0, TICK_JITTER_MS);
         self.after(TICK_MS + jitter, Event::Tick { node, incarnation });
-        self.note_leader();
+        self.record_leader();
         self.release_copies();
         self.step(node, Input::Tick);
     }
@@ -177,7 +177,7 @@
             | Input::Worker { request_id, .. } => Some(*request_id),
             _ => None,
         };
-        // An answer after the caller gave up reaches nobody.
+        // An answer after the request's timeout is dropped.
         if answered.is_none_or(|request_id| self.nodes[node].open_requests.remove(&request_id)) {
             self.step(node, input);
         }
@@ -197,13 +197,13 @@
         self.step(node, input);
     }
 
-    /// What a node's monotonic clock shows.
+    /// Returns the time of a node's monotonic clock.
     fn monotonic_time(&self, node: usize) -> MonotonicTime {
         let drift = self.now as i64 * self.drift_ppm[node] / 1_000_000;
         MonotonicTime::from_millis(MONOTONIC_START_MS + self.now.saturating_add_signed(drift))
     }
 
-    /// The node that validly leads now, if one does.
+    /// Returns the node that holds a valid leader lease now, if any.
     pub fn leader(&self) -> Option<usize> {
         let leads = |node: &usize| {
             let controller = self.nodes[*node].controller.as_ref();
@@ -212,7 +212,7 @@
         (0..self.nodes.len()).find(leads)
     }
 
-    /// Gives a node an input and carries out the effects.
+    /// Passes an input to a node and carries out the effects.
     fn step(&mut self, node: usize, input: Input) {
         let now = Now {
             monotonic: self.monotonic_time(node),
@@ -229,7 +229,7 @@
             injected_fault(controller, self.now);
         }
         if let Err(what) = controller.check_totals() {
-            self.rules.broken.push(format!("at {} ms: kept sums: {what}", self.now));
+            self.rules.broken.push(format!("at {} ms: wrong running totals: {what}", self.now));
         }
         for effect in effects {
             self.effects.effect(self.now, node, &effect);
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Sends a node a request over HTTP; false: the connection fails.
+    /// Sends an HTTP request to a node. Returns false if the connection fails.
     pub(super) fn request(
         &mut self,
         node: usize,
@@ -271,12 +271,12 @@
         true
     }
 
-    /// Sends a node a request as a user would; the answer comes to `answers`. False: the connection fails.
+    /// Sends a node a request as a user would; the answer is added to `answers`. Returns false if the connection fails.
     pub fn ask(&mut self, node: usize, tag: u64, method: Method, path: &str, body: &str) -> bool {
         self.request(node, Requester::Test { tag }, Host::User, method, path.into(), body.into())
     }
 
-    /// Calls a node's extension; the answer comes to `answers`. False: the connection fails.
+    /// Calls a node's extension; the answer is added to `answers`. Returns false if the connection fails.
     pub fn call(&mut self, node: usize, tag: u64, call: Call) -> bool {
         let input = |request| Input::Call { slot: 0, request, call };
         self.send_request(node, Requester::Test { tag }, Host::User, input)
--- a/crates/scheduler/src/simulation/odd_requests.rs
+++ b/crates/scheduler/src/simulation/odd_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that users should not send: repeats with a fault in them, cancellations of what is done, and submissions
-//! that are malformed or can never run.
+//! Requests that users should not send: repeated submissions with an error in them, cancellations of completed jobs, and
+//! submissions that are malformed or can never run.
 
 use super::close_reads::{CloseRead, CloseReadRequest};
 use super::events::Event;
@@ -7,12 +7,12 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 
-/// The number of the first job that can never be accepted.
+/// The numbers of jobs that can never be accepted begin after this one.
 const IMPOSSIBLE_JOBS: usize = 900_000;
 
 impl Simulation {
     /// Sends a malformed or impossible request, and schedules the next while the fault lasts.
-    pub(super) fn odd_turn(&mut self) {
+    pub(super) fn send_odd_request(&mut self) {
         if !self.faults.odd_requests {
             return;
         }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A question about an unknown job, or a submission that lacks a field or can never run.
+    /// Sends a query for an unknown job, or a submission that lacks a field or can never run.
     fn send_impossible_request(&mut self, node: usize) {
         self.impossible_requests += 1;
         let mut body = job(IMPOSSIBLE_JOBS + self.impossible_requests as usize, "array", 1);
@@ -63,7 +63,7 @@
         self.close_read(CloseRead { node, id, request: CloseReadRequest::AdmissionError(submission) });
     }
 
-    /// The same submission with a fault in it: a repeat gets the job's state whatever it says.
+    /// Returns the submission with an error in it. A repeat of a known job's submission gets the job's state anyway.
     pub(super) fn corrupt(&mut self, body: &Value) -> String {
         let mut body = body.clone();
         match self.rng.random_range(0..5) {
--- a/crates/scheduler/src/simulation/recovery.rs
+++ b/crates/scheduler/src/simulation/recovery.rs
@@ -1,5 +1,5 @@
-//! The start after all controllers went down, with several machines that fail: five nodes, hundreds of machines,
-//! crashes in a row and in the midst of each phase.
+//! Guards against faults in the recovery after all controllers went down while several machines fail: five nodes, many
+//! machines, repeated crashes and crashes during each phase of the recovery.
 
 #![cfg(test)]
 
@@ -7,21 +7,25 @@
 use super::days::recovery::{DOWN_MS, Down, ENDS, day, day_of_lost_leases, day_of_quick_returns};
 use crate::node::{Controller, DisabledCheck};
 
-/// What a day must show at its end, besides the rules after each step.
+/// Checks the end of a day: no rule was broken, no healthy machine was returned, and all jobs are served.
 fn check_day(seed: u64, simulation: &Simulation) {
     assert!(simulation.rules.broken.is_empty(), "seed {seed}: {:?}", simulation.rules.broken);
-    // A return that a heartbeat on its way proves wrong.
-    assert!(simulation.needless.is_empty(), "seed {seed}: needless: {:?}", simulation.needless);
+    // A heartbeat in transit would have shown that the machine still runs its tasks.
+    assert!(
+        simulation.needless_returns.is_empty(),
+        "seed {seed}: needless returns: {:?}",
+        simulation.needless_returns
+    );
     for class in ["c-array", "c-ensemble", "c-daemon"] {
-        served(seed, simulation, class, |user| user.body["job_class"] == class);
+        check_served(seed, simulation, class, |user| user.body["job_class"] == class);
     }
     for team in ["red", "blue"] {
-        served(seed, simulation, team, |user| user.body["owner"] == team);
+        check_served(seed, simulation, team, |user| user.body["owner"] == team);
     }
 }
 
-/// At least half of what a class or a team was promised, and here, with resources for all, everything.
-fn served(seed: u64, simulation: &Simulation, what: &str, of: impl Fn(&super::User) -> bool) {
+/// Checks that all accepted jobs of a class or a team are done, or run with all replicas: there are resources for all.
+fn check_served(seed: u64, simulation: &Simulation, what: &str, of: impl Fn(&super::User) -> bool) {
     let all: Vec<&super::User> = simulation
         .users
         .iter()
@@ -39,14 +43,15 @@
     assert!(!all.is_empty() && served == all.len(), "seed {seed}: {what}: {served} of {} served", all.len());
 }
 
-/// So many seeds as usual, or as `PEARFORD_SEEDS` says: a longer search plays more than CI has time for.
-pub(super) fn seeds(from: u64, usual: u64) -> std::ops::Range<u64> {
-    let more = std::env::var("PEARFORD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(usual);
-    from..from + more
+/// Returns the range of `default` seeds from `from`, or of as many as the variable `PEARFORD_SEEDS` says, for searches
+/// that are too long for CI.
+pub(super) fn seeds(from: u64, default: u64) -> std::ops::Range<u64> {
+    let count = std::env::var("PEARFORD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(default);
+    from..from + count
 }
 
 #[test]
-fn a_fleet_recovers_from_a_crash_of_all_nodes_while_machines_fail() {
+fn recovers_from_a_crash_of_all_nodes_while_machines_fail() {
     for seed in seeds(2_000, 3) {
         let mut simulation = day(seed, Down::Once, 40);
         simulation.run_until(24_000);
@@ -58,7 +63,7 @@
 }
 
 #[test]
-fn a_fleet_recovers_from_crashes_in_a_row_that_outlast_the_leases() {
+fn recovers_from_repeated_crashes_that_outlast_the_leases() {
     for seed in seeds(2_100, 3) {
         let mut simulation = day(seed, Down::InARow, 40);
         simulation.run_until(ENDS);
@@ -67,7 +72,7 @@
 }
 
 #[test]
-fn a_fleet_recovers_from_crashes_in_the_midst_of_each_phase() {
+fn recovers_from_crashes_during_each_phase_of_the_recovery() {
     for seed in seeds(2_200, 3) {
         let mut simulation = day(seed, Down::Midst, 40);
         simulation.run_until(ENDS);
@@ -75,7 +80,7 @@
     }
 }
 
-/// Three hundred machines and more: once, as it takes long.
+/// Recovery of at least three hundred machines, with a single seed because it takes long.
 #[test]
 fn three_hundred_machines_come_back_at_once() {
     let mut simulation = day(2_300, Down::InARow, 220);
@@ -86,9 +91,10 @@
     check_day(2_300, &simulation);
 }
 
-/// Tasks whose leases ran out while nobody led start again where they were: the assignments have them there.
+/// Tasks that ended because their workers' leases expired while there was no leader restart on the same machines, to
+/// which they are still assigned.
 #[test]
-fn tasks_ended_by_a_lost_lease_start_again_where_they_were() {
+fn tasks_ended_by_an_expired_lease_restart_on_their_machines() {
     let mut simulation = day_of_lost_leases(2_400);
     let down = DOWN_MS;
     simulation.run_until(down);
@@ -108,16 +114,16 @@
     let before = places(&simulation);
     assert_eq!(before.len(), 80);
     simulation.run_until(down + 24_000);
-    assert!(places(&simulation).is_empty(), "every lease has expired");
+    assert!(places(&simulation).is_empty(), "a task still runs although all leases have expired");
     simulation.run_until(down + 45_000);
     assert!(simulation.rules.broken.is_empty(), "{:?}", simulation.rules.broken);
     let after = places(&simulation);
     let same = after.iter().filter(|p| before.contains(p)).count();
-    assert!(after.len() == 80 && same >= 76, "{} are back, {same} where they were", after.len());
+    assert!(after.len() == 80 && same >= 76, "{} tasks restarted, {same} on the same machine", after.len());
 }
 
 #[test]
-fn nodes_back_within_a_fraction_of_a_second_keep_the_rules_while_old_messages_come_again() {
+fn quick_restarts_with_duplicated_messages_break_no_rule() {
     for seed in seeds(2_600, 4) {
         let mut simulation = day_of_quick_returns(seed, 30);
         simulation.run_until(ENDS);
@@ -125,28 +131,29 @@
     }
 }
 
-/// Whether some seed of a few breaks a rule, or does something needless, with a check disabled.
-fn noticed(from: u64, down: Down, injected_fault: fn(&mut Controller, u64)) -> bool {
+/// Whether any of 12 seeds breaks a rule or returns a healthy machine with a check disabled.
+fn is_detected(from: u64, down: Down, injected_fault: fn(&mut Controller, u64)) -> bool {
     (from..from + 12).any(|seed| {
         let mut simulation = day(seed, down, 30);
         simulation.injected_fault = Some(injected_fault);
         simulation.run_until(120_000);
-        !simulation.rules.broken.is_empty() || !simulation.needless.is_empty()
+        !simulation.rules.broken.is_empty() || !simulation.needless_returns.is_empty()
     })
 }
 
-/// The check of the fencing token is disabled in the search of all interleavings (`crates/recovery`): here a command is
-/// hardly ever still on its way when the next leader reads.
+/// Detects a leader that treats machines as lost before it has collected their heartbeats. The check of the fencing
+/// token is tested in the search of all interleavings (`crates/recovery`) instead: here a command is almost never in
+/// transit when the next leader reads the records.
 #[test]
-fn the_rules_notice_machines_given_up_before_their_heartbeat() {
-    assert!(noticed(2_500, Down::InARow, |controller, _| controller
+fn rules_detect_disabled_heartbeat_collection() {
+    assert!(is_detected(2_500, Down::InARow, |controller, _| controller
         .disable_check(DisabledCheck::HeartbeatCollection)));
 }
 
-/// A start that had been carried out came again after the worker had forgotten how it ended: it ran once more, while the
-/// task's next attempt ran elsewhere (seed 5002).
+/// If an ended attempt is forgotten while a copy of its start command is in transit, the copy starts the attempt again
+/// while the task's next attempt runs elsewhere.
 #[test]
-fn the_rules_notice_ended_attempts_that_are_forgotten_too_soon() {
+fn rules_detect_ended_attempts_that_are_forgotten_too_early() {
     let broken = (5_000..5_040).any(|seed| {
         let mut simulation = day_of_quick_returns(seed, 30);
         simulation.duplicate_share = 0.3;
--- a/crates/scheduler/src/simulation/settings.rs
+++ b/crates/scheduler/src/simulation/settings.rs
@@ -3,19 +3,19 @@
 use crate::settings::{SAMPLE, Settings, SourceFile, parse};
 use serde_json::{Value, json};
 
-/// The key-value store's next limits: so small that a machine's record holds few tasks.
+/// The key-value store's next limits, so small that a machine's record holds only a few tasks.
 const NEXT_STORE_LIMITS: &str = "[facts.state.next]\nvalue_kb = 0.75\ntxn_ops = 4\nwrite_rps = 50.0\n";
-/// How many accelerators a team may take in a day that names no other number.
+/// The default number of accelerators that a team may use.
 pub(super) const USUAL_GPUS: u32 = 12;
-/// What operators set besides the settings file.
+/// The operator's settings, which are read besides the settings file.
 const OPERATOR_SETTINGS: &str = "idle_return_s: 20\nrefusal_pause_s: 3\n";
 
-/// A node's settings, with teams that may take `gpus` accelerators each.
+/// Returns a node's settings, with teams that may use `gpus` accelerators each.
 pub(super) fn settings_of(node: usize, nodes: usize, gpus: u32) -> Settings {
     settings_with(node, nodes, gpus, "")
 }
 
-/// A node's settings that name the key-value store's next limits.
+/// Returns a node's settings that include the key-value store's next limits.
 pub(super) fn next_settings(node: usize, nodes: usize) -> Settings {
     settings_with(node, nodes, USUAL_GPUS, NEXT_STORE_LIMITS)
 }
@@ -36,7 +36,7 @@
         .expect("the test settings are valid")
 }
 
-/// The submission of job `number` with so many tasks; the caller changes what it needs.
+/// Returns the submission of job `number` with `tasks` tasks. Callers change the fields that they need otherwise.
 pub fn job(number: usize, job_type: &str, tasks: u32) -> Value {
     let owner = if number.is_multiple_of(2) { "red" } else { "blue" };
     let is_daemon = job_type == "daemon";
--- a/crates/scheduler/src/simulation/store.rs
+++ b/crates/scheduler/src/simulation/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the key-value store.
+//! The simulated key-value store.
 
 use super::Simulation;
 use super::events::Event;
@@ -16,22 +16,22 @@
 /// A lease that keys may be bound to.
 #[derive(Debug)]
 struct Lease {
-    /// When it runs out, in milliseconds.
+    /// When the lease expires, in milliseconds.
     ends: u64,
-    /// How long it lasts after each renewal, in milliseconds.
+    /// The time from a renewal to the expiry, in milliseconds.
     ttl_ms: u64,
 }
 
-/// A request that is answered once something under a prefix changes.
+/// A request that is answered when a key under a prefix changes.
 #[derive(Debug)]
 struct Watch {
     caller: Caller,
     prefix: &'static str,
-    /// The revision after which changes count.
+    /// Only changes after this revision are reported.
     since: u64,
 }
 
-/// A key's value, the revision of its last change, and the lease that it is bound to.
+/// A key's value, the revision of its last change and the lease that the key is bound to.
 #[derive(Debug)]
 struct StoredValue {
     value: String,
@@ -48,16 +48,16 @@
     /// All changes so far.
     history: Vec<StoreEvent>,
     watches: BTreeMap<u64, Watch>,
-    /// The last number given to a lease or a watch.
+    /// The last ID given to a lease or a watch.
     last_id: u64,
-    /// An outage: nobody is served.
+    /// Whether there is an outage, in which every request is refused.
     down: bool,
-    /// Nodes that are not served.
+    /// Nodes whose requests are refused.
     pub refused: BTreeSet<usize>,
     pub limits: StoreLimits,
-    /// Values and transactions that were refused for being over the limits.
+    /// Values and transactions that were refused because they exceeded the limits.
     pub too_large: Vec<String>,
-    /// Injected fault: takes every transaction, whatever its conditions.
+    /// Injected fault: commits every transaction, even if its conditions do not hold.
     pub ignores_conditions: bool,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Service {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: StoreLimits) -> Self {
         Self {
             store_revision: 0,
@@ -99,41 +99,41 @@
         }
     }
 
-    /// A key's value.
+    /// Returns a key's value.
     pub fn key(&self, key: &str) -> Option<&str> {
         self.keys.get(key).map(|stored| stored.value.as_str())
     }
 
-    /// Somebody writes a value past all conditions.
+    /// Writes a value without any condition, as a write from outside the cluster would.
     pub fn overwrite(&mut self, key: &str, value: &str) {
         self.store_revision += 1;
         self.put(key.into(), value.into(), None);
     }
 
-    /// The revision of a key's last change.
+    /// Returns the revision of a key's last change.
     pub fn revision(&self, key: &str) -> Option<Revision> {
         self.keys.get(key).map(|stored| stored.revision)
     }
 
-    /// How many changes were made under a prefix so far.
+    /// Returns the number of changes under a prefix so far.
     pub fn changes(&self, prefix: &str) -> usize {
         self.history.iter().filter(|event| key_of(event).starts_with(prefix)).count()
     }
 
-    /// All pairs under a prefix.
+    /// Returns all pairs under a prefix.
     pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
         let all = self.keys.range(prefix.to_string()..).take_while(move |(key, _)| key.starts_with(prefix));
         all.map(|(key, stored)| (key.as_str(), stored.value.as_str()))
     }
 
-    /// All keys in their order, with values, revisions and the leases that they are bound to.
+    /// Returns all keys in order, with their values, revisions and the leases that they are bound to.
     pub fn stored(&self) -> impl Iterator<Item = (&str, &str, Revision, Option<LeaseId>)> {
         self.keys
             .iter()
             .map(|(key, stored)| (key.as_str(), stored.value.as_str(), stored.revision, stored.lease))
     }
 
-    /// Refuses a node's requests from now on, or serves them again.
+    /// Refuses a node's requests from now on (`on`), or serves them again.
     pub fn refuse(&mut self, node: usize, on: bool) {
         if on {
             self.refused.insert(node);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Begins or ends an outage; after it, all leases have their full time again.
+    /// Begins or ends an outage. The end of an outage renews all leases.
     pub fn outage(&mut self, on: bool, now: u64) {
         self.down = on;
         if !on {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Removes expired leases with their keys.
+    /// Removes expired leases and the keys bound to them. During an outage no lease expires.
     fn expire(&mut self, now: u64) {
         if self.down {
             return;
@@ -182,13 +182,13 @@
         self.history.push(StoreEvent::Delete { key, revision: Revision(self.store_revision) });
     }
 
-    /// The changes under a prefix after a revision.
+    /// Returns the changes under a prefix after a revision.
     fn since(&self, prefix: &str, from: u64) -> Vec<StoreEvent> {
         let start = self.history.partition_point(|event| revision_of(event).0 <= from);
         self.history[start..].iter().filter(|event| key_of(event).starts_with(prefix)).cloned().collect()
     }
 
-    /// Carries out a transaction if its conditions hold: keys with the revisions that they must have.
+    /// Commits a transaction if its conditions hold: each key must have the given revision.
     fn commit(&mut self, conditions: &[(String, Revision)], changes: Vec<Change>) -> StoreReply {
         if let Some(what) = self.over_the_limits(conditions.len(), &changes) {
             self.too_large.push(what);
@@ -217,7 +217,7 @@
         StoreReply::Committed { store_revision: self.store_revision }
     }
 
-    /// What of a transaction is over the limits, if anything is.
+    /// Returns the part of a transaction that exceeds the limits, if any.
     fn over_the_limits(&self, conditions: usize, changes: &[Change]) -> Option<String> {
         let too_large = changes.iter().find_map(|change| match change {
             Change::Put { key, value, .. } if value.len() > self.limits.value_bytes => Some(key.clone()),
@@ -227,7 +227,7 @@
         too_large.or(too_many.then(|| format!("a transaction of {}", changes.len())))
     }
 
-    /// The pairs under a prefix after a key, up to a number of them.
+    /// Returns at most `most` pairs under a prefix, after a key.
     fn range(&self, prefix: &str, after: &str, most: usize) -> StoreReply {
         let mut pairs: Vec<Pair> = self
             .keys
@@ -241,7 +241,7 @@
         StoreReply::Pairs { pairs, more, store_revision: self.store_revision }
     }
 
-    /// Carries out a request at once.
+    /// Carries out a request immediately and returns the reply.
     fn answer(&mut self, request: StoreRequest, now: u64) -> StoreReply {
         match request {
             StoreRequest::Get { key } => match self.keys.get(&key) {
@@ -284,8 +284,8 @@
         self.send_with_delay(Host::Store, Host::Node(node), answer, delay);
     }
 
-    /// The delay of a request and its answer. Those that only follow an extension's records take no draw, so that
-    /// all else goes the same way whether a job came through an extension or not.
+    /// Returns the delay of a request and its answer. Reads and watches of an extension's records have a fixed delay
+    /// without a draw, so that the rest of the run does not depend on whether a job came through an extension.
     pub(super) fn store_delay(&self, request: &StoreRequest) -> Delay {
         match request {
             StoreRequest::Range { prefix, .. } | StoreRequest::Watch { prefix, .. } => {
@@ -296,10 +296,10 @@
     }
 
     fn delay_under(&self, prefix: &str) -> Delay {
-        if self.feature_prefix == Some(prefix) { Delay::Fixed } else { Delay::Drawn }
+        if self.extension_prefix == Some(prefix) { Delay::Fixed } else { Delay::Drawn }
     }
 
-    /// Carries out a node's request, now or later, and answers it, unless a fault has it otherwise.
+    /// Carries out a node's request and answers it. Active faults may refuse or delay the request or drop the answer.
     pub(super) fn store_request(&mut self, caller: Caller, request: StoreRequest) {
         let now = self.now;
         let delay = self.store_delay(&request);
@@ -332,21 +332,21 @@
         } else {
             self.store_reply(caller, answer, delay);
         }
-        self.changed();
+        self.end_changed_watches();
     }
 
-    /// Carries out what its sender has given up. An outage in between lets it wait on.
-    pub fn late_write(&mut self, request: StoreRequest) {
+    /// Carries out a delayed transaction, which is not answered. During an outage it is delayed further.
+    pub fn commit_late(&mut self, request: StoreRequest) {
         if self.state.down {
             return self.after(500, Event::LateWrite(request));
         }
         self.state.expire(self.now);
         self.state.answer(request, self.now);
-        self.changed();
+        self.end_changed_watches();
     }
 
-    /// Ends the watches for which there is something new.
-    fn changed(&mut self) {
+    /// Ends the watches whose prefix has changed.
+    fn end_changed_watches(&mut self) {
         self.upload_descriptions();
         let ended: Vec<u64> = self
             .state
@@ -356,15 +356,15 @@
             .filter(|(_, watch)| !self.state.since(watch.prefix, watch.since).is_empty())
             .map(|(id, _)| *id)
             .collect();
-        ended.into_iter().for_each(|id| self.watch_ends(id));
+        ended.into_iter().for_each(|id| self.end_watch(id));
     }
 
-    /// Users who come through a feature upload their jobs' descriptions for the workers, as others do.
+    /// Passes the submissions of jobs that came through an extension to the rules, from which workers read them.
     fn upload_descriptions(&mut self) {
-        if self.feature.is_none() || self.state.store_revision == self.described {
+        if self.extension.is_none() || self.state.store_revision == self.described_revision {
             return;
         }
-        self.described = self.state.store_revision;
+        self.described_revision = self.state.store_revision;
         let mut new = Vec::new();
         for (key, value) in self.state.under(jobs::PREFIX) {
             let id = &key[jobs::PREFIX.len()..];
@@ -375,10 +375,10 @@
                 new.push((id.to_string(), serde_json::from_str(&body).unwrap_or_default()));
             }
         }
-        new.iter().for_each(|(id, body)| self.rules.submitted(id, body));
+        new.iter().for_each(|(id, body)| self.rules.record_submission(id, body));
     }
 
-    pub fn watch_ends(&mut self, id: u64) {
+    pub fn end_watch(&mut self, id: u64) {
         if self.state.down {
             return self.after(200, Event::WatchEnds(id));
         }
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! Seeded runs. A failing seed is printed with what broke.
+//! Seeded runs of ordinary days. A failure names the seed and the broken rule.
 
 #![cfg(test)]
 
@@ -15,22 +15,22 @@
 use crate::types::{Duration, MonotonicTime, RequestId, WallTime};
 use crate::wire::state::{StoreReply, StoreRequest};
 
-/// Plays a day to its end, which must find no rule broken and every job served.
+/// Runs a day to its end, and checks that no rule was broken and every job is served.
 pub(super) fn run(seed: u64, mut simulation: Simulation) -> Simulation {
     simulation.run_until(DAY_ENDS);
     assert!(simulation.rules.broken.is_empty(), "seed {seed}: {:?}", simulation.rules.broken);
-    assert!(simulation.rules.started > 0, "seed {seed}: nothing ran");
+    assert!(simulation.rules.started > 0, "seed {seed}: no task started");
     // Printed when the assertion below fails.
     for node in simulation.nodes.iter().filter_map(|node| node.controller.as_ref()) {
         println!("seed {seed}: waiting: {}\n{}", node.waiting_report(), node.metrics());
     }
-    let wrong = judged(&simulation);
-    assert!(wrong.is_none(), "seed {seed}: {wrong:?}");
+    let unserved = unserved_job(&simulation);
+    assert!(unserved.is_none(), "seed {seed}: {unserved:?}");
     simulation
 }
 
-/// What is wrong at a day's end: jobs that are not done, services that lack replicas.
-pub(super) fn judged(simulation: &Simulation) -> Option<String> {
+/// Returns a message about accepted jobs that are not done at a day's end, or about a service that lacks replicas.
+pub(super) fn unserved_job(simulation: &Simulation) -> Option<String> {
     let open: Vec<&str> = simulation
         .users
         .iter()
@@ -56,10 +56,11 @@
 }
 
 #[test]
-fn quiet_days_keep_the_rules_and_finish_everything() {
+fn days_without_faults_break_no_rule_and_finish_all_jobs() {
     for seed in 0..6 {
         let simulation = run(seed, day(seed, |_| {}));
-        // A job whose record the watch saw before its commit was answered was not counted: every second one.
+        // Completed jobs must be counted once each, also if the watch delivers the job's record before the commit is
+        // answered.
         let metrics: String = simulation
             .nodes
             .iter()
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn troubled_days_keep_the_rules_and_recover() {
+fn days_with_faults_break_no_rule_and_recover() {
     for seed in seeds(100, 40) {
         run(seed, day(seed, troubles));
     }
@@ -91,29 +92,29 @@
     }
 }
 
-/// Once most machines were dead, every leader took their silence for its own fault, and resigned
-/// before it would have given them up (seed 390).
+/// If most machines fail at once, a leader that attributes the missing heartbeats to its own isolation resigns before it
+/// treats the machines as lost, and so does every leader after it.
 #[test]
-fn dead_machines_in_the_majority_are_given_up() {
+fn failed_machines_are_replaced_when_they_are_the_majority() {
     for seed in [390, 391, 392] {
         run(seed, dead_majority(seed));
     }
 }
 
-/// A cancellation learned by watching, while "done" waited to be written, lent that write its
-/// revision: the terminal status that the user had been told was overwritten (seed 247).
+/// A cancellation arrives over the watch while the write of "done" is queued. If the write takes over the cancellation's
+/// revision, it overwrites the terminal status that the user has been told.
 #[test]
-fn cancellations_at_the_end_of_the_last_task_are_final() {
+fn cancellations_on_completion_of_the_last_task_are_final() {
     run(247, day(247, troubles));
     for seed in 400..406 {
         run(seed, cancellations(seed));
     }
 }
 
-/// Each seed's day goes the same way every time. With `--nocapture` the digests are printed: a change
-/// that is to leave the controllers' behaviour as it is leaves them as they are.
+/// Two runs of a seed must be identical. With `--nocapture` the digests are printed; a change that preserves the
+/// controllers' behaviour preserves them.
 #[test]
-fn a_seed_plays_the_same_day_again() {
+fn runs_of_a_seed_are_identical() {
     for seed in seeds(1000, 3) {
         let play = || {
             let mut simulation = if seed % 3 == 0 { upgrade_day(seed, true) } else { day(seed, troubles) };
@@ -126,9 +127,9 @@
     }
 }
 
-/// A follower that got no requests took its own idleness for a lost key-value store.
+/// A follower that receives no requests must not conclude from its idleness that the key-value store is unreachable.
 #[test]
-fn idle_nodes_stay_fit_for_requests() {
+fn idle_nodes_report_themselves_ready() {
     let mut simulation = Simulation::new(7);
     for second in 10..30 {
         simulation.run_until(second * 1000);
@@ -145,45 +146,43 @@
                 body: Vec::new(),
             };
             let Some(controller) = &mut simulation.nodes[node].controller else { continue };
-            let fit = controller
+            let is_ready = controller
                 .step(now, request)
                 .iter()
                 .any(|effect| matches!(effect, Effect::Answer { status: 200, .. }));
-            assert!(fit, "node {node} calls itself unfit at {second} s");
+            assert!(is_ready, "node {node} reports itself not ready at {second} s");
         }
     }
 }
 
-/// A leader that the key-value store refused went on announcing to its peers that it leads, and none of
-/// them took over for as long as the fault lasted (bench run tremorline, day of faults, 238 to 273 s).
+/// A leader whose requests the key-value store refuses must not keep announcing its leadership: otherwise no peer takes
+/// over while the fault lasts.
 #[test]
-fn a_leader_without_the_key_value_store_is_replaced() {
+fn replaces_a_leader_that_the_store_refuses() {
     for seed in 500..504 {
         run(seed, day_of_a_refused_leader(seed));
     }
 }
 
-/// The leader on one side received nothing from the other, and returned all its machines with the work on them once their
-/// leases would have ended, while a node there answered them all along.
+/// The leader receives no heartbeats from a partitioned zone whose machines renew their leases through a node there. It
+/// must not return these machines with their tasks once their leases would have expired.
 #[test]
-fn a_partitioned_zone_that_reaches_the_key_value_store_lives_on() {
-    // Of 120 seeds from 920 on, one returns a machine (976); five did while new leaders resigned one after the other
-    // (928 and 940 among them).
-    keeps_living_machines((920..934).chain([940]));
+fn keeps_machines_of_a_partitioned_zone_that_reaches_the_store() {
+    check_machines_are_kept((920..934).chain([940]));
 }
 
-fn keeps_living_machines(seeds: impl Iterator<Item = u64>) {
+fn check_machines_are_kept(seeds: impl Iterator<Item = u64>) {
     let mut returned = 0;
     for seed in seeds {
         let (simulation, returned_now) = day_of_a_partitioned_zone(seed, None);
         returned += returned_now;
         run(seed, simulation);
     }
-    assert_eq!(returned, 0, "living machines");
+    assert_eq!(returned, 0, "healthy machines were returned");
 }
 
 #[test]
-fn the_rules_notice_machines_returned_in_a_partitioned_zone() {
+fn rules_detect_machines_returned_in_a_partitioned_zone() {
     let returned = (920..926).map(|seed| {
         day_of_a_partitioned_zone(
             seed,
@@ -194,20 +193,21 @@
     assert!(returned.sum::<usize>() > 0);
 }
 
-/// Tasks of a cut zone run on until their leases end; they may not start elsewhere before.
+/// Tasks of a partitioned zone keep running until their workers' leases expire, so they must not start elsewhere before.
 #[test]
-fn a_zone_cut_off_for_long_keeps_the_rules() {
+fn long_partition_of_a_zone_breaks_no_rule() {
     for seed in 910..916 {
         run(seed, cut_off_zone(seed));
     }
 }
 
-/// However many users send requests at once, reads for them stay within the node's part of the rate.
+/// The store reads for users' requests must stay within the node's share of the rate limit, however many requests arrive
+/// at once.
 #[test]
-fn a_rush_of_questions_shares_few_reads() {
+fn reads_for_many_requests_stay_within_the_rate_limit() {
     let mut simulation = day(8, |_| {});
     simulation.run_until(15_000);
-    let controller = simulation.nodes[0].controller.as_mut().expect("node 0 runs");
+    let controller = simulation.nodes[0].controller.as_mut().expect("node 0 is running");
     let mut reads = 0;
     for ms in 0..1000 {
         let now = Now {
@@ -238,10 +238,10 @@
     assert!(reads >= 10 && f64::from(reads) <= rate / 2.0 / NODES as f64 + 2.0, "{reads} reads in a second");
 }
 
-/// Hundreds of machines, five controllers and a burst of work of all shapes; the kept sums are
-/// checked against a recount after every step, as in all runs.
+/// Over a hundred machines, five controllers and a burst of jobs of all types. As in all runs, the controllers' running
+/// totals are checked against a recount after every step.
 #[test]
-fn a_large_fleet_keeps_the_rules_through_a_crash_of_all_nodes() {
+fn crash_of_all_nodes_of_a_large_fleet_breaks_no_rule() {
     let mut simulation = day_of_a_large_fleet(600);
     simulation.run_until(34_000);
     let up = simulation.workers.iter().filter(|m| m.up).count();
@@ -256,15 +256,16 @@
 }
 
 #[test]
-fn pipelines_keep_their_order_through_troubles() {
+fn pipelines_keep_their_order_on_days_with_faults() {
     for seed in 700..718 {
         run(seed, pipelined_day(seed));
     }
 }
 
-/// A job's dependencies decide only if its ID is unknown; the answer says what is wrong with which of them.
+/// A submission is refused for its dependencies only if its job is unknown, and the answer names the invalid dependency
+/// and the reason.
 #[test]
-fn the_refusal_of_a_submission_says_what_is_wrong_with_its_dependencies() {
+fn refusal_of_a_submission_names_the_invalid_dependency() {
     let mut simulation = Simulation::new(760);
     simulation.add_user(2_000, job(0, "array", 1), None);
     simulation.add_user(2_000, job(1, "daemon", 1), None);
@@ -275,9 +276,9 @@
         body["awaits"] = awaits;
         let at = simulation.now;
         simulation.add_user(at, body, None);
-        simulation.users.last_mut().expect("just added").submits = Submits::AtOnce;
+        simulation.users.last_mut().expect("the user was just added").submits = Submits::AtOnce;
         simulation.run_until(at + 1_000);
-        simulation.users.last().expect("just added").announced.clone()
+        simulation.users.last().expect("the user was just added").last_answer.clone()
     };
     let list = |names: &[&str]| serde_json::json!(names);
     let many: Vec<String> = (0..2000).map(|number| format!("req-{number:06}")).collect();
@@ -289,33 +290,33 @@
         (serde_json::json!("req-000000"), 400, "awaits"),
         (serde_json::json!(many), 422, "state service stores"),
     ] {
-        let (announced, reason) = submit(20, awaits.clone());
-        assert!(announced == status && reason.contains(says), "{awaits:.60}: {announced} {reason}");
+        let (answered, reason) = submit(20, awaits.clone());
+        assert!(answered == status && reason.contains(says), "{awaits:.60}: {answered} {reason}");
     }
-    assert_eq!(submit(21, serde_json::Value::Null).0, 201, "null is an ordinary job");
-    let (announced, phase) = submit(22, list(&["req-000003", "req-000000"]));
-    assert!(announced == 200 || announced == 201, "a withdrawn job may be named: {announced}");
+    assert_eq!(submit(21, serde_json::Value::Null).0, 201, "null must mean no dependencies");
+    let (answered, phase) = submit(22, list(&["req-000003", "req-000000"]));
+    assert!(answered == 200 || answered == 201, "a dependency may be cancelled: {answered}");
     assert!(phase.contains("withdrawn"), "{phase}");
-    assert_eq!(submit(22, list(&["req-000777"])).0, 200, "a retry gets its state whatever it names");
+    assert_eq!(submit(22, list(&["req-000777"])).0, 200, "a retry must get the state of the known job");
 }
 
 #[test]
-fn an_upgrade_one_by_one_keeps_the_rules_and_ends_within_the_lower_limits() {
+fn rolling_upgrade_breaks_no_rule_and_respects_the_lower_store_limits() {
     for seed in seeds(800, 24) {
         let simulation = upgrade_day(seed, seed % 4 != 0);
         let simulation = run(seed, simulation);
         assert!(
             simulation.state.too_large.is_empty(),
-            "seed {seed}: over the limits: {:?}",
+            "seed {seed}: over the store's limits: {:?}",
             simulation.state.too_large
         );
     }
 }
 
-/// A node that never shows up with the new version holds back what it could not understand, and
-/// nothing else.
+/// While one node runs the previous version, jobs with dependencies are not accepted, because that node cannot process
+/// them. All other jobs are.
 #[test]
-fn dependent_jobs_are_accepted_only_once_every_node_is_upgraded() {
+fn dependent_jobs_are_accepted_only_after_every_node_is_upgraded() {
     let accepted_early = |injected_fault: Option<fn(&mut Controller, u64)>| {
         let mut simulation = day_of_a_mixed_version(850);
         simulation.injected_fault = injected_fault;
@@ -325,22 +326,26 @@
         assert_eq!(
             simulation.rules.terminal_status("req-000000"),
             Some("done"),
-            "what both understand is served"
+            "a job that both versions support must complete"
         );
         simulation.at(60_000, Event::Fault(Fault::Upgrade(2)));
         simulation.run_until(100_000);
-        assert_eq!(simulation.rules.terminal_status("req-000002"), Some("done"), "then it is taken");
+        assert_eq!(
+            simulation.rules.terminal_status("req-000002"),
+            Some("done"),
+            "the dependent job must complete after the upgrade"
+        );
         early
     };
     assert!(!accepted_early(None));
     assert!(
         accepted_early(Some(|controller, _| controller.disable_check(DisabledCheck::ClusterVersion))),
-        "the cluster version is what holds it back"
+        "without the check of the cluster version the job must be accepted early"
     );
 }
 
-/// Whether some seed of a few breaks a rule on a faulty day in a simulation that `corrupt` changes.
-fn rules_notice(corrupt: impl Fn(&mut Simulation)) -> bool {
+/// Whether any of 120 seeds breaks a rule on a day with faults that `corrupt` changes.
+fn rules_detect(corrupt: impl Fn(&mut Simulation)) -> bool {
     (300..420).any(|seed| {
         let mut simulation = day(seed, troubles);
         corrupt(&mut simulation);
@@ -350,18 +355,18 @@
 }
 
 #[test]
-fn the_rules_notice_a_disabled_check_of_the_controllers() {
-    // Assignments to a machine that was silent for 4 s are dropped as if its lease had expired.
+fn rules_detect_each_disabled_check_of_the_controllers() {
+    // Treats a machine's lease as expired after 4 s without a heartbeat, and drops the assignments to it.
     fn expire_leases_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
     }
-    assert!(rules_notice(|simulation| simulation.injected_fault = Some(expire_leases_early)));
-    // Done as soon as half of the tasks are.
+    assert!(rules_detect(|simulation| simulation.injected_fault = Some(expire_leases_early)));
+    // Reports a job as done when half of its tasks are.
     fn finish_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::TaskCompletion);
     }
-    assert!(rules_notice(|simulation| simulation.injected_fault = Some(finish_early)));
-    // Dependent jobs start at once; or a cancellation does not carry on to them.
+    assert!(rules_detect(|simulation| simulation.injected_fault = Some(finish_early)));
+    // Starts dependent jobs at once, or does not cancel the dependents of a cancelled job.
     let with_pipelines = |corrupt: fn(&mut Controller, u64)| {
         (300..340).any(|seed| {
             let mut simulation = Simulation::new(seed);
@@ -384,13 +389,13 @@
 }
 
 #[test]
-fn the_rules_notice_stand_ins_that_break_the_protocol() {
+fn rules_detect_a_cloud_and_a_store_that_break_the_protocol() {
     assert!(
-        rules_notice(|simulation| simulation.cloud.ignores_releases = true),
-        "released machines that go on"
+        rules_detect(|simulation| simulation.cloud.ignores_releases = true),
+        "no rule was broken although released machines kept running"
     );
     assert!(
-        rules_notice(|simulation| simulation.state.ignores_conditions = true),
-        "transactions without conditions"
+        rules_detect(|simulation| simulation.state.ignores_conditions = true),
+        "no rule was broken although the store ignored conditions"
     );
 }
--- a/crates/scheduler/src/simulation/users.rs
+++ b/crates/scheduler/src/simulation/users.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the users: each submits one job, asks for its state, and may cancel it.
+//! The simulated users: each submits one job, polls its state and may cancel it.
 
 use super::Simulation;
 use super::events::Event;
@@ -9,11 +9,12 @@
 use rand::RngExt;
 use serde_json::Value;
 
-/// How long a user waits before it looks again whether the jobs that it depends on let it submit, in milliseconds.
+/// The time between a user's checks whether its job's dependencies are ready for the submission, in milliseconds.
 const DEPENDENCY_PAUSE_MS: u64 = 40;
-/// How long a user waits for the answer to a question, and to a submission or cancellation, in milliseconds.
-const QUESTION_TIMEOUT_MS: u64 = 2_000;
-const CHANGE_TIMEOUT_MS: u64 = 5_000;
+/// The timeout of a user's poll, in milliseconds.
+const POLL_TIMEOUT_MS: u64 = 2_000;
+/// The timeout of a user's other requests, in milliseconds.
+const OTHER_TIMEOUT_MS: u64 = 5_000;
 
 /// A user with one job.
 #[derive(Debug)]
@@ -25,35 +26,35 @@
     /// When the user cancels the job, in milliseconds.
     pub cancel_at: Option<u64>,
     pub submits: Submits,
-    /// The only node that it sends requests to, where not any.
+    /// The only node that the user sends requests to; `None`: a random one for each request.
     pub node: Option<usize>,
-    /// The number of the request under way; the answer to an earlier one is ignored.
+    /// The number of the current request; answers to earlier ones are ignored.
     request: u64,
     pub stage: Stage,
-    /// What users had been told of the job as the request under way was sent.
+    /// What users had been told about the job when the current request was sent.
     before: Known,
     /// The last answer's status and body.
-    pub announced: (u16, String),
-    /// When one of its requests was answered last, in milliseconds.
+    pub last_answer: (u16, String),
+    /// The time of the last answer with status 200, 201 or 404, in milliseconds.
     pub answered_at: u64,
 }
 
-/// When a user submits, with regard to the jobs that the submission depends on.
+/// When a user submits, relative to the jobs that the submission depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Submits {
-    /// At once, which users don't do by themselves.
+    /// Without waiting for the dependencies; real users do not do this.
     AtOnce,
     OnceAccepted,
     OnceFinished,
 }
 
-/// What a user sends next.
+/// A user's stage, which decides what it sends next.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Stage {
     Submitting,
     Polling,
     Cancelling,
-    /// The user knows its job's terminal status, and still asks now and then.
+    /// The user knows its job's terminal status and still polls at longer intervals.
     Finished,
 }
 
@@ -69,13 +70,13 @@
     }
 
     fn timeout_ms(&self) -> u64 {
-        if self.stage == Stage::Polling { QUESTION_TIMEOUT_MS } else { CHANGE_TIMEOUT_MS }
+        if self.stage == Stage::Polling { POLL_TIMEOUT_MS } else { OTHER_TIMEOUT_MS }
     }
 
-    /// The longest pause after an answer, in milliseconds; the shortest is half of it.
+    /// The longest pause after an answer, in milliseconds. The shortest is half of it.
     fn pause_ms(&self) -> u64 {
         match self.stage {
-            // Users may ask again at any later time.
+            // Users may poll a finished job at any later time.
             Stage::Finished => 20_000,
             Stage::Polling => 2_000,
             Stage::Submitting | Stage::Cancelling => 1_200,
@@ -84,7 +85,7 @@
 }
 
 impl Simulation {
-    /// Adds a user who submits `body` at a time and may cancel the job later; times in milliseconds.
+    /// Adds a user that submits `body` at `at` and cancels the job at `cancel_at`, if given. Times are in milliseconds.
     pub fn add_user(&mut self, at: u64, body: Value, cancel_at: Option<u64>) {
         let id = body["id"].as_str().unwrap_or_default().to_string();
         self.users.push(User {
@@ -96,14 +97,14 @@
             request: 0,
             stage: Stage::Submitting,
             before: Known::default(),
-            announced: Default::default(),
+            last_answer: Default::default(),
             answered_at: 0,
         });
         self.at(at, Event::User(self.users.len() - 1));
     }
 
-    /// A user's next request, to the node that it keeps to or to any.
-    pub(super) fn user_turn(&mut self, index: usize) {
+    /// Sends a user's next request to its fixed node or to a random one.
+    pub(super) fn send_next_request(&mut self, index: usize) {
         self.start_cancelling_when_due(index);
         if self.users[index].stage == Stage::Submitting && !self.may_submit(index) {
             return self.after(DEPENDENCY_PAUSE_MS, Event::User(index));
@@ -115,7 +116,7 @@
         let request = user.request;
         let (method, path, body) = user.request_for_stage();
         if user.stage == Stage::Submitting {
-            self.rules.submitted(&user.id, &user.body);
+            self.rules.record_submission(&user.id, &user.body);
         }
         let any = self.rng.random_range(0..self.settings.len());
         let node = self.users[index].node.unwrap_or(any);
@@ -133,11 +134,11 @@
         let user = &mut self.users[index];
         if user.stage == Stage::Polling && user.cancel_at.is_some_and(|at| at <= now) {
             user.stage = Stage::Cancelling;
-            self.rules.asked_to_cancel(&user.id);
+            self.rules.record_cancel_request(&user.id);
         }
     }
 
-    /// Whether the jobs that a user's job depends on are as far as the user waits for.
+    /// Whether the dependencies of a user's job have reached the state that the user waits for.
     fn may_submit(&self, index: usize) -> bool {
         let user = &self.users[index];
         let is_ready = |dependency: &Value| {
@@ -170,11 +171,11 @@
             return;
         }
         user.request += 1;
-        user.announced = (status, body.to_string());
+        user.last_answer = (status, body.to_string());
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let phase = value["phase"].as_str().unwrap_or_default();
         let submitting = user.stage == Stage::Submitting;
-        self.rules.answered(now, &user.id, &user.before, submitting, status, phase);
+        self.rules.check_answer(now, &user.id, &user.before, submitting, status, phase);
         if matches!(status, 200 | 201 | 404) {
             user.answered_at = now;
         }
@@ -184,15 +185,15 @@
                 (Stage::Submitting, _) => Stage::Polling,
                 (stage, _) => stage,
             };
-            self.note_job_state(index);
+            self.record_job_state(index);
         }
         let pause_ms = self.users[index].pause_ms();
         let ms = self.rng_ms(pause_ms / 2, pause_ms);
         self.after(ms, Event::User(index));
     }
 
-    /// Counts the first time that a user was told that its job is accepted or finished; close reads may follow.
-    fn note_job_state(&mut self, index: usize) {
+    /// Counts the first answer that told a user that its job is accepted or finished. Close reads may follow.
+    fn record_job_state(&mut self, index: usize) {
         let user = &self.users[index];
         let finished = user.stage == Stage::Finished;
         if user.before.accepted && !(finished && user.before.terminal_status.is_none()) {
@@ -200,7 +201,7 @@
         }
         self.count_job_state(finished);
         if self.faults.close_reads {
-            self.read_closely(index);
+            self.send_close_reads(index);
         }
     }
 }
--- a/crates/scheduler/src/simulation/waiting.rs
+++ b/crates/scheduler/src/simulation/waiting.rs
@@ -1,5 +1,5 @@
-//! No job is left waiting: once the faults have ended, none waits for long while a machine that fits has free resources
-//! and its team is under its limit. Judged by what the stand-ins see.
+//! Checks that no job starves: once the faults have ended, no job waits for long while a suitable machine has free
+//! resources and the job's team is below its limit. The check uses only what the simulated components observe.
 
 #![cfg(test)]
 
@@ -9,21 +9,21 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How long a job may wait although something fits, in milliseconds.
-const WAITS_MS: u64 = 90_000;
+/// How long a job may wait although it could start, in milliseconds.
+const MAX_WAIT_MS: u64 = 90_000;
 
 fn amount(body: &Value, key: &str) -> f64 {
     body[key].as_f64().unwrap_or(0.0)
 }
 
-/// Since when each job has waited although something fits.
+/// Since when each job has waited although it could start.
 #[derive(Default)]
 pub(super) struct Waiting {
     since: BTreeMap<String, u64>,
 }
 
 impl Waiting {
-    /// Takes note of the jobs that wait now; one that has waited for too long.
+    /// Records the jobs that wait now, and returns a message about one that has waited for too long.
     pub(super) fn overdue_job(&mut self, simulation: &Simulation) -> Option<String> {
         let fits = |user: &&User| {
             user.stage != Stage::Finished
@@ -34,15 +34,15 @@
         self.since.retain(|id, _| now.contains(&id.as_str()));
         for id in now {
             let since = *self.since.entry(id.to_string()).or_insert(simulation.now);
-            if simulation.now - since > WAITS_MS {
-                return Some(format!("{id} has waited since {since} ms though something fits"));
+            if simulation.now - since > MAX_WAIT_MS {
+                return Some(format!("{id} has waited since {since} ms although it could start"));
             }
         }
         None
     }
 }
 
-/// What a job needs to start: its next task's resources, or its whole gang's.
+/// What a job needs to start: the resources of its next task or of its whole gang.
 struct Need<'a> {
     id: &'a str,
     body: &'a Value,
@@ -50,7 +50,7 @@
     tasks: u64,
     /// How many tasks must start together.
     together: u64,
-    /// What a task takes.
+    /// The resources of one task.
     task: Amount,
 }
 
@@ -71,7 +71,7 @@
         self.body["shape"] == "ensemble"
     }
 
-    /// How many of the job's tasks fit into what is free on a machine.
+    /// Returns how many of the job's tasks fit into a machine's free resources.
     fn slots(&self, total: Amount, used: Amount) -> u64 {
         let slots = |free: f64, each: f64| if each > 0.0 { (free / each + 1e-9) as u64 } else { u64::MAX };
         slots(total.cpus - used.cpus, self.task.cpus).min(slots(total.gpus - used.gpus, self.task.gpus))
@@ -79,13 +79,14 @@
 }
 
 impl Simulation {
-    /// Whether a task of the job that is nowhere could start now: a whole gang's, if it is one.
+    /// Whether a task of the job that is on no machine could start now; for a gang, whether all its tasks could.
     fn could_start(&self, user: &User) -> bool {
         let need = Need::of(user);
         self.may_start(&need) && self.is_within_limit(&need) && self.fits(&need)
     }
 
-    /// Whether the job's state allows a start: it is not finished, its dependencies are done, and tasks are missing.
+    /// Whether the job's state allows a start: it is unfinished, its dependencies are done, and some of its tasks are
+    /// neither completed nor on a machine.
     fn may_start(&self, need: &Need) -> bool {
         let mut dependencies = need.body["awaits"].as_array().into_iter().flatten().filter_map(Value::as_str);
         if self.rules.terminal_status(need.id).is_some()
@@ -99,7 +100,7 @@
         };
         let names = (0..need.tasks).map(|index| format!("{}/{index}", need.id));
         let missing = names.filter(|name| !self.rules.task_done(name) && !is_somewhere(name)).count() as u64;
-        // The tasks of a gang that is partly there end first.
+        // A gang restarts only after its remaining tasks have ended.
         missing > 0 && !(need.is_gang() && missing < need.tasks)
     }
 
@@ -111,7 +112,8 @@
         used + need.task.gpus * need.together as f64 <= limit
     }
 
-    /// Whether machines that are fit and allowed have the free resources, in zones that suit.
+    /// Whether healthy machines that the job's constraints allow have the free resources, with regard to spread and
+    /// colocation.
     fn fits(&self, need: &Need) -> bool {
         let mut slots: BTreeMap<&str, u64> = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| worker.is_fit(self.now)) {
--- a/crates/scheduler/src/simulation/workers/copies.rs
+++ b/crates/scheduler/src/simulation/workers/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of heartbeats: some arrive late, some are kept for the next leader.
+//! Copies of heartbeats that arrive late or are kept for the next leader.
 
 use crate::election::LEADER_KEY;
 use crate::simulation::Simulation;
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 impl Simulation {
-    /// Lets a copy of a heartbeat arrive late, or keeps one for the next leader.
+    /// Copies a heartbeat as the active faults require: to arrive late, and to be kept for the next leader.
     pub(super) fn copy_heartbeat(&mut self, machine: usize, body: &str) {
         let late = self.faults.late_heartbeats;
         if late > 0.0 && self.rng.random_bool(late) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Copies of heartbeats that wait for the next leader are sent to it once it has acted.
+    /// Sends the kept copies of heartbeats once there is a new leader: half of them to every node, the rest to the leader.
     pub(in crate::simulation) fn release_copies(&mut self) {
         if self.faults.kept_copies.is_empty() {
             return;
--- a/crates/scheduler/src/simulation/workers/mod.rs
+++ b/crates/scheduler/src/simulation/workers/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the workers, written from the protocol alone: it reads and writes JSON. The steps of tasks are in
-//! [`tasks`], copies of heartbeats in [`copies`].
+//! The simulated workers. They are written from the protocol alone and read and write plain JSON, without the
+//! controller's message types. [`tasks`] simulates tasks, [`copies`] sends copies of heartbeats.
 
 mod copies;
 mod tasks;
@@ -16,24 +16,24 @@
 use std::collections::BTreeSet;
 pub use tasks::Task;
 
-/// How often a worker that runs takes a step, in milliseconds.
+/// The time between the steps of a running worker, in milliseconds.
 const STEP_MS: u64 = 100;
-/// How long after a hang a machine may still be taken for lost, in milliseconds.
+/// How long after a hang a controller may still treat the machine as lost, in milliseconds.
 const AFTER_HANG_MS: u64 = 6_000;
-/// How long a worker waits for the answer to a heartbeat, in milliseconds.
+/// The timeout of a heartbeat, in milliseconds.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
-/// How long a worker waits before its next heartbeat after one that failed, in milliseconds.
+/// The time from a failed heartbeat to the next one, in milliseconds.
 const RETRY_MS: u64 = 1_000;
-/// The same where a node named the leader, in milliseconds.
+/// The time from an answer that names the leader to the heartbeat to that leader, in milliseconds.
 const REDIRECT_MS: u64 = 100;
 /// The share of machines that never boot.
 const NEVER_BOOTS_SHARE: f64 = 0.03;
-/// How long after now the boot of such a machine is, in milliseconds: beyond the end of any day.
+/// The boot time of such a machine, in milliseconds: beyond the end of any day.
 const NEVER_MS: u64 = 10_000_000;
-/// By how much a clock may be slow: a lease of a worker with such a clock lasts longer.
+/// How slow a worker's clock may be: by this factor its lease lasts longer in true time.
 const SLOWEST_CLOCK: f64 = 1.0005;
 
-/// Processors and accelerators, of a machine or of what runs there.
+/// Processors and accelerators of a machine or of its tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Amount {
     /// Processors.
@@ -47,57 +47,57 @@
 pub struct Worker {
     /// The machine's ID, as the cloud gave it.
     pub id: MachineId,
-    /// Where the worker takes direct commands.
+    /// The address at which the worker receives direct commands.
     pub addr: String,
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    /// When the machine is up for the first time; `u64::MAX` once it has ended.
+    /// When the machine boots; `u64::MAX` once it has ended.
     pub boots_at: u64,
     pub up: bool,
-    /// The worker does nothing until then.
+    /// The worker hangs until this time.
     pub hung_until: u64,
-    /// Answers and direct commands are lost until then.
+    /// Answers and direct commands to the worker are lost until this time.
     pub commands_lost_until: u64,
-    /// Its heartbeats reach no node until then; direct commands reach it.
+    /// The worker's heartbeats are lost until this time; direct commands reach it.
     pub heartbeats_lost_until: u64,
-    /// When the cloud takes the machine back, if it has said so.
+    /// When the cloud preempts the machine, if it has sent a notice.
     pub taken_at: Option<u64>,
-    /// How often the worker's lease has expired, and one.
+    /// The worker's epoch: 1 at first, incremented whenever its lease expires.
     worker_epoch: u64,
     epoch_began: u64,
-    /// The number of the last heartbeat or answer with a status.
+    /// The serial number of the last status that the worker sent, in a heartbeat or in an answer to a direct command.
     serial: u64,
-    /// The highest fencing token that it was given.
+    /// The highest fencing token that the worker has received.
     pub fencing_token: u64,
     pub tasks: Vec<Task>,
-    /// The node that its next heartbeat goes to.
+    /// The node that the next heartbeat is sent to.
     node: usize,
     next_heartbeat: u64,
-    /// The number of the heartbeat that it waits for the answer to.
+    /// The number of the heartbeat that has not been answered yet.
     in_flight: Option<u64>,
     heartbeats_sent: u64,
-    /// When the last heartbeat that was answered was sent: its lease counts from then.
+    /// When the last answered heartbeat was sent; the lease counts from this time.
     answered_sent: u64,
-    /// Images that a task fetched here.
+    /// Images that tasks have fetched on this machine.
     images: BTreeSet<String>,
-    /// Injected fault: obeys any fencing token.
-    pub gullible: bool,
+    /// Injected fault: accepts answers with outdated fencing tokens.
+    pub ignores_fencing_tokens: bool,
 }
 
-/// A heartbeat under way.
+/// A heartbeat that has been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentHeartbeat {
     pub machine: usize,
     pub worker_epoch: u64,
     /// In milliseconds.
     pub sent_at: u64,
-    /// Its number among the worker's heartbeats.
+    /// The heartbeat's number among the worker's heartbeats.
     pub number: u64,
 }
 
 impl Worker {
-    /// A machine that the cloud lists, before it boots.
+    /// Creates a machine that has been rented but has not booted.
     fn new(listed: &ListedMachine, boots_at: u64, node: usize) -> Self {
         Self {
             id: listed.id.clone(),
@@ -122,11 +122,11 @@
             heartbeats_sent: 0,
             answered_sent: 0,
             images: BTreeSet::new(),
-            gullible: false,
+            ignores_fencing_tokens: false,
         }
     }
 
-    /// What the machine has.
+    /// Returns the machine's total resources.
     pub fn resources(&self) -> Amount {
         match self.type_name.as_str() {
             "small" => Amount { cpus: 8.0, gpus: 2.0 },
@@ -134,7 +134,7 @@
         }
     }
 
-    /// What its tasks take, those that still fetch their image too.
+    /// Returns the resources that tasks on the machine use, including tasks that still fetch their image.
     pub fn used_resources(&self, body: impl Fn(&str) -> Option<Value>) -> Amount {
         let mut used = Amount::default();
         for task in self.tasks.iter().filter(|task| !task.has_exited()) {
@@ -145,7 +145,7 @@
         used
     }
 
-    /// The next heartbeat, as the protocol has it.
+    /// Returns the next heartbeat in the protocol's format.
     fn heartbeat(&mut self, now: u64) -> Value {
         self.serial += 1;
         let tasks: Vec<Value> = self.tasks.iter().map(Task::status).collect();
@@ -155,7 +155,7 @@
             "warning_s": notice_s, "shards": tasks})
     }
 
-    /// Begins a new epoch without tasks if the lease has run out.
+    /// Begins a new epoch without tasks if the lease has expired.
     fn check_lease(&mut self, now: u64, lease_ms: u64) {
         let last_renewal = self.answered_sent.max(self.epoch_began);
         if now > last_renewal + lease_ms {
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Whether what a node sends reaches a worker that can take it in.
-    fn hears(&self, now: u64) -> bool {
+    /// Whether the worker can receive a node's answer: the machine is up, does not hang and loses no answers.
+    fn can_receive(&self, now: u64) -> bool {
         self.up && self.hung_until <= now && self.commands_lost_until <= now
     }
 
-    /// Takes a fencing token from a direct command; a new leader gets a heartbeat at once.
+    /// Accepts the fencing token of a direct command. A higher token means a new leader, so a heartbeat is due at once.
     fn accept_token(&mut self, fencing_token: u64, now: u64) {
         if fencing_token > self.fencing_token {
             self.next_heartbeat = now;
@@ -180,7 +180,7 @@
         self.fencing_token = fencing_token;
     }
 
-    /// Chooses when the next heartbeat goes out, and to which node.
+    /// Schedules the next heartbeat, and the node that it is sent to.
     fn schedule_heartbeat(&mut self, at_ms: u64, node: usize) {
         self.in_flight = None;
         self.next_heartbeat = at_ms;
@@ -189,7 +189,7 @@
 }
 
 impl Simulation {
-    /// Adds a machine that the cloud has rented out; it boots later, or never.
+    /// Adds a machine that the cloud has rented out. It boots later or, for a small share of machines, never.
     pub(super) fn add_worker(&mut self, listed: &ListedMachine) {
         let never = self.rng.random_bool(NEVER_BOOTS_SHARE);
         let boots_in = if never { NEVER_MS } else { self.boot_ms() };
@@ -205,8 +205,8 @@
         if self.faults.fast_boots { self.rng_ms(100, 2_000) } else { self.rng_ms(500, 6000) }
     }
 
-    /// Ends a machine and all that runs on it.
-    pub(super) fn machine_ends(&mut self, machine: usize) {
+    /// Ends a machine and all tasks on it.
+    pub(super) fn end_machine(&mut self, machine: usize) {
         let is_zonal = |task: &Task| {
             task.present() && self.rules.body(task.job()).is_some_and(|body| !body["region"].is_null())
         };
@@ -219,41 +219,41 @@
         worker.tasks.clear();
     }
 
-    /// Whether a machine is alive, within reach of every node, not about to be taken, and runs tasks that somebody
-    /// wants.
-    pub fn is_at_work(&self, machine: usize) -> bool {
+    /// Whether a machine is healthy, partitioned from no node, under no preemption notice, and runs a task of an
+    /// unfinished job.
+    pub fn runs_wanted_tasks(&self, machine: usize) -> bool {
         let worker = &self.workers[machine];
         let is_wanted = |task: &Task| task.present() && self.rules.terminal_status(task.job()).is_none();
         worker.up
-            && !self.is_cut_from_a_node(machine)
+            && !self.is_partitioned_from_a_node(machine)
             && worker.taken_at.is_none()
             && self.now >= worker.hung_until + AFTER_HANG_MS
             && worker.tasks.iter().any(is_wanted)
     }
 
-    /// A worker's lease by a clock that is as slow as clocks may be, in milliseconds.
+    /// Returns the duration of a worker's lease by the slowest allowed clock, in milliseconds.
     fn lease_ms(&self) -> u64 {
         (self.settings[0].workers.lease_s * 1000.0 * SLOWEST_CLOCK) as u64
     }
 
-    /// A worker's next step: its lease, its tasks, its heartbeat.
-    pub(super) fn worker_turn(&mut self, machine: usize) {
+    /// Takes a worker's next step: checks its lease, advances its tasks and sends a heartbeat if one is due.
+    pub(super) fn step_worker(&mut self, machine: usize) {
         let now = self.now;
         if self.workers[machine].boots_at > now {
-            return; // ended meanwhile
+            return; // the machine has ended
         }
         self.workers[machine].up = true;
         if self.workers[machine].taken_at.is_some_and(|at| at <= now) {
             let id = self.workers[machine].id.clone();
-            self.machine_ends(machine);
-            return self.cloud.take(&id, now);
+            self.end_machine(machine);
+            return self.cloud.mark_gone(&id, now);
         }
         let hung_until = self.workers[machine].hung_until;
         if hung_until > now {
             return self.at(hung_until, Event::Worker(machine));
         }
         self.after(STEP_MS, Event::Worker(machine));
-        // Before a worker that resumes checks its lease.
+        // Also checked before a worker that resumes after a hang checks its lease and drops its tasks.
         self.check_present();
         let lease_ms = self.lease_ms();
         self.workers[machine].check_lease(now, lease_ms);
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Sends a worker's heartbeat, and copies of it as the faults have it.
+    /// Sends a worker's heartbeat, and copies of it if such faults are active.
     fn heartbeat(&mut self, machine: usize) {
         let now = self.now;
         let worker = &mut self.workers[machine];
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A worker whose heartbeat failed turns to the next node after a pause.
+    /// Schedules the next heartbeat of a worker whose heartbeat failed, to the next node and after a pause.
     fn try_next_node(&mut self, machine: usize) {
         let nodes = self.settings.len();
         let worker = &mut self.workers[machine];
@@ -299,7 +299,7 @@
         }
     }
 
-    /// A node's answer to a heartbeat: commands, or the name of the leader.
+    /// Handles a node's answer to a heartbeat, which has commands or names the leader.
     pub(super) fn heartbeat_answer(
         &mut self,
         heartbeat: SentHeartbeat,
@@ -309,7 +309,7 @@
     ) {
         let SentHeartbeat { machine, worker_epoch, sent_at, number } = heartbeat;
         let now = self.now;
-        if self.workers[machine].in_flight != Some(number) || !self.workers[machine].hears(now) {
+        if self.workers[machine].in_flight != Some(number) || !self.workers[machine].can_receive(now) {
             return;
         }
         let value: Value = serde_json::from_str(body).unwrap_or(Value::Null);
@@ -320,16 +320,16 @@
         let worker = &mut self.workers[machine];
         worker.schedule_heartbeat(now + pause_ms, worker.node);
         let fencing_token = value["fence"].as_u64().unwrap_or(0);
-        let is_outdated = fencing_token < worker.fencing_token && !worker.gullible;
+        let is_outdated = fencing_token < worker.fencing_token && !worker.ignores_fencing_tokens;
         if worker.worker_epoch != worker_epoch || is_outdated {
             return;
         }
         worker.fencing_token = worker.fencing_token.max(fencing_token);
         worker.answered_sent = worker.answered_sent.max(sent_at);
-        self.obey(machine, &value["orders"]);
+        self.run_commands(machine, &value["orders"]);
     }
 
-    /// Turns to the leader that the answer names, or to the next node.
+    /// Schedules the next heartbeat to the leader that the answer names, or else to the next node.
     fn heartbeat_refused(&mut self, machine: usize, node: usize, status: u16, answer: &Value) {
         let named: Option<usize> = answer["master"]
             .as_str()
@@ -342,7 +342,7 @@
         }
     }
 
-    /// A request with commands reaches the machine at an address; one that hangs takes it in afterwards.
+    /// Handles a direct command for the machine at an address. A machine that hangs handles it after the hang.
     pub(super) fn receive_command(&mut self, caller: Caller, addr: &str, body: &str) {
         let now = self.now;
         let reached = self.workers.iter().position(|worker| worker.addr == addr && worker.up);
@@ -365,7 +365,7 @@
                 self.count("a direct start at a machine whose heartbeats are lost");
             }
             self.workers[machine].accept_token(fencing_token, now);
-            self.obey(machine, &value["orders"]);
+            self.run_commands(machine, &value["orders"]);
         }
         let status = if accepted { 200 } else { 409 };
         let body = self.workers[machine].heartbeat(now).to_string().into_bytes();
--- a/crates/scheduler/src/simulation/workers/tasks.rs
+++ b/crates/scheduler/src/simulation/workers/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on the workers: commands that start, stop and forget them, and how they move on by themselves.
+//! Tasks on the workers: the commands that start, stop and forget them, and their own state changes.
 
 use super::Worker;
 use crate::simulation::Simulation;
@@ -6,57 +6,57 @@
 
 /// How long a task takes to save its progress, in milliseconds.
 const SAVE_MS: u64 = 1_000;
-/// The shortest grace period in which a task saves its progress, in seconds.
+/// The shortest grace period in which a task saves its progress; with less it exits at once. In seconds.
 const SAVES_WITHIN_S: f64 = 1.0;
-/// How long a member of a gang waits for the others, in milliseconds.
+/// How long a member of a gang waits for the other members, in milliseconds.
 const GANG_WAIT_MS: u64 = 35_000;
-/// How soon after a change of a task its worker sends a heartbeat, in milliseconds.
+/// The longest time from a task's state change to the heartbeat that reports it, in milliseconds.
 const CHANGE_REPORTED_MS: u64 = 300;
-/// A heartbeat that is further away is brought forward for any change, not only for an exit, in milliseconds.
+/// A heartbeat due later than this, in milliseconds, is brought forward for any state change, not only for an exit.
 const NEXT_HEARTBEAT_FAR_MS: u64 = 500;
 
-/// What a task does. Times are in milliseconds.
+/// A task's state. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub enum State {
     Fetching {
         until: u64,
     },
-    /// A member of a gang waits for the others.
+    /// A member of a gang waits for the other members.
     Waiting {
         since: u64,
     },
-    /// It has `left` to run from the time of the change to this state on.
+    /// The task runs; `left` is its remaining time at the change to this state.
     Running {
         left: u64,
     },
     Saving {
         until: u64,
     },
-    /// `kept`: the progress was saved.
+    /// The attempt has ended; `kept`: the progress was saved.
     Exited {
         cause: &'static str,
         kept: bool,
     },
 }
 
-/// One attempt of a task.
+/// An attempt of a task.
 #[derive(Debug, Clone)]
 pub struct Task {
     /// The job's ID, a slash, and the task's index.
     pub name: String,
     pub attempt: u64,
     pub state: State,
-    /// When the state changed last, in milliseconds.
+    /// When the state last changed, in milliseconds.
     changed_at: u64,
 }
 
 impl Task {
-    /// The ID of the task's job.
+    /// Returns the ID of the task's job.
     pub fn job(&self) -> &str {
         job_of(&self.name)
     }
 
-    /// Whether the task is on its machine: from having its image until it exits.
+    /// Whether the task is present on its machine: it has its image and has not exited.
     pub fn present(&self) -> bool {
         !matches!(self.state, State::Fetching { .. } | State::Exited { .. })
     }
@@ -66,7 +66,7 @@
         matches!(self.state, State::Exited { .. })
     }
 
-    /// The task in a heartbeat, as the protocol has it.
+    /// Returns the task's status in a heartbeat, in the protocol's format.
     pub(super) fn status(&self) -> Value {
         let (phase, cause, kept) = match &self.state {
             State::Fetching { .. } => ("fetching", None, false),
@@ -82,20 +82,21 @@
         self.job() == other.job() && self.attempt == other.attempt
     }
 
-    /// Whether the task waits for its gang or runs with it.
+    /// Whether the task waits for its gang or runs.
     fn is_ready(&self) -> bool {
         matches!(self.state, State::Waiting { .. } | State::Running { .. })
     }
 
-    /// Whether the others of its gang may still run: it is there, or has ended without giving the gang up.
-    fn counts_for_gang(&self) -> bool {
+    /// Whether the task counts as a member of its gang, so that the others may keep running: it is present, or it ended
+    /// for a reason that does not end the gang.
+    fn counts_as_member(&self) -> bool {
         !matches!(
             self.state,
             State::Fetching { .. } | State::Exited { cause: "peers" | "stopped" | "incomplete", .. }
         )
     }
 
-    /// The state after a stop command; none if the task has ended already.
+    /// Returns the state after a stop command; `None` if the task has already exited.
     fn stopped(&self, grace_s: f64, now: u64) -> Option<State> {
         match self.state {
             State::Exited { .. } => None,
@@ -112,7 +113,7 @@
     task.split('/').next().unwrap_or_default()
 }
 
-/// What a submission says of a job's tasks.
+/// What a submission specifies about a job's tasks.
 struct JobTraits {
     is_gang: bool,
     is_daemon: bool,
@@ -134,7 +135,7 @@
 }
 
 impl Worker {
-    /// Changes a task's state, and brings the next heartbeat forward.
+    /// Changes a task's state, and brings the next heartbeat forward if it is far away or the task has exited.
     fn change_state(&mut self, index: usize, state: State, now: u64) {
         let task = &mut self.tasks[index];
         task.state = state;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Why the worker refuses to start a task, if it does, as the protocol names the cause.
+    /// Returns the protocol's name of the reason why the worker refuses to start a task, if it does.
     fn start_refusal(
         &self,
         name: &str,
@@ -165,7 +166,7 @@
 
 impl Simulation {
     /// Carries out a leader's commands on a machine.
-    pub(super) fn obey(&mut self, machine: usize, commands: &Value) {
+    pub(super) fn run_commands(&mut self, machine: usize, commands: &Value) {
         let now = self.now;
         for command in commands.as_array().into_iter().flatten() {
             let name = command["shard"].as_str().unwrap_or_default().to_string();
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Starts a task, or refuses to, which its first state then shows.
+    /// Starts a task. If the worker refuses, the task's first state is an exit with the reason.
     fn start(&mut self, machine: usize, name: String, attempt: u64) {
         let now = self.now;
         let job = job_of(&name).to_string();
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Lets a worker's tasks move on.
+    /// Applies the due state changes of a worker's tasks.
     pub(super) fn advance(&mut self, machine: usize) {
         let now = self.now;
         for index in 0..self.workers[machine].tasks.len() {
@@ -227,24 +228,24 @@
         }
     }
 
-    /// The state that a task goes over to now, if it does.
+    /// Returns the state that a task changes to now, if it changes.
     fn next_state(&mut self, machine: usize, task: &Task) -> Option<State> {
         let now = self.now;
         let body = self.rules.body(task.job()).unwrap_or(Value::Null);
         let job = JobTraits::of(&body);
         match task.state {
-            State::Fetching { until } if until <= now => Some(self.fetched(machine, task, &job)),
-            State::Waiting { since } => self.waited(task, &job, since),
-            State::Running { left } if !job.is_daemon => self.ran(task, &job, left),
+            State::Fetching { until } if until <= now => Some(self.state_after_fetching(machine, task, &job)),
+            State::Waiting { since } => self.state_after_waiting(task, &job, since),
+            State::Running { left } if !job.is_daemon => self.state_after_running(task, &job, left),
             State::Saving { until } if until <= now => Some(State::Exited { cause: "stopped", kept: true }),
             _ => None,
         }
     }
 
-    /// A task that has its image begins.
-    fn fetched(&mut self, machine: usize, task: &Task, job: &JobTraits) -> State {
+    /// Checks the start of a task that has its image, and returns the task's next state.
+    fn state_after_fetching(&mut self, machine: usize, task: &Task, job: &JobTraits) -> State {
         let now = self.now;
-        self.rules.starts(now, &self.workers[machine], &task.name, &self.workers);
+        self.rules.check_start(now, &self.workers[machine], &task.name, &self.workers);
         if self.rules.task_done(&task.name) {
             State::Exited { cause: "done", kept: false }
         } else if job.is_gang {
@@ -254,29 +255,29 @@
         }
     }
 
-    /// A member of a gang runs once all are there, and gives up after some time.
-    fn waited(&self, task: &Task, job: &JobTraits, since: u64) -> Option<State> {
+    /// A member of a gang runs once all members are present; it exits if they are not after `GANG_WAIT_MS`.
+    fn state_after_waiting(&self, task: &Task, job: &JobTraits, since: u64) -> Option<State> {
         if self.gang_members(task, Task::is_ready) >= job.tasks {
             return Some(State::Running { left: job.total_ms });
         }
         (self.now > since + GANG_WAIT_MS).then_some(State::Exited { cause: "incomplete", kept: false })
     }
 
-    /// A task that runs ends when it is done, or when its gang isn't whole any more.
-    fn ran(&mut self, task: &Task, job: &JobTraits, left: u64) -> Option<State> {
-        let lacks_members = job.is_gang && self.gang_members(task, Task::counts_for_gang) < job.tasks;
+    /// A running task exits when it is done, or when its gang lacks a member.
+    fn state_after_running(&mut self, task: &Task, job: &JobTraits, left: u64) -> Option<State> {
+        let lacks_members = job.is_gang && self.gang_members(task, Task::counts_as_member) < job.tasks;
         if lacks_members && !self.rules.task_done(&task.name) {
             return Some(State::Exited { cause: "peers", kept: false });
         }
         if self.now - task.changed_at < left {
             return None;
         }
-        self.rules.completes(&task.name, job.is_gang);
+        self.rules.record_completion(&task.name, job.is_gang);
         self.task_completed(task.job());
         Some(State::Exited { cause: "done", kept: false })
     }
 
-    /// How many tasks of the same attempt of a gang satisfy a condition, on all machines.
+    /// Returns how many tasks of the same attempt of a gang satisfy a condition, over all machines.
     fn gang_members(&self, task: &Task, condition: impl Fn(&Task) -> bool) -> u64 {
         let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
         tasks.filter(|other| other.is_of_same_attempt(task) && condition(other)).count() as u64
