--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -39,7 +39,7 @@
         let mut by_job = self.placements_in_partition(node, proposals);
         for request in requests {
             let Some(job_state) = self.job_states.get_mut(&request.job) else { continue };
-            job_state.offered = 0;
+            job_state.tasks_in_round = 0;
             let mut placements = by_job.remove(&request.job).unwrap_or_default();
             placements.retain(|placement| request.tasks.contains(&placement.index));
             self.commit_placements(&request, placements, now);
@@ -132,7 +132,7 @@
         let team = spec.team.clone();
         let mut assignment =
             Assignment::new(task, attempt, team, spec.resources, AssignmentState::Planned, now);
-        assignment.after_fetches = slow_fetch && machine.has_image(&spec.image);
+        assignment.waits_for_gang_fetches = slow_fetch && machine.has_image(&spec.image);
         machine.assignments.insert(task.clone(), assignment);
         if machine.capacity_hold.as_ref().is_some_and(|hold| hold.job == task.job) {
             machine.capacity_hold = None;
