--- a/crates/scheduler/src/autoscaler/mod.rs
+++ b/crates/scheduler/src/autoscaler/mod.rs
@@ -1,15 +1,17 @@
-//! The autoscaler: what to rent for work that fits nowhere.
+//! The autoscaler: decides which machines to rent for tasks that fit no machine.
 //!
-//! The leader gathers what waits and what is incoming, and rents what [`InstanceOffers::plan`] gives.
+//! The leader collects the waiting tasks and the incoming machines, and rents what [`InstanceOffers::plan`]
+//! returns.
 
 use crate::types::{Duration, FencingToken, MonotonicTime, Resources, TypeName, Zone};
 use crate::wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
-/// A price for a task's place is dear from this multiple of the cheapest price on.
+/// Highest price per task slot for a price-capped request, as a multiple of the cheapest offer's price.
 const PRICE_CAP_RATIO: f64 = 2.0;
-/// Machines planned for one request at a time, so that a large one is spread over zones.
-const MACHINES_AT_ONCE: u32 = 4;
+/// Maximum number of machines planned in one step, so that machines for a large request are spread over
+/// zones.
+const MAX_MACHINES_PER_STEP: u32 = 4;
 /// Added to the limit on a machine's boot time, in seconds.
 const BOOT_MARGIN_S: f64 = 10.0;
 
@@ -24,38 +26,38 @@
     pub spot: bool,
 }
 
-/// Machines that are up or on their way, alike in their offer and in the resources not yet assigned.
+/// A group of machines that are up or incoming, with the same offer and the same unassigned resources.
 #[derive(Debug, Clone)]
 pub struct IncomingCapacity {
-    /// What they were rented as.
+    /// The offer that they were rented under.
     pub offer: InstanceOffer,
-    /// Resources of each that no request has been assigned.
+    /// Resources of each machine that are not assigned to a request.
     pub free: Resources,
-    /// How many machines.
+    /// Number of machines.
     pub number: u32,
 }
 
 /// Tasks of one job that wait for machines.
 #[derive(Debug, Clone)]
 pub struct CapacityRequest {
-    /// How many tasks wait.
+    /// Number of waiting tasks.
     pub tasks: u32,
-    /// What each task takes of its machine.
+    /// Resources that each task takes on its machine.
     pub resources: Resources,
     /// The machine types that it may run on; `None` allows all.
     pub types: Option<Vec<TypeName>>,
     /// Whether its tasks may run on spot machines.
     pub spot: bool,
-    /// Zones it may use and how many more of its tasks each may take.
+    /// The zones that it may use, and how many more of its tasks may be in each.
     pub zones: Vec<(Zone, u32)>,
-    /// All tasks of it must be in one zone.
+    /// Whether all its tasks must be in one zone.
     pub together: bool,
-    /// Running tasks will soon make way for it: nothing dear is rented.
+    /// Whether expensive offers are excluded, because running tasks will soon free slots for it.
     pub price_capped: bool,
 }
 
 impl CapacityRequest {
-    /// How many of its tasks may still go to machines of `offer`.
+    /// How many more of its tasks may run on machines of `offer`.
     fn allowed(&self, offer: &InstanceOffer) -> u32 {
         let market_allowed = self.spot || !offer.spot;
         let type_allowed = self.types.as_ref().is_none_or(|types| types.contains(&offer.type_name));
@@ -66,7 +68,7 @@
         zone.map_or(0, |(_, allowed)| *allowed)
     }
 
-    /// Notes that `tasks` of it go to `zone`.
+    /// Updates the waiting tasks and allowed zones after `tasks` of it were assigned to `zone`.
     fn assign(&mut self, zone: &Zone, tasks: u32) {
         self.tasks -= tasks;
         if self.together {
@@ -81,25 +83,25 @@
 /// Machines to rent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rental {
-    /// What to rent.
+    /// The offer to rent.
     pub offer: InstanceOffer,
-    /// How many machines.
+    /// Number of machines.
     pub number: u32,
 }
 
-/// What the cloud offers, and which offers it refused lately.
+/// The cloud's machine types, and the offers that it refused recently.
 #[derive(Debug, Default)]
 pub struct InstanceOffers {
     /// All machine types.
     pub types: Vec<MachineType>,
-    /// Offers refused lately, and until when they are not tried again.
+    /// Offers that the cloud refused recently, with the end of the time in which they are not retried.
     refused: BTreeMap<InstanceOffer, MonotonicTime>,
     next_claim: u64,
 }
 
 /// An offer that a request may use.
 struct RankedOffer {
-    /// Price of a task's place an hour.
+    /// Hourly price per task slot.
     cost: f64,
     machines_in_zone: u32,
     offer: InstanceOffer,
@@ -107,7 +109,7 @@
 }
 
 impl InstanceOffers {
-    /// The offers of these machine types, none refused.
+    /// The offers of these machine types, none of them refused.
     pub fn new(types: Vec<MachineType>) -> Self {
         Self { types, ..Self::default() }
     }
@@ -117,20 +119,21 @@
         self.types.iter().find(|machine_type| machine_type.name == *name)
     }
 
-    /// The cloud refused the offer: it is not planned with until then.
+    /// Records that the cloud refused the offer. Plans don't use it before `until`.
     pub fn refuse(&mut self, offer: InstanceOffer, until: MonotonicTime) {
         self.refused.insert(offer, until);
     }
 
-    /// A claim that no other rental has: fencing tokens are unique to one leadership.
+    /// Returns a claim that is unique among all rentals, since fencing tokens are unique to one leadership.
     pub fn claim(&mut self, fencing_token: FencingToken) -> String {
         self.next_claim += 1;
         format!("pf-{fencing_token}-{}", self.next_claim)
     }
 
-    /// What to rent so that all `requests` fit, most urgent first, given the machines that are `incoming` already.
-    /// `machines_by_zone` counts the machines in each zone: of equal offers, the emptiest zone is taken. Works on
-    /// groups of equal machines, so that its effort doesn't grow with the number of tasks.
+    /// What to rent so that all `requests`, sorted by descending urgency, fit in addition to the machines
+    /// that are already `incoming`. `machines_by_zone` counts the machines in each zone: of equally cheap
+    /// offers, the one in the zone with the fewest machines is chosen. Works on groups of equal machines, so
+    /// its cost doesn't grow with the number of tasks.
     pub fn plan(
         &mut self,
         requests: Vec<CapacityRequest>,
@@ -155,8 +158,8 @@
         planner.rentals.into_iter().map(|(offer, number)| Rental { offer, number }).collect()
     }
 
-    /// The cheapest offer for each task that isn't refused now. `waiting_tasks` bounds how many places of a machine
-    /// count.
+    /// The offer with the lowest price per task slot among those that are not refused now; `None` if there is
+    /// none, or if it exceeds the price cap. At most `waiting_tasks` slots of a machine count.
     fn best(
         &self,
         request: &CapacityRequest,
@@ -180,7 +183,7 @@
         best.filter(|best| !request.price_capped || best.cost <= cheapest * PRICE_CAP_RATIO)
     }
 
-    /// All offers that the request may use, refused ones among them.
+    /// All offers that the request may use, including refused ones.
     fn offers_for<'a>(
         &'a self,
         request: &'a CapacityRequest,
@@ -207,17 +210,18 @@
     }
 }
 
-/// A plan being made.
+/// The state of a plan while it is computed.
 struct Planner<'a> {
     offers: &'a InstanceOffers,
-    /// Grows with each rental, and with each group of machines of which a part is assigned.
+    /// Extended by each rental, and by each group that is split because only a part of it is assigned.
     incoming: Vec<IncomingCapacity>,
     machines_by_zone: BTreeMap<Zone, u32>,
     rentals: BTreeMap<InstanceOffer, u32>,
 }
 
 impl Planner<'_> {
-    /// Restricts a request whose tasks must be together to the zone with the most incoming places, if that holds all.
+    /// Restricts a request whose tasks must be in one zone to the zone with the most incoming slots, if these
+    /// suffice for all its tasks.
     fn choose_zone(&self, request: &mut CapacityRequest) {
         if !request.together {
             return;
@@ -243,7 +247,7 @@
         }
     }
 
-    /// Rents machines until all tasks of the request have a place or no offer is left.
+    /// Rents machines until all tasks of the request have a slot or no offer is left.
     fn rent(&mut self, request: &mut CapacityRequest, later_tasks: u32) {
         while request.tasks > 0 {
             let waiting_tasks = request.tasks + later_tasks;
@@ -251,7 +255,7 @@
             let Some(RankedOffer { offer, resources, .. }) = best else { break };
             let slots = resources.count_of(&request.resources).max(1);
             let tasks = request.tasks.min(request.allowed(&offer));
-            let number = tasks.div_ceil(slots).min(MACHINES_AT_ONCE);
+            let number = tasks.div_ceil(slots).min(MAX_MACHINES_PER_STEP);
             *self.machines_by_zone.entry(offer.zone.clone()).or_default() += number;
             *self.rentals.entry(offer.clone()).or_default() += number;
             self.incoming.push(IncomingCapacity { offer, free: resources, number });
@@ -261,13 +265,14 @@
         }
     }
 
-    /// Assigns as much of a group to the request as fits; gives the number of tasks. Machines of which something
-    /// stays free go on as a group of their own.
+    /// Assigns as many machines of a group to the request as it can use, and returns the number of assigned
+    /// tasks. Machines that are assigned tasks are split off into groups of their own, with what remains
+    /// free.
     fn assign(&mut self, index: usize, request: &mut CapacityRequest) -> u32 {
         let group = &self.incoming[index];
         let slots = group.free.count_of(&request.resources);
-        let places = slots.saturating_mul(group.number);
-        let tasks = request.tasks.min(request.allowed(&group.offer)).min(places);
+        let total_slots = slots.saturating_mul(group.number);
+        let tasks = request.tasks.min(request.allowed(&group.offer)).min(total_slots);
         if tasks == 0 {
             return 0;
         }
@@ -280,7 +285,7 @@
         tasks
     }
 
-    /// Moves `number` machines of a group to a new one, after each was assigned `tasks`.
+    /// Moves `number` machines of a group to a new group, with `tasks` tasks assigned to each.
     fn split_off(&mut self, index: usize, number: u32, tasks: u32, resources: &Resources) {
         if number == 0 {
             return;
@@ -293,7 +298,8 @@
     }
 }
 
-/// How long a machine of this type may take to come up before it is returned. `factor` multiplies the nominal time.
+/// How long a machine of this type may take to boot before it is returned: its nominal boot time times
+/// `factor`, plus a margin.
 pub fn boot_limit(machine_type: &MachineType, factor: f64) -> Duration {
     machine_type.boot().times(factor) + Duration::from_secs_f64(BOOT_MARGIN_S)
 }
--- a/crates/scheduler/src/autoscaler/tests.rs
+++ b/crates/scheduler/src/autoscaler/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_cheapest_adequate_offer_is_rented_and_incoming_machines_count() {
+fn cheapest_fitting_offer_is_rented_unless_incoming_machines_suffice() {
     let mut offers = instance_offers();
     let now = MonotonicTime::from_millis(0);
     let plan = |offers: &mut InstanceOffers, request: CapacityRequest, incoming: Vec<IncomingCapacity>| {
@@ -39,18 +39,22 @@
     assert_eq!(plan(&mut offers, capacity_request(2, 1.0, false), incoming), []);
     offers.refuse(offer("small", "a", true), MonotonicTime::from_millis(9));
     offers.refuse(offer("small", "b", true), MonotonicTime::from_millis(9));
-    let mut price_capped = capacity_request(1, 1.0, true);
-    assert_eq!(plan(&mut offers, price_capped.clone(), vec![]), [one("small", "a", false)]);
-    price_capped.price_capped = true;
-    assert_eq!(plan(&mut offers, price_capped, vec![]), [], "three times the price, and it can wait");
+    let mut request = capacity_request(1, 1.0, true);
+    assert_eq!(plan(&mut offers, request.clone(), vec![]), [one("small", "a", false)]);
+    request.price_capped = true;
+    assert_eq!(
+        plan(&mut offers, request, vec![]),
+        [],
+        "the remaining offer costs three times the cheapest price"
+    );
     offers.refuse(offer("small", "a", false), MonotonicTime::from_millis(9));
     assert_eq!(plan(&mut offers, capacity_request(1, 1.0, false), vec![]), [one("small", "b", false)]);
 }
 
-/// Formerly, only the first few hundred waiting tasks were considered: while their machines booted, no
-/// more were rented for those behind them.
+/// Guards against planning for only the first few hundred waiting tasks: while their machines booted, none
+/// were rented for the other tasks.
 #[test]
-fn all_waiting_tasks_get_machines_and_together_means_one_zone() {
+fn all_waiting_tasks_get_machines_and_together_restricts_to_one_zone() {
     let mut offers = instance_offers();
     let now = MonotonicTime::from_millis(0);
     let count = |plan: Vec<Rental>| plan.iter().map(|rental| rental.number).sum::<u32>();
@@ -64,7 +68,7 @@
     let incoming = |zone: &str, number| IncomingCapacity { offer: small(zone), free: resources, number };
     let plan =
         offers.plan(vec![gang.clone()], vec![incoming("a", 1), incoming("b", 2)], &BTreeMap::new(), now);
-    assert_eq!(plan, [], "zone b holds it");
+    assert_eq!(plan, [], "the incoming machines in zone b hold the gang");
     gang.types = Some(vec!["small".into()]);
     let plan = offers.plan(vec![gang], vec![incoming("b", 1)], &BTreeMap::new(), now);
     assert_eq!(plan, [Rental { offer: small("b"), number: 1 }]);
--- a/crates/scheduler/src/jobs/admission.rs
+++ b/crates/scheduler/src/jobs/admission.rs
@@ -1,4 +1,4 @@
-//! The checks on a submission before it is stored, the same for every API that it may come through.
+//! The checks on a submission before it is stored. All APIs use the same checks.
 
 use super::cache::JobCache;
 use super::pending_requests::Refusal;
@@ -10,14 +10,14 @@
 use http::StatusCode;
 use std::sync::Arc;
 
-/// What this node knows at the moment of a submission.
+/// This node's state at the time of a submission.
 #[derive(Clone, Copy)]
 pub struct Admission<'a> {
     /// This node's settings.
     pub settings: &'a Settings,
     /// The cloud's machine types; empty while they are not known.
     pub types: &'a [MachineType],
-    /// Whether every node is known to understand jobs that need others.
+    /// Whether every node is known to support jobs with dependencies.
     pub dependencies: bool,
     /// The known jobs.
     pub jobs: &'a JobCache,
@@ -26,10 +26,10 @@
 }
 
 impl Admission<'_> {
-    /// Whether the job can run and be stored, regardless of its id and the jobs that it needs.
+    /// Whether the job can run and be stored, regardless of its id and its dependencies.
     ///
     /// # Errors
-    /// The answer to the user, should the job's id prove unknown.
+    /// The refusal to return to the user, unless a job with this id is already known.
     pub fn check(&self, spec: &JobSpec) -> Result<(), Refusal> {
         if self.types.is_empty() {
             return Err(self.refusal_without_types(spec));
@@ -38,7 +38,7 @@
         self.check_storable(spec)
     }
 
-    /// Without machine types nothing can be accepted, and only an unknown team can be refused for good.
+    /// The refusal while no machine types are known: permanent for an unknown team, temporary otherwise.
     fn refusal_without_types(&self, spec: &JobSpec) -> Refusal {
         match spec.can_run(self.settings, &[]) {
             Err(error @ AdmissionError::UnknownTeam(_)) => error.into(),
@@ -49,11 +49,13 @@
         }
     }
 
-    /// A job that needs others is stored only once every node is known to understand that, and any
-    /// job only if its record fits: a larger one would be refused at every try.
+    /// Whether the job can be stored. A job with dependencies is stored only once every node is known to
+    /// support them. A record over the store's limit for a value is refused here, since the store would
+    /// refuse every retry.
     fn check_storable(&self, spec: &JobSpec) -> Result<(), Refusal> {
         if !spec.needs.is_empty() && !self.dependencies {
-            let reason = "jobs with `awaits` are taken once every controller has the new version; come back";
+            let reason =
+                "jobs with `awaits` are accepted once every controller has the new version; come back later";
             return Err(Refusal { status: StatusCode::SERVICE_UNAVAILABLE, reason: reason.into() });
         }
         let bytes = Record::Open(self.open(spec)).to_value().len();
@@ -61,21 +63,21 @@
         if bytes > limit { Err(AdmissionError::TooLarge { bytes, limit }.into()) } else { Ok(()) }
     }
 
-    /// Why the job can't depend on the jobs that it names, as far as this node knows.
+    /// Why the job can't depend on the jobs that it names, according to the records that this node knows.
     pub fn dependency_error(&self, id: &JobId, spec: &JobSpec) -> Option<AdmissionError> {
         spec.needs.iter().find_map(|dependency| {
             if dependency == id {
-                return Some(AdmissionError::NeedsItself);
+                return Some(AdmissionError::SelfDependency);
             }
             let Some(known) = self.jobs.get(dependency) else {
-                return Some(AdmissionError::NeedsUnknown(dependency.clone()));
+                return Some(AdmissionError::UnknownDependency(dependency.clone()));
             };
             let service = known.record.open().is_some_and(|job| job.spec.job_type == JobType::Service);
-            service.then(|| AdmissionError::NeedsService(dependency.clone()))
+            service.then(|| AdmissionError::ServiceDependency(dependency.clone()))
         })
     }
 
-    /// The job as it is stored now, assigned to this node.
+    /// The job as it will be stored, assigned to this node.
     pub fn open(&self, spec: &JobSpec) -> Arc<OpenJob> {
         Arc::new(OpenJob {
             spec: spec.clone(),
--- a/crates/scheduler/src/jobs/cache.rs
+++ b/crates/scheduler/src/jobs/cache.rs
@@ -1,6 +1,6 @@
 //! Every node's copy of all job records, kept up to date from listings, watches and the node's own writes.
 //!
-//! The prefix watcher feeds it; the controller answers users from it, and the leader schedules from it.
+//! The prefix watcher updates it, the controller answers users from it, and the leader schedules from it.
 
 use super::graph::Graph;
 use super::record::{PREFIX, Phase, Record};
@@ -20,21 +20,21 @@
 
 /// This node's copy of all job records, as of `store_revision`.
 ///
-/// A watch from `store_revision` that returns at once brings it up to date in one request, so an answer
-/// to any number of waiting users costs one read begun after their requests.
+/// A watch from `store_revision` that returns immediately brings the cache up to date in one request. So one
+/// read that begins after the requests of any number of waiting users is enough to answer all of them.
 #[derive(Debug, Default)]
 pub struct JobCache {
     jobs: BTreeMap<JobId, CachedJob>,
-    /// All changes up to this revision are in `jobs`; `None` until the first full read has finished.
+    /// All changes up to this revision are in `jobs`; `None` while a full read is needed.
     store_revision: Option<u64>,
     /// Dependencies between jobs, kept consistent with `jobs`.
     graph: Graph,
-    /// Ids whose records changed since the last `take_changed`, or that are affected by another job's
-    /// record: free to run, cancelled, or of another priority.
+    /// Jobs whose records changed since the last `take_changed`, or that another job's record affected: they
+    /// became ready, were cancelled, or changed priority.
     changed: Vec<JobId>,
-    /// Jobs whose record can't be read, and its revision.
+    /// Jobs whose record can't be read, with the revision of that record.
     unreadable: BTreeMap<JobId, Revision>,
-    /// Ignores records of jobs with dependencies, as the version before dependencies does.
+    /// Ignores records of jobs with dependencies, like a version that doesn't support them.
     #[cfg(any(test, feature = "simulation"))]
     pub(crate) skip_dependent: bool,
 }
@@ -45,19 +45,19 @@
         self.jobs.get(id)
     }
 
-    /// The job's final phase, if it has one: its record's, or cancelled with a job that it needs. The latter
-    /// is as final as the record that it follows from.
+    /// The job's final phase, if it has one: that of its record, or cancelled because a dependency is. The
+    /// latter is also final, since the record of the cancelled dependency never changes again.
     pub fn terminal_status(&self, id: &JobId) -> Option<Phase> {
         let known = self.jobs.get(id)?;
         known.record.terminal().or_else(|| self.graph.is_cancelled(id).then_some(Phase::Cancelled))
     }
 
-    /// Whether tasks of the job may run: it is open, and all that it needs is durably done.
+    /// Whether tasks of the job may run: it is open, and all its dependencies are durably done.
     pub fn ready(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|known| known.record.is_open()) && !self.graph.is_blocked(id)
     }
 
-    /// The priority of an open job: its own, or a higher one of a job that needs it.
+    /// The priority of an open job: its own, or the higher one of a job that depends on it.
     pub fn priority(&self, id: &JobId) -> Priority {
         let job = self.jobs.get(id).and_then(|known| known.record.open());
         let own = job.map_or(Priority::Low, |job| job.spec.priority);
@@ -69,7 +69,7 @@
         &self.graph
     }
 
-    /// Disables a check, to prove that the simulation's rules notice its absence.
+    /// Disables a check, to prove that the simulation's invariants detect its absence.
     #[cfg(any(test, feature = "simulation"))]
     pub(crate) fn disable(&mut self, check: super::graph::DependencyCheck) {
         self.graph.disabled_check = Some(check);
@@ -95,24 +95,25 @@
         self.store_revision
     }
 
-    /// Makes a full read necessary: some changes may have been missed.
+    /// Makes a full read necessary, because some changes may have been missed.
     pub fn forget_store_revision(&mut self) {
         self.store_revision = None;
     }
 
-    /// All changes up to `store_revision` are known now. Never goes back.
+    /// Records that all changes up to `store_revision` are known. Never moves backwards.
     pub fn reach(&mut self, store_revision: u64) {
         if self.store_revision.is_none_or(|known| known < store_revision) {
             self.store_revision = Some(store_revision);
         }
     }
 
-    /// The jobs that changed, or that another job's change affects, since the last call. May name a job twice.
+    /// The jobs that changed, or that another job's change affects, since the last call. May name a job
+    /// twice.
     pub fn take_changed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes in a record read or written; one that is older than the known one is ignored.
+    /// Stores a record that was read or written, unless the known record supersedes it.
     pub fn learn(&mut self, id: JobId, revision: Revision, record: Record) {
         if self.unreadable.get(&id).is_some_and(|unreadable| *unreadable < revision) {
             self.unreadable.remove(&id);
@@ -126,13 +127,13 @@
         self.jobs.insert(id, CachedJob { revision, record });
     }
 
-    /// Whether the known record makes one of `revision` meaningless. A terminal record is final: no late answer
-    /// may reopen the job.
+    /// Whether the known record takes precedence over one of `revision`. A terminal record always does: a
+    /// delayed reply must not reopen the job.
     fn supersedes(&self, id: &JobId, revision: Revision) -> bool {
         self.jobs.get(id).is_some_and(|known| known.revision >= revision || !known.record.is_open())
     }
 
-    /// Gives the jobs that the new record affects.
+    /// Updates the dependency graph with the new record. Returns the jobs that this affects.
     fn update_graph(&mut self, id: &JobId, record: &Record) -> Vec<JobId> {
         match record {
             Record::Open(job) => {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Takes in a stored pair, if its key is that of a job record.
+    /// Stores the record of a key-value pair, if the key is that of a job record.
     pub fn learn_pair(&mut self, pair: &Pair) {
         let Some(id) = pair.key.strip_prefix(PREFIX) else { return };
         #[cfg(any(test, feature = "simulation"))]
@@ -153,17 +154,21 @@
             return;
         }
         match serde_json::from_str(&pair.value) {
-            Ok(record) if Record::is_possible(&record) => self.learn(id.into(), pair.revision, record),
-            Ok(_) => self.mark_unreadable(id.into(), pair, "says what nobody can have stored"),
+            Ok(record) if Record::is_valid(&record) => self.learn(id.into(), pair.revision, record),
+            Ok(_) => self.mark_unreadable(id.into(), pair, "contains impossible values"),
             Err(error) => self.mark_unreadable(id.into(), pair, &error.to_string()),
         }
     }
 
-    /// The content isn't guessed at: for this node the job is neither open nor finished, and not unknown either,
-    /// until its key holds a readable record again.
+    /// Marks a job's record as unreadable until its key holds a readable record again. Until then the job
+    /// counts as neither open, finished nor unknown, since any assumption about its content could be wrong.
     fn mark_unreadable(&mut self, id: JobId, pair: &Pair, reason: &str) {
         if self.unreadable.insert(id, pair.revision) != Some(pair.revision) {
-            tracing::error!(key = pair.key, reason, "job record can't be read; put a right one there");
+            tracing::error!(
+                key = pair.key,
+                reason,
+                "job record can't be read; store a valid record under this key"
+            );
         }
     }
 
@@ -177,7 +182,7 @@
         self.unreadable.len()
     }
 
-    /// Takes in a watch's events up to `store_revision`.
+    /// Stores the records from a watch's events, which cover all changes up to `store_revision`.
     pub fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
         for event in events {
             if let Event::Put(pair) = event {
--- a/crates/scheduler/src/jobs/golden.rs
+++ b/crates/scheduler/src/jobs/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of job records and of the records of which tasks are done.
+//! Golden bytes of job records and of progress records, which say which tasks are done.
 
 use super::*;
 use crate::golden_group;
@@ -6,7 +6,7 @@
 use crate::wire::state::Pair;
 use std::sync::Arc;
 
-/// Every optional field is given.
+/// A spec with every optional field set.
 fn full_spec(job_type: JobType, priority: Priority) -> JobSpec {
     JobSpec {
         kind: "train".into(),
@@ -100,9 +100,9 @@
     group.finish();
 }
 
-/// The order decides who goes first and whom others make room for.
+/// The order of priorities decides which jobs are placed first and which tasks may be preempted.
 #[test]
-fn golden_order_of_priorities_and_shapes() {
+fn golden_order_of_priorities_and_job_types() {
     assert!(Priority::Low < Priority::Normal);
     assert!(Priority::Normal < Priority::High);
     assert!(Priority::High < Priority::Production);
--- a/crates/scheduler/src/jobs/graph.rs
+++ b/crates/scheduler/src/jobs/graph.rs
@@ -1,9 +1,9 @@
-//! Dependencies between jobs: which jobs wait for which. The only module that tracks them.
+//! Dependencies between jobs: which jobs wait for which. No other module tracks them.
 //!
-//! Everything here follows from the job records alone, so every node comes to the same result at
-//! any moment: a job waits until each one it needs is durably done (an unknown one isn't), and is
-//! cancelled as soon as one of them is. The graph has no cycles, since a job can only name jobs
-//! that were accepted before it. All traversals are iterative, and linear in the number of edges.
+//! The graph depends only on the job records, so all nodes with the same records reach the same result: a job
+//! waits until each of its dependencies is durably done (an unknown job isn't), and is cancelled as soon as
+//! one of them is cancelled. The graph has no cycles, since a job can only name jobs that were accepted
+//! before it. All traversals are iterative, and linear in the number of edges.
 //!
 //! The job cache owns the graph and updates it with each record.
 
@@ -12,42 +12,42 @@
 use crate::types::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An open job with unfinished dependencies, or one cancelled with a dependency.
+/// An open job that has unfinished dependencies, or that is cancelled because a dependency is.
 #[derive(Debug)]
 struct BlockedJob {
     dependencies: Vec<JobId>,
-    /// How many of the dependencies aren't known to be done.
+    /// Number of dependencies that are not known to be done. Not maintained once the job is cancelled.
     unfinished: usize,
     /// The job's own priority.
     priority: Priority,
-    /// One of the dependencies is cancelled, and so is this job, even while its own record is still open.
+    /// A dependency is cancelled, so this job counts as cancelled even while its own record is still open.
     cancelled: bool,
 }
 
 /// The dependencies of all known open jobs.
 #[derive(Debug, Default)]
 pub struct Graph {
-    /// Open jobs that wait for others, and those cancelled with a dependency whose records are still open.
+    /// Open jobs that wait for others, and cancelled jobs whose own records are still open.
     blocked: BTreeMap<JobId, BlockedJob>,
-    /// The jobs that wait for a job, whether that one is known or not.
+    /// For each unfinished job, known or not, the jobs that depend on it.
     dependents: BTreeMap<JobId, Vec<JobId>>,
-    /// A check that is disabled, to prove that the simulation's rules notice its absence.
+    /// The check that a test has disabled, to prove that the simulation's invariants detect its absence.
     #[cfg(any(test, feature = "simulation"))]
     pub(crate) disabled_check: Option<DependencyCheck>,
 }
 
-/// A check that a simulation can disable.
+/// A check that a test can disable.
 #[cfg(any(test, feature = "simulation"))]
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DependencyCheck {
-    /// Jobs wait for what they need.
+    /// A job waits for its dependencies.
     Order,
-    /// Jobs are cancelled with what they need.
+    /// A job is cancelled when one of its dependencies is.
     Cancellation,
 }
 
 impl Graph {
-    /// Whether the job waits for others, or is cancelled with one.
+    /// Whether the job waits for dependencies, or is cancelled because one of them is.
     pub fn is_blocked(&self, id: &JobId) -> bool {
         #[cfg(any(test, feature = "simulation"))]
         if self.disabled_check == Some(DependencyCheck::Order) {
@@ -56,17 +56,17 @@
         self.blocked.contains_key(id)
     }
 
-    /// Whether the job is cancelled because one that it needs is.
+    /// Whether the job is cancelled because one of its dependencies is.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.blocked.get(id).is_some_and(|job| job.cancelled)
     }
 
-    /// Number of jobs that wait for others.
+    /// Number of jobs that wait for dependencies.
     pub fn waiting_count(&self) -> usize {
         self.waiting_ids().count()
     }
 
-    /// The jobs that wait for others, by id.
+    /// The jobs that wait for dependencies, by id.
     pub fn waiting_ids(&self) -> impl Iterator<Item = &JobId> {
         self.blocked.iter().filter(|(_, job)| !job.cancelled).map(|(id, _)| id)
     }
@@ -81,7 +81,7 @@
         job.dependencies.iter().filter(|dependency| self.dependents.contains_key(*dependency))
     }
 
-    /// An open job has become known. Gives the jobs that this affects.
+    /// Adds an open job. Returns the jobs that this affects.
     pub fn opened(
         &mut self,
         id: &JobId,
@@ -111,14 +111,14 @@
         let job = BlockedJob { dependencies, unfinished, priority: spec.priority, cancelled: false };
         self.blocked.insert(id.clone(), job);
         if cancelled {
-            // Jobs that need this one may have become known before it.
+            // Jobs that depend on this one may have been added before it.
             self.cancel(id)
         } else {
             self.dependencies_of(std::slice::from_ref(id))
         }
     }
 
-    /// The job is durably done or cancelled. Gives the jobs that this affects.
+    /// Records that the job is durably done or cancelled. Returns the jobs that this affects.
     pub fn finished(&mut self, id: &JobId, phase: Phase) -> Vec<JobId> {
         let mut affected = Vec::new();
         if self.blocked.contains_key(id) {
@@ -140,7 +140,8 @@
         affected
     }
 
-    /// Cancels `id` and all that need it, directly or through others. Gives these, and the jobs that they need.
+    /// Cancels `id` and all its direct and transitive dependents. Returns the cancelled jobs and their
+    /// unfinished dependencies.
     fn cancel(&mut self, id: &JobId) -> Vec<JobId> {
         #[cfg(any(test, feature = "simulation"))]
         if self.disabled_check == Some(DependencyCheck::Cancellation) {
@@ -154,12 +155,12 @@
             queue.extend(self.dependents.get(&id).into_iter().flatten().cloned());
             affected.push(id);
         }
-        // The priority of what they need may fall.
+        // The dependencies may lose a priority that they inherited.
         affected.extend(self.dependencies_of(&affected));
         affected
     }
 
-    /// The unfinished jobs that `ids` need, directly or through others.
+    /// The direct and transitive unfinished dependencies of `ids`.
     fn dependencies_of(&self, ids: &[JobId]) -> Vec<JobId> {
         let mut visited = BTreeSet::new();
         let mut queue = Vec::from_iter(ids);
@@ -174,7 +175,7 @@
         visited.into_iter().cloned().collect()
     }
 
-    /// The priority of a job whose own priority is `own`: at least that of every job that needs it.
+    /// The priority of a job whose own priority is `own`, raised to that of its most urgent dependent.
     pub fn priority(&self, id: &JobId, own: Priority) -> Priority {
         let mut highest = own;
         let mut visited = BTreeSet::new();
--- a/crates/scheduler/src/jobs/graph/tests.rs
+++ b/crates/scheduler/src/jobs/graph/tests.rs
@@ -18,16 +18,16 @@
     Record::Open(Arc::new(OpenJob { spec, submitted: WallTime(1), assigned_node: "n0".into() }))
 }
 
-/// Records in any order, as listings and watches bring them, lead every node to the same result:
-/// that of a plain computation from all records.
+/// Guards against nodes that disagree on which jobs wait or are cancelled: listings and watches deliver the
+/// same records in different orders. The expected result is computed directly from all records.
 #[test]
-fn waiting_and_cancelled_jobs_follow_from_the_records_in_any_order() {
+fn waiting_and_cancelled_jobs_do_not_depend_on_the_order_of_records() {
     let mut rng = StdRng::seed_from_u64(3);
     for _ in 0..200 {
         let n = rng.random_range(2..14);
         let needs: Vec<Vec<usize>> =
             (0..n).map(|i| (0..i).filter(|_| rng.random_bool(0.3)).collect()).collect();
-        // Terminal records as they can come about: done only after all needs are.
+        // Only states that can occur: a job is done only after all its dependencies are.
         let mut terminal_status: Vec<Option<Phase>> = vec![None; n];
         for i in 0..n {
             let ready = needs[i].iter().all(|j| terminal_status[*j] == Some(Phase::Done));
@@ -39,7 +39,7 @@
         }
         let mut records: Vec<(usize, u64, Record)> = Vec::new();
         for i in 0..n {
-            // A listing may show the terminal record alone.
+            // A listing may contain only the terminal record.
             if terminal_status[i].is_none() || rng.random_bool(0.6) {
                 records.push((i, 1, open(&needs[i], Priority::Low)));
             }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn priority_is_inherited_along_the_chain_and_taken_back() {
+fn priority_is_inherited_transitively_until_the_dependent_is_cancelled() {
     let mut cache = JobCache::default();
     cache.learn(id(0), Revision(1), open(&[], Priority::Low));
     cache.learn(id(1), Revision(2), open(&[0], Priority::Low));
@@ -81,16 +81,16 @@
     assert_eq!(cache.priority(&id(0)), Priority::Normal);
     cache.take_changed();
     cache.learn(id(2), Revision(4), open(&[1], Priority::High));
-    assert!(cache.take_changed().contains(&id(0)), "the leader must consider it again");
+    assert!(cache.take_changed().contains(&id(0)), "the leader must reconsider the job");
     assert_eq!((cache.priority(&id(0)), cache.priority(&id(1))), (Priority::High, Priority::High));
     cache.learn(id(2), Revision(5), Record::Cancelled);
     assert!(cache.take_changed().contains(&id(0)));
     assert_eq!((cache.priority(&id(0)), cache.priority(&id(1))), (Priority::Normal, Priority::Low));
 }
 
-/// Traversals follow edges, not paths: here there are 2^60 of them.
+/// Guards against traversals that follow every path instead of every edge: this graph has 2^60 paths.
 #[test]
-fn long_chains_and_wide_fans_are_traversed_in_linear_time() {
+fn long_chains_and_many_dependents_are_traversed_in_linear_time() {
     let mut cache = JobCache::default();
     cache.learn(id(0), Revision(1), open(&[], Priority::Low));
     cache.learn(id(1), Revision(1), open(&[], Priority::Low));
--- a/crates/scheduler/src/jobs/job_counters.rs
+++ b/crates/scheduler/src/jobs/job_counters.rs
@@ -1,15 +1,15 @@
-//! How many jobs of each class and team were accepted, started and done, for operators: a class or a team that is
-//! starved under overload shows here first.
+//! Counters of accepted, started and done jobs by class and team. They show operators which class or team is
+//! starved under overload.
 
 use super::spec::JobSpec;
 use crate::types::{Kind, TeamName};
 use std::collections::BTreeMap;
 
-/// Most pairs of class and team that are counted separately: users choose the names of classes, and metrics have
-/// to stay bounded.
+/// Maximum number of pairs of class and team that are counted separately. Users choose the names of classes,
+/// so the number of metric series needs a bound.
 const MAX_SERIES: usize = 256;
 
-/// What happened to a job.
+/// A point in a job's life at which it is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobMilestone {
     /// Its record was stored.
@@ -23,7 +23,7 @@
 impl JobMilestone {
     const ALL: [JobMilestone; 3] = [JobMilestone::Accepted, JobMilestone::Started, JobMilestone::Done];
 
-    /// Its part of the metric's name.
+    /// The part of the metric's name that denotes the milestone.
     fn metric_name(self) -> &'static str {
         match self {
             JobMilestone::Accepted => "accepted",
@@ -33,49 +33,49 @@
     }
 }
 
-/// What is counted separately. Metrics come in this order.
+/// The class and team of one set of counters. Metrics are written in this order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Series {
     kind: Kind,
     team: TeamName,
 }
 
-/// Number of jobs that reached each stage.
+/// Number of jobs that reached each milestone.
 #[derive(Debug, Clone, Copy, Default)]
-struct StageCounts([u64; JobMilestone::ALL.len()]);
+struct MilestoneCounts([u64; JobMilestone::ALL.len()]);
 
-impl StageCounts {
-    fn get(&self, stage: JobMilestone) -> u64 {
-        self.0[stage as usize]
+impl MilestoneCounts {
+    fn get(&self, milestone: JobMilestone) -> u64 {
+        self.0[milestone as usize]
     }
 
-    fn increment(&mut self, stage: JobMilestone) {
-        self.0[stage as usize] += 1;
+    fn increment(&mut self, milestone: JobMilestone) {
+        self.0[milestone as usize] += 1;
     }
 
-    fn add(&mut self, other: &StageCounts) {
+    fn add(&mut self, other: &MilestoneCounts) {
         for (count, added) in self.0.iter_mut().zip(other.0) {
             *count += added;
         }
     }
 }
 
-/// Counters of jobs by class, team and stage.
+/// Counters of jobs by class, team and milestone.
 #[derive(Debug, Clone, Default)]
 pub struct JobCounters {
-    counts: BTreeMap<Series, StageCounts>,
-    /// Jobs of the pairs beyond `MAX_SERIES`.
-    others: StageCounts,
+    counts: BTreeMap<Series, MilestoneCounts>,
+    /// Counts of all pairs beyond [`MAX_SERIES`].
+    others: MilestoneCounts,
 }
 
 impl JobCounters {
-    /// Counts a job that reached `stage`.
-    pub fn count(&mut self, stage: JobMilestone, spec: &JobSpec) {
+    /// Counts a job that reached `milestone`.
+    pub fn count(&mut self, milestone: JobMilestone, spec: &JobSpec) {
         let series = Series { kind: spec.kind.clone(), team: spec.team.clone() };
-        self.counts_of(series).increment(stage);
+        self.counts_of(series).increment(milestone);
     }
 
-    fn counts_of(&mut self, series: Series) -> &mut StageCounts {
+    fn counts_of(&mut self, series: Series) -> &mut MilestoneCounts {
         if self.counts.len() < MAX_SERIES || self.counts.contains_key(&series) {
             self.counts.entry(series).or_default()
         } else {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds what was counted during a leadership that has ended.
+    /// Adds the counts of `other`, for example those of one leadership.
     pub fn add(&mut self, other: JobCounters) {
         for (series, counts) in other.counts {
             self.counts_of(series).add(&counts);
@@ -91,17 +91,17 @@
         self.others.add(&other.others);
     }
 
-    /// Appends a line for each counter that isn't 0, in the text format of Prometheus.
+    /// Appends a line for each nonzero counter, in the Prometheus text format.
     pub fn metrics(&self, lines: &mut Vec<String>) {
-        for stage in JobMilestone::ALL {
-            let name = stage.metric_name();
+        for milestone in JobMilestone::ALL {
+            let name = milestone.metric_name();
             for (Series { kind, team }, counts) in &self.counts {
-                let count = counts.get(stage);
+                let count = counts.get(milestone);
                 if count > 0 {
                     lines.push(format!("pearford_jobs_{name}{{class=\"{kind}\",team=\"{team}\"}} {count}"));
                 }
             }
-            let count = self.others.get(stage);
+            let count = self.others.get(milestone);
             if count > 0 {
                 lines.push(format!("pearford_jobs_{name}{{class=\"\",team=\"\"}} {count}"));
             }
--- a/crates/scheduler/src/jobs/job_state.rs
+++ b/crates/scheduler/src/jobs/job_state.rs
@@ -1,4 +1,4 @@
-//! A job as its leader sees it: which tasks are done, which are placed, which wait.
+//! The leader's state of a job: which of its tasks are done, placed or waiting.
 
 use super::record::OpenJob;
 use super::spec::{JobType, Priority};
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Tasks recorded in one progress key: 64 words of JSON, well below the store's limit for a value.
+/// Tasks recorded in one progress key: a JSON array of 64 words, well below the store's limit for a value.
 pub const TASKS_PER_CHUNK: u32 = 4096;
 
 /// Tasks in one word of a [`TaskSet`].
@@ -27,7 +27,7 @@
         self.words.get(word_of(task)).is_some_and(|word| word & bit_of(task) != 0)
     }
 
-    /// Adds `task`; false if it was there.
+    /// Adds `task`. Returns false if the set already has it.
     pub fn insert(&mut self, task: u32) -> bool {
         let index = word_of(task);
         if self.words.len() <= index {
@@ -45,7 +45,7 @@
         self.count
     }
 
-    /// The words of a chunk as a JSON value; words beyond the last task are left out.
+    /// The words of a chunk as a JSON value; words beyond the last task are omitted.
     pub fn chunk_value(&self, chunk: u32) -> String {
         let start = (chunk as usize * WORDS_PER_CHUNK).min(self.words.len());
         let end = (start + WORDS_PER_CHUNK).min(self.words.len());
@@ -55,7 +55,7 @@
     /// Adds the words of a chunk.
     ///
     /// # Errors
-    /// If `value` is no JSON array of words; then nothing is added.
+    /// If `value` is not a JSON array of words; nothing is added then.
     pub fn add_chunk(&mut self, chunk: u32, value: &str) -> Result<(), serde_json::Error> {
         let words: Vec<u64> = serde_json::from_str(value)?;
         for (index, word) in words.into_iter().take(WORDS_PER_CHUNK).enumerate() {
@@ -79,13 +79,13 @@
 /// Why tasks of a job wait, for operators. `Display` gives the text of the waiting report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitingReason {
-    /// No scheduling pass has come to it yet.
+    /// No scheduling pass has considered the job yet.
     New,
-    /// Jobs that it needs are not done.
+    /// Jobs that it depends on are not done.
     Dependencies,
     /// Tasks of the gang's last attempt may still run.
     GangStillPlaced,
-    /// Its team may not use more.
+    /// Its team is at its resource limit.
     TeamAtLimit,
     /// No machine has enough free resources.
     NoCapacity,
@@ -116,48 +116,50 @@
     }
 }
 
-/// An open job as its leader sees it.
+/// The leader's state of an open job.
 #[derive(Debug, Clone)]
 pub struct JobState {
     /// The job, as recorded.
     pub job: Arc<OpenJob>,
-    /// Its own priority, or a higher one of a job that needs it.
+    /// Its own priority, or the higher one of a job that depends on it.
     pub priority: Priority,
     done: TaskSet,
-    /// The machine of each task that has an assignment, until the task is proved gone.
+    /// The machine of each task that has an assignment. An entry is removed only when the task is known to
+    /// have left the machine.
     placed: BTreeMap<u32, MachineId>,
-    /// Number of tasks neither done nor placed, kept up to date since every round needs it.
+    /// Number of tasks neither done nor placed, cached because every round needs it.
     waiting: u32,
-    /// Number of its tasks in a round now under way.
+    /// Number of its tasks in the scheduling round in progress.
     pub tasks_in_round: u32,
-    /// The node whose controller places it now.
+    /// The node whose controller currently places its tasks.
     pub assigned_node: NodeName,
-    /// Capacity version at which placing failed last; it isn't tried again until the version moves on.
+    /// Capacity version at the last failed placement; placement is retried only once the version has changed.
     pub failed_capacity_version: u64,
-    /// It isn't placed before then, after repeated failures.
+    /// Earliest time of its next placement, set after failures and refusals.
     pub not_before: MonotonicTime,
-    /// The gang's attempt now under way.
+    /// The gang's current attempt.
     pub attempt: Option<Attempt>,
-    /// When this leader learned of it.
+    /// When this leader added the job.
     pub known_since: MonotonicTime,
-    /// Failures in a row for which the job may be to blame as much as its machines.
+    /// Consecutive failures that the job itself, rather than its machines, may have caused.
     pub consecutive_failures: u32,
-    /// Tasks of other jobs were preempted for it, and should be gone by then.
+    /// Until then no more tasks are preempted for it: either preempted tasks are still stopping, or the last
+    /// search found none to preempt.
     pub preempting_until: Option<MonotonicTime>,
-    /// Replicas that wait for tasks to be preempted on machines that have their image.
+    /// Number of replicas that wait for preempted tasks to leave machines that have their image.
     pub awaiting_preemption: u32,
     /// Why it waits, for operators.
     pub reason: WaitingReason,
-    /// All tasks are done, and that waits to be written.
+    /// All tasks are done, and the write that records this is pending.
     pub finishing: bool,
-    /// A task of it was seen to run during this leadership.
+    /// One of its tasks was reported as running during this leadership.
     pub started: bool,
-    /// No task below this index waits; keeps scans of large arrays short.
+    /// No task below this index waits. Shortens scans of large arrays.
     first_maybe_waiting: u32,
 }
 
 impl JobState {
-    /// The state of a job of which no progress and no assignment is known yet.
+    /// The initial state of a job, without known progress or assignments.
     pub fn new(job: Arc<OpenJob>, now: MonotonicTime) -> Self {
         Self {
             assigned_node: job.assigned_node.clone(),
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Whether its tasks have to run together.
+    /// Whether its tasks must run together.
     pub fn is_gang(&self) -> bool {
         self.job.spec.job_type == JobType::Gang
     }
@@ -201,14 +203,15 @@
         &self.placed
     }
 
-    /// The task has an assignment on `machine`.
+    /// Records that the task has an assignment on `machine`.
     pub fn place(&mut self, index: u32, machine: MachineId) {
         if self.placed.insert(index, machine).is_none() && !self.done.contains(index) {
             self.waiting = self.waiting.saturating_sub(1);
         }
     }
 
-    /// The task has no assignment on `machine` any more; without effect if it is placed elsewhere.
+    /// Records that the task no longer has an assignment on `machine`. Has no effect if it is placed
+    /// elsewhere.
     pub fn unplace(&mut self, index: u32, machine: &MachineId) {
         if self.placed.get(&index) != Some(machine) {
             return;
@@ -220,24 +223,24 @@
         }
     }
 
-    /// The task is done.
+    /// Records that the task is done.
     pub fn mark_done(&mut self, index: u32) {
         if self.done.insert(index) && !self.placed.contains_key(&index) {
             self.waiting = self.waiting.saturating_sub(1);
         }
     }
 
-    /// Takes in progress recorded earlier.
+    /// Adds the progress recorded in a chunk.
     ///
     /// # Errors
-    /// If `value` can't be read; then nothing has changed.
+    /// If `value` can't be read; nothing is added then.
     pub fn add_chunk(&mut self, chunk: u32, value: &str) -> Result<(), serde_json::Error> {
         let result = self.done.add_chunk(chunk, value);
         self.waiting = self.recount();
         result
     }
 
-    /// `waiting_count`, computed from the tasks rather than kept.
+    /// Computes [`JobState::waiting_count`] from the sets of tasks instead of returning the cached number.
     pub fn recount(&self) -> u32 {
         let placed_undone = self.placed.keys().filter(|index| !self.done.contains(**index)).count() as u32;
         self.job.spec.tasks.saturating_sub(self.done.count() + placed_undone)
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -1,9 +1,11 @@
 //! Jobs: what users submitted, the durable record of each, and every node's cache of the records.
 //!
 //! - [`spec`]: what a job asks for; [`admission`]: the checks before it is stored.
-//! - [`record`]: what is stored; [`cache`]: each node's copy of that; [`graph`]: dependencies between jobs.
+//! - [`record`]: what is stored; [`cache`]: each node's copy of all records; [`graph`]: dependencies between
+//!   jobs.
 //! - [`job_state`]: the tasks of a job, as the leader sees them.
-//! - [`pending_requests`]: users' requests that wait for the key-value store; [`job_counters`]: counters for operators.
+//! - [`pending_requests`]: users' requests that wait for the key-value store; [`job_counters`]: counters for
+//!   operators.
 
 mod admission;
 mod cache;
--- a/crates/scheduler/src/jobs/pending_requests.rs
+++ b/crates/scheduler/src/jobs/pending_requests.rs
@@ -1,32 +1,32 @@
 //! Users' requests that wait for a read of the key-value store.
 //!
-//! The controller queues a request here, begins a read when one is needed, and goes on with the requests that the
-//! read covers once it has finished.
+//! The controller queues a request here, begins a read when one is needed, and continues with the requests
+//! that the read covers when it has finished.
 
 use super::spec::{AdmissionError, JobSpec};
 use crate::types::{Duration, JobId, MonotonicTime, RequestId};
 use http::StatusCode;
 
-/// What a user asked for about one job.
+/// A user's operation on one job.
 #[derive(Debug, Clone)]
 pub enum UserRequest {
-    /// Accept a job, or give its status if it is known already.
+    /// Accept a job, or return its status if it is already known.
     Submit {
-        /// `Err` says why it can't be accepted, should its id prove unknown.
+        /// `Err` is the refusal to return if the job's id is unknown.
         spec: Result<Box<JobSpec>, Refusal>,
     },
-    /// Give the job's status.
+    /// Return the job's status.
     Status,
     /// Cancel the job.
     Cancel,
 }
 
-/// A refusal that stands only if the job isn't known already.
+/// A refusal that is returned only if the job isn't already known.
 #[derive(Debug, Clone)]
 pub struct Refusal {
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// The answer's text.
+    /// Text of the response.
     pub reason: String,
 }
 
@@ -36,29 +36,29 @@
     }
 }
 
-/// A user's request that is not answered yet.
+/// A user's request that has no response yet.
 #[derive(Debug, Clone)]
 pub struct PendingRequest {
-    /// The request to answer.
+    /// Identifies the request in the response.
     pub request: RequestId,
-    /// The job that it is about.
+    /// The job that the request is for.
     pub id: JobId,
-    /// What to do with the job.
+    /// The requested operation.
     pub operation: UserRequest,
     /// When it arrived.
     pub since: MonotonicTime,
-    /// How often it was tried again after a conflicting write.
+    /// Number of retries after conflicting writes.
     pub retries: u32,
 }
 
-/// Requests that wait for the next read of the key-value store, and those that the read now under
-/// way will answer. A request never joins a read that began before it: what that read returns may be
-/// older than an answer another node has already given.
+/// Requests that wait for the next read of the key-value store, and those that the read in progress covers. A
+/// read doesn't cover requests that arrive after it began: its result may be older than a response that
+/// another node has already sent.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
-    /// Wait for the next read.
+    /// Requests that wait for the next read.
     next: Vec<PendingRequest>,
-    /// Wait for the end of the read under way.
+    /// Requests that the read in progress covers.
     reading: Vec<PendingRequest>,
 }
 
@@ -78,22 +78,23 @@
         self.next.push(request);
     }
 
-    /// Whether a read should begin: requests wait, and none is covered by a read under way.
+    /// Whether a read should begin: requests wait for the next read, and no read that covers requests is in
+    /// progress.
     pub fn needs_read(&self) -> bool {
         !self.next.is_empty() && self.reading.is_empty()
     }
 
-    /// A read begins now, which covers all queued requests.
+    /// Records the start of a read, which covers all queued requests.
     pub fn begin_read(&mut self) {
         self.reading = std::mem::take(&mut self.next);
     }
 
-    /// The read has finished, with or without success. Gives the requests that it covered.
+    /// Records the end of the read, successful or not. Returns the requests that it covered.
     pub fn finish_read(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.reading)
     }
 
-    /// Takes out the requests that waited for `timeout` or longer.
+    /// Removes and returns the requests that have waited for `timeout` or longer.
     pub fn take_timed_out(&mut self, now: MonotonicTime, timeout: Duration) -> Vec<PendingRequest> {
         let timed_out = |request: &mut PendingRequest| now.since(request.since) >= timeout;
         let mut taken: Vec<PendingRequest> = self.next.extract_if(.., timed_out).collect();
--- a/crates/scheduler/src/jobs/pending_requests/tests.rs
+++ b/crates/scheduler/src/jobs/pending_requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_request_never_joins_a_read_begun_before_it() {
+fn read_does_not_cover_requests_queued_after_it_began() {
     let mut pending_requests = PendingRequests::default();
     let request = |number, since_ms| PendingRequest {
         request: RequestId(number),
--- a/crates/scheduler/src/jobs/record.rs
+++ b/crates/scheduler/src/jobs/record.rs
@@ -1,4 +1,4 @@
-//! The durable record of a job in the key-value store, one key a job.
+//! The durable record of a job in the key-value store, one key per job.
 
 use super::spec::{JobSpec, MAX_TASKS};
 use crate::types::{JobId, NodeName, WallTime};
@@ -10,7 +10,7 @@
 /// Prefix of the keys that record which tasks of a job are done.
 pub const PROGRESS_PREFIX: &str = "p/";
 
-/// Largest amount of a resource that a record can hold; anything larger is a damaged record.
+/// Largest valid amount of a resource in a record; a larger one means that the record is damaged.
 const MAX_AMOUNT: f64 = 1e12;
 
 /// The key of a job's record.
@@ -18,20 +18,20 @@
     format!("{PREFIX}{id}")
 }
 
-/// Where a job stands, as users see it.
+/// A job's phase, as reported to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Accepted; none of its tasks runs.
+    /// Accepted; none of its tasks is running.
     Pending,
-    /// At least one of its tasks runs.
+    /// At least one of its tasks is running.
     Running,
     /// All its tasks are done. Final.
     Done,
-    /// Cancelled by its user, or with a job that it needs. Final.
+    /// Cancelled by its user, or because a dependency was cancelled. Final.
     Cancelled,
 }
 
-/// A job that may still run.
+/// A job that is neither done nor cancelled.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenJob {
     /// What its user asked for.
@@ -43,10 +43,11 @@
     pub assigned_node: NodeName,
 }
 
-/// The durable record of a job. A terminal job's record shrinks to its phase, and never changes again.
+/// The durable record of a job. The record of a terminal job contains only its phase, and never changes
+/// again.
 ///
-/// A job that needs others is stored as `dependent`, so that a version that doesn't know
-/// dependencies skips the record rather than runs the job too early.
+/// An open job with dependencies is stored as `dependent`, so that a version that doesn't support
+/// dependencies skips the record instead of running the job too early.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Record {
@@ -55,7 +56,7 @@
     Open(Arc<OpenJob>),
     /// All its tasks are done.
     Done,
-    /// Cancelled by its user, or with a job that it needs.
+    /// Cancelled by its user, or because a dependency was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -76,8 +77,8 @@
         .unwrap_or_default()
     }
 
-    /// Whether a node can have stored it.
-    pub(super) fn is_possible(&self) -> bool {
+    /// Whether the number of tasks and all amounts are in their valid ranges; otherwise the record is damaged.
+    pub(super) fn is_valid(&self) -> bool {
         let Record::Open(job) = self else { return true };
         let spec = &job.spec;
         let resources = &spec.resources;
--- a/crates/scheduler/src/jobs/spec.rs
+++ b/crates/scheduler/src/jobs/spec.rs
@@ -1,23 +1,23 @@
 //! What a job asks for, and whether the service could ever run it.
 //!
-//! `wire::users` and the Nomad feature build a [`JobSpec`] from a submission; admission checks it before it is
-//! stored, and the leader schedules by it.
+//! `wire::users` and the Nomad feature build a [`JobSpec`] from a submission; admission checks it before it
+//! is stored, and the leader schedules by it.
 
 use crate::settings::{Settings, Team};
 use crate::types::{Duration, Image, JobId, Kind, Resources, TeamName, TypeName, Zone};
 use crate::wire::cloud::MachineType;
 use serde::{Deserialize, Serialize};
 
-/// Most tasks that one job may have.
+/// Maximum number of tasks of one job.
 pub const MAX_TASKS: u64 = 100_000;
 
 /// Tolerance when a job's resources are compared with its team's limit, in CPUs or GPUs.
 const LIMIT_TOLERANCE: f64 = 1e-6;
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job relate to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum JobType {
-    /// Independent tasks, each of which runs to its end.
+    /// Independent tasks, each of which runs to completion.
     Array,
     /// Tasks that start together and run only while all of them do.
     Gang,
@@ -25,10 +25,10 @@
     Service,
 }
 
-/// Higher is more urgent.
+/// How urgent a job is, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs on what nothing else needs.
+    /// Runs on resources that no other work needs.
     Low,
     /// The usual priority.
     Normal,
@@ -45,14 +45,14 @@
     pub kind: Kind,
     /// The team whose quota the job counts against.
     pub team: TeamName,
-    /// How its tasks belong together.
+    /// How its tasks relate to one another.
     #[serde(rename = "shape")]
     pub job_type: JobType,
-    /// Its own priority, before priority inherited from jobs that need it.
+    /// Its own priority, without priority inherited from jobs that depend on it.
     pub priority: Priority,
     /// Number of tasks, from 1 to [`MAX_TASKS`].
     pub tasks: u32,
-    /// What each task takes of its machine.
+    /// Resources that each task takes on its machine.
     #[serde(rename = "room")]
     pub resources: Resources,
     /// The image that each task runs.
@@ -61,7 +61,7 @@
     pub image_gb: f64,
     /// The machine types that it may run on; `None` allows all.
     pub types: Option<Vec<TypeName>>,
-    /// The zone that it has to run in; `None` allows all.
+    /// The zone that it must run in; `None` allows all.
     pub zone: Option<Zone>,
     /// All tasks must be in one zone.
     pub together: bool,
@@ -71,53 +71,53 @@
     pub spot: bool,
     /// How long a task is expected to run.
     pub estimate: Duration,
-    /// Interval between a task's checkpoints; zero if it makes none.
+    /// Interval between a task's checkpoints; zero if it saves none.
     #[serde(rename = "checkpoint")]
     pub checkpoint_interval: Duration,
-    /// How long one checkpoint takes to be written.
+    /// How long it takes to write one checkpoint.
     #[serde(rename = "save")]
     pub checkpoint_duration: Duration,
     /// Time after submission by which the job should be done, if its user gave one.
     pub deadline: Option<Duration>,
-    /// Jobs that have to be done before any of its tasks starts, each once.
+    /// Jobs that must be done before any of its tasks starts, without duplicates.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<JobId>,
 }
 
-/// Why a job can never run. Its text is the answer to the user.
+/// Why a job can never run. The error text is returned to the user.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum AdmissionError {
-    /// The settings name no such team.
+    /// The settings don't contain the team.
     #[error("owner: there is no team `{0}`; see facts.teams in the platform's settings")]
     UnknownTeam(TeamName),
     /// No allowed machine type in an allowed zone holds one task.
-    #[error("a task fits no allowed machine type; ask for less or allow other flavors or regions")]
-    FitsNowhere,
-    /// The limit for each zone times the number of zones is below the number of tasks.
+    #[error("a task fits no allowed machine type; request fewer resources or allow other flavors or regions")]
+    NoFittingMachineType,
+    /// The limit per zone times the number of allowed zones is less than the number of tasks.
     #[error(
-        "spread: at most half of the tasks may be in one zone, and all have to be in the same; drop `together`, `region` or `spread`"
+        "spread: at most half of the tasks may be in one zone, but all must be in the same zone; drop `together`, `region` or `spread`"
     )]
-    SpreadNowhere,
-    /// What has to run at a time is more than the team may ever use.
-    #[error("the job needs more than the limit of its team `{0}`; ask for less")]
+    TooFewZones,
+    /// The tasks that must run at the same time need more than the team's limit.
+    #[error("the job needs more than the limit of its team `{0}`; request fewer resources")]
     OverLimit(TeamName),
-    /// It depends on a job that was never accepted.
-    #[error("awaits: `{0}` was never accepted; name jobs only once they are")]
-    NeedsUnknown(JobId),
+    /// It depends on a job that is unknown.
+    #[error("awaits: job `{0}` was never accepted; submit it first")]
+    UnknownDependency(JobId),
     /// It depends on a service, which is never done.
     #[error("awaits: `{0}` is a service, which is never done")]
-    NeedsService(JobId),
+    ServiceDependency(JobId),
     /// It depends on itself.
     #[error("awaits: a job can't wait for itself")]
-    NeedsItself,
-    /// Its record is larger than any value that the key-value store takes.
+    SelfDependency,
+    /// Its record exceeds the key-value store's limit for a value.
     #[error(
-        "the job's record takes {bytes} bytes and the state service stores {limit}; shorten `awaits` or `flavors`"
+        "the job's record takes {bytes} bytes, but the state service stores at most {limit}; shorten `awaits` or `flavors`"
     )]
     TooLarge {
         /// Size of the record.
         bytes: usize,
-        /// Largest size that is stored.
+        /// Largest size that the store accepts.
         limit: usize,
     },
 }
@@ -133,7 +133,7 @@
         self.zone.as_ref().is_none_or(|required| required == zone)
     }
 
-    /// How many of the job's tasks may be in one zone.
+    /// Maximum number of the job's tasks in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
@@ -141,18 +141,18 @@
     /// Whether the job could run on an idle service with machines of `types`.
     ///
     /// # Errors
-    /// The first reason why it never can.
+    /// The first reason found why it never can.
     pub fn can_run(&self, settings: &Settings, types: &[MachineType]) -> Result<(), AdmissionError> {
         let team = settings.teams.get(&self.team);
         let team = team.ok_or_else(|| AdmissionError::UnknownTeam(self.team.clone()))?;
         if !types.iter().any(|machine_type| self.fits_on(machine_type)) {
-            return Err(AdmissionError::FitsNowhere);
+            return Err(AdmissionError::NoFittingMachineType);
         }
         if self.exceeds_limit_of(team) {
             return Err(AdmissionError::OverLimit(self.team.clone()));
         }
         if !self.zones_suffice(settings) {
-            return Err(AdmissionError::SpreadNowhere);
+            return Err(AdmissionError::TooFewZones);
         }
         Ok(())
     }
@@ -165,7 +165,8 @@
             && self.zone.as_ref().is_none_or(|zone| zones.is_empty() || zones.contains(zone))
     }
 
-    /// An array can run task by task; all tasks of a gang or a service run at a time.
+    /// Whether the tasks that must run at the same time exceed the team's limit: one task of an array, but
+    /// all tasks of a gang or a service.
     fn exceeds_limit_of(&self, team: &Team) -> bool {
         let concurrent_tasks = if self.job_type == JobType::Array { 1.0 } else { f64::from(self.tasks) };
         let exceeds = |limit: Option<f64>, per_task: f64| {
@@ -174,7 +175,8 @@
         exceeds(team.max_gpus, self.resources.gpus) || exceeds(team.max_cpus, self.resources.cpus)
     }
 
-    /// Whether all tasks that have to run at a time find a place under the limit for each zone.
+    /// Whether the allowed zones have room for all tasks that must run at the same time, under the limit per
+    /// zone.
     fn zones_suffice(&self, settings: &Settings) -> bool {
         let one_zone = self.together || self.zone.is_some();
         let zones = if one_zone { 1 } else { settings.zones.len() as u32 };
--- a/crates/scheduler/src/jobs/task_counts.rs
+++ b/crates/scheduler/src/jobs/task_counts.rs
@@ -1,12 +1,12 @@
-//! How far a job has come, in numbers of tasks.
+//! A job's progress, as numbers of tasks.
 
 use serde::{Deserialize, Serialize};
 
-/// Tasks of one job that are finished, and that run now. The rest wait.
+/// Numbers of done and running tasks of one job. The other tasks wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskCounts {
     /// Tasks that have succeeded.
     pub done: u32,
-    /// Tasks that run on a machine now.
+    /// Tasks that are running on a machine.
     pub running: u32,
 }
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn limits_count_one_task_of_an_array_and_all_of_the_rest() {
+fn team_limit_counts_one_task_of_an_array_and_all_tasks_of_other_jobs() {
     let settings =
         crate::settings::parse(crate::settings::SourceFile::new("p", crate::settings::SAMPLE), None)
             .expect("valid");
@@ -56,7 +56,7 @@
     job.tasks = 12;
     assert_eq!(job.can_run(&settings, &types), Ok(()));
     job.zone = Some("z1".into());
-    assert_eq!(job.can_run(&settings, &types), Err(AdmissionError::FitsNowhere));
+    assert_eq!(job.can_run(&settings, &types), Err(AdmissionError::NoFittingMachineType));
     job.team = "none".into();
     assert_eq!(job.can_run(&settings, &types), Err(AdmissionError::UnknownTeam("none".into())));
 }
--- a/crates/scheduler/src/placement/mod.rs
+++ b/crates/scheduler/src/placement/mod.rs
@@ -1,10 +1,11 @@
-//! Placement: a controller places waiting tasks in scheduling rounds inside its partition of the machines.
+//! Placement: a controller places waiting tasks in scheduling rounds within its partition of the machines.
 //!
-//! Each candidate's score is a sample from its Beta counts, G1/(G1+G2) from two Gamma samples, times a health factor
-//! and, for an empty machine while a partly used one fits too, a packing factor; the highest wins. See
-//! `docs/design.md` for the source.
+//! The score of each candidate machine is a sample of its success rate from a Beta distribution, computed as
+//! G1/(G1+G2) from two Gamma samples, times factors for health, image fetch time, packing and price. The
+//! machine with the highest score is chosen. See `docs/design.md` for the source of this method.
 //!
-//! The leader calls [`round`] for its own partition, and every other controller when the leader requests a round.
+//! The leader calls [`round`] for its own partition, and every other controller when the leader requests a
+//! round.
 
 mod score;
 mod success_counts;
@@ -21,7 +22,7 @@
 use score::pick;
 use serde::{Deserialize, Serialize};
 
-/// A machine as a controller sees it for one round.
+/// A machine's state as given to a controller for one round.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineView {
     /// The machine.
@@ -32,21 +33,21 @@
     pub zone: Zone,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Resources that no task has.
+    /// Resources that are not assigned to any task.
     pub free: Resources,
-    /// All resources.
+    /// Total resources.
     pub total: Resources,
     /// Whether no task is placed there.
     pub empty: bool,
-    /// How well its worker answers.
+    /// The health of its worker.
     pub health: Health,
-    /// Images that waiting tasks need and that are there.
+    /// Images on the machine that waiting tasks need.
     pub images: Vec<Image>,
-    /// Images being fetched there, each for some task.
+    /// Images that the machine is fetching for its tasks.
     pub fetching: Vec<Image>,
-    /// Rate at which it fetches images, in GB a second; 0 if it isn't known.
+    /// Rate at which it fetches images, in GB per second; 0 if it isn't known.
     pub fetch_gb_per_s: f64,
-    /// The job for which tasks were preempted here; tasks of other jobs are not placed here.
+    /// The job that its free resources are held for; tasks of other jobs are not placed here.
     pub held_for: Option<JobId>,
 }
 
@@ -57,19 +58,19 @@
     pub job: JobId,
     /// Its class.
     pub kind: Kind,
-    /// How its tasks belong together.
+    /// How its tasks relate to one another.
     pub job_type: JobType,
-    /// The tasks' indices; of a gang, all.
+    /// Indices of the waiting tasks; all tasks for a gang.
     pub tasks: Vec<u32>,
-    /// What each task takes of its machine.
+    /// Resources that each task takes on its machine.
     pub resources: Resources,
     /// The machine types that it may run on; `None` allows all.
     pub types: Option<Vec<TypeName>>,
     /// Whether its tasks may run on spot machines.
     pub spot: bool,
-    /// Zones it may use and how many more of its tasks each may take.
+    /// The zones that it may use, and how many more of its tasks may be in each.
     pub zones: Vec<(Zone, u32)>,
-    /// All tasks of it must be in one zone.
+    /// Whether all its tasks must be in one zone.
     pub together: bool,
     /// The image that each task runs.
     pub image: Image,
@@ -88,7 +89,7 @@
             && self.resources.fits_in(&machine.free)
     }
 
-    /// Notes that one of its tasks goes to `zone`.
+    /// Updates the allowed zones after one of its tasks was placed in `zone`.
     fn use_zone(&mut self, zone: &Zone) {
         if self.together {
             self.zones.retain(|(allowed_zone, _)| allowed_zone == zone);
@@ -103,7 +104,7 @@
     }
 }
 
-/// One task's machine, as a controller proposes it.
+/// A controller's proposal to run a task on a machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
     /// The job.
@@ -114,7 +115,7 @@
     pub machine: MachineId,
 }
 
-/// One controller's round. Reserves what it proposes in `machines`.
+/// Runs one controller's scheduling round. Reserves the proposed tasks' resources in `machines`.
 pub fn round(
     machines: &mut [MachineView],
     requests: &[PlacementRequest],
@@ -138,7 +139,7 @@
     proposals
 }
 
-/// All tasks of a gang in one pass: every one gets a machine, or none does.
+/// Places all tasks of a gang, or none.
 fn place_gang(
     machines: &mut [MachineView],
     request: &PlacementRequest,
@@ -161,8 +162,7 @@
             machines.clone_from_slice(&scratch);
             return proposals;
         }
-        // The first sample led into a zone that can't hold the gang: the others are tried before
-        // it has to wait.
+        // The zone of the first task can't hold the gang: try the other zones before the gang has to wait.
         match remaining.zones.first() {
             Some((zone, _)) if request.together && !proposals.is_empty() => excluded.push(zone.clone()),
             _ => return Vec::new(),
--- a/crates/scheduler/src/placement/score.rs
+++ b/crates/scheduler/src/placement/score.rs
@@ -1,5 +1,5 @@
-//! The score of a machine for a task: a sample of its success rate, times factors for its health, for the time to
-//! fetch the image, for packing and for its price.
+//! The score of a machine for a task: a sample of its success rate, times factors for its health, for the
+//! time to fetch the task's image, for packing and for price.
 
 use super::success_counts::{BetaCounts, SuccessCounts};
 use super::{MachineView, PlacementRequest};
@@ -9,12 +9,12 @@
 use rand::Rng;
 use rand_distr::{Distribution, Gamma};
 
-/// Smallest shape of a Gamma distribution that is sampled.
+/// Lower bound of the shape of a sampled Gamma distribution, which must be positive.
 const MIN_SHAPE: f32 = 1e-3;
-/// What is left of a fetch that is under way for another task, on average.
-const LEFT_OF_FETCH: f64 = 0.5;
+/// Average remaining fraction of a fetch that is already in progress for another task.
+const REMAINING_FETCH_SHARE: f64 = 0.5;
 
-/// The factors on sampled success rates, from the operators' settings.
+/// Factors that sampled success rates are multiplied by, from the operators' settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Factors {
     /// For a machine whose heartbeat is late.
@@ -24,19 +24,19 @@
     /// For an empty machine while a partly used one fits.
     pub empty: f64,
     /// For an on-demand machine while a spot machine fits.
-    pub dear: f64,
+    pub on_demand: f64,
     /// Fetch time, in seconds, that halves a score.
     pub fetch_half_s: f64,
 }
 
 impl Factors {
-    /// The factors that the operators have set.
+    /// The factors in the operators' settings.
     pub fn of(operator: &Operator) -> Self {
         Self {
             degraded: operator.degraded_factor,
             unknown: operator.unknown_factor,
             empty: operator.empty_factor,
-            dear: operator.dear_factor,
+            on_demand: operator.dear_factor,
             fetch_half_s: operator.fetch_half_s,
         }
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The index of the machine with the highest score, of those that may take a task of the request.
+/// The index of the machine with the highest score among those that may take a task of the request.
 pub(super) fn pick(
     machines: &[MachineView],
     request: &PlacementRequest,
@@ -61,12 +61,12 @@
 ) -> Option<usize> {
     let candidates: Vec<usize> =
         (0..machines.len()).filter(|index| request.allows(&machines[*index])).collect();
-    // A lone candidate wins without a sample.
+    // A single candidate is chosen without sampling.
     if candidates.len() <= 1 {
         return candidates.first().copied();
     }
     let partly_used_fits = candidates.iter().any(|index| !machines[*index].empty);
-    let spot_fits = candidates.iter().any(|index| !is_needlessly_dear(&machines[*index], request));
+    let spot_fits = candidates.iter().any(|index| !is_avoidable_on_demand(&machines[*index], request));
     let mut best: Option<Scored> = None;
     for index in candidates {
         let machine = &machines[index];
@@ -76,8 +76,8 @@
         if partly_used_fits {
             score *= packing_factor(machine, request, factors);
         }
-        if spot_fits && is_needlessly_dear(machine, request) {
-            score *= factors.dear;
+        if spot_fits && is_avoidable_on_demand(machine, request) {
+            score *= factors.on_demand;
         }
         if best.as_ref().is_none_or(|best| score > best.score) {
             best = Some(Scored { score, index });
@@ -91,22 +91,26 @@
     index: usize,
 }
 
-/// Exception to the design: where an image takes most of a start, a machine that has it, or fetches
-/// fast, starts the task long before one that must fetch it.
+/// Lowers the score by the time that the machine needs to fetch the image. This factor is an addition to the
+/// design: where the fetch takes most of a task's start, a machine that has the image, or fetches fast,
+/// starts the task much earlier.
 fn fetch_factor(machine: &MachineView, request: &PlacementRequest, factors: &Factors) -> f64 {
     if machine.images.contains(&request.image) || machine.fetch_gb_per_s <= 0.0 {
         return 1.0;
     }
     // All fetches of a machine share its rate.
-    let under_way = machine.fetching.len() as f64;
-    let fetches =
-        if machine.fetching.contains(&request.image) { LEFT_OF_FETCH * under_way } else { 1.0 + under_way };
+    let in_progress = machine.fetching.len() as f64;
+    let fetches = if machine.fetching.contains(&request.image) {
+        REMAINING_FETCH_SHARE * in_progress
+    } else {
+        1.0 + in_progress
+    };
     let fetch_s = fetches * request.image_gb / machine.fetch_gb_per_s;
     factors.fetch_half_s / (factors.fetch_half_s + fetch_s)
 }
 
-/// The packing factor, graded: an empty machine gets `empty`, a full one 1, and one in between
-/// accordingly. Only while some partly used machine fits too, as in the design.
+/// The packing factor: `empty` for an empty machine, 1 for a full one, and a power of `empty` by the free
+/// share in between. As in the design, it is used only while a partly used machine fits too.
 fn packing_factor(machine: &MachineView, request: &PlacementRequest, factors: &Factors) -> f64 {
     let free_share = if request.resources.gpus > 0.0 {
         share(machine.free.gpus, machine.total.gpus)
@@ -120,13 +124,14 @@
     if total > 0.0 { (free / total).clamp(0.0, 1.0) } else { 0.0 }
 }
 
-/// Whether the machine is on-demand, and the task belongs to an array that may run on spot. Once it runs there, the
-/// on-demand machine stays, and idle spot machines that were rented for it are returned.
-fn is_needlessly_dear(machine: &MachineView, request: &PlacementRequest) -> bool {
+/// Whether the machine is on-demand although the task belongs to an array that may run on spot machines.
+/// Placing the task there would keep the on-demand machine rented, while idle spot machines rented for the
+/// task are returned.
+fn is_avoidable_on_demand(machine: &MachineView, request: &PlacementRequest) -> bool {
     request.job_type == JobType::Array && request.spot && !machine.spot
 }
 
-/// A sample of the Beta distribution: G1/(G1+G2) of two Gamma samples.
+/// Samples the Beta distribution, as G1/(G1+G2) of two Gamma samples.
 fn sample(counts: BetaCounts, rng: &mut impl Rng) -> f64 {
     let successes = sample_gamma(counts.alpha, rng);
     let failures = sample_gamma(counts.beta, rng);
--- a/crates/scheduler/src/placement/success_counts.rs
+++ b/crates/scheduler/src/placement/success_counts.rs
@@ -1,18 +1,18 @@
-//! How often tasks succeeded on each machine, for placement to prefer machines that work.
+//! Counts of succeeded and failed tasks on each machine, so that placement prefers reliable machines.
 //!
-//! Every node learns the outcomes from the leader's broadcasts. The leader saves the counts in the key-value store,
-//! in parts, and a new leader or node reads them from there.
+//! Every node receives the outcomes in the leader's broadcasts. The leader saves the counts in the key-value
+//! store, in parts, and a new leader or node reads them from there.
 
 use crate::types::{Kind, MachineId};
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys that the saved counts are spread over, so that each value stays small and only what has
-/// changed is written. Earlier versions used 16 and read any number.
+/// Number of keys that the saved counts are spread over, so that each value stays small and only changed
+/// parts are written. Earlier versions wrote 16 parts and read any number of them.
 pub const PARTS: u32 = 128;
 /// Prefix of the saved counts in the key-value store.
 pub const COUNTS_PREFIX: &str = "counts/";
-/// Parts saved at a time; the rest follows the next time.
+/// Maximum number of parts written by one save; the next saves write the rest.
 pub const PARTS_AT_ONCE: usize = 16;
 
 /// Bytes of the braces around a part's JSON object.
@@ -20,29 +20,29 @@
 /// Bytes around a machine's id in a part: quotes, colon and comma.
 const MACHINE_OVERHEAD: usize = 4;
 
-/// What became of a task on a machine, as far as that tells something about the machine.
+/// The outcome of a task on a machine, where it indicates how reliable the machine is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacementOutcome {
     /// The machine.
     pub machine: MachineId,
     /// The class of the task's job.
     pub kind: Kind,
-    /// Whether the task ran as it should.
+    /// Whether the task succeeded.
     pub success: bool,
 }
 
-/// The parameters of a Beta distribution: one more than the successes and the failures. Stored as an array.
+/// The parameters of a Beta distribution: successes + 1 and failures + 1. Stored as an array.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f32, f32)", into = "(f32, f32)")]
 pub struct BetaCounts {
-    /// Successes and 1.
+    /// Successes + 1.
     pub alpha: f32,
-    /// Failures and 1.
+    /// Failures + 1.
     pub beta: f32,
 }
 
 impl Default for BetaCounts {
-    /// Nothing is known: every success rate is equally likely.
+    /// The parameters without any outcome: every success rate is equally likely.
     fn default() -> Self {
         Self { alpha: 1.0, beta: 1.0 }
     }
@@ -70,11 +70,11 @@
     }
 }
 
-/// The counts of one machine. Stored as an array of both.
+/// The counts of one machine. Stored as an array of both fields.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(from = "(BetaCounts, BTreeMap<Kind, BetaCounts>)")]
 struct MachineCounts {
-    /// Over all classes of jobs; used for a class that the machine has not run yet.
+    /// Counts over all classes of jobs; used for a class without outcomes on the machine.
     all_kinds: BetaCounts,
     by_kind: BTreeMap<Kind, BetaCounts>,
 }
@@ -95,10 +95,10 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SuccessCounts {
     machines: BTreeMap<MachineId, MachineCounts>,
-    /// Parts of the saved counts that have changed since they were saved.
+    /// Parts that have changed since they were last saved.
     #[serde(skip)]
     changed: BTreeSet<u32>,
-    /// Where the next save begins, so that each part has its turn.
+    /// The part that the next save begins with, so that every changed part is saved eventually.
     #[serde(skip)]
     next_part: u32,
 }
@@ -112,7 +112,7 @@
     pub value: String,
 }
 
-/// A part being filled with machines.
+/// A part that is being filled with the counts of machines.
 struct PartBuilder<'a> {
     bytes: usize,
     machines: BTreeMap<&'a MachineId, &'a MachineCounts>,
@@ -133,7 +133,7 @@
     }
 }
 
-/// The part that holds a machine. A stored format: all versions must agree on it.
+/// The part that holds a machine's counts. This is part of the stored format: all versions must agree on it.
 fn part_of(machine: &MachineId) -> u32 {
     let hash = |hash: u32, byte: u8| hash.wrapping_mul(31).wrapping_add(u32::from(byte));
     machine.as_str().bytes().fold(0, hash) % PARTS
@@ -148,29 +148,29 @@
         machine.by_kind.entry(outcome.kind.clone()).or_default().add(outcome.success);
     }
 
-    /// The counts to judge a machine by for tasks of `kind`.
+    /// The counts that apply to tasks of class `kind` on the machine.
     pub fn get(&self, machine: &MachineId, kind: &Kind) -> BetaCounts {
         let Some(machine) = self.machines.get(machine) else { return BetaCounts::default() };
         machine.by_kind.get(kind).copied().unwrap_or(machine.all_kinds)
     }
 
-    /// Forgets machines that are gone, so that the counts don't outgrow the machines.
+    /// Removes the counts of machines that are not `present`, so that the counts don't grow without bound.
     pub fn retain(&mut self, present: impl Fn(&MachineId) -> bool) {
         let changed = &mut self.changed;
         self.machines.retain(|id, _| {
-            let stays = present(id);
-            if !stays {
+            let is_present = present(id);
+            if !is_present {
                 changed.insert(part_of(id));
             }
-            stays
+            is_present
         });
     }
 
-    /// The parts that have changed since they were last taken, at most `most`, each as a JSON
-    /// value of at most `max_bytes`: machines that don't fit lose their counts.
-    pub fn take_changed(&mut self, most: usize, max_bytes: usize) -> Vec<SavedPart> {
+    /// Returns up to `max_parts` parts that have changed since they were last taken, each as a JSON value of
+    /// at most `max_bytes`. The counts of machines that don't fit are left out.
+    pub fn take_changed(&mut self, max_parts: usize, max_bytes: usize) -> Vec<SavedPart> {
         let mut parts: BTreeMap<u32, PartBuilder> =
-            self.next_parts(most).into_iter().map(|number| (number, PartBuilder::new())).collect();
+            self.next_parts(max_parts).into_iter().map(|number| (number, PartBuilder::new())).collect();
         for (id, counts) in &self.machines {
             if let Some(part) = parts.get_mut(&part_of(id)) {
                 part.add_if_it_fits(id, counts, max_bytes);
@@ -183,11 +183,11 @@
         saved.collect()
     }
 
-    /// Takes up to `most` changed parts, starting where the last save ended.
-    fn next_parts(&mut self, most: usize) -> Vec<u32> {
+    /// Takes up to `max_parts` changed parts, starting after the last part of the previous save.
+    fn next_parts(&mut self, max_parts: usize) -> Vec<u32> {
         let after = self.changed.range(self.next_part..);
         let before = self.changed.range(..self.next_part);
-        let parts: Vec<u32> = after.chain(before).copied().take(most).collect();
+        let parts: Vec<u32> = after.chain(before).copied().take(max_parts).collect();
         self.next_part = parts.last().map_or(0, |part| part + 1);
         for part in &parts {
             self.changed.remove(part);
@@ -195,10 +195,10 @@
         parts
     }
 
-    /// Takes in a saved part.
+    /// Adds a saved part. Its counts replace known counts of the same machines.
     ///
     /// # Errors
-    /// If `value` can't be read; then nothing has changed.
+    /// If `value` can't be read; nothing is added then.
     pub fn add_part(&mut self, value: &str) -> Result<(), serde_json::Error> {
         let machines: BTreeMap<MachineId, MachineCounts> = serde_json::from_str(value)?;
         self.machines.extend(machines);
--- a/crates/scheduler/src/placement/success_counts/golden.rs
+++ b/crates/scheduler/src/placement/success_counts/golden.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::golden_group;
 
-/// Bytes that the key-value store takes in a value.
+/// Maximum size of a part's value, in bytes.
 const LIMIT: usize = 16_000;
 
 fn counts() -> SuccessCounts {
--- a/crates/scheduler/src/placement/success_counts/tests.rs
+++ b/crates/scheduler/src/placement/success_counts/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_part_of_the_counts_is_saved_in_turn_within_its_size() {
+fn every_changed_part_is_saved_within_the_size_limit() {
     let mut counts = SuccessCounts::default();
     for i in 0..500 {
         counts.record(&PlacementOutcome {
@@ -16,8 +16,8 @@
         assert!(parts.len() <= PARTS_AT_ONCE && parts.iter().all(|part| part.value.len() <= 1024));
         parts.iter().for_each(|part| restored.add_part(&part.value).expect("readable"));
     }
-    assert_eq!(restored.machines, counts.machines, "every part has its turn");
-    assert!(counts.take_changed(99, 1024).is_empty(), "only what has changed is written");
+    assert_eq!(restored.machines, counts.machines, "every changed part is saved");
+    assert!(counts.take_changed(99, 1024).is_empty(), "unchanged parts are not written again");
     counts.record(&PlacementOutcome { machine: "m-3".into(), kind: "k".into(), success: true });
     let mut restored = SuccessCounts::default();
     for part in counts.take_changed(99, 99_999) {
--- a/crates/scheduler/src/placement/tests.rs
+++ b/crates/scheduler/src/placement/tests.rs
@@ -2,7 +2,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-const FACTORS: Factors = Factors { degraded: 0.5, unknown: 0.8, empty: 0.5, dear: 0.3, fetch_half_s: 5.0 };
+const FACTORS: Factors =
+    Factors { degraded: 0.5, unknown: 0.8, empty: 0.5, on_demand: 0.3, fetch_half_s: 5.0 };
 
 fn view(id: &str, zone: &str, gpus: f64, empty: bool) -> MachineView {
     MachineView {
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_gang_gets_every_machine_or_none_and_one_zone_if_it_must() {
+fn gang_is_placed_whole_or_not_at_all_and_in_one_zone_if_together() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut machines =
@@ -50,17 +51,17 @@
             &FACTORS,
             &mut rng,
         );
-        assert_eq!(got.len(), 3, "zone b holds it, whatever the first sample (seed {seed})");
+        assert_eq!(got.len(), 3, "zone b holds the gang, whichever zone is sampled first (seed {seed})");
         assert!(got.iter().all(|p| p.machine != "m1".into()));
         let mut machines = [view("m1", "a", 2.0, true), view("m2", "b", 2.0, true)];
         let requests = [request(JobType::Gang, 5, false)];
         assert!(round(&mut machines, &requests, &SuccessCounts::default(), &FACTORS, &mut rng).is_empty());
-        assert_eq!(machines[0].free.gpus, 2.0, "nothing stays reserved");
+        assert_eq!(machines[0].free.gpus, 2.0, "a gang that doesn't fit reserves nothing");
     }
 }
 
 #[test]
-fn failures_and_emptiness_lower_the_score() {
+fn failures_and_being_empty_lower_the_score() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = SuccessCounts::default();
     for _ in 0..20 {
@@ -77,8 +78,8 @@
         let p = round(&mut machines, &[request(JobType::Array, 1, false)], &counts, &FACTORS, &mut rng);
         empty += u32::from(p[0].machine == "x".into());
     }
-    assert!(bad < 10, "the counts over all kinds stand in for a kind never seen: {bad}");
-    assert!((20..90).contains(&empty), "an emptier machine wins less often: {empty}");
+    assert!(bad < 10, "a class without outcomes uses the counts over all classes: {bad}");
+    assert!((20..90).contains(&empty), "an empty machine is chosen less often: {empty}");
 }
 
 #[test]
@@ -99,7 +100,7 @@
     assert!(won.count() > 90);
 }
 
-/// Two images fetched side by side take twice as long each, one fetched for two tasks doesn't.
+/// Two images fetched at the same time take twice as long each, but one image fetched for two tasks doesn't.
 #[test]
 fn a_machine_that_fetches_another_image_is_avoided() {
     let mut rng = StdRng::seed_from_u64(5);
@@ -124,10 +125,10 @@
     assert!(won("same", "quiet") > 90);
 }
 
-/// Small tasks took piece by piece what had been freed by preemption for a task that needs a whole machine, so that
-/// tasks were preempted for it again and again.
+/// Guards against repeated preemption for a task that needs a whole machine: small tasks of other jobs took
+/// the freed resources one by one, so that more tasks were preempted each time.
 #[test]
-fn a_held_machine_takes_no_other_job() {
+fn machine_held_for_a_job_takes_no_task_of_another() {
     let mut rng = StdRng::seed_from_u64(4);
     let mut machines = [view("m1", "a", 9.0, false)];
     machines[0].held_for = Some("req-2".into());
--- a/crates/scheduler/src/preemption/tests.rs
+++ b/crates/scheduler/src/preemption/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_least_loss_is_chosen_and_no_task_is_stopped_in_vain() {
+fn victims_with_the_least_loss_are_chosen_and_no_unnecessary_ones() {
     let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
     let all = vec![
         candidate("a", 0.0, &[(1.0, 9.0), (1.0, 9.0)], 0.0),
@@ -34,14 +34,18 @@
     let one = choose(all.clone(), &request(1, false, false));
     assert_eq!(one.len(), 1);
     assert_eq!((one[0].machine.as_str(), one[0].victims.len(), one[0].victims[0].index), ("b", 1, 1));
-    assert_eq!(choose(all.clone(), &request(9, false, false)).len(), 3, "as many as there are");
-    assert!(choose(all.clone(), &request(4, true, false)).is_empty(), "a gang: all or none");
+    assert_eq!(choose(all.clone(), &request(9, false, false)).len(), 3, "as many tasks as machines can hold");
+    assert!(
+        choose(all.clone(), &request(4, true, false)).is_empty(),
+        "a gang needs resources for all its tasks"
+    );
     let gang = choose(all, &request(2, true, true));
     let machines: Vec<&str> = gang.iter().map(|target| target.machine.as_str()).collect();
-    assert_eq!(machines, ["b", "a"], "all of it fits, in one zone");
+    assert_eq!(machines, ["b", "a"], "the whole gang fits in one zone");
 }
 
-/// Formerly, tasks were only ever preempted for gangs of one task.
+/// Guards against ignoring machines with enough free resources when tasks are preempted for a gang: tasks
+/// were then preempted only for gangs of one task.
 #[test]
 fn a_gang_counts_resources_that_are_free_already() {
     let need = Resources { cpus: 0.0, gpus: 2.0, memory_gb: 0.0 };
