--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -155,8 +155,8 @@
         // once, which is harmless. A start without an answer may still arrive in any case.
         let is_done = reported_state == ReportedState::Ended(TaskExit::Done);
         let may_repeat = !is_done && self.sent_starts.contains_key(&task_attempt);
-        let may_still_arrive = may_repeat || self.unacknowledged_starts.contains_key(&task_attempt);
-        reconcile(&Observation::unrecorded(reported_state, may_still_arrive))
+        let start_may_arrive = may_repeat || self.unacknowledged_starts.contains_key(&task_attempt);
+        reconcile(&Observation::unrecorded(reported_state, start_may_arrive))
     }
 
     fn reconcile_assignment(
@@ -175,7 +175,7 @@
             after_command: assignment.state.is_before(heartbeat.worker_epoch, heartbeat.serial),
             saw_fencing_token: heartbeat.fencing_token == reconciliation.fencing_token,
             wanted_here: reconciliation.restarts_allowed && reconciliation.restart_here.contains(&task),
-            may_still_arrive: false,
+            start_may_arrive: false,
         };
         match reconcile(&observation) {
             Decision::Present => update_phase(assignment, observation.reported_state, now, &task, outcome),
@@ -208,7 +208,7 @@
     /// Whether a heartbeat with the same content as the last one proves nothing new and needs no commands: each
     /// task in it has an assignment, and no command or answer is in flight.
     pub fn is_settled(&self) -> bool {
-        let reported = self.assignments.values().filter(|assignment| !assignment.unsent()).count();
+        let reported = self.assignments.values().filter(|assignment| !assignment.is_unsent()).count();
         self.unknown_tasks.is_empty()
             && reported == self.reported_task_count
             && self.assignments.values().all(is_assignment_settled)
@@ -241,9 +241,9 @@
 fn is_assignment_settled(assignment: &Assignment) -> bool {
     match assignment.state {
         AssignmentState::Planned => true,
-        // Without `after_fetches` the start is still to be sent: it could not be while the worker had not seen
-        // this leader's fencing token.
-        AssignmentState::Ready => assignment.after_fetches,
+        // Without `waits_for_gang_fetches` the start is still to be sent: it could not be while the worker had
+        // not seen this leader's fencing token.
+        AssignmentState::Ready => assignment.waits_for_gang_fetches,
         AssignmentState::Preparing
         | AssignmentState::Running
         | AssignmentState::Saving
