--- a/crates/scheduler/src/simulation/faults.rs
+++ b/crates/scheduler/src/simulation/faults.rs
@@ -9,11 +9,11 @@
 
 /// The time between the cloud's preemption notice for a spot machine and the preemption, in milliseconds.
 const SPOT_NOTICE_MS: u64 = 8_000;
-/// For how many machines beyond the existing ones `CommandsHeld` holds the links: some are added while it
-/// lasts.
+/// The number of machines beyond the existing ones whose links `CommandsHeld` holds, as some are added while
+/// it lasts.
 const MACHINES_TO_COME: usize = 100;
 
-/// The begin or the end of a fault. Times are in milliseconds, shares from 0 to 1.
+/// The start or the end of a fault. Times are in milliseconds, shares from 0 to 1.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
     /// A node's process ends and restarts later.
@@ -34,7 +34,7 @@
     Leader(LeaderFault, u64),
     /// This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
     LateWrites(f64),
-    /// A copy of this share of the workers' heartbeats arrives, from 2 s to two worker leases later.
+    /// A copy of this share of the workers' heartbeats arrives between 2 s and two worker leases later.
     LateHeartbeats(f64),
     /// This share of transactions is carried out immediately, but the answer is lost.
     LostStoreAnswers(f64),
@@ -42,8 +42,8 @@
     HeartbeatCopiesForNextLeader(f64),
     /// The key-value store takes up to this time for an answer.
     SlowStore(u64),
-    /// Users cancel up to this number of running jobs within a fifth of a second; up to eight of their
-    /// machines hang for the given time.
+    /// Users cancel up to this number of running jobs within 200 ms; up to eight of their machines hang for
+    /// the given time.
     CancelNow(usize, u64),
     /// This share of the jobs that complete is cancelled at the moment of completion.
     CancelAtEnd(f64),
--- a/crates/scheduler/src/simulation/mod.rs
+++ b/crates/scheduler/src/simulation/mod.rs
@@ -87,8 +87,8 @@
     pub occurrences: BTreeMap<&'static str, u64>,
     leadership: Leadership,
     pub rules: Rules,
-    /// Returns of healthy machines that were still running wanted tasks; a heartbeat in transit would have
-    /// shown that.
+    /// Descriptions of released machines that were healthy and still ran wanted tasks, which a heartbeat in
+    /// transit would have shown.
     pub needless_returns: Vec<String>,
     /// The digest of all effects of the nodes so far, with their times.
     effects: digest::Digest,
--- a/crates/scheduler/src/simulation/workers/tasks.rs
+++ b/crates/scheduler/src/simulation/workers/tasks.rs
@@ -257,7 +257,8 @@
         }
     }
 
-    /// A member of a gang runs once all members are present; it exits if they are not after `GANG_WAIT_MS`.
+    /// A member of a gang runs once all members are present, and exits if some are missing after
+    /// `GANG_WAIT_MS`.
     fn state_after_waiting(&self, task: &Task, job: &JobTraits, since: u64) -> Option<State> {
         if self.gang_members(task, Task::is_ready) >= job.tasks {
             return Some(State::Running { left: job.total_ms });
