--- a/crates/heartbeat/src/coordinator.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -237,7 +237,7 @@
 
     /// Records the heartbeats that this node received as a delegate before it led. Their ages are as of
     /// `led_since`.
-    pub fn seed(
+    pub fn record_early_heartbeats(
         &mut self,
         heartbeats: Vec<FullHeartbeat>,
         led_since: MonotonicTime,
--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -225,7 +225,7 @@
 
     fn key_read(&mut self, now: MonotonicTime, reply: StoreReply) -> ElectionStep {
         if let StoreReply::Found(pair) = &reply {
-            self.note_other_leader(now, pair);
+            self.record_other_leader(now, pair);
         }
         if now < self.campaigns_from {
             return self.abandon_campaign();
@@ -242,7 +242,7 @@
         }
     }
 
-    fn note_other_leader(&mut self, now: MonotonicTime, pair: &Pair) {
+    fn record_other_leader(&mut self, now: MonotonicTime, pair: &Pair) {
         self.other_leader =
             LeaderRecord::parse(pair).filter(|record| record.node != self.node).map(|record| OtherLeader {
                 node: record.node,
--- a/crates/scheduler/src/node/catalogue.rs
+++ b/crates/scheduler/src/node/catalogue.rs
@@ -24,17 +24,17 @@
     }
 
     /// Reads the types if they are not known yet.
-    pub fn tick(&mut self, now: MonotonicTime, out: &mut Outbox) {
+    pub fn tick(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
         if self.types.is_empty() && self.request_id.is_none() && now >= self.next_read {
             self.next_read = now + RETRY_INTERVAL;
-            self.refresh(out);
+            self.refresh(outbox);
         }
     }
 
     /// Reads the types again, unless a read is in flight.
-    pub fn refresh(&mut self, out: &mut Outbox) {
+    pub fn refresh(&mut self, outbox: &mut Outbox) {
         if self.request_id.is_none() {
-            self.request_id = Some(out.request_cloud(CloudRequest::Types));
+            self.request_id = Some(outbox.request_cloud(CloudRequest::Types));
         }
     }
 
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -73,7 +73,7 @@
     /// Passes a client's request to the extension in `slot`.
     pub(super) fn extension_call(&mut self, slot: usize, request: RequestId, call: Call) {
         if slot >= self.extensions.len() {
-            return self.out.refuse(request, StatusCode::NOT_FOUND, "no such path");
+            return self.outbox.refuse(request, StatusCode::NOT_FOUND, "no such path");
         }
         self.run_extension(slot, Input::Call { request, call });
     }
@@ -111,7 +111,7 @@
             let slot = &mut self.extensions[slot_number];
             let wanted =
                 slot.reads.iter().any(|read| slot.watcher.outcome_since(read.own_reads_started).is_none());
-            slot.watcher.send_due_reads(self.now, slot.records.store_revision(), wanted, &mut self.out);
+            slot.watcher.send_due_reads(self.now, slot.records.store_revision(), wanted, &mut self.outbox);
             let changed = slot.records.take_changed();
             if !changed.is_empty() {
                 self.run_extension(slot_number, Input::Records(&changed));
@@ -144,7 +144,7 @@
     /// Processes the store's reply to a read of an extension's records.
     pub(super) fn extension_records_reply(&mut self, slot: usize, read: Read, reply: StoreReply) {
         let Some(slot) = self.extensions.get_mut(slot) else { return };
-        slot.watcher.reply(self.now, read, reply, &mut slot.records, &mut slot.rng, &mut self.out);
+        slot.watcher.reply(self.now, read, reply, &mut slot.records, &mut slot.rng, &mut self.outbox);
     }
 
     /// Processes the store's reply to an extension's commit.
@@ -159,7 +159,7 @@
             StoreReply::Committed { store_revision } => {
                 // Updates the local copies immediately, before the watch returns the change.
                 for change in &changes {
-                    self.learn_change(slot, store_revision, change);
+                    self.apply_change(slot, store_revision, change);
                 }
                 Outcome::Done { store_revision }
             }
@@ -170,7 +170,7 @@
         self.run_extension(slot, Input::Committed { tag, outcome });
     }
 
-    fn learn_change(&mut self, slot: usize, store_revision: u64, change: &Change) {
+    fn apply_change(&mut self, slot: usize, store_revision: u64, change: &Change) {
         let revision = Revision(store_revision);
         match change {
             Change::Put { key, value, .. } => match key.strip_prefix(jobs::PREFIX) {
@@ -219,7 +219,7 @@
     fn execute(&mut self, slot: usize, action: Action) {
         match action {
             Action::Answer { request, status, retry_after_s, headers, body } => {
-                self.out.push(Effect::Answer { request, status, retry_after_s, headers, body });
+                self.outbox.push(Effect::Answer { request, status, retry_after_s, headers, body });
             }
             Action::Read { tag } => {
                 let own_reads_started = self.extensions[slot].watcher.reads_started();
@@ -246,7 +246,7 @@
                 most,
             },
         };
-        self.out.request_store(request, Pending::ExtensionMachines { slot, tag });
+        self.outbox.request_store(request, Pending::ExtensionMachines { slot, tag });
     }
 
     /// Processes the store's reply to an extension's read of machines.
@@ -285,7 +285,7 @@
             return self.run_extension(slot, Input::Committed { tag, outcome: Outcome::NoBudget });
         }
         let request = StoreRequest::Commit { conditions, changes: changes.clone() };
-        self.out.request_store(request, Pending::ExtensionCommit { slot, tag, changes });
+        self.outbox.request_store(request, Pending::ExtensionCommit { slot, tag, changes });
     }
 
     pub(super) fn extension_metrics(&self, lines: &mut Vec<String>) {
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -14,10 +14,10 @@
 #[derive(Debug, Clone, Copy)]
 pub enum DisabledCheck {
     /// Tasks of a worker that sends no heartbeats hold their resources until its lease has expired. When this
-    /// is disabled, they are dropped after `silence_ms` without a heartbeat.
+    /// is disabled, they are dropped after `max_heartbeat_age_ms` without a heartbeat.
     LeaseExpiry {
         /// Time without a heartbeat, in ms.
-        silence_ms: u64,
+        max_heartbeat_age_ms: u64,
     },
     /// A start that was sent directly is assumed to be in flight until it is acknowledged.
     UnacknowledgedStarts,
@@ -32,7 +32,7 @@
     /// A start is sent only after the machine's record is durable.
     DurableBeforeStart,
     /// Workers that send no heartbeats are detected.
-    SilenceDetection,
+    MissingHeartbeatDetection,
     /// Workers receive stop commands for the tasks that are to be stopped.
     StopCommands,
     /// An older heartbeat never replaces a newer one.
@@ -121,16 +121,16 @@
 
 fn disable_leader_check(leader: &mut Leader, check: DisabledCheck, now: MonotonicTime) {
     match check {
-        DisabledCheck::LeaseExpiry { silence_ms } => {
-            leader.inject_forgetting_silent_machines(Duration::from_millis(silence_ms), now);
+        DisabledCheck::LeaseExpiry { max_heartbeat_age_ms } => {
+            leader.inject_early_assignment_removal(Duration::from_millis(max_heartbeat_age_ms), now);
         }
-        DisabledCheck::UnacknowledgedStarts => leader.inject_forgetting_sent_starts(),
+        DisabledCheck::UnacknowledgedStarts => leader.inject_loss_of_sent_starts(),
         DisabledCheck::IsolationReports => leader.disable_isolation_reports(),
         DisabledCheck::HeartbeatCollection => leader.inject_loss_of_unreported_machines(),
         DisabledCheck::TaskCompletion => leader.inject_early_completion(),
         DisabledCheck::StoppingTasks => leader.inject_freeing_of_stopping_tasks(now),
         DisabledCheck::DurableBeforeStart => leader.disable_record_before_start(),
-        DisabledCheck::SilenceDetection => leader.disable_silence_detection(now),
+        DisabledCheck::MissingHeartbeatDetection => leader.disable_missing_heartbeat_detection(now),
         DisabledCheck::StopCommands => leader.disable_stops(),
         DisabledCheck::HeartbeatOrder => leader.disable_heartbeat_order(),
         DisabledCheck::ZoneConstraint => leader.disable_zone_constraint(),
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -37,10 +37,10 @@
 }
 
 impl Controller {
-    pub(super) fn heartbeat(&mut self, request: RequestId, body: &[u8]) {
+    pub(super) fn heartbeat_request(&mut self, request: RequestId, body: &[u8]) {
         let heartbeat: Heartbeat = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
-            Err(error) => return self.out.refuse(request, StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return self.outbox.refuse(request, StatusCode::BAD_REQUEST, &error.to_string()),
         };
         if !self.is_possible(heartbeat.fencing_token) {
             tracing::warn!(
@@ -48,7 +48,7 @@
                 fencing_token = %heartbeat.fencing_token,
                 "heartbeat rejected: the key-value store can't have issued its fencing token"
             );
-            return self.out.refuse(
+            return self.outbox.refuse(
                 request,
                 StatusCode::BAD_REQUEST,
                 "fence: no controller can have given it",
@@ -77,8 +77,8 @@
     /// Answers a heartbeat as the leader or as its delegate; `false` if this node is neither.
     fn answer_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
         let answered = self
-            .leading()
-            .is_some_and(|(leader, mut context)| leader.heartbeat(&mut context, request, heartbeat));
+            .leader_and_context()
+            .is_some_and(|(leader, mut context)| leader.answer_heartbeat(&mut context, request, heartbeat));
         if answered && self.election.leads() {
             // If this node loses the leadership and is isolated from the next leader, its isolation report
             // must count the workers whose leases its answers have renewed.
@@ -131,16 +131,16 @@
         match self.delegate.heartbeat_received(incoming, highest, may_renew, self.now) {
             Routing::NoDelegation => return false,
             Routing::Redirect(node) => {
-                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)));
+                self.outbox.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&node)));
             }
             Routing::TryAnotherNode => {
                 self.heartbeat_unanswered_at = self.now;
-                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(None));
+                self.outbox.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(None));
             }
             Routing::Answer(fencing_token) => {
                 self.record_lease_renewal(heartbeat);
                 let commands = self.commands_for(heartbeat, fencing_token);
-                self.out.answer(request, StatusCode::OK, workers::answer(fencing_token, &commands));
+                self.outbox.answer(request, StatusCode::OK, workers::answer(fencing_token, &commands));
             }
         }
         true
@@ -164,9 +164,13 @@
     fn redirect(&mut self, request: RequestId) {
         match self.known_leader().cloned() {
             Some(leader) => {
-                self.out.answer(request, StatusCode::MISDIRECTED_REQUEST, workers::redirect(Some(&leader)));
+                self.outbox.answer(
+                    request,
+                    StatusCode::MISDIRECTED_REQUEST,
+                    workers::redirect(Some(&leader)),
+                );
             }
-            None => self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "no leader is known here"),
+            None => self.outbox.refuse(request, StatusCode::SERVICE_UNAVAILABLE, "no leader is known here"),
         }
     }
 
@@ -197,8 +201,8 @@
                 self.relay_commands(from, fencing_token, calls);
             }
             PeerMessage::HeartbeatDigest(digest) => {
-                if let Some((leader, mut context)) = self.leading() {
-                    leader.digest(&mut context, from, digest);
+                if let Some((leader, mut context)) = self.leader_and_context() {
+                    leader.process_digest(&mut context, from, digest);
                 }
             }
             PeerMessage::RelayResults { fencing_token, calls }
@@ -217,7 +221,7 @@
         if !self.election.leads()
             && let Some(OutgoingDigest { leader, digest }) = self.delegate.next_digest(self.now)
         {
-            self.out.send(&leader, PeerMessage::HeartbeatDigest(digest));
+            self.outbox.send(&leader, PeerMessage::HeartbeatDigest(digest));
         }
         self.relay.drop_queued_before(self.highest_fencing_token);
     }
@@ -257,6 +261,6 @@
         let value = serde_json::to_string(&report).unwrap_or_default();
         let changes = vec![Change::Put { key, value, lease: None }];
         let request = StoreRequest::Commit { conditions: Vec::new(), changes };
-        self.out.request_store(request, Pending::IsolationReport);
+        self.outbox.request_store(request, Pending::IsolationReport);
     }
 }
--- a/crates/scheduler/src/node/controller/http_api.rs
+++ b/crates/scheduler/src/node/controller/http_api.rs
@@ -10,17 +10,17 @@
         let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, segments.as_slice()) {
             (Method::Get, ["up"]) => self.health_check(request),
-            (Method::Post, ["v1", "report"]) => self.heartbeat(request, &body),
+            (Method::Post, ["v1", "report"]) => self.heartbeat_request(request, &body),
             (Method::Post, ["submissions"]) => self.submit(request, &body),
             (Method::Get, ["submissions", id]) => self.request_status(request, id),
             (Method::Post, ["submissions", id, "withdraw"]) => self.request_cancellation(request, id),
             (Method::Get, ["operator", "metrics"]) => {
                 let text = self.metrics();
-                self.out.answer(request, StatusCode::OK, text);
+                self.outbox.answer(request, StatusCode::OK, text);
             }
             (Method::Get, ["operator", "waiting"]) => {
                 let text = self.waiting_report();
-                self.out.answer(request, StatusCode::OK, text);
+                self.outbox.answer(request, StatusCode::OK, text);
             }
             (
                 _,
@@ -30,9 +30,9 @@
                 | ["v1", "report"]
                 | ["operator", "metrics" | "waiting"],
             ) => {
-                self.out.refuse(request, StatusCode::METHOD_NOT_ALLOWED, "wrong method for this path");
+                self.outbox.refuse(request, StatusCode::METHOD_NOT_ALLOWED, "wrong method for this path");
             }
-            _ => self.out.refuse(request, StatusCode::NOT_FOUND, "no such path"),
+            _ => self.outbox.refuse(request, StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
@@ -41,9 +41,9 @@
     fn health_check(&mut self, request: RequestId) {
         let jobs_read = self.job_cache.store_revision().is_some();
         if jobs_read && (self.store_reachable() || !self.peers.any_reaches_store(self.now)) {
-            self.out.answer(request, StatusCode::OK, "{}".into());
+            self.outbox.answer(request, StatusCode::OK, "{}".into());
         } else {
-            self.out.refuse(
+            self.outbox.refuse(
                 request,
                 StatusCode::SERVICE_UNAVAILABLE,
                 "this node does not reach the state service",
--- a/crates/scheduler/src/node/controller/leadership.rs
+++ b/crates/scheduler/src/node/controller/leadership.rs
@@ -18,7 +18,7 @@
 impl Controller {
     pub(super) fn send_election_request(&mut self, request: StoreRequest) {
         let timeout = if self.election.leads() { RENEWAL_TIMEOUT } else { CAMPAIGN_TIMEOUT };
-        let request_id = self.out.request_store_with_timeout(request, timeout);
+        let request_id = self.outbox.request_store_with_timeout(request, timeout);
         self.election.request_sent(request_id);
     }
 
@@ -30,7 +30,7 @@
         let early_heartbeats = self.delegate.became_leader(self.now);
         self.leader =
             Some(Leader::new(self.settings.clone(), fencing_token, self.now, types, early_heartbeats));
-        if let Some((leader, mut context)) = self.leading() {
+        if let Some((leader, mut context)) = self.leader_and_context() {
             leader.load(&mut context);
         }
     }
@@ -39,7 +39,7 @@
     pub(super) fn step_down(&mut self, reason: &str) {
         if let Some(leader) = self.leader.take() {
             self.served.add(leader.into_served());
-            self.out.discard_relays();
+            self.outbox.discard_relays();
             tracing::warn!(reason, "stepped down as leader");
         }
     }
@@ -68,6 +68,6 @@
             conditions: vec![(election::LEADER_KEY.into(), Revision(fencing_token.0))],
             changes: vec![Change::Delete { key: election::LEADER_KEY.into() }],
         };
-        self.out.request_store(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
+        self.outbox.request_store(request, Pending::Leader(fencing_token, LeaderRequest::Resign));
     }
 }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -68,7 +68,7 @@
     wall_time: WallTime,
     /// When the first step was taken.
     started_at: Option<MonotonicTime>,
-    out: Outbox,
+    outbox: Outbox,
 
     /// This node's copy of the job records.
     job_cache: JobCache,
@@ -145,7 +145,7 @@
             now: MonotonicTime::default(),
             wall_time: WallTime(0),
             started_at: None,
-            out: Outbox::new(settings.node.clone()),
+            outbox: Outbox::new(settings.node.clone()),
             job_cache: JobCache::default(),
             job_watcher: PrefixWatcher::new(WatchedPrefix::Jobs, jobs::PREFIX, read_interval(&settings)),
             pending_requests: PendingRequests::default(),
@@ -187,7 +187,7 @@
         // A reply that only updates an extension's copy of records doesn't affect the rest of the node.
         let extension_only = matches!(
             &input,
-            Input::Store { request_id, .. } if self.out.is_extension_read(*request_id)
+            Input::Store { request_id, .. } if self.outbox.is_extension_read(*request_id)
         );
         match input {
             Input::Tick => self.tick(),
@@ -206,7 +206,7 @@
             self.start_ready_work();
         }
         let fencing_token = self.election.fencing_token();
-        self.out.take(fencing_token)
+        self.outbox.take(fencing_token)
     }
 
     fn start_step(&mut self, now: Now) {
@@ -233,14 +233,14 @@
             }
         }
         self.announce_jobs_to_extensions(&changed);
-        if let Some((leader, context)) = self.leading() {
+        if let Some((leader, context)) = self.leader_and_context() {
             leader.jobs_changed(&context, changed);
         }
     }
 
     /// The leader's state, and the parts of this node that it uses in a step; `None` while this node is not
     /// leader.
-    fn leading(&mut self) -> Option<(&mut Leader, StepContext<'_>)> {
+    fn leader_and_context(&mut self) -> Option<(&mut Leader, StepContext<'_>)> {
         let leader = self.leader.as_mut()?;
         let context = StepContext {
             now: self.now,
@@ -254,7 +254,7 @@
             peers: &mut self.peers,
             catalogue: &mut self.catalogue,
             rng: &mut self.rng,
-            outbox: &mut self.out,
+            outbox: &mut self.outbox,
         };
         Some((leader, context))
     }
@@ -265,12 +265,13 @@
         self.refuse_overdue_requests();
         self.ping_peers();
         self.tick_election();
-        self.catalogue.tick(self.now, &mut self.out);
+        self.catalogue.tick(self.now, &mut self.outbox);
         self.load_success_counts();
         self.tick_cluster_version();
         self.tick_extensions();
         self.tick_heartbeats();
-        let leadership_end = self.leading().and_then(|(leader, mut context)| leader.tick(&mut context));
+        let leadership_end =
+            self.leader_and_context().and_then(|(leader, mut context)| leader.tick(&mut context));
         self.end_leadership(leadership_end);
     }
 
@@ -290,7 +291,7 @@
         }
         let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
         if let Some(request) = self.cluster_version.tick(self.now, fencing_token) {
-            self.out.request_store(request, Pending::ClusterVersion);
+            self.outbox.request_store(request, Pending::ClusterVersion);
         }
     }
 
@@ -298,20 +299,20 @@
     fn start_ready_work(&mut self) {
         self.send_job_record_reads();
         self.update_extensions();
-        if let Some((leader, mut context)) = self.leading() {
+        if let Some((leader, mut context)) = self.leader_and_context() {
             leader.advance(&mut context);
         }
     }
 
     fn cloud_reply(&mut self, request_id: RequestId, reply: CloudReply) {
         if !self.catalogue.owns(request_id) {
-            if let Some((leader, mut context)) = self.leading() {
+            if let Some((leader, mut context)) = self.leader_and_context() {
                 leader.cloud_reply(&mut context, request_id, reply);
             }
             return;
         }
         if self.catalogue.reply(reply)
-            && let Some((leader, context)) = self.leading()
+            && let Some((leader, context)) = self.leader_and_context()
         {
             leader.set_types(context.catalogue.types().to_vec(), context.now);
         }
--- a/crates/scheduler/src/node/controller/operator_pages.rs
+++ b/crates/scheduler/src/node/controller/operator_pages.rs
@@ -32,7 +32,7 @@
             format!("pearford_leads {}", u8::from(self.election.leads())),
             format!("pearford_fence {}", self.highest_fencing_token),
             format!("pearford_jobs_known {}", self.job_cache.len()),
-            format!("pearford_state_requests_open {}", self.out.pending_count()),
+            format!("pearford_state_requests_open {}", self.outbox.pending_count()),
             format!("pearford_peer_messages_dropped {}", self.peer_messages_dropped),
             format!("pearford_records_unreadable {}", self.job_cache.unreadable_count()),
         ];
--- a/crates/scheduler/src/node/controller/peer_messages.rs
+++ b/crates/scheduler/src/node/controller/peer_messages.rs
@@ -28,7 +28,7 @@
                 .collect(),
         };
         for peer in self.peers.names() {
-            self.out.send(peer, ping.clone());
+            self.outbox.send(peer, ping.clone());
         }
     }
 
@@ -74,11 +74,11 @@
                 if self.accept_leader(fencing_token, &from) {
                     let proposals = self.propose(machines, &requests);
                     let answer = PeerMessage::RoundProposals { fencing_token, partition, round, proposals };
-                    self.out.send(&from, answer);
+                    self.outbox.send(&from, answer);
                 }
             }
             PeerMessage::RoundProposals { fencing_token, partition, round, proposals } => {
-                if let Some((leader, mut context)) = self.leading() {
+                if let Some((leader, mut context)) = self.leader_and_context() {
                     leader.process_proposals(&mut context, &from, fencing_token, partition, round, proposals);
                 }
             }
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -107,7 +107,7 @@
         for RelayedCommand { call, addr, body, timeout } in commands {
             match self.filter_relayed(fencing_token, body) {
                 Ok(body) => {
-                    let request_id = self.out.command_worker(addr, body, timeout);
+                    let request_id = self.outbox.command_worker(addr, body, timeout);
                     let relayed = RelayedCall { leader: from.clone(), fencing_token, call };
                     self.relay.calls.insert(request_id, relayed);
                 }
@@ -115,7 +115,7 @@
             }
         }
         if !failed.is_empty() {
-            self.out.send(from, PeerMessage::RelayResults { fencing_token, calls: failed });
+            self.outbox.send(from, PeerMessage::RelayResults { fencing_token, calls: failed });
         }
     }
 
@@ -156,7 +156,7 @@
         }
         let results = vec![RelayResult { call: relayed.call, status, position }];
         let message = PeerMessage::RelayResults { fencing_token: relayed.fencing_token, calls: results };
-        self.out.send(&relayed.leader, message);
+        self.outbox.send(&relayed.leader, message);
     }
 
     /// Passes the reply to one of this leader's own commands to the leader's state.
@@ -167,7 +167,7 @@
         position: Option<HeartbeatPosition>,
     ) {
         let fencing_token = self
-            .leading()
+            .leader_and_context()
             .and_then(|(leader, context)| leader.worker_reply(request_id, status, position, context.now));
         if let Some(fencing_token) = fencing_token {
             self.observe_fencing_token(fencing_token);
@@ -178,7 +178,7 @@
     pub(super) fn relay_results(&mut self, results: Vec<RelayResult>) {
         for RelayResult { call, status, position } in results {
             let request_id = RequestId(call);
-            if self.out.complete_relay(request_id) {
+            if self.outbox.complete_relay(request_id) {
                 self.leader_command_reply(request_id, status, position);
             }
         }
@@ -186,7 +186,7 @@
 
     /// Times out relayed commands without a result: the relaying node may have failed.
     pub(super) fn expire_relayed_commands(&mut self) {
-        for request_id in self.out.take_overdue_relays(self.now) {
+        for request_id in self.outbox.take_overdue_relays(self.now) {
             self.leader_command_reply(request_id, CommandFailure::NoAnswer.status(), None);
         }
     }
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -17,14 +17,14 @@
 impl Controller {
     pub(super) fn store_reply(&mut self, request_id: RequestId, reply: StoreReply) {
         let answered = !matches!(reply, StoreReply::Refused | StoreReply::Unknown);
-        if answered && !self.out.is_extension_read(request_id) {
+        if answered && !self.outbox.is_extension_read(request_id) {
             self.store_answered_at = self.now;
         }
         if self.election.owns(request_id) {
             self.election_reply(reply);
             return;
         }
-        let Some(pending) = self.out.take_pending(request_id) else { return };
+        let Some(pending) = self.outbox.take_pending(request_id) else { return };
         match pending {
             Pending::PrefixRead(WatchedPrefix::Jobs, read) => self.job_records_reply(read, reply),
             Pending::PrefixRead(WatchedPrefix::Extension(slot), read) => {
@@ -42,7 +42,7 @@
             Pending::ExtensionMachines { slot, tag } => self.extension_machines_reply(slot, tag, reply),
             Pending::Leader(fencing_token, leader_request) => {
                 let leadership_end = self
-                    .leading()
+                    .leader_and_context()
                     // Ignores the reply to a request of an earlier leadership of this node.
                     .filter(|(leader, _)| leader.fencing_token() == fencing_token)
                     .and_then(|(leader, mut context)| {
@@ -66,8 +66,14 @@
     }
 
     fn job_records_reply(&mut self, read: Read, reply: StoreReply) {
-        let outcome =
-            self.job_watcher.reply(self.now, read, reply, &mut self.job_cache, &mut self.rng, &mut self.out);
+        let outcome = self.job_watcher.reply(
+            self.now,
+            read,
+            reply,
+            &mut self.job_cache,
+            &mut self.rng,
+            &mut self.outbox,
+        );
         let Some(outcome) = outcome else { return };
         if outcome == ReadOutcome::Succeeded {
             self.lease_renewal.records_read(self.job_watcher.fresh_at(), self.now);
@@ -80,7 +86,12 @@
         let fresh_at = self.job_watcher.fresh_at();
         let leader_loading = self.leader.as_ref().is_some_and(|leader| leader.needs_job_records(fresh_at));
         let wanted = self.pending_requests.needs_read() || leader_loading || self.extensions_want_read();
-        if self.job_watcher.send_due_reads(self.now, self.job_cache.store_revision(), wanted, &mut self.out) {
+        if self.job_watcher.send_due_reads(
+            self.now,
+            self.job_cache.store_revision(),
+            wanted,
+            &mut self.outbox,
+        ) {
             self.pending_requests.begin_read();
         }
     }
@@ -94,12 +105,12 @@
     /// Reads the stored success counts, once.
     pub(super) fn load_success_counts(&mut self) {
         if self.success_counts_loaded
-            || self.out.has_pending(|pending| matches!(pending, Pending::SuccessCounts))
+            || self.outbox.has_pending(|pending| matches!(pending, Pending::SuccessCounts))
         {
             return;
         }
         let request = StoreRequest::Range { prefix: COUNTS_PREFIX, after: None, most: SUCCESS_COUNTS_PAGE };
-        self.out.request_store(request, Pending::SuccessCounts);
+        self.outbox.request_store(request, Pending::SuccessCounts);
     }
 
     fn success_counts_reply(&mut self, reply: StoreReply) {
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -36,7 +36,9 @@
     fn request_about_job(&mut self, request: RequestId, id: &str, user_request: UserRequest) {
         match users::job_id(id) {
             Some(id) => self.begin_request(request, id, user_request),
-            None => self.out.refuse(request, StatusCode::NOT_FOUND, "no such job; ids look like req-000412"),
+            None => {
+                self.outbox.refuse(request, StatusCode::NOT_FOUND, "no such job; ids look like req-000412");
+            }
         }
     }
 
@@ -44,7 +46,7 @@
         let Some(id) = users::submission_id(body) else {
             let error = users::submission(body).err();
             let reason = error.map_or_else(|| "id: invalid".into(), |error| error.to_string());
-            return self.out.refuse(request, StatusCode::BAD_REQUEST, &reason);
+            return self.outbox.refuse(request, StatusCode::BAD_REQUEST, &reason);
         };
         let spec = match self.parse_submission(body) {
             Err(error) => Err(jobs::Refusal { status: StatusCode::BAD_REQUEST, reason: error.to_string() }),
@@ -79,14 +81,14 @@
             return self.answer_status(request, &id, phase, self.counts_of(&id));
         }
         if self.job_cache.store_revision().is_none() {
-            return self.out.refuse(
+            return self.outbox.refuse(
                 request,
                 StatusCode::SERVICE_UNAVAILABLE,
                 "job records are not read yet; come back",
             );
         }
         if self.pending_requests.len() >= self.settings.operator.max_waiting_requests {
-            return self.out.refuse(
+            return self.outbox.refuse(
                 request,
                 StatusCode::TOO_MANY_REQUESTS,
                 "too many requests wait here; come back",
@@ -111,7 +113,7 @@
     fn create(&mut self, waiting: PendingRequest) {
         let UserRequest::Submit { spec: Ok(spec) } = &waiting.operation else { return };
         if !self.user_writes.take(1.0, self.now) {
-            return self.out.refuse(
+            return self.outbox.refuse(
                 waiting.request,
                 StatusCode::TOO_MANY_REQUESTS,
                 "too many submissions at once; come back",
@@ -124,14 +126,14 @@
             conditions: vec![(key.clone(), Revision(0))],
             changes: vec![Change::Put { key, value, lease: None }],
         };
-        self.out.request_store(request, Pending::Create { waiting, job });
+        self.outbox.request_store(request, Pending::Create { waiting, job });
     }
 
     /// Replaces the record of an open job by a cancelled one, conditional on the record's revision.
     fn cancel(&mut self, waiting: PendingRequest) {
         let Some(revision) = self.job_cache.get(&waiting.id).map(|job| job.revision) else { return };
         if !self.user_writes.take(1.0, self.now) {
-            return self.out.refuse(
+            return self.outbox.refuse(
                 waiting.request,
                 StatusCode::TOO_MANY_REQUESTS,
                 "too many withdrawals at once; come back",
@@ -142,14 +144,14 @@
             conditions: vec![(key.clone(), revision)],
             changes: vec![Change::Put { key, value: Record::Cancelled.to_value(), lease: None }],
         };
-        self.out.request_store(request, Pending::Cancel { waiting });
+        self.outbox.request_store(request, Pending::Cancel { waiting });
     }
 
     /// Rejects requests that have waited too long for a read.
     pub(super) fn refuse_overdue_requests(&mut self) {
         let timeout = Duration::from_millis(self.settings.operator.request_patience_ms);
         for overdue in self.pending_requests.take_timed_out(self.now, timeout) {
-            self.out.refuse(
+            self.outbox.refuse(
                 overdue.request,
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the state service does not answer; come back",
@@ -164,7 +166,7 @@
                 ReadOutcome::Succeeded => self.continue_request(waiting),
                 ReadOutcome::Failed => {
                     let reason = "the state service can't be read now; come back";
-                    self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, reason);
+                    self.outbox.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, reason);
                 }
             }
         }
@@ -181,7 +183,7 @@
         if self.job_cache.is_unreadable(&id) {
             let reason =
                 format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
-            return self.out.refuse(request, StatusCode::SERVICE_UNAVAILABLE, &reason);
+            return self.outbox.refuse(request, StatusCode::SERVICE_UNAVAILABLE, &reason);
         }
         if self.job_cache.get(&id).is_some() {
             self.continue_for_open_job(waiting);
@@ -197,7 +199,7 @@
             return self.answer_status(waiting.request, &waiting.id, phase, Some(counts));
         }
         if waiting.retries >= MAX_CANCEL_RETRIES {
-            return self.out.refuse(
+            return self.outbox.refuse(
                 waiting.request,
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the job is changing; come back",
@@ -212,16 +214,16 @@
             UserRequest::Submit { spec: Ok(spec) } => {
                 match self.admission().dependency_error(&waiting.id, spec) {
                     Some(error) => {
-                        self.out.refuse(request, StatusCode::UNPROCESSABLE_ENTITY, &error.to_string());
+                        self.outbox.refuse(request, StatusCode::UNPROCESSABLE_ENTITY, &error.to_string());
                     }
                     None => self.create(waiting),
                 }
             }
             UserRequest::Submit { spec: Err(refusal) } => {
-                self.out.refuse(request, refusal.status, &refusal.reason);
+                self.outbox.refuse(request, refusal.status, &refusal.reason);
             }
             UserRequest::Status | UserRequest::Cancel => {
-                self.out.refuse(request, StatusCode::NOT_FOUND, "no such job");
+                self.outbox.refuse(request, StatusCode::NOT_FOUND, "no such job");
             }
         }
     }
@@ -236,7 +238,7 @@
                 self.served.count(jobs::Stage::Accepted, &job.spec);
                 // The job is cancelled immediately if one of its dependencies is cancelled.
                 let phase = self.job_cache.terminal_status(&id).unwrap_or(Phase::Pending);
-                self.out.answer(waiting.request, StatusCode::CREATED, users::status(&id, phase, None));
+                self.outbox.answer(waiting.request, StatusCode::CREATED, users::status(&id, phase, None));
             }
             StoreReply::Conflict { .. } if waiting.retries < MAX_SUBMIT_RETRIES => {
                 self.pending_requests.push(PendingRequest { retries: waiting.retries + 1, ..waiting });
@@ -247,13 +249,13 @@
                     job = %waiting.id,
                     "submission rejected: the key-value store doesn't accept the job's record"
                 );
-                self.out.refuse(
+                self.outbox.refuse(
                     waiting.request,
                     StatusCode::UNPROCESSABLE_ENTITY,
                     "the state service does not take the job's record",
                 );
             }
-            _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
+            _ => self.outbox.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
         }
     }
 
@@ -267,12 +269,12 @@
                 self.answer_status(waiting.request, &id, Phase::Cancelled, None);
             }
             StoreReply::Conflict { .. } => self.pending_requests.push(waiting),
-            _ => self.out.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
+            _ => self.outbox.refuse(waiting.request, StatusCode::SERVICE_UNAVAILABLE, WRITE_FAILED),
         }
     }
 
     fn answer_status(&mut self, request: RequestId, id: &JobId, phase: Phase, counts: Option<TaskCounts>) {
-        self.out.answer(request, StatusCode::OK, users::status(id, phase, counts));
+        self.outbox.answer(request, StatusCode::OK, users::status(id, phase, counts));
     }
 
     /// Task counts of a job, as known to this node.
--- a/crates/scheduler/src/node/leader/adoption.rs
+++ b/crates/scheduler/src/node/leader/adoption.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An assignment that is to be adopted.
-struct Inherited {
+struct AssignmentToAdopt {
     machine: MachineId,
     task: TaskId,
     state: AssignmentState,
@@ -21,7 +21,7 @@
 
 impl Leader {
     /// Adds a machine, with its assignments, from an earlier leader's record.
-    pub(super) fn inherit(&mut self, id: MachineId, record: MachineRecord, now: MonotonicTime) {
+    pub(super) fn add_recorded_machine(&mut self, id: MachineId, record: MachineRecord, now: MonotonicTime) {
         let machine_type = self.instance_offers.type_of(&record.type_name);
         let total = machine_type.map(MachineType::resources).unwrap_or_default();
         let machine = self.machines.get_or_insert_with(&id, || {
@@ -116,9 +116,9 @@
     /// states.
     fn adopt_assignments(&mut self, only: Option<&JobId>, now: MonotonicTime) {
         let newest = self.newest_attempts();
-        for inherited in self.inherited_assignments(only) {
-            let superseded = newest.get(&inherited.task).is_some_and(|newest| inherited.attempt < *newest);
-            self.adopt_assignment(inherited, superseded, now);
+        for assignment in self.assignments_to_adopt(only) {
+            let superseded = newest.get(&assignment.task).is_some_and(|newest| assignment.attempt < *newest);
+            self.adopt_assignment(assignment, superseded, now);
         }
     }
 
@@ -137,15 +137,15 @@
         newest
     }
 
-    fn inherited_assignments(&self, only: Option<&JobId>) -> Vec<Inherited> {
+    fn assignments_to_adopt(&self, only: Option<&JobId>) -> Vec<AssignmentToAdopt> {
         let is_adopted = |job: &JobId| match only {
             Some(only) => job == only,
             None => !self.unreadable_jobs.contains_key(job),
         };
-        let mut inherited = Vec::new();
+        let mut to_adopt = Vec::new();
         for machine in self.machines.iter() {
             for (task, assignment) in machine.assignments.iter().filter(|(task, _)| is_adopted(&task.job)) {
-                inherited.push(Inherited {
+                to_adopt.push(AssignmentToAdopt {
                     machine: machine.id.clone(),
                     task: task.clone(),
                     state: assignment.state,
@@ -153,11 +153,11 @@
                 });
             }
         }
-        inherited
+        to_adopt
     }
 
-    fn adopt_assignment(&mut self, inherited: Inherited, superseded: bool, now: MonotonicTime) {
-        let Inherited { machine, task, state, attempt } = inherited;
+    fn adopt_assignment(&mut self, assignment: AssignmentToAdopt, superseded: bool, now: MonotonicTime) {
+        let AssignmentToAdopt { machine, task, state, attempt } = assignment;
         let job_state = self.job_states.get_mut(&task.job);
         let task_done = job_state.as_ref().is_some_and(|job_state| job_state.done().contains(task.index));
         let inherited = InheritedAssignment { job_open: job_state.is_some(), task_done, superseded };
--- a/crates/scheduler/src/node/leader/adoption/tests.rs
+++ b/crates/scheduler/src/node/leader/adoption/tests.rs
@@ -30,8 +30,8 @@
     for (first, second, live) in [(5, 7, "m-2"), (7, 5, "m-1")] {
         let now = MonotonicTime::from_millis(1);
         let mut leader = leader();
-        leader.inherit("m-1".into(), record(first), now);
-        leader.inherit("m-2".into(), record(second), now);
+        leader.add_recorded_machine("m-1".into(), record(first), now);
+        leader.add_recorded_machine("m-2".into(), record(second), now);
         let mut job_cache = JobCache::default();
         let job =
             OpenJob { spec: crate::jobs::tests::spec(), submitted: WallTime(1), assigned_node: "n0".into() };
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -23,7 +23,7 @@
     since: MonotonicTime,
     digest_received: bool,
     command_sent: bool,
-    all_machines_in_contact: bool,
+    all_machines_reported: bool,
 }
 
 impl FailoverLog {
@@ -34,7 +34,7 @@
             since,
             digest_received: false,
             command_sent: false,
-            all_machines_in_contact: false,
+            all_machines_reported: false,
         }
     }
 
@@ -51,8 +51,8 @@
         }
     }
 
-    fn all_machines_in_contact(&mut self, now: MonotonicTime) {
-        if !std::mem::replace(&mut self.all_machines_in_contact, true) {
+    fn all_machines_reported(&mut self, now: MonotonicTime) {
+        if !std::mem::replace(&mut self.all_machines_reported, true) {
             self.log("heartbeats of all machines received", now);
         }
     }
@@ -93,8 +93,8 @@
             context.outbox.send(peer, PeerMessage::UnacknowledgedStarts(unacknowledged.clone()));
             context.outbox.send(peer, PeerMessage::Delegation(delegation.clone()));
         }
-        if !self.failover_log.all_machines_in_contact && self.loaded() && self.are_all_machines_in_contact() {
-            self.failover_log.all_machines_in_contact(context.now);
+        if !self.failover_log.all_machines_reported && self.loaded() && self.have_all_machines_reported() {
+            self.failover_log.all_machines_reported(context.now);
         }
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Whether there are machines, and all of them have sent a heartbeat under this leadership.
-    fn are_all_machines_in_contact(&self) -> bool {
+    fn have_all_machines_reported(&self) -> bool {
         let mut up_machines =
             self.machines.iter().filter(|machine| machine.status == MachineStatus::Up).peekable();
         up_machines.peek().is_some() && up_machines.all(Machine::has_reported)
@@ -129,7 +129,7 @@
     }
 
     /// Processes another node's digest of the heartbeats that it received.
-    pub(in crate::node) fn digest(
+    pub(in crate::node) fn process_digest(
         &mut self,
         context: &mut StepContext,
         from: &NodeName,
@@ -152,7 +152,7 @@
     pub(super) fn process_early_heartbeats(&mut self, context: &mut StepContext) {
         let me = self.settings.node.clone();
         let early = self.record_loading.take_early_heartbeats();
-        for received in self.coordinator.seed(early, self.since, context.now) {
+        for received in self.coordinator.record_early_heartbeats(early, self.since, context.now) {
             self.process_delegated_heartbeat(context, &me, received);
         }
     }
--- a/crates/scheduler/src/node/leader/fault_injection.rs
+++ b/crates/scheduler/src/node/leader/fault_injection.rs
@@ -17,16 +17,16 @@
 
 impl Leader {
     /// Treats missing heartbeats as proof that tasks are gone: drops the assignments of machines whose
-    /// last heartbeat is older than `silence`.
-    pub(in crate::node) fn inject_forgetting_silent_machines(
+    /// last heartbeat is older than `max_heartbeat_age`.
+    pub(in crate::node) fn inject_early_assignment_removal(
         &mut self,
-        silence: Duration,
+        max_heartbeat_age: Duration,
         now: MonotonicTime,
     ) {
         let mut changed = Vec::new();
         let mut dropped = Vec::new();
         for machine in self.machines.iter_mut() {
-            if machine.last_heartbeat.is_some_and(|at| now.since(at) > silence) {
+            if machine.last_heartbeat.is_some_and(|at| now.since(at) > max_heartbeat_age) {
                 let assignments = std::mem::take(&mut machine.assignments);
                 dropped.extend(assignments.into_keys().map(|task| (task, machine.id.clone())));
                 changed.push(machine.id.clone());
@@ -37,8 +37,8 @@
     }
 
     /// Forgets which starts were sent directly, as if they could not arrive a second time.
-    pub(in crate::node) fn inject_forgetting_sent_starts(&mut self) {
-        self.machines.iter_mut().for_each(Machine::forget_sent_starts);
+    pub(in crate::node) fn inject_loss_of_sent_starts(&mut self) {
+        self.machines.iter_mut().for_each(Machine::clear_sent_starts);
     }
 
     /// Forgets the isolation reports that were read from the key-value store.
@@ -109,7 +109,7 @@
     }
 
     /// Treats every machine that has ever sent a heartbeat as having sent one just now.
-    pub(in crate::node) fn disable_silence_detection(&mut self, now: MonotonicTime) {
+    pub(in crate::node) fn disable_missing_heartbeat_detection(&mut self, now: MonotonicTime) {
         for machine in self.machines.iter_mut().filter(|machine| machine.last_heartbeat.is_some()) {
             machine.last_heartbeat = Some(now);
             machine.unanswered_probes = 0;
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -27,7 +27,7 @@
     ///
     /// Status 200 renews the worker's lease and may carry commands, 421 names the node to which the worker is
     /// to send its heartbeats, 503 leaves the lease as it is.
-    pub(in crate::node) fn heartbeat(
+    pub(in crate::node) fn answer_heartbeat(
         &mut self,
         context: &mut StepContext,
         request: RequestId,
--- a/crates/scheduler/src/node/leader/silence_rules.rs
+++ b/crates/scheduler/src/node/leader/liveness_rules.rs
@@ -12,7 +12,7 @@
 pub(super) const UNANSWERED_PROBES_LIMIT: u32 = 2;
 /// The same limit for a worker that has not sent this leader a heartbeat, while the leader has not waited
 /// long enough for one.
-const UNANSWERED_PROBES_LIMIT_UNCONTACTED: u32 = 4;
+const UNANSWERED_PROBES_LIMIT_UNREPORTED: u32 = 4;
 /// If more than this share of a zone's machines is late and there was no contact with any machine of the
 /// zone for `ZONE_CONTACT_TIMEOUT`, the zone is unreachable rather than its machines lost.
 const UNREACHABLE_SHARE_WITHOUT_CONTACT: f64 = 0.34;
@@ -112,7 +112,7 @@
     /// The failover has reached the phase in which lost machines may be returned.
     pub may_return: bool,
     /// The same for machines that have not sent this leader a heartbeat.
-    pub may_return_uncontacted: bool,
+    pub may_return_unreported: bool,
     /// Zones with a recent contact to some machine.
     pub responsive_zones: BTreeSet<Zone>,
     /// Zones that are unreachable as a whole.
@@ -120,7 +120,7 @@
     /// Zones whose workers' leases are renewed by isolated nodes.
     pub zones_served_by_isolated_nodes: BTreeSet<Zone>,
     /// When a leader last received a heartbeat from each zone.
-    pub last_contact_by_zone: &'a BTreeMap<Zone, MonotonicTime>,
+    pub last_heartbeat_by_zone: &'a BTreeMap<Zone, MonotonicTime>,
 }
 
 impl LivenessRules<'_> {
@@ -154,11 +154,11 @@
                 .is_lost_in_unreachable_zone(&machine.zone, last_heartbeat, last_partitioned_at)
                 .into();
         }
-        if !machine.has_reported() && !self.may_return_uncontacted {
+        if !machine.has_reported() && !self.may_return_unreported {
             // Shortly after a failover the worker may not have found this leader yet.
             let lost = self.may_return
                 && self.responsive_zones.contains(&machine.zone)
-                && machine.unanswered_probes >= UNANSWERED_PROBES_LIMIT_UNCONTACTED;
+                && machine.unanswered_probes >= UNANSWERED_PROBES_LIMIT_UNREPORTED;
             return lost.into();
         }
         self.is_individually_lost(machine, last_heartbeat, last_partitioned_at).into()
@@ -175,7 +175,7 @@
         last_heartbeat: MonotonicTime,
         last_partitioned_at: Option<MonotonicTime>,
     ) -> bool {
-        let zone_contact = self.last_contact_by_zone.get(zone);
+        let zone_contact = self.last_heartbeat_by_zone.get(zone);
         let last_contact = zone_contact.map_or(last_heartbeat, |contact| last_heartbeat.min(*contact));
         // If the isolated node crashes, it may be back before the leases that it renewed expire.
         let last_contact = last_partitioned_at.map_or(last_contact, |at| last_contact.max(at));
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -3,8 +3,8 @@
 //! machine's tasks are gone.
 
 use super::Leader;
+use super::liveness_rules::{LivenessRules, LivenessVerdict, ZoneHeartbeats};
 use super::scale_in::begin_return;
-use super::silence_rules::{LivenessRules, LivenessVerdict, ZoneHeartbeats};
 use crate::assignments::AssignmentState;
 use crate::autoscaler;
 use crate::jobs::JobState;
@@ -86,7 +86,11 @@
     /// Whether this node appears to be cut off from the workers: most machines' heartbeats are missing
     /// here while workers contact a peer. If no peer is contacted either, the machines are really gone, and
     /// another leader would find the same.
-    pub(super) fn is_cut_off_from_workers(&mut self, peers_are_contacted: bool, now: MonotonicTime) -> bool {
+    pub(super) fn is_cut_off_from_workers(
+        &mut self,
+        peers_receive_heartbeats: bool,
+        now: MonotonicTime,
+    ) -> bool {
         let limit = self.heartbeat_interval().times(CUT_OFF_INTERVALS);
         let mut all = 0;
         let mut missing = 0;
@@ -95,18 +99,18 @@
             missing += u32::from(machine.last_heartbeat.is_none_or(|at| now.since(at) > limit));
         }
         let most_missing = all >= 2 && missing * 2 > all;
-        let since = self.silence.update(most_missing, now);
-        since.is_some_and(|since| peers_are_contacted && now.since(since) >= limit)
+        let since = self.heartbeat_outage.update(most_missing, now);
+        since.is_some_and(|since| peers_receive_heartbeats && now.since(since) >= limit)
     }
 
-    /// Returns machines whose heartbeats stopped or that never came up. `last_contact_by_zone`: when a leader
+    /// Returns machines whose heartbeats stopped or that never came up. `last_heartbeat_by_zone`: when a leader
     /// last received a heartbeat from each zone.
     pub(super) fn return_lost_machines(
         &mut self,
-        last_contact_by_zone: &BTreeMap<Zone, MonotonicTime>,
+        last_heartbeat_by_zone: &BTreeMap<Zone, MonotonicTime>,
         now: MonotonicTime,
     ) {
-        let rules = self.liveness_rules(last_contact_by_zone, now);
+        let rules = self.liveness_rules(last_heartbeat_by_zone, now);
         self.isolation.set_unreachable_zones(
             &rules.unreachable_zones,
             &rules.zones_served_by_isolated_nodes,
@@ -138,7 +142,7 @@
 
     fn liveness_rules<'a>(
         &self,
-        last_contact_by_zone: &'a BTreeMap<Zone, MonotonicTime>,
+        last_heartbeat_by_zone: &'a BTreeMap<Zone, MonotonicTime>,
         now: MonotonicTime,
     ) -> LivenessRules<'a> {
         let heartbeat_interval = self.heartbeat_interval();
@@ -165,15 +169,15 @@
             lease_expires_after: Duration::from_secs_f64(workers.lease_s - LEASE_MARGIN_S),
             unconfirmed_stop_limit: self.unconfirmed_stop_limit(),
             outage_began_recently: self
-                .silence
+                .heartbeat_outage
                 .began_within(heartbeat_interval.times(OUTAGE_GRACE_INTERVALS), now),
             isolation_reports_read: now.since(self.since) >= ISOLATION_REPORTS_READ_AFTER,
             may_return: self.heartbeat_collection.allows(LeaderAction::GiveUp),
-            may_return_uncontacted: self.heartbeat_collection.may_give_up(now),
+            may_return_unreported: self.heartbeat_collection.may_give_up(now),
             responsive_zones,
             unreachable_zones,
             zones_served_by_isolated_nodes,
-            last_contact_by_zone,
+            last_heartbeat_by_zone,
         }
     }
 
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -1,4 +1,4 @@
-use super::super::silence_rules::UNANSWERED_PROBES_LIMIT;
+use super::super::liveness_rules::UNANSWERED_PROBES_LIMIT;
 use super::super::test_support::{heartbeat, leader};
 use super::*;
 use crate::wire::cloud::CloudRequest;
@@ -50,7 +50,7 @@
     let mut leader = cluster(&["z0", "z0", "z0", "z0", "z1", "z1", "z1", "z1", "z1"]);
     let lease = (leader.settings.workers.lease_s * 1000.0) as u64;
     let return_lost_with_z1_heartbeats = |leader: &mut Leader,
-                                          last_contact_by_zone: &BTreeMap<Zone, MonotonicTime>,
+                                          last_heartbeat_by_zone: &BTreeMap<Zone, MonotonicTime>,
                                           at: MonotonicTime,
                                           serial: u64| {
         (4..9).for_each(|index| {
@@ -58,7 +58,7 @@
         });
         let unresponsive = leader.machines.iter_mut().filter(|machine| machine.zone == "z0".into());
         unresponsive.for_each(|machine| machine.unanswered_probes = 9);
-        leader.return_lost_machines(last_contact_by_zone, at);
+        leader.return_lost_machines(last_heartbeat_by_zone, at);
     };
     let no_contacts = BTreeMap::new();
     return_lost_with_z1_heartbeats(
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -20,6 +20,7 @@
 mod isolation;
 mod job_changes;
 mod leadership_end;
+mod liveness_rules;
 mod machine_health;
 mod machine_records;
 mod machines;
@@ -33,7 +34,6 @@
 mod scale_out;
 mod scheduling_pass;
 mod scheduling_rounds;
-mod silence_rules;
 mod state_loading;
 mod status;
 mod stops;
@@ -153,7 +153,7 @@
     worker_calls: WorkerCalls,
     queued_commands: QueuedCommands,
     isolation: ZoneIsolation,
-    silence: HeartbeatOutageDetector,
+    heartbeat_outage: HeartbeatOutageDetector,
     rounds: SchedulingRounds,
     pass_alternation: PassAlternation,
     guarantees: Guarantees,
@@ -199,7 +199,7 @@
             worker_calls: WorkerCalls::default(),
             queued_commands: QueuedCommands::default(),
             isolation: ZoneIsolation::new(now),
-            silence: HeartbeatOutageDetector::default(),
+            heartbeat_outage: HeartbeatOutageDetector::default(),
             rounds: SchedulingRounds::new(now),
             pass_alternation: PassAlternation::default(),
             guarantees: Guarantees::default(),
--- a/crates/scheduler/src/node/leader/probing.rs
+++ b/crates/scheduler/src/node/leader/probing.rs
@@ -37,9 +37,9 @@
             // Every second probe takes another route, since the connection to the worker may be lost only
             // at this node or at the node that receives the worker's heartbeats. With one route, a leader
             // that had lost the workers' network returned machines whose heartbeats it answered itself.
-            let takes_detour =
+            let use_alternative_route =
                 self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered_probes % 2 == 1);
-            let via = if takes_detour {
+            let via = if use_alternative_route {
                 self.coordinator.alternative_route(&probe.machine, context.now)
             } else {
                 self.coordinator.route(&probe.machine, context.now)
--- a/crates/scheduler/src/node/leader/quota.rs
+++ b/crates/scheduler/src/node/leader/quota.rs
@@ -13,7 +13,7 @@
 
 /// Sort key of a job in the scheduling order: higher priority first, then jobs within their team's guarantee,
 /// then the earliest submission.
-pub(super) type ServiceOrder = (Reverse<Priority>, bool, u64);
+pub(super) type SchedulingOrder = (Reverse<Priority>, bool, u64);
 
 /// A cache of the jobs within their team's guarantee.
 #[derive(Debug, Default)]
@@ -39,12 +39,12 @@
 
 impl Leader {
     /// The job's sort key in the scheduling order.
-    pub(super) fn service_order(
+    pub(super) fn scheduling_order(
         &self,
         id: &JobId,
         job_state: &JobState,
         guaranteed: &BTreeSet<JobId>,
-    ) -> ServiceOrder {
+    ) -> SchedulingOrder {
         (Reverse(job_state.priority), !guaranteed.contains(id), job_state.job.submitted.0)
     }
 
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -60,7 +60,7 @@
         }
         self.rental_pacer.begin(now);
         let mut requests = self.capacity_requests(now);
-        requests.iter_mut().for_each(|request| self.avoid_cut_zones(request));
+        requests.iter_mut().for_each(|request| self.avoid_unreachable_zones(request));
         if requests.is_empty() {
             return Vec::new();
         }
@@ -94,7 +94,7 @@
 
     /// Removes zones that are cut off from the request, since machines rented there can't be used. The
     /// request is left unchanged if it may use no other zone.
-    fn avoid_cut_zones(&self, request: &mut CapacityRequest) {
+    fn avoid_unreachable_zones(&self, request: &mut CapacityRequest) {
         if request.zones.iter().any(|(zone, left)| *left > 0 && !self.isolation.is_zone_unreachable(zone)) {
             request.zones.retain(|(zone, _)| !self.isolation.is_zone_unreachable(zone));
         }
@@ -132,7 +132,7 @@
                 job_state.waiting_count() > 0 && !job_state.finishing && job_state.not_before <= now
             })
             .collect();
-        waiting.sort_by_cached_key(|(id, job_state)| self.service_order(id, job_state, &guaranteed));
+        waiting.sort_by_cached_key(|(id, job_state)| self.scheduling_order(id, job_state, &guaranteed));
         let mut used = self.machines.used_by_teams().clone();
         let mut left = MAX_WAITING_TASKS;
         let mut requests = Vec::new();
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -102,7 +102,7 @@
             return Vec::new();
         }
         let guaranteed = self.guaranteed_jobs();
-        ids.sort_by_cached_key(|id| self.service_order(id, &self.job_states[id], &guaranteed));
+        ids.sort_by_cached_key(|id| self.scheduling_order(id, &self.job_states[id], &guaranteed));
         let mut used = self.used_including_offered();
         let mut requests = Vec::new();
         let mut left = max_tasks;
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -124,7 +124,7 @@
     fn machine_record_loaded(&mut self, pair: &Pair, now: MonotonicTime) {
         let Some(id) = pair.key.strip_prefix(assignments::PREFIX) else { return };
         match serde_json::from_str::<MachineRecord>(&pair.value) {
-            Ok(record) if record.is_possible() => self.inherit(id.into(), record, now),
+            Ok(record) if record.is_possible() => self.add_recorded_machine(id.into(), record, now),
             Ok(_) => self.return_unreadable(&pair.key, id.into(), "contains impossible values", now),
             Err(error) => self.return_unreadable(&pair.key, id.into(), &error.to_string(), now),
         }
--- a/crates/scheduler/src/node/leader/stops.rs
+++ b/crates/scheduler/src/node/leader/stops.rs
@@ -64,8 +64,8 @@
     fn stops_before_reclaim(&self, now: MonotonicTime) -> Vec<TaskStop> {
         let mut stops = Vec::new();
         for machine in self.machines.iter() {
-            let Some(taken_at) = machine.spot_reclaim_at else { continue };
-            let remaining = taken_at.since(now);
+            let Some(reclaim_at) = machine.spot_reclaim_at else { continue };
+            let remaining = reclaim_at.since(now);
             let assignments = machine.assignments.iter();
             let to_stop =
                 assignments.filter(|(_, assignment)| assignment.stop.is_none() && assignment.occupies());
--- a/crates/scheduler/src/node/prefix_watcher.rs
+++ b/crates/scheduler/src/node/prefix_watcher.rs
@@ -36,9 +36,9 @@
     /// Marks the copy as incomplete: all keys have to be read again.
     fn forget_store_revision(&mut self);
     /// Adds a key's value to the copy. The value may be older than the one there.
-    fn learn_pair(&mut self, pair: &Pair);
+    fn apply_pair(&mut self, pair: &Pair);
     /// Applies the changes that a watch has returned: all changes up to `store_revision`.
-    fn learn_events(&mut self, store_revision: u64, events: &[Event]);
+    fn apply_events(&mut self, store_revision: u64, events: &[Event]);
 }
 
 /// Outcome of a sync read.
@@ -125,17 +125,17 @@
         now: MonotonicTime,
         store_revision: Option<u64>,
         wanted: bool,
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) -> bool {
         let Some(from) = store_revision else {
             if !self.listing && now >= self.next_list {
-                self.read_page(None, None, out);
+                self.read_page(None, None, outbox);
             }
             return false;
         };
         if !self.watching && now >= self.next_list {
             self.watching = true;
-            self.watch(from, WATCH_WAIT, Read::Watch, out);
+            self.watch(from, WATCH_WAIT, Read::Watch, outbox);
         }
         // A node without requests must still check whether it reaches the key-value store. Otherwise it would
         // report itself as unhealthy, receive no requests, and stay unhealthy.
@@ -145,20 +145,20 @@
             self.syncing = true;
             self.reads_started += 1;
             self.next_sync = now + self.sync_interval;
-            self.watch(from, NO_WAIT, Read::Sync { started_at: now }, out);
+            self.watch(from, NO_WAIT, Read::Sync { started_at: now }, outbox);
         }
         starts
     }
 
-    fn watch(&self, from: u64, wait: Duration, read: Read, out: &mut Outbox) {
+    fn watch(&self, from: u64, wait: Duration, read: Read, outbox: &mut Outbox) {
         let request = StoreRequest::Watch { prefix: self.prefix, from, block_ms: wait.0 };
-        out.request_store(request, Pending::PrefixRead(self.watched, read));
+        outbox.request_store(request, Pending::PrefixRead(self.watched, read));
     }
 
-    fn read_page(&mut self, after: Option<String>, first_store_revision: Option<u64>, out: &mut Outbox) {
+    fn read_page(&mut self, after: Option<String>, first_store_revision: Option<u64>, outbox: &mut Outbox) {
         self.listing = true;
         let request = StoreRequest::Range { prefix: self.prefix, after, most: PAGE_SIZE };
-        out.request_store(request, Pending::PrefixRead(self.watched, Read::Page { first_store_revision }));
+        outbox.request_store(request, Pending::PrefixRead(self.watched, Read::Page { first_store_revision }));
     }
 
     /// Processes the reply to one of its reads. Returns the outcome if it was a sync read.
@@ -169,11 +169,11 @@
         reply: StoreReply,
         replica: &mut impl Replica,
         rng: &mut StdRng,
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) -> Option<ReadOutcome> {
         match read {
             Read::Page { first_store_revision } => {
-                self.page_reply(now, first_store_revision, reply, replica, rng, out);
+                self.page_reply(now, first_store_revision, reply, replica, rng, outbox);
                 None
             }
             Read::Watch => {
@@ -191,18 +191,18 @@
         reply: StoreReply,
         replica: &mut impl Replica,
         rng: &mut StdRng,
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) {
         self.listing = false;
         let StoreReply::Pairs { pairs, more, store_revision } = reply else {
             self.next_list = now + random_delay(PAGE_RETRY_DELAY_MS, rng);
             return;
         };
-        pairs.iter().for_each(|pair| replica.learn_pair(pair));
+        pairs.iter().for_each(|pair| replica.apply_pair(pair));
         // A watch from the first page's revision returns the changes made while the pages were read.
         let first = first_store_revision.unwrap_or(store_revision);
         match pairs.last() {
-            Some(last) if more => self.read_page(Some(last.key.clone()), Some(first), out),
+            Some(last) if more => self.read_page(Some(last.key.clone()), Some(first), outbox),
             _ => replica.advance_to(first),
         }
     }
@@ -216,7 +216,7 @@
     ) {
         self.watching = false;
         match reply {
-            StoreReply::Events { store_revision, events } => replica.learn_events(store_revision, &events),
+            StoreReply::Events { store_revision, events } => replica.apply_events(store_revision, &events),
             StoreReply::TooOld => replica.forget_store_revision(),
             _ => self.next_list = now + random_delay(WATCH_RETRY_DELAY_MS, rng),
         }
@@ -232,7 +232,7 @@
     ) -> ReadOutcome {
         self.syncing = false;
         if let StoreReply::Events { store_revision, events } = reply {
-            replica.learn_events(store_revision, &events);
+            replica.apply_events(store_revision, &events);
             self.fresh_at = self.fresh_at.max(started_at);
             self.last_succeeded = self.reads_started;
             return ReadOutcome::Succeeded;
@@ -259,11 +259,11 @@
         JobCache::forget_store_revision(self);
     }
 
-    fn learn_pair(&mut self, pair: &Pair) {
+    fn apply_pair(&mut self, pair: &Pair) {
         JobCache::learn_pair(self, pair);
     }
 
-    fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
+    fn apply_events(&mut self, store_revision: u64, events: &[Event]) {
         JobCache::learn_events(self, store_revision, events);
     }
 }
@@ -277,11 +277,11 @@
         Records::forget_store_revision(self);
     }
 
-    fn learn_pair(&mut self, pair: &Pair) {
+    fn apply_pair(&mut self, pair: &Pair) {
         self.learn(&pair.key, pair.revision, &pair.value);
     }
 
-    fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
+    fn apply_events(&mut self, store_revision: u64, events: &[Event]) {
         Records::learn_events(self, store_revision, events);
     }
 }
--- a/crates/scheduler/src/simulation/combined_faults.rs
+++ b/crates/scheduler/src/simulation/combined_faults.rs
@@ -48,7 +48,7 @@
 #[test]
 fn the_rules_notice_injected_faults_on_days_of_combined_faults() {
     fn expire_leases_early(controller: &mut Controller, _: u64) {
-        controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+        controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
     }
     fn finish_early(controller: &mut Controller, _: u64) {
         controller.disable_check(DisabledCheck::TaskCompletion);
--- a/crates/scheduler/src/simulation/days/directed/mod.rs
+++ b/crates/scheduler/src/simulation/days/directed/mod.rs
@@ -29,7 +29,7 @@
         occurrences: &[("a link held", 10), ("cancelled now", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+                controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
             });
         },
     },
@@ -108,7 +108,7 @@
         occurrences: &[("cancelled at the end", 1), ("cancelled now", 1), ("cancelled and hung", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::SilenceDetection);
+                controller.disable_check(DisabledCheck::MissingHeartbeatDetection);
             });
         },
     },
@@ -118,7 +118,7 @@
         occurrences: &[("heartbeats lost", 1), ("a direct start at a machine whose heartbeats are lost", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+                controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
             });
         },
     },
@@ -162,7 +162,7 @@
         occurrences: &[("a zone cut off", 1), ("cancelled now", 1)],
         without: |simulation| {
             injected_fault(simulation, |controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+                controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
             });
         },
     },
--- a/crates/scheduler/src/simulation/days/kinds.rs
+++ b/crates/scheduler/src/simulation/days/kinds.rs
@@ -177,7 +177,7 @@
     vec![
         DayKind::with_fault_injected("forget-silent", |simulation| {
             simulation.injected_fault = Some(|controller, _| {
-                controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+                controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
             });
         }),
         DayKind::with_fault_injected("done-early", |simulation| {
--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -353,7 +353,7 @@
 fn the_rules_notice_a_disabled_check_of_the_controllers() {
     // Assignments to a machine that was silent for 4 s are dropped as if its lease had expired.
     fn expire_leases_early(controller: &mut Controller, _: u64) {
-        controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+        controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
     }
     assert!(rules_notice(|simulation| simulation.injected_fault = Some(expire_leases_early)));
     // Done as soon as half of the tasks are.
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -193,13 +193,13 @@
                 }
                 assignment.state = AssignmentState::Ready;
             }
-            Decision::Gone(departure) => {
-                if departure == Outcome::Ended(TaskExit::GangBroke) {
+            Decision::Gone(task_outcome) => {
+                if task_outcome == Outcome::Ended(TaskExit::GangBroke) {
                     record_fetched(assignment, &task, outcome);
                 }
                 self.planned_writes.remove(&task);
                 self.assignments.remove(&task);
-                outcome.gone.push(GoneTask { task, outcome: departure });
+                outcome.gone.push(GoneTask { task, outcome: task_outcome });
             }
             Decision::Unproved | Decision::Stop | Decision::Forget => {}
         }
@@ -233,7 +233,7 @@
 impl Machine {
     /// Injects a fault: with the record of sent starts removed, workers forget ended attempts whose starts may
     /// arrive again.
-    pub fn forget_sent_starts(&mut self) {
+    pub fn clear_sent_starts(&mut self) {
         self.sent_starts.clear();
     }
 }
