--- a/crates/heartbeat/src/coordinator.rs
+++ b/crates/heartbeat/src/coordinator.rs
@@ -235,8 +235,8 @@
         received
     }
 
-    /// Records the heartbeats that this node received as a delegate before it led. Their ages are as of
-    /// `led_since`.
+    /// Records the heartbeats that this node received as a delegate before it became leader. Their ages are as
+    /// of `led_since`, when it did.
     pub fn record_early_heartbeats(
         &mut self,
         heartbeats: Vec<FullHeartbeat>,
--- a/crates/heartbeat/src/coordinator/contacts.rs
+++ b/crates/heartbeat/src/coordinator/contacts.rs
@@ -66,9 +66,8 @@
     }
 
     /// Whether messages to or from a live node are lost. No machine may be assigned to such a node: one that
-    /// refuses connections but can send would keep answering workers under an outdated delegation, and since
-    /// heartbeats reported under it count as old, the leader would declare the machines lost. (That happened
-    /// to 440 machines.)
+    /// refuses connections but can send would keep answering workers under an outdated delegation. Heartbeats
+    /// reported under it count as old, so the leader would declare all machines of that node lost.
     pub(super) fn is_unresponsive(&self, node: &NodeName, now: MonotonicTime) -> bool {
         let expected_since = self.expected_since.get(node);
         *node != self.own_node
--- a/crates/heartbeat/src/coordinator/tests.rs
+++ b/crates/heartbeat/src/coordinator/tests.rs
@@ -127,8 +127,8 @@
     assert_eq!(coordinator.route(&"unknown".into(), at_ms(1_200)), None);
 }
 
-/// A node kept sending digests under an outdated delegation, while no command and no delegation reached it. A
-/// third of all machines was still assigned to it.
+/// Guards against machines that no command reaches: a node that receives neither commands nor delegations may
+/// keep sending digests under an outdated delegation. It must not keep its share of the machines.
 #[test]
 fn assigns_no_machines_to_node_that_receives_no_delegations() {
     let (mut coordinator, _) = coordinator();
--- a/crates/heartbeat/src/delegate/redirects.rs
+++ b/crates/heartbeat/src/delegate/redirects.rs
@@ -60,8 +60,8 @@
     ///
     /// A redirect to the assigned node does not count once this node has lost the leader: the worker may be
     /// here because the assigned node has lost the leader too, and must try the other nodes until it finds one
-    /// that reaches the leader. (When it did count, 440 machines were answered by nodes from which the leader
-    /// received nothing, and the leader declared them lost.)
+    /// that reaches the leader. If it did count, nodes from which the leader receives nothing would answer the
+    /// workers, and the leader would declare their machines lost.
     pub(super) fn has_returned(
         &self,
         machine: &MachineId,
--- a/crates/scheduler/src/election/golden.rs
+++ b/crates/scheduler/src/election/golden.rs
@@ -7,7 +7,7 @@
 fn golden_leader_key() {
     let value = LeaderRecord { node: "n1".into(), lease: LeaseId(77) };
     let mut group = golden_group!("leader_record.txt");
-    let value = serde_json::to_string(&value).expect("writable");
+    let value = serde_json::to_string(&value).expect("the record serializes");
     group.both_ways("leader", format!("{LEADER_KEY} {value}"), |line| {
         let (key, value) = line.split_once(' ')?;
         let read: LeaderRecord = serde_json::from_str(value).ok()?;
--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -362,7 +362,8 @@
         LeaderRecord::parse(pair).is_some_and(|record| record.node == self.node && record.lease == lease)
     }
 
-    /// Gives up leadership. The node doesn't campaign for a short time, so that another node becomes leader.
+    /// Ends this node's leadership, without a request to the key-value store. The node doesn't campaign for a
+    /// short time, so that another node becomes leader.
     pub fn step_down(&mut self, now: MonotonicTime) {
         self.state = CampaignState::Idle;
         self.valid_until = MonotonicTime::default();
@@ -370,7 +371,7 @@
         self.request_id = None;
     }
 
-    /// Gives up leadership and doesn't campaign for `pause`.
+    /// Like [`Self::step_down`], but the node doesn't campaign for `pause`.
     pub fn back_off(&mut self, now: MonotonicTime, pause: Duration) {
         self.step_down(now);
         self.campaigns_from = now + pause;
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -177,7 +177,7 @@
                 Some(id) => match serde_json::from_str(value) {
                     Ok(record) => self.job_cache.learn(JobId::from(id), revision, record),
                     Err(error) => {
-                        tracing::error!(key, %error, "committed job record can't be parsed; skipping it");
+                        tracing::error!(key, %error, "committed job record can't be read; skipping it");
                     }
                 },
                 None => self.extensions[slot].records.learn(key, revision, value),
@@ -295,7 +295,7 @@
     }
 }
 
-/// The machine of an assignment record; `None`, with an error in the log, if the record can't be parsed.
+/// The machine of an assignment record; `None`, with an error in the log, if the record can't be read.
 fn recorded_machine(pair: &Pair) -> Option<RecordedMachine> {
     match serde_json::from_str(&pair.value) {
         Ok(record) => {
@@ -303,7 +303,7 @@
             Some(RecordedMachine { id, record })
         }
         Err(error) => {
-            tracing::error!(key = pair.key, %error, "machine record can't be parsed; skipping it");
+            tracing::error!(key = pair.key, %error, "machine record can't be read; skipping it");
             None
         }
     }
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone, Copy)]
 pub enum DisabledCheck {
     /// Tasks of a worker that sends no heartbeats hold their resources until its lease has expired. When this
-    /// is disabled, they are dropped after `max_heartbeat_age_ms` without a heartbeat.
+    /// is disabled, their assignments are removed `max_heartbeat_age_ms` after its last heartbeat.
     LeaseExpiry {
-        /// Time without a heartbeat, in ms.
+        /// Age of the last heartbeat at which the assignments are removed, in ms.
         max_heartbeat_age_ms: u64,
     },
     /// A start that was sent directly is assumed to be in flight until it is acknowledged.
@@ -31,7 +31,7 @@
     StoppingTasks,
     /// A start is sent only after the machine's record is durable.
     DurableBeforeStart,
-    /// Workers that send no heartbeats are detected.
+    /// Missing heartbeats of workers are detected.
     MissingHeartbeatDetection,
     /// Workers receive stop commands for the tasks that are to be stopped.
     StopCommands,
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -17,7 +17,7 @@
 ///
 /// A worker retries one second after its heartbeat is rejected, but five seconds after a heartbeat without an
 /// answer. At four times the machines, rejecting all heartbeats while there was no leader multiplied the load
-/// by five, and no node managed to become leader.
+/// by five, and under that load no node was able to become leader.
 const MAX_DEFERRED: usize = 8192;
 /// Maximum time that a heartbeat waits for a leader. Workers time out after 4 s.
 const MAX_DEFERRAL: Duration = Duration::from_millis(2800);
--- a/crates/scheduler/src/node/controller/relay.rs
+++ b/crates/scheduler/src/node/controller/relay.rs
@@ -94,9 +94,9 @@
 }
 
 impl Controller {
-    /// Relays a leader's commands to workers. A command that is delayed on its way to this node is as
-    /// harmless as one delayed on its way to the worker: it carries the worker epoch and the fencing token,
-    /// and the leader already counts it as unacknowledged.
+    /// Relays a leader's commands to workers. A delay on the way to this node is as harmless as one on the way
+    /// to the worker: the command contains the worker epoch and the fencing token, and the leader already
+    /// counts it as unacknowledged.
     pub(super) fn relay_commands(
         &mut self,
         from: &NodeName,
--- a/crates/scheduler/src/node/controller/store_replies.rs
+++ b/crates/scheduler/src/node/controller/store_replies.rs
@@ -118,7 +118,7 @@
         self.success_counts_loaded = true;
         for pair in pairs {
             if let Err(error) = self.success_counts.add_part(&pair.value) {
-                tracing::error!(key = pair.key, %error, "success counts can't be parsed; skipping them");
+                tracing::error!(key = pair.key, %error, "success counts can't be read; skipping them");
             }
         }
     }
--- a/crates/scheduler/src/node/controller/users.rs
+++ b/crates/scheduler/src/node/controller/users.rs
@@ -179,7 +179,7 @@
         if let Some(phase) = self.job_cache.terminal_status(&id) {
             return self.answer_status(request, &id, phase, self.counts_of(&id));
         }
-        // The record exists but can't be parsed, so the job's phase is unknown.
+        // The record exists but can't be read, so the job's phase is unknown.
         if self.job_cache.is_unreadable(&id) {
             let reason =
                 format!("the record {} can't be read; the operators have to mend it", jobs::key(&id));
--- a/crates/scheduler/src/node/leader/adoption.rs
+++ b/crates/scheduler/src/node/leader/adoption.rs
@@ -32,7 +32,7 @@
             machine.addr = record.addr;
         }
         if machine.addr.is_some() && machine.last_heartbeat.is_none() {
-            // It has sent heartbeats to an earlier leader, so missing heartbeats count from now on.
+            // It has sent heartbeats to an earlier leader, so the time without a heartbeat counts from now.
             machine.status = MachineStatus::Up;
             machine.last_heartbeat = Some(now);
             machine.last_known_epoch = record.worker_epoch;
@@ -125,9 +125,9 @@
     /// The newest attempt of each task that has an assignment.
     ///
     /// A task gets a new assignment only once its old one is proved gone, but the records of the two machines
-    /// are written separately. If the leader fails after the new assignment was written and before the
-    /// removal of the old one was, both are stored, and the one with the lower attempt is the old one. When
-    /// it passed for the live one it hid the other, and the proof of its absence let the task start twice.
+    /// are written separately. If the leader fails after the new assignment is written and before the removal
+    /// of the old one is, both are stored, and the one with the lower attempt is the old one. If the old one
+    /// were adopted, the proof that its task is gone would let the task start a second time.
     fn newest_attempts(&self) -> BTreeMap<TaskId, Attempt> {
         let mut newest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
         for (task, assignment) in self.machines.iter().flat_map(|machine| &machine.assignments) {
--- a/crates/scheduler/src/node/leader/adoption/tests.rs
+++ b/crates/scheduler/src/node/leader/adoption/tests.rs
@@ -22,9 +22,9 @@
     }
 }
 
-/// Guards against a second start of a running task: if the leader crashes after the task's new assignment
-/// was written and before the removal of its old one was, the old assignment must not pass for the live one,
-/// or the proof of its absence frees the task.
+/// Guards against a second start of a running task: if the leader crashes after the task's new assignment was
+/// written and before the removal of the old one was, both are stored. If the old one counted as live, the
+/// proof that its task is gone would let the task start again.
 #[test]
 fn newer_attempt_stays_placed_when_outdated_assignment_is_adopted() {
     for (first, second, live) in [(5, 7, "m-2"), (7, 5, "m-1")] {
--- a/crates/scheduler/src/node/leader/candidates.rs
+++ b/crates/scheduler/src/node/leader/candidates.rs
@@ -7,10 +7,9 @@
 use crate::workers::{Health, Machine, MachineStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of machines in one pass. In a busy cluster fewer machines have free resources. Right
-/// after all workers' leases have expired nearly all machines do: checking each of them for every
-/// request took a second of the leader's processor time at four times the machines, after all
-/// controllers had crashed.
+/// Maximum number of machines in one pass. In a busy cluster fewer machines have free resources. But after
+/// all workers' leases have expired, nearly all machines do: at four times the machines, after all
+/// controllers had crashed, checking each machine for every request took a second of processor time.
 const MAX_CANDIDATES: usize = 512;
 
 /// A machine that a scheduling pass considers.
@@ -90,7 +89,7 @@
         let record_limit = self.settings.state.value_bytes;
         let mut open = Vec::new();
         for machine in self.machines.iter() {
-            // Commands to a zone that is cut off arrive only after the network partition ends, if at all.
+            // Commands to an unreachable zone arrive only after the network partition ends, if at all.
             if machine.status != MachineStatus::Up || self.isolation.is_zone_unreachable(&machine.zone) {
                 continue;
             }
--- a/crates/scheduler/src/node/leader/commits.rs
+++ b/crates/scheduler/src/node/leader/commits.rs
@@ -41,7 +41,8 @@
     changed_machines: BTreeSet<MachineId>,
     /// Finished tasks, by the key under which their result is stored.
     pending_outcomes: BTreeMap<String, Vec<PendingOutcome>>,
-    /// Reads of records in flight after a conflict. No transaction is sent until all have succeeded.
+    /// Number of records that have to be read again after a conflict. No transaction is sent until all reads
+    /// have succeeded.
     open_rereads: usize,
     delayed_rereads: Vec<Delayed<String>>,
     /// No transaction is sent before this time.
@@ -281,8 +282,8 @@
 }
 
 /// Whether the key holds the record of a job that is final or can't be read, and so must not be overwritten.
-/// False for a job that was cancelled with a job that it needs while its own record is still open: that
-/// record must be updated.
+/// False for a job that was cancelled because a job that it needs was, and whose own record is still open:
+/// that record must be updated.
 fn is_final_or_unreadable_job(job_cache: &JobCache, key: &str) -> bool {
     let Some(id) = key.strip_prefix(jobs::PREFIX).map(JobId::from) else { return false };
     let finished = job_cache.get(&id).is_some_and(|known| !known.record.is_open());
--- a/crates/scheduler/src/node/leader/delegation.rs
+++ b/crates/scheduler/src/node/leader/delegation.rs
@@ -77,8 +77,8 @@
 }
 
 impl Leader {
-    /// Sends all other nodes the delegation that lets them answer heartbeats, also to those that seem
-    /// unreachable: a delegation that arrives late changes nothing.
+    /// Sends the delegation, which lets nodes answer heartbeats, to all other nodes, including those that seem
+    /// unreachable: a delegation that arrives late does no harm.
     pub(super) fn delegate(&mut self, context: &mut StepContext) {
         if !context.heartbeats_delegated || !context.lease_valid {
             return;
@@ -136,7 +136,7 @@
         digest: HeartbeatDigest,
     ) {
         if !self.loaded() || !context.in_leader_role {
-            return; // the node sends the heartbeats again once all records are read
+            return; // the node sends the heartbeats again once this leader has read all records
         }
         self.failover_log.digest_received(context.now);
         for received in self.coordinator.digest_received(from, digest, context.now) {
@@ -150,10 +150,10 @@
 
     /// Processes the heartbeats that this node received before it became leader.
     pub(super) fn process_early_heartbeats(&mut self, context: &mut StepContext) {
-        let me = self.settings.node.clone();
+        let own_node = self.settings.node.clone();
         let early = self.record_loading.take_early_heartbeats();
         for received in self.coordinator.record_early_heartbeats(early, self.since, context.now) {
-            self.process_delegated_heartbeat(context, &me, received);
+            self.process_delegated_heartbeat(context, &own_node, received);
         }
     }
 
@@ -180,8 +180,8 @@
             context.peers.record_zone_heartbeat(&machine.zone, received.received_at);
             return;
         }
-        // A heartbeat proves the same whichever node received it: it carries the epoch, the serial and the
-        // fencing token that the worker had seen.
+        // A heartbeat proves the same facts whichever node received it: it carries the worker's epoch, the
+        // serial number and the fencing token that the worker had seen.
         let Some(known) = self.coordinator.known_heartbeat(id) else { return };
         let Some(heartbeat) = Heartbeat::from_content(id, received.position, &known.content) else {
             tracing::error!(machine = %id, node = %from, "heartbeat in a digest can't be read; ignoring it");
--- a/crates/scheduler/src/node/leader/heartbeats.rs
+++ b/crates/scheduler/src/node/leader/heartbeats.rs
@@ -114,7 +114,7 @@
         self.apply_heartbeat_outcome(id, outcome, now);
     }
 
-    /// Adds a machine whose rental the cloud confirmed late or never; it is used like any other.
+    /// Adds a machine whose rental the cloud has not confirmed, or not yet; it is used like any other.
     fn add_unexpected_machine(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         let machine_type = self.instance_offers.type_of(&heartbeat.type_name);
         let total = machine_type.map(MachineType::resources).unwrap_or_default();
@@ -132,9 +132,9 @@
     /// Tasks with a stored assignment to the machine that start again on it if the worker no longer has them.
     /// The restart uses the stored attempt, so it needs no write, and the image is on the machine.
     ///
-    /// Records may name more tasks than the machine had, since removals are written late. So all stored
-    /// assignments together must fit the machine, the team's limit and the job's zone rules; otherwise
-    /// assignments that were replaced long ago would come back.
+    /// A record may contain more tasks than the machine had, since removals are written late. So all stored
+    /// assignments together must fit the machine, the team's limit and the job's zone rules; otherwise tasks
+    /// that have long been placed elsewhere would be restarted here.
     fn restartable_tasks(&self, heartbeat: &Heartbeat) -> Vec<TaskId> {
         let Some(machine) = self.machines.get(&heartbeat.machine) else { return Vec::new() };
         let may_be_gone = |assignment: &Assignment| match assignment.state.recorded_state() {
@@ -153,7 +153,7 @@
     /// Whether the rules allow a stored task to start again on its machine.
     fn is_restartable(&self, machine: &Machine, task: &TaskId) -> bool {
         let Some(job_state) = self.job_states.get(&task.job) else { return false };
-        // A gang's tasks find each other by their common attempt, so a gang only restarts as a whole.
+        // The tasks of a gang recognise each other by their common attempt, so a gang is restarted as a whole.
         if job_state.is_gang() || job_state.finishing || job_state.done().contains(task.index) {
             return false;
         }
--- a/crates/scheduler/src/node/leader/heartbeats/tests.rs
+++ b/crates/scheduler/src/node/leader/heartbeats/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// Guards against a gang that never runs because one task's fetch is slow: if the tasks that have their image
-/// start at once, they end again and again because the gang is not complete in time.
+/// start at once, they repeatedly time out before the gang is complete.
 #[test]
 fn starts_gang_tasks_with_image_after_other_tasks_fetched() {
     let now = MonotonicTime::from_millis(1);
@@ -40,7 +40,7 @@
     assert_eq!((starts(&mut leader, "m-0"), starts(&mut leader, "m-1")), (0, 1));
     let waiting = r#"{"host":"m-1","addr":"10.9.0.1:1","flavor":"t","region":"z0","preemptible":false,
             "tenure":1,"serial":2,"fence":9,"shards":[{"shard":"req-1/1","try":7,"phase":"waiting"}]}"#;
-    leader.process_heartbeat(&serde_json::from_str(waiting).expect("valid"), now);
+    leader.process_heartbeat(&serde_json::from_str(waiting).expect("the heartbeat parses"), now);
     assert!(leader.worker_calls.has_queued_commands(&MachineId::from("m-0")));
     assert_eq!(starts(&mut leader, "m-0"), 1);
     let fetched = leader.machines.get(&MachineId::from("m-1")).expect("known machine");
--- a/crates/scheduler/src/node/leader/isolation.rs
+++ b/crates/scheduler/src/node/leader/isolation.rs
@@ -1,5 +1,5 @@
 //! Isolated nodes: those that reach the key-value store but not the leader. They report there how many
-//! workers of each zone they answer. The leader's list of unreachable zones is kept here too.
+//! workers of each zone they answer. This module also keeps the leader's list of unreachable zones.
 
 use super::{Leader, StepContext};
 use crate::node::outbox::{LeaderRequest, Pending};
@@ -13,14 +13,14 @@
 pub(in crate::node) const PREFIX: &str = "apart/";
 /// How often the reports are read while some peer is not live.
 const READ_INTERVAL: Duration = Duration::from_millis(2000);
-/// Reports read at a time, at most.
+/// Maximum number of reports per read.
 const MAX_REPORTS: u32 = 100;
 /// Heartbeat intervals within which every reachable worker has sent a heartbeat, with some slack.
 const CONTACT_INTERVALS: f64 = 1.25;
 /// Additional time for a new leader to receive the heartbeats that come through other nodes.
 const DIGEST_DELAY: Duration = Duration::from_millis(1000);
 
-/// What isolated nodes report, and which zones the leader finds unreachable.
+/// The isolated nodes' reports, and the zones that the leader considers unreachable.
 #[derive(Debug)]
 pub(super) struct ZoneIsolation {
     reports: IsolationReports,
@@ -107,8 +107,8 @@
         let StoreReply::Pairs { pairs, .. } = reply else { return };
         for pair in pairs {
             let Some(node) = pair.key.strip_prefix(PREFIX) else { continue };
-            // A report from before this leadership may be long outdated. Taken as new, one that was a minute
-            // old delayed the return of a completely unreachable zone's machines by 20 s.
+            // A report from before this leadership may be outdated. When a report that was a minute old was
+            // accepted, it delayed the return of a completely unreachable zone's machines by 20 s.
             if pair.revision.0 <= self.fencing_token.0 {
                 continue;
             }
@@ -122,9 +122,9 @@
     /// lead: while the network partition lasts, this leader can place tasks only on the smaller side.
     pub(super) fn is_outnumbered(&self, now: MonotonicTime) -> bool {
         let interval = Duration::from_secs_f64(self.settings.workers.report_s).times(CONTACT_INTERVALS);
-        // A new leader has not received its own side's heartbeats yet. When it compared too early, each new
-        // leader resigned in favour of the next one, all held back from the election, and during a
-        // partition the cluster had no leader for 14 s.
+        // A new leader has not yet received the heartbeats of the workers on its own side. When it compared
+        // the numbers too early, each new leader resigned in turn. As no node campaigns for some time after
+        // it resigned, the cluster had no leader for 14 s during a network partition.
         if now.since(self.since) < interval + DIGEST_DELAY {
             return false;
         }
--- a/crates/scheduler/src/node/leader/isolation/golden.rs
+++ b/crates/scheduler/src/node/leader/isolation/golden.rs
@@ -10,7 +10,7 @@
         fencing_token: FencingToken(412),
         workers_by_zone: [("z0".into(), 3), ("z1".into(), 0)].into(),
     };
-    let value = serde_json::to_string(&report).expect("writable");
+    let value = serde_json::to_string(&report).expect("the report serializes");
     let mut group = golden_group!("apart_record.txt");
     group.both_ways("word", format!("{PREFIX}n1 {value}"), |line| {
         let (key, value) = line.split_once(' ')?;
--- a/crates/scheduler/src/node/leader/leadership_end.rs
+++ b/crates/scheduler/src/node/leader/leadership_end.rs
@@ -7,7 +7,7 @@
 pub(in crate::node) enum LeadershipEnd {
     /// The leadership has already been lost.
     Lost(LeadershipLost),
-    /// The leader resigns, because another node may reach more workers.
+    /// The leader resigns because another node may reach more workers.
     Resign(ResignReason),
 }
 
--- a/crates/scheduler/src/node/leader/liveness_rules.rs
+++ b/crates/scheduler/src/node/leader/liveness_rules.rs
@@ -5,13 +5,13 @@
 use crate::workers::Machine;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Expected heartbeats of a zone that must be missing in a row for the zone to count as unreachable. So many
-/// hardly ever fail to arrive by chance.
+/// Number of consecutive missing heartbeats of a zone after which the zone counts as unreachable. It is
+/// unlikely that so many are lost independently.
 const MIN_MISSED_ZONE_HEARTBEATS: f64 = 6.0;
 /// Consecutive unanswered probes after which a worker counts as lost.
 pub(super) const UNANSWERED_PROBES_LIMIT: u32 = 2;
-/// The same limit for a worker that has not sent this leader a heartbeat, while the leader has not waited
-/// long enough for one.
+/// The same limit for a worker that has not sent this leader a heartbeat, until the leader has waited long
+/// enough for one.
 const UNANSWERED_PROBES_LIMIT_UNREPORTED: u32 = 4;
 /// If more than this share of a zone's machines is late and there was no contact with any machine of the
 /// zone for `ZONE_CONTACT_TIMEOUT`, the zone is unreachable rather than its machines lost.
@@ -21,9 +21,9 @@
 /// If more than this share of a zone's machines is late, the zone is unreachable rather than its machines
 /// lost, even if there is contact with some of them.
 const UNREACHABLE_SHARE: f64 = 0.67;
-/// With fewer late machines than this, no share of them shows that their zone is unreachable.
+/// With fewer late machines than this, their zone does not count as unreachable, whatever their share is.
 const MIN_LATE_MACHINES: u32 = 3;
-/// If more than this share of every zone's machines is late, the cause is the nodes and not the machines.
+/// If more than this share of the machines is late in every zone, the cause is the nodes, not the machines.
 const CLUSTER_WIDE_LATE_SHARE: f64 = 0.2;
 
 /// How recently the machines of a zone were in contact.
@@ -31,7 +31,7 @@
 pub(super) struct ZoneHeartbeats {
     machines: u32,
     late: u32,
-    /// When the newest heartbeat, or answer to a probe, of any machine came.
+    /// When the newest heartbeat or probe answer of any machine arrived.
     last_contact: MonotonicTime,
 }
 
@@ -47,10 +47,10 @@
 
     /// Whether the zone is unreachable as a whole, rather than its machines lost.
     ///
-    /// In an unreachable zone tasks run until their workers' leases expire, so to return its machines
-    /// earlier would only stop running tasks. If many machines of a zone have died, there is still contact
-    /// with the others, and the tasks of the dead machines must start elsewhere at once: when 82 machines
-    /// that died together passed for an unreachable zone, their replicas were down for 20 s.
+    /// In an unreachable zone, tasks run until their workers' leases expire, so returning the machines earlier
+    /// would only stop running tasks. If many machines of a zone have failed, there is still contact with the
+    /// others, and the tasks of the failed ones must start elsewhere at once: when a large group of failed
+    /// machines was mistaken for an unreachable zone, their replicas were down for 20 s.
     pub fn is_unreachable(&self, heartbeat_interval: Duration, now: MonotonicTime) -> bool {
         let late_share = f64::from(self.late) / f64::from(self.machines.max(1));
         let since_contact = now.since(self.last_contact);
@@ -67,7 +67,7 @@
         now.since(self.last_contact) <= ZONE_CONTACT_TIMEOUT
     }
 
-    /// Whether so many machines are late that the nodes are the cause if it is the same in all zones.
+    /// Whether many machines are late. If that is so in all zones, the cause is the nodes.
     pub fn has_many_late(&self) -> bool {
         f64::from(self.late) > CLUSTER_WIDE_LATE_SHARE * f64::from(self.machines)
     }
@@ -79,7 +79,7 @@
     /// The machine is or may be alive: it is kept.
     Keep,
     /// It is in an unreachable zone whose workers' heartbeats an isolated node answers: it is kept, and its
-    /// unanswered probes prove nothing.
+    /// unanswered probes don't count.
     ServedByIsolatedNode,
     /// It is lost and to be returned.
     Lost,
@@ -124,7 +124,7 @@
 }
 
 impl LivenessRules<'_> {
-    /// Whether a machine that is up counts as lost. `last_heartbeat`: when its last heartbeat came.
+    /// Whether a machine that is up counts as lost. `last_heartbeat`: when its last heartbeat arrived.
     /// `last_partitioned_at`: when its zone was last found partitioned. `oldest_pending_stop`: since when its
     /// oldest unconfirmed stop of a finished job's task has been pending.
     pub fn assess(
@@ -138,11 +138,11 @@
         if machine.unanswered_probes >= UNANSWERED_PROBES_LIMIT
             && oldest_pending_stop.is_some_and(|since| self.is_stop_overdue(since, zone_is_unreachable))
         {
-            // The machine may be out of reach of every node, and cancelled tasks must be gone in time even
+            // The machine may be unreachable from every node, and cancelled tasks must be gone in time even
             // from a machine that hangs. Each new leader measures the time without a heartbeat from its own
-            // start, so with a change of leader every ten seconds the other rules apply too late. In an
-            // unreachable zone the limit on lease renewals ends the leases in time, but a machine that hangs
-            // can't be told from the others, so it is returned there too, after a longer time.
+            // start, so if the leader changes every ten seconds, the other rules apply too late. In an
+            // unreachable zone, the limit on lease renewals ends the leases in time. But a machine that hangs
+            // can't be distinguished from the others, so it is returned there too, after a longer time.
             return self.may_return.into();
         }
         if zone_is_unreachable && self.zones_served_by_isolated_nodes.contains(&machine.zone) {
@@ -177,7 +177,7 @@
     ) -> bool {
         let zone_contact = self.last_heartbeat_by_zone.get(zone);
         let last_contact = zone_contact.map_or(last_heartbeat, |contact| last_heartbeat.min(*contact));
-        // If the isolated node crashes, it may be back before the leases that it renewed expire.
+        // If the isolated node crashes, it may restart before the leases that it renewed expire.
         let last_contact = last_partitioned_at.map_or(last_contact, |at| last_contact.max(at));
         let without_contact = self.now.since(last_contact);
         !self.outage_began_recently
@@ -194,9 +194,9 @@
     ) -> bool {
         // If the zone was partitioned, missing heartbeats count from the end of the partition.
         let last_heartbeat = last_partitioned_at.map_or(last_heartbeat, |at| last_heartbeat.max(at));
-        // A worker that answers probes is alive even if its heartbeats reach no node. Where nodes crashed
-        // one after the other, such machines were returned with tasks on them. The answers count until the
-        // lease expires, since the tasks live no longer.
+        // A worker that answers probes is alive even if its heartbeats reach no node. Without this rule, such
+        // machines were returned with running tasks when nodes crashed one after another. The answers count
+        // until the lease expires, because the tasks end then.
         let last_contact = last_heartbeat.max(machine.last_probe_answer);
         let is_overdue = self.now.since(last_contact) > self.lost_after
             || self.now.since(last_heartbeat) > self.lease_expires_after.max(self.lost_after);
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -20,24 +20,25 @@
 /// Time after the start of a leadership by which the leader has read the isolated nodes' reports.
 const ISOLATION_REPORTS_READ_AFTER: Duration = Duration::from_millis(7_000);
 /// How long before a lease expires a machine may be returned, in seconds. An unreachable worker kills its
-/// tasks when its lease expires, so to wait for the last moments gains nothing.
+/// tasks when its lease expires, so waiting for the last seconds has no benefit.
 const LEASE_MARGIN_S: f64 = 2.0;
-/// Consecutive failures of a job from which on the job is assumed to be at fault, not its machines.
+/// Number of consecutive failures of a job after which the job is assumed to be at fault, not its machines.
 pub(super) const JOB_FAULT_THRESHOLD: u32 = 4;
-/// Different jobs that must fail on a machine, with no task done in between, for it to count as faulty.
+/// Number of different jobs that must fail on a machine, without a task done in between, for the machine to
+/// count as faulty.
 const MACHINE_FAULT_THRESHOLD: usize = 2;
 /// Heartbeat intervals after most machines' heartbeats stopped during which missing heartbeats don't prove
 /// a machine lost, since the cause may be this node.
 const OUTAGE_GRACE_INTERVALS: f64 = 4.0;
-/// For the leader's check whether it is cut off from the workers: heartbeat intervals without a heartbeat
-/// after which a machine's heartbeats count as missing, and for which those of most machines must then stay
-/// missing.
+/// For the leader's check whether it is cut off from the workers, in heartbeat intervals: a machine's
+/// heartbeats count as missing after this time without one, and those of most machines must then stay missing
+/// for this time.
 const CUT_OFF_INTERVALS: f64 = 2.0;
 /// Heartbeat intervals after which a machine is returned if a start that is to be stopped may still reach
 /// it.
 const UNCONFIRMED_STOP_INTERVALS: f64 = 4.0;
-/// The same limit as a share of the answer window; the shorter of the two applies. The inequality behind it
-/// is in the design document, section "Outages".
+/// The same limit as a share of the answer window; the shorter of the two applies. `docs/design.md`,
+/// "Outages", derives the inequality that it must satisfy.
 const UNCONFIRMED_STOP_WINDOW_SHARE: f64 = 0.25;
 
 /// Detects that the heartbeats of most machines are missing, which points to this node rather than to them.
@@ -83,9 +84,9 @@
             .min(answer_window.times(UNCONFIRMED_STOP_WINDOW_SHARE))
     }
 
-    /// Whether this node appears to be cut off from the workers: most machines' heartbeats are missing
-    /// here while workers contact a peer. If no peer is contacted either, the machines are really gone, and
-    /// another leader would find the same.
+    /// Whether this node appears to be cut off from the workers: most machines' heartbeats are missing here
+    /// while a peer receives some. If no peer receives any, the machines have probably failed, and another
+    /// leader would receive no heartbeats either.
     pub(super) fn is_cut_off_from_workers(
         &mut self,
         peers_receive_heartbeats: bool,
@@ -150,8 +151,8 @@
         let zones = self.heartbeats_by_zone(now);
         let responsive_zones = zones.iter().filter(|(_, heartbeats)| heartbeats.has_recent_contact(now));
         let responsive_zones = responsive_zones.map(|(zone, _)| (*zone).clone()).collect();
-        // If a good part of every zone is late, the nodes are the cause: too few of them, or overloaded
-        // ones, receive heartbeats.
+        // If many machines of every zone are late, the cause is the nodes: too few of them receive
+        // heartbeats, or they are overloaded.
         let late_in_all_zones = zones.len() > 1 && zones.values().all(ZoneHeartbeats::has_many_late);
         let zones_served_by_isolated_nodes = self.isolation.zones_served_by_isolated_nodes(now);
         let is_unreachable = |zone: &Zone, heartbeats: &ZoneHeartbeats| {
@@ -190,11 +191,11 @@
         zones
     }
 
-    /// Returns machines with a start that is to be stopped and that may still be carried out, since it was
-    /// never acknowledged. It can't be stopped before it arrives, but the cloud's confirmation of the return
-    /// proves it gone well before the cancellation deadline. A leader whose read of the job records has been
-    /// stale for as long can't tell which starts are cancelled, and returns all machines with unacknowledged
-    /// starts.
+    /// Returns machines with an unacknowledged start that is to be stopped. The start may still arrive, and
+    /// can't be stopped before it does, but the cloud's confirmation of the return proves well before the
+    /// cancellation deadline that it can't run any more. If this node's read of the job records has been
+    /// stale for as long as a stop may be unconfirmed, it is unknown which starts are cancelled, and all
+    /// machines with unacknowledged starts are returned.
     pub(super) fn return_machines_with_overdue_stops(
         &mut self,
         lease_renewal: &LeaseRenewal,
@@ -255,7 +256,7 @@
     stopping.filter(|(task, _)| !job_states.contains_key(&task.job)).map(|(_, since)| since).min()
 }
 
-/// Whether the machine has a never acknowledged start whose stop has been pending for longer than `limit`.
+/// Whether the machine has an unacknowledged start whose stop has been pending for longer than `limit`.
 fn has_unstopped_start(machine: &Machine, limit: Duration, now: MonotonicTime) -> bool {
     machine.unacknowledged_starts.keys().any(|TaskAttempt { task, attempt }| {
         machine.assignments.get(task).is_some_and(|assignment| {
--- a/crates/scheduler/src/node/leader/machine_health/tests.rs
+++ b/crates/scheduler/src/node/leader/machine_health/tests.rs
@@ -82,10 +82,10 @@
     assert_eq!(lost_machines(&leader).len(), 4);
 }
 
-/// Guards against a late return of many machines of a zone that die together: they must not pass for an
-/// unreachable zone while the zone's other machines still send heartbeats.
+/// Guards against a late return of many machines of a zone that fail together: the zone must not count as
+/// unreachable while its other machines still send heartbeats.
 #[test]
-fn returns_dead_machines_at_once_if_others_of_their_zone_send_heartbeats() {
+fn returns_failed_machines_at_once_if_others_of_their_zone_send_heartbeats() {
     let mut leader = cluster(&["z0"; 10]);
     let interval = (leader.settings.workers.report_s * 1000.0) as u64;
     let mut at = MonotonicTime::from_millis(1_000);
--- a/crates/scheduler/src/node/leader/machine_records.rs
+++ b/crates/scheduler/src/node/leader/machine_records.rs
@@ -6,7 +6,7 @@
 use crate::types::{Duration, MachineId, MonotonicTime, TaskId};
 use crate::workers::Machine;
 
-/// How long nothing is placed on a machine whose record the key-value store refuses.
+/// How long no task is placed on a machine whose record the key-value store refuses.
 const UNWRITABLE_PAUSE: Duration = Duration::from_millis(30_000);
 
 impl Leader {
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Handles a machine record that the key-value store refuses permanently. The stored version stays,
-    /// planned tasks, whose starts depend on the new version, are removed, and nothing is placed on the
-    /// machine for `UNWRITABLE_PAUSE`.
+    /// Handles a machine record that the key-value store refuses permanently. The stored version is kept.
+    /// Planned tasks, whose starts depend on the new version, are removed, and no task is placed on the
+    /// machine for [`UNWRITABLE_PAUSE`].
     pub(super) fn record_refused(&mut self, key: &str, now: MonotonicTime) {
         let Some(id) = key.strip_prefix(assignments::PREFIX).map(MachineId::from) else { return };
         let Some(machine) = self.machines.get_mut(&id) else { return };
--- a/crates/scheduler/src/node/leader/partition_moves.rs
+++ b/crates/scheduler/src/node/leader/partition_moves.rs
@@ -51,7 +51,7 @@
         if usable_slots(&fit.in_partition, request) < needed {
             let Some(job_state) = self.job_states.get_mut(&request.job) else { return false };
             if usable_slots(&fit.with_moves, request) < needed {
-                // An incomplete set of candidates proves nothing about the other machines.
+                // With an incomplete set of candidates, the request may still fit another machine.
                 if candidates.complete {
                     job_state.failed_capacity_version = self.capacity_version;
                 }
--- a/crates/scheduler/src/node/leader/placement_commits.rs
+++ b/crates/scheduler/src/node/leader/placement_commits.rs
@@ -104,7 +104,7 @@
     }
 
     /// Whether some of a gang's tasks need a long time to fetch their image. Tasks that are ready earlier
-    /// give up waiting after `gang_wait_s`; the whole gang would then be restarted on other machines and
+    /// time out after `gang_wait_s`; the whole gang would then be restarted on other machines and
     /// fetch again.
     fn is_fetch_slow(&self, spec: &JobSpec, placements: &[Placement]) -> bool {
         let slow_s = self.settings.workers.gang_wait_s * SLOW_FETCH_SHARE;
--- a/crates/scheduler/src/node/leader/preemption.rs
+++ b/crates/scheduler/src/node/leader/preemption.rs
@@ -73,8 +73,8 @@
         if job_state.preempting_until.is_some_and(|until| now < until) {
             return false;
         }
-        // Resources may become free without preemption, so the job waits for a part of its objective.
-        // Replicas of services do not wait.
+        // Resources may become free without preemption, so the job first waits for a part of its wait
+        // objective. Replicas of services do not wait.
         let objective = self.settings.wait_objective(&spec.kind, within_guarantee);
         let wait =
             Duration::from_secs_f64(objective.map_or(0.0, |objective_s| objective_s * PREEMPT_AFTER_SHARE));
@@ -83,8 +83,8 @@
         }
         job_state.preempting_until = Some(now + PREEMPT_RETRY);
         let whole_gang = request.job_type == JobType::Gang && request.tasks.len() > 1;
-        // A gang of several tasks delays more work than it contains. While tasks of lower priority wait
-        // for resources themselves, preempting more of them would only make those wait instead.
+        // Preempting for a gang of several tasks delays more work than the gang contains. While many tasks of
+        // lower priority wait for resources, preempted tasks would wait with them for a long time.
         if whole_gang && self.has_large_backlog_below(priority) {
             return true;
         }
@@ -237,7 +237,7 @@
     }
 }
 
-/// Seconds of work that are lost if the task is stopped now, including the cost of its restart.
+/// Seconds of work lost if the task is stopped now, including the cost of its restart.
 fn loss_s(job_state: &JobState, assignment: &Assignment, now: MonotonicTime) -> f64 {
     let spec = &job_state.job.spec;
     // Work since the last checkpoint, or since the start if the job saves no checkpoints.
--- a/crates/scheduler/src/node/leader/probing.rs
+++ b/crates/scheduler/src/node/leader/probing.rs
@@ -11,9 +11,9 @@
 
 /// How long a worker has to answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Workers that may be probed at the same time in any case.
+/// Number of workers that may be probed at the same time in a cluster of any size.
 const MIN_PROBES: usize = 16;
-/// One in so many of all machines may be probed at the same time, if that allows more.
+/// One in this many machines may be probed at the same time, if that allows more than [`MIN_PROBES`].
 const MACHINES_PER_PROBE: usize = 32;
 /// Seconds without contact after which a worker may be probed before its heartbeat is late, if it has
 /// replicas that must start sooner.
@@ -34,9 +34,9 @@
     /// Sends the probes that are due.
     pub(super) fn probe(&mut self, context: &mut StepContext) {
         for probe in self.due_probes(context.now) {
-            // Every second probe takes another route, since the connection to the worker may be lost only
-            // at this node or at the node that receives the worker's heartbeats. With one route, a leader
-            // that had lost the workers' network returned machines whose heartbeats it answered itself.
+            // Every second probe takes another route, since the worker may be unreachable only from this node
+            // or only from the node that receives its heartbeats. With one route, a leader that could not
+            // connect to the workers returned machines whose heartbeats it answered itself.
             let use_alternative_route =
                 self.machines.get(&probe.machine).is_some_and(|machine| machine.unanswered_probes % 2 == 1);
             let via = if use_alternative_route {
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -91,7 +91,7 @@
         slots
     }
 
-    /// Whether the machine is booting and should be up soon. One that is long overdue may never come up.
+    /// Whether the machine is booting and is expected to be up soon. One that is long overdue may never be.
     fn is_nearly_up(&self, machine: &Machine, now: MonotonicTime) -> bool {
         if machine.status != MachineStatus::Booting {
             return false;
@@ -102,7 +102,7 @@
     }
 
     /// Decides how many replicas are not offered now because they wait for preempted resources on machines
-    /// with their image: a fetch elsewhere takes longer than stopping less urgent tasks. Preempts
+    /// with their image: fetching the image elsewhere takes longer than stopping less urgent tasks. Preempts
     /// those tasks if necessary, and returns the number of replicas that wait. `searches_left` counts
     /// the searches of all machines that this pass may still make.
     pub(super) fn withhold_for_image(
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -17,7 +17,7 @@
 pub(super) const PLANNING_REST_FACTOR: f64 = 9.0;
 /// Maximum number of waiting tasks for which rentals are planned at a time.
 const MAX_WAITING_TASKS: u32 = 20_000;
-/// How long a new leader rents nothing after a failover.
+/// How long after a failover a new leader rents no machines.
 const RENT_DELAY_AFTER_FAILOVER: Duration = Duration::from_millis(2000);
 /// A machine may lack this many GPUs through rounding and still count as having enough.
 const GPU_TOLERANCE: f64 = 1e-6;
@@ -92,8 +92,8 @@
         PlannedCall { request, call: CloudCall::Rent { offer, number } }
     }
 
-    /// Removes zones that are cut off from the request, since machines rented there can't be used. The
-    /// request is left unchanged if it may use no other zone.
+    /// Removes unreachable zones from the request, since machines rented there can't be used. The request is
+    /// left unchanged if it may use no other zone.
     fn avoid_unreachable_zones(&self, request: &mut CapacityRequest) {
         if request.zones.iter().any(|(zone, left)| *left > 0 && !self.isolation.is_zone_unreachable(zone)) {
             request.zones.retain(|(zone, _)| !self.isolation.is_zone_unreachable(zone));
--- a/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
@@ -55,10 +55,9 @@
     rounds.iter().map(|round| (round.requests[0].job.to_string(), round.machines.len())).collect()
 }
 
-/// Guards against priority inversion within a pass. Each request of the pass transferred the only
-/// machine with free resources to its own controller's partition, so the least urgent request got it
-/// in the end: replicas preempted array tasks twice a second for half a minute, and array tasks took
-/// the machine again.
+/// Guards against priority inversion within a pass: if each request of the pass transfers the only machine
+/// with free resources to its own controller's partition, the least urgent request gets it. Replicas then
+/// preempt array tasks in each pass, and array tasks take the machine again.
 #[test]
 fn offers_only_free_machine_to_most_urgent_request() {
     for nodes in [["n0", "n1", "n2"], ["n2", "n1", "n0"], ["n1", "n0", "n2"]] {
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -8,8 +8,8 @@
 use pearford_recovery::Pacer;
 use std::collections::BTreeMap;
 
-/// Minimum time between scheduling passes. A pass after every input took most of the leader's
-/// processor time with hundreds of machines.
+/// Minimum time between scheduling passes. With hundreds of machines, a pass after every input took most of
+/// the leader's processor time.
 const PASS_INTERVAL: Duration = Duration::from_millis(100);
 /// After each scheduling pass, at least this multiple of its duration is left to other work.
 const PASS_REST_FACTOR: f64 = 3.0;
--- a/crates/scheduler/src/node/leader/state_loading.rs
+++ b/crates/scheduler/src/node/leader/state_loading.rs
@@ -196,7 +196,7 @@
         if let Some(phase) = self.heartbeat_collection.update(reporting, total, now) {
             let after_ms = now.since(self.since).0;
             tracing::info!(fencing_token = %self.fencing_token, after_ms, ?phase, heard = reporting, of = total,
-                "failover");
+                "failover milestone reached");
             self.capacity_version += 1;
         }
     }
--- a/crates/scheduler/src/node/leader/task_outcomes.rs
+++ b/crates/scheduler/src/node/leader/task_outcomes.rs
@@ -12,7 +12,7 @@
 use crate::workers::Outcome;
 use pearford_recovery::TaskExit;
 
-/// Consecutive failures of a job's tasks from which on the job's next start is delayed.
+/// Number of consecutive failures of a job's tasks from which the job's next start is delayed.
 const FAILURES_BEFORE_DELAY: u32 = 3;
 /// Half of the first such delay, in milliseconds; each further failure doubles the delay.
 const FAILURE_DELAY_MS: u64 = 250;
@@ -20,7 +20,7 @@
 const MAX_DELAY_DOUBLINGS: u32 = 7;
 /// Delay before the next start of a job after a machine refused one of its tasks.
 const REFUSAL_DELAY: Duration = Duration::from_millis(1000);
-/// How long nothing is placed on a machine that had insufficient resources for a task.
+/// How long no task is placed on a machine that had insufficient resources for one.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(2000);
 
 /// A queued record and its version.
@@ -85,7 +85,8 @@
         QueuedRecord { key, version }
     }
 
-    /// Processes that a version of a key is durable. Returns the job whose "done" record this was, if any.
+    /// Processes the confirmation that a version of a key is durable. Returns the job that this record marks
+    /// as done, if it does.
     pub(super) fn write_durable(
         &mut self,
         key: &str,
@@ -119,7 +120,7 @@
         self.machines.recount(id, now);
     }
 
-    /// Processes proof that a task that was not done is not on its machine any more, or never was.
+    /// Processes the proof that a task that is not done is no longer on its machine, or never was.
     pub(super) fn task_ended_unfinished(
         &mut self,
         id: &MachineId,
@@ -163,8 +164,8 @@
     }
 }
 
-/// How long a job's next start is delayed after `failures` in a row. A single failure is more likely the
-/// machine's fault; several may be the job's.
+/// How long a job's next start is delayed after `failures` consecutive failures. A single failure is more
+/// likely the machine's fault; several may be the job's.
 fn failure_delay(failures: u32) -> Duration {
     if failures < FAILURES_BEFORE_DELAY {
         return Duration::from_millis(0);
--- a/crates/scheduler/src/node/leader/write_budget.rs
+++ b/crates/scheduler/src/node/leader/write_budget.rs
@@ -1,5 +1,5 @@
-//! Placement under a scarce write budget: while more tasks could start than the leader may write records,
-//! tasks of array jobs are placed on machines where one record write covers the most starts.
+//! Placement under a scarce write budget: while array jobs have more waiting tasks than the leader may write
+//! records, their tasks are placed on the machines where one record write covers the most starts.
 
 use super::Leader;
 use super::candidates::Candidates;
@@ -46,9 +46,10 @@
     /// A limited pass is either for array jobs or for all other jobs, because a controller may use the
     /// machines of its round for all of its requests.
     ///
-    /// The limit is the number of changes that this leader may write in a second. Without it, tasks were
-    /// placed on any machine with free resources. At 0.69 changes per start the write budget was always
-    /// exhausted, and tasks waited up to 26 s for their machine's record while the machine was idle.
+    /// The limit is the number of changes that this leader may write in a second. Without it, tasks are placed
+    /// on any machine with free resources, and most starts need a record write of their own. The write budget
+    /// is then always exhausted, and tasks wait up to 26 s for their machine's record while the machine is
+    /// idle.
     pub(super) fn limit_requests_to_write_budget(
         &mut self,
         requests: &mut Vec<PlacementRequest>,
--- a/crates/scheduler/src/node/leader/write_budget/tests.rs
+++ b/crates/scheduler/src/node/leader/write_budget/tests.rs
@@ -39,16 +39,16 @@
 
 /// Runs a scheduling pass. Returns the first job and the machines of its only round.
 fn run_pass(leader: &mut Leader) -> (JobId, Vec<MachineId>) {
-    let me = NodeName::from("n0");
-    let rounds = leader.build_rounds(&BTreeSet::from([me.clone()]), &me, NOW);
+    let own_node = NodeName::from("n0");
+    let rounds = leader.build_rounds(&BTreeSet::from([own_node.clone()]), &own_node, NOW);
     let round = &rounds[0];
     let machines = round.machines.iter().map(|view| view.id.clone()).collect();
     (round.requests[0].job.clone(), machines)
 }
 
-/// Guards against spending the write budget on machines that start few tasks. Spread over all machines with
-/// free resources, 30 tasks needed 20 record writes at four changes per second; on the large machines they
-/// need two.
+/// Guards against spending the write budget on machines that start few tasks: spread over all machines with
+/// free resources, the 30 tasks of this test need about 20 record writes, at four writes per second; on the
+/// large machines they need two.
 #[test]
 fn array_tasks_use_fewest_records_when_writes_are_scarce() {
     let mut leader = cluster();
--- a/crates/scheduler/src/node/leader/zones.rs
+++ b/crates/scheduler/src/node/leader/zones.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// How many tasks of a job occupy machines in each zone; empty for a job without a rule on its zones.
+    /// Number of a job's tasks that use resources in each zone; empty if the job requires neither that its
+    /// tasks be spread over zones nor that they be together in one.
     pub(super) fn tasks_by_zone(&self, job: &JobId, job_state: &JobState) -> BTreeMap<Zone, u32> {
         let mut tasks_by_zone = BTreeMap::new();
         if !job_state.job.spec.spread && !job_state.job.spec.together {
--- a/crates/scheduler/src/node/prefix_watcher.rs
+++ b/crates/scheduler/src/node/prefix_watcher.rs
@@ -29,7 +29,7 @@
 /// Range of the random delay after a failed sync read, in ms.
 const SYNC_RETRY_DELAY_MS: Range<u64> = 50..150;
 
-/// A copy of records that a watcher keeps up to date.
+/// A copy of records that a watcher updates.
 pub(super) trait Replica {
     /// Records that the copy has all changes up to this revision.
     fn advance_to(&mut self, store_revision: u64);
--- a/crates/scheduler/src/workers/commands.rs
+++ b/crates/scheduler/src/workers/commands.rs
@@ -48,9 +48,9 @@
 /// Every answer that renews a lease must contain these stops, whichever node sends it: the leader during its
 /// leadership lease, a leader that keeps leading without the key-value store or has not read the records yet,
 /// or a delegate. The bound on how long leases are renewed after a read covers only cancellations that the
-/// read can't show. Tasks of cancellations that it did show must be stopped by the answer itself. (Otherwise a
-/// leader that lost the key-value store before it had read all records renewed the leases of cancelled tasks
-/// until its answer window ended.)
+/// read does not show. Tasks of jobs that it does show as cancelled must be stopped by the answer itself.
+/// Otherwise a leader that lost the key-value store before it had read all records would renew the leases of
+/// cancelled tasks until its answer window ended.
 pub fn stop_tasks_of_finished_jobs(
     heartbeat: &Heartbeat,
     is_finished: impl Fn(&JobId) -> bool,
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -22,7 +22,7 @@
 pub struct GoneTask {
     /// The task.
     pub task: TaskId,
-    /// How it left.
+    /// How its attempt ended.
     pub outcome: Outcome,
 }
 
@@ -231,8 +231,8 @@
 
 #[cfg(any(test, feature = "simulation"))]
 impl Machine {
-    /// Injects a fault: with the record of sent starts removed, workers forget ended attempts whose starts may
-    /// arrive again.
+    /// Injects a fault: without the list of sent starts, workers are told to forget ended attempts whose
+    /// starts may arrive again.
     pub fn clear_sent_starts(&mut self) {
         self.sent_starts.clear();
     }
--- a/crates/scheduler/src/workers/tests.rs
+++ b/crates/scheduler/src/workers/tests.rs
@@ -14,7 +14,7 @@
     let resources = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 4.0 };
     let mut machine =
         Machine::new("m-1".into(), "t".into(), "z".into(), false, resources, MonotonicTime::default());
-    let task = TaskId::parse("req-1/0").expect("valid");
+    let task = TaskId::parse("req-1/0").expect("the task id parses");
     let assignment =
         Assignment::new(&task, Attempt(7), "red".into(), resources, state, MonotonicTime::default());
     machine.assignments.insert(task.clone(), assignment);
@@ -26,11 +26,11 @@
         r#"{{"host":"m-1","addr":"1.1.1.1:1","flavor":"t","region":"z","preemptible":false,
             "tenure":{worker_epoch},"serial":{serial},"fence":{fencing_token},"shards":[{tasks}]}}"#
     ))
-    .expect("valid")
+    .expect("the heartbeat parses")
 }
 
-/// The previous leader had returned machines a minute before a failover, but their records still existed. The
-/// new leader placed tasks on them, which waited until it declared these machines lost.
+/// Guards against placements on machines that no longer exist: records of machines that were returned shortly
+/// before a failover may still be stored. Tasks placed on such a machine wait until it counts as lost.
 #[test]
 fn is_not_schedulable_before_first_heartbeat_to_this_leader() {
     let (mut machine, _) = machine_with(AssignmentState::Inherited);
