--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -38,7 +38,7 @@
 use super::{Effect, Input, Now};
 use crate::cluster_version::ClusterVersion;
 use crate::election::Election;
-use crate::jobs::{self, JobCache, PendingRequests, Served, TaskCounts};
+use crate::jobs::{self, JobCache, JobCounters, PendingRequests, TaskCounts};
 use crate::peer_messages::BroadcastPosition;
 use crate::placement::SuccessCounts;
 use crate::rate_limit::TokenBucket;
@@ -87,7 +87,7 @@
     /// This node has applied all of the leader's status broadcasts up to this position.
     broadcast_seen: BroadcastPosition,
     /// Counts of users' jobs by stage, for the metrics.
-    served: Served,
+    job_counters: JobCounters,
 
     /// When the key-value store last replied. Reads that only update extensions' records don't count.
     store_answered_at: MonotonicTime,
@@ -154,7 +154,7 @@
             success_counts: SuccessCounts::default(),
             success_counts_loaded: false,
             broadcast_seen: BroadcastPosition::NONE,
-            served: Served::default(),
+            job_counters: JobCounters::default(),
             store_answered_at: MonotonicTime::default(),
             latest_revision: 0,
             highest_fencing_token: FencingToken(0),
@@ -336,7 +336,7 @@
 /// rare.
 fn user_write_budget(settings: &Settings) -> TokenBucket {
     let user_rate = (settings.state.write_rps * settings.operator.user_write_share).max(1.0);
-    TokenBucket::bursting((user_rate / node_count(settings)).max(1.0), user_rate)
+    TokenBucket::with_burst((user_rate / node_count(settings)).max(1.0), user_rate)
 }
 
 /// Number of nodes of the service, as floating point for rates.
