--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -149,13 +149,13 @@
     }
 
     /// Whether this node holds the leader key as far as it knows, even if its lease is no longer valid.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.state, CampaignState::Leading { .. })
     }
 
     /// Whether this node may commit, send commands and call the cloud at `now`.
-    pub fn valid(&self, now: MonotonicTime) -> bool {
-        self.leads() && now < self.valid_until
+    pub fn has_valid_lease(&self, now: MonotonicTime) -> bool {
+        self.is_leader() && now < self.valid_until
     }
 
     /// The fencing token of this node's last term; 0 if it has not been leader yet.
@@ -166,7 +166,7 @@
     /// Another node that held the leader key when it was last read, if that is at most `within` ago; `None`
     /// while this node is leader.
     pub fn other_leader(&self, within: Duration, now: MonotonicTime) -> Option<&OtherLeader> {
-        self.other_leader.as_ref().filter(|leader| now.since(leader.read_at) <= within && !self.leads())
+        self.other_leader.as_ref().filter(|leader| now.since(leader.read_at) <= within && !self.is_leader())
     }
 
     /// The next request to the key-value store, if one is due; its id is to be passed to
--- a/crates/scheduler/src/election/tests.rs
+++ b/crates/scheduler/src/election/tests.rs
@@ -25,15 +25,18 @@
 #[test]
 fn lease_starts_when_its_request_was_sent() {
     let mut election = won_election();
-    assert!(election.valid(at(3900)));
-    assert!(!election.valid(at(3999)), "requested at 20, for 4 s");
+    assert!(election.has_valid_lease(at(3900)));
+    assert!(!election.has_valid_lease(at(3999)), "requested at 20, for 4 s");
     election.tick(at(2000), false, NO_JITTER).expect("renews");
     election.reply(at(5000), StoreReply::LeaseRenewed);
-    assert!(election.valid(at(5900)) && !election.valid(at(6000)));
-    assert!(election.leads(), "is leader without a valid lease until the store reports that it has expired");
+    assert!(election.has_valid_lease(at(5900)) && !election.has_valid_lease(at(6000)));
+    assert!(
+        election.is_leader(),
+        "is leader without a valid lease until the store reports that it has expired"
+    );
     election.tick(at(6100), false, NO_JITTER).expect("continues to renew");
     assert_eq!(election.reply(at(6200), StoreReply::LeaseExpired).change, ElectionChange::Lost);
-    assert!(!election.leads());
+    assert!(!election.is_leader());
 }
 
 /// If a restarted node waits until the lease of its own previous run expires, the service has no leader for
@@ -107,7 +110,7 @@
     election.reply(at(2), StoreReply::Missing { store_revision: 1 });
     election.reply(at(3), StoreReply::LeaseGranted(LeaseId(7)));
     election.reply(at(4), StoreReply::Unknown);
-    assert!(!election.leads());
+    assert!(!election.is_leader());
     election.tick(at(900), false, NO_JITTER).expect("reads the key to verify");
     let theirs =
         Pair { key: LEADER_KEY.into(), value: r#"{"node":"n0","permit":6}"#.into(), revision: Revision(3) };
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -197,7 +197,7 @@
 
     fn step_extension(&mut self, slot: usize, input: Input<'_>) -> Vec<Action> {
         let Some(mut extension) = self.extensions[slot].extension.take() else { return Vec::new() };
-        let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
+        let fencing_token = self.election.has_valid_lease(self.now).then(|| self.election.fencing_token());
         let leader = self.leader.as_ref();
         let view = View {
             now: self.now,
@@ -278,7 +278,7 @@
             WriteBudget::Users => self.user_writes.take(changes.len() as f64, now),
             WriteBudget::Maintenance => {
                 conditions.push((election::LEADER_KEY.into(), Revision(self.election.fencing_token().0)));
-                self.election.valid(now)
+                self.election.has_valid_lease(now)
                     && self.leader.as_mut().is_some_and(|leader| leader.take_spare_writes(changes.len(), now))
             }
         };
--- a/crates/scheduler/src/node/controller/fault_injection.rs
+++ b/crates/scheduler/src/node/controller/fault_injection.rs
@@ -115,7 +115,7 @@
 
     /// Whether this node's leadership lease is valid at `at`.
     pub fn holds_lease(&self, at: MonotonicTime) -> bool {
-        self.election.valid(at)
+        self.election.has_valid_lease(at)
     }
 }
 
--- a/crates/scheduler/src/node/controller/fencing_tokens.rs
+++ b/crates/scheduler/src/node/controller/fencing_tokens.rs
@@ -41,7 +41,7 @@
             return;
         }
         self.highest_fencing_token = fencing_token;
-        if self.election.leads() && self.election.fencing_token() < fencing_token {
+        if self.election.is_leader() && self.election.fencing_token() < fencing_token {
             self.election.step_down(self.now);
             self.step_down("a higher fencing token was received");
         }
--- a/crates/scheduler/src/node/controller/heartbeats.rs
+++ b/crates/scheduler/src/node/controller/heartbeats.rs
@@ -79,7 +79,7 @@
         let answered = self
             .leader_and_context()
             .is_some_and(|(leader, mut context)| leader.answer_heartbeat(&mut context, request, heartbeat));
-        if answered && self.election.leads() {
+        if answered && self.election.is_leader() {
             // If this node loses the leadership and is isolated from the next leader, its isolation report
             // must count the workers whose leases its answers have renewed.
             self.record_lease_renewal(heartbeat);
@@ -96,7 +96,7 @@
     /// Answers deferred heartbeats once there is a leader, and redirects those whose worker would soon time
     /// out.
     fn answer_deferred(&mut self) {
-        let has_leader = self.known_leader().is_some() || self.election.leads();
+        let has_leader = self.known_leader().is_some() || self.election.is_leader();
         for _ in 0..DEFERRED_PER_STEP {
             let Some(first) = self.deferred_heartbeats.front() else { return };
             let expired = self.now.since(first.received_at) >= MAX_DEFERRAL;
@@ -113,7 +113,7 @@
     /// Answers on the leader's behalf, or redirects the worker to its assigned node; `false` if the leader
     /// has not delegated heartbeats to this node.
     fn answer_as_delegate(&mut self, request: RequestId, heartbeat: &Heartbeat) -> bool {
-        if self.election.leads() {
+        if self.election.is_leader() {
             return false;
         }
         let Some(fencing_token) = self.delegate.fencing_token() else { return false };
@@ -178,7 +178,7 @@
     pub(super) fn heartbeat_message(&mut self, from: &NodeName, message: PeerMessage) {
         match message {
             PeerMessage::Delegation(delegation)
-                if self.accept_leader(delegation.fencing_token, from) && !self.election.leads() =>
+                if self.accept_leader(delegation.fencing_token, from) && !self.election.is_leader() =>
             {
                 self.delegate.delegation_received(from, delegation, self.now);
             }
@@ -218,7 +218,7 @@
         self.tick_isolation();
         self.answer_deferred();
         self.expire_relayed_commands();
-        if !self.election.leads()
+        if !self.election.is_leader()
             && let Some(OutgoingDigest { leader, digest }) = self.delegate.next_digest(self.now)
         {
             self.outbox.send(&leader, PeerMessage::HeartbeatDigest(digest));
--- a/crates/scheduler/src/node/controller/leadership.rs
+++ b/crates/scheduler/src/node/controller/leadership.rs
@@ -17,7 +17,7 @@
 
 impl Controller {
     pub(super) fn send_election_request(&mut self, request: StoreRequest) {
-        let timeout = if self.election.leads() { RENEWAL_TIMEOUT } else { CAMPAIGN_TIMEOUT };
+        let timeout = if self.election.is_leader() { RENEWAL_TIMEOUT } else { CAMPAIGN_TIMEOUT };
         let request_id = self.outbox.request_store_with_timeout(request, timeout);
         self.election.request_sent(request_id);
     }
--- a/crates/scheduler/src/node/controller/mod.rs
+++ b/crates/scheduler/src/node/controller/mod.rs
@@ -244,8 +244,8 @@
         let leader = self.leader.as_mut()?;
         let context = StepContext {
             now: self.now,
-            lease_valid: self.election.valid(self.now),
-            in_leader_role: self.election.leads(),
+            lease_valid: self.election.has_valid_lease(self.now),
+            in_leader_role: self.election.is_leader(),
             jobs_read_at: self.job_watcher.fresh_at(),
             lease_renewal: &self.lease_renewal,
             heartbeats_delegated: heartbeats_delegated(&self.settings, self.cluster_version.reached()),
@@ -289,7 +289,7 @@
         if self.injected_faults.previous_version {
             return;
         }
-        let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
+        let fencing_token = self.election.has_valid_lease(self.now).then(|| self.election.fencing_token());
         if let Some(request) = self.cluster_version.tick(self.now, fencing_token) {
             self.outbox.request_store(request, Pending::ClusterVersion);
         }
--- a/crates/scheduler/src/node/controller/operator_pages.rs
+++ b/crates/scheduler/src/node/controller/operator_pages.rs
@@ -29,7 +29,7 @@
     /// The metrics in the text format of Prometheus.
     pub(crate) fn metrics(&self) -> String {
         let mut lines = vec![
-            format!("pearford_leads {}", u8::from(self.election.leads())),
+            format!("pearford_leads {}", u8::from(self.election.is_leader())),
             format!("pearford_fence {}", self.highest_fencing_token),
             format!("pearford_jobs_known {}", self.job_cache.len()),
             format!("pearford_state_requests_open {}", self.outbox.pending_count()),
--- a/crates/scheduler/src/workers/commands.rs
+++ b/crates/scheduler/src/workers/commands.rs
@@ -101,16 +101,17 @@
     }
 
     /// The commands for the answer to `heartbeat`. Starts are sent only if `may_start`; `may_stop` selects the
-    /// stops that may be sent even without it. Tasks without an assignment are stopped, and may be forgotten,
-    /// only while the leadership is valid (`leads`).
+    /// stops that may be sent even without it. Commands that stop or forget tasks without an assignment are
+    /// sent only if `may_command_unassigned`.
     pub fn commands(
         &mut self,
         heartbeat: &Heartbeat,
         may_start: bool,
         may_stop: impl Fn(&TaskId) -> bool,
-        leads: bool,
+        may_command_unassigned: bool,
     ) -> Vec<WorkerCommand> {
-        let mut commands = if leads { self.commands_for_unassigned(heartbeat) } else { Vec::new() };
+        let mut commands =
+            if may_command_unassigned { self.commands_for_unassigned(heartbeat) } else { Vec::new() };
         for (task, assignment) in &mut self.assignments {
             if commands.len() >= MAX_COMMANDS {
                 break;
