--- a/crates/scheduler/src/simulation/tests.rs
+++ b/crates/scheduler/src/simulation/tests.rs
@@ -363,7 +363,7 @@
 fn rules_detect_each_disabled_check_of_the_controllers() {
     // Treats a machine's lease as expired after 4 s without a heartbeat, and drops the assignments to it.
     fn expire_leases_early(controller: &mut Controller, _: u64) {
-        controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
+        controller.disable_check(DisabledCheck::LeaseExpiry { max_heartbeat_age_ms: 4_000 });
     }
     assert!(rules_detect(|simulation| simulation.injected_fault = Some(expire_leases_early)));
     // Reports a job as done when half of its tasks are.
--- a/crates/scheduler/src/workers/heartbeats.rs
+++ b/crates/scheduler/src/workers/heartbeats.rs
@@ -22,7 +22,7 @@
 pub struct GoneTask {
     /// The task.
     pub task: TaskId,
-    /// How it left.
+    /// How its attempt ended.
     pub outcome: Outcome,
 }
 
@@ -193,13 +193,13 @@
                 }
                 assignment.state = AssignmentState::Ready;
             }
-            Decision::Gone(departure) => {
-                if departure == Outcome::Ended(TaskExit::GangBroke) {
+            Decision::Gone(task_outcome) => {
+                if task_outcome == Outcome::Ended(TaskExit::GangBroke) {
                     record_fetched(assignment, &task, outcome);
                 }
                 self.planned_writes.remove(&task);
                 self.assignments.remove(&task);
-                outcome.gone.push(GoneTask { task, outcome: departure });
+                outcome.gone.push(GoneTask { task, outcome: task_outcome });
             }
             Decision::Unproved | Decision::Stop | Decision::Forget => {}
         }
@@ -231,9 +231,9 @@
 
 #[cfg(any(test, feature = "simulation"))]
 impl Machine {
-    /// Injects a fault: with the record of sent starts removed, workers forget ended attempts whose starts may
-    /// arrive again.
-    pub fn forget_sent_starts(&mut self) {
+    /// Injects a fault: without the list of sent starts, workers are told to forget ended attempts whose
+    /// starts may arrive again.
+    pub fn clear_sent_starts(&mut self) {
         self.sent_starts.clear();
     }
 }
