--- a/crates/heartbeat/src/isolation/tests.rs
+++ b/crates/heartbeat/src/isolation/tests.rs
@@ -53,7 +53,7 @@
         !reports.is_outnumbered(|| 72, FencingToken(7), at_ms(2_000)),
         "exactly 1.25 times is not enough"
     );
-    assert!(!reports.is_outnumbered(|| 10, FencingToken(8), at_ms(2_000)), "report is on another leader");
+    assert!(!reports.is_outnumbered(|| 10, FencingToken(8), at_ms(2_000)), "the report names another leader");
     // Reading the same revision again does not extend its validity.
     reports.update("b".into(), Revision(20), report(7, 90), at_ms(12_000));
     assert!(
