--- a/crates/scheduler/src/jobs/admission.rs
+++ b/crates/scheduler/src/jobs/admission.rs
@@ -54,8 +54,7 @@
     /// refuse every retry.
     fn check_storable(&self, spec: &JobSpec) -> Result<(), Refusal> {
         if !spec.needs.is_empty() && !self.dependencies {
-            let reason =
-                "jobs with `awaits` are accepted once every controller has the new version; come back later";
+            let reason = "jobs with `awaits` are taken once every controller has the new version; come back";
             return Err(Refusal { status: StatusCode::SERVICE_UNAVAILABLE, reason: reason.into() });
         }
         let bytes = Record::Open(self.open(spec)).to_value().len();
--- a/crates/scheduler/src/jobs/spec.rs
+++ b/crates/scheduler/src/jobs/spec.rs
@@ -91,18 +91,18 @@
     #[error("owner: there is no team `{0}`; see facts.teams in the platform's settings")]
     UnknownTeam(TeamName),
     /// No allowed machine type in an allowed zone holds one task.
-    #[error("a task fits no allowed machine type; request fewer resources or allow other flavors or regions")]
+    #[error("a task fits no allowed machine type; ask for less or allow other flavors or regions")]
     NoFittingMachineType,
     /// The limit per zone times the number of allowed zones is less than the number of tasks.
     #[error(
-        "spread: at most half of the tasks may be in one zone, but all must be in the same zone; drop `together`, `region` or `spread`"
+        "spread: at most half of the tasks may be in one zone, and all have to be in the same; drop `together`, `region` or `spread`"
     )]
     TooFewZones,
     /// The tasks that must run at the same time need more than the team's limit.
-    #[error("the job needs more than the limit of its team `{0}`; request fewer resources")]
+    #[error("the job needs more than the limit of its team `{0}`; ask for less")]
     OverLimit(TeamName),
     /// It depends on a job that is unknown.
-    #[error("awaits: job `{0}` was never accepted; submit it first")]
+    #[error("awaits: `{0}` was never accepted; name jobs only once they are")]
     UnknownDependency(JobId),
     /// It depends on a service, which is never done.
     #[error("awaits: `{0}` is a service, which is never done")]
@@ -112,7 +112,7 @@
     SelfDependency,
     /// Its record exceeds the key-value store's limit for a value.
     #[error(
-        "the job's record takes {bytes} bytes, but the state service stores at most {limit}; shorten `awaits` or `flavors`"
+        "the job's record takes {bytes} bytes and the state service stores {limit}; shorten `awaits` or `flavors`"
     )]
     TooLarge {
         /// Size of the record.
