--- a/crates/recovery/src/failover.rs
+++ b/crates/recovery/src/failover.rs
@@ -34,8 +34,9 @@
     Preempt,
     /// Renting machines.
     ScaleOut,
-    /// Returning a machine because it has sent no heartbeat.
-    ReturnUncontacted,
+    /// Returning a lost machine: one whose heartbeats are missing for too long, or that didn't stop a
+    /// cancelled task in time.
+    ReturnLostMachines,
     /// Returning an idle machine.
     ScaleIn,
 }
@@ -50,7 +51,7 @@
             // replacement.
             LeaderAction::Preempt
             | LeaderAction::ScaleOut
-            | LeaderAction::ReturnUncontacted
+            | LeaderAction::ReturnLostMachines
             | LeaderAction::ScaleIn => FailoverPhase::Reconciling,
         };
         self >= first_phase
@@ -104,11 +105,11 @@
         self.phase.allows(action)
     }
 
-    /// Whether a machine that has sent no heartbeat may be returned.
-    pub fn may_return_uncontacted(&self, now: MonotonicTime) -> bool {
+    /// Whether a machine that has not sent this leader a heartbeat may be returned for that reason.
+    pub fn may_return_unreported(&self, now: MonotonicTime) -> bool {
         let Some(records_read_at) = self.records_read_at else { return false };
         let waited = now.since(records_read_at);
-        self.allows(LeaderAction::ReturnUncontacted) && waited >= self.interval.times(RETURN_AFTER_INTERVALS)
+        self.allows(LeaderAction::ReturnLostMachines) && waited >= self.interval.times(RETURN_AFTER_INTERVALS)
     }
 
     /// Records that all stored records are read, so that heartbeats can be reconciled.
--- a/crates/recovery/src/failover/tests.rs
+++ b/crates/recovery/src/failover/tests.rs
@@ -26,7 +26,7 @@
     for action in [
         LeaderAction::Preempt,
         LeaderAction::ScaleOut,
-        LeaderAction::ReturnUncontacted,
+        LeaderAction::ReturnLostMachines,
         LeaderAction::ScaleIn,
     ] {
         assert!(!collection.allows(action), "{action:?}");
@@ -35,7 +35,7 @@
     assert_eq!(collection.update(90, 100, at_ms(5_500)), Some(FailoverPhase::Reconciling));
     assert!(collection.allows(LeaderAction::Preempt));
     assert!(
-        !collection.may_return_uncontacted(at_ms(5_500)) && collection.may_return_uncontacted(at_ms(10_500))
+        !collection.may_return_unreported(at_ms(5_500)) && collection.may_return_unreported(at_ms(10_500))
     );
     assert_eq!(
         collection.update(50, 100, at_ms(6_000)),
@@ -76,7 +76,7 @@
         FailoverPhase::Reconciling,
         FailoverPhase::Steady,
     ];
-    for action in [Renew, Stop, Start, Preempt, ScaleOut, ReturnUncontacted, ScaleIn] {
+    for action in [Renew, Stop, Start, Preempt, ScaleOut, ReturnLostMachines, ScaleIn] {
         for pair in phases.windows(2) {
             assert!(pair[1].allows(action) || !pair[0].allows(action), "{action:?} at {pair:?}");
         }
--- a/crates/scheduler/src/node/leader/machine_health.rs
+++ b/crates/scheduler/src/node/leader/machine_health.rs
@@ -173,8 +173,8 @@
                 .heartbeat_outage
                 .began_within(heartbeat_interval.times(OUTAGE_GRACE_INTERVALS), now),
             isolation_reports_read: now.since(self.since) >= ISOLATION_REPORTS_READ_AFTER,
-            may_return: self.heartbeat_collection.allows(LeaderAction::ReturnUncontacted),
-            may_return_unreported: self.heartbeat_collection.may_return_uncontacted(now),
+            may_return: self.heartbeat_collection.allows(LeaderAction::ReturnLostMachines),
+            may_return_unreported: self.heartbeat_collection.may_return_unreported(now),
             responsive_zones,
             unreachable_zones,
             zones_served_by_isolated_nodes,
--- a/crates/scheduler/src/node/leader/mod.rs
+++ b/crates/scheduler/src/node/leader/mod.rs
@@ -304,7 +304,7 @@
         if !self.loaded() {
             return;
         }
-        self.offer_rounds(context);
+        self.run_scheduling_pass(context);
         self.send_direct_commands(context);
         self.send_queued_commands(context);
         self.write_records();
--- a/crates/scheduler/src/node/leader/reservations.rs
+++ b/crates/scheduler/src/node/leader/reservations.rs
@@ -101,7 +101,7 @@
         now + BOOT_TIME_TOLERANCE >= up_at && now < up_at + BOOT_TIME_TOLERANCE
     }
 
-    /// Decides how many replicas are not offered now because they wait for preempted resources on machines
+    /// Decides how many replicas are left out of this pass because they wait for preempted resources on machines
     /// with their image: fetching the image elsewhere takes longer than stopping less urgent tasks. Preempts
     /// those tasks if necessary, and returns the number of replicas that wait. `searches_left` counts
     /// the searches of all machines that this pass may still make.
--- a/crates/scheduler/src/node/leader/scale_out.rs
+++ b/crates/scheduler/src/node/leader/scale_out.rs
@@ -142,7 +142,7 @@
                 requests.push(request);
             }
         }
-        self.limit_patience(&mut requests);
+        self.clear_price_caps_unless_slots_free_soon(&mut requests);
         requests
     }
 
@@ -179,7 +179,7 @@
     /// of finished ones. If all waiting tasks can finish on the present and booting slots before a new
     /// machine could boot and finish a task, they need no expensive machines. Otherwise they do not
     /// wait for cheap ones.
-    fn limit_patience(&self, requests: &mut [CapacityRequest]) {
+    fn clear_price_caps_unless_slots_free_soon(&self, requests: &mut [CapacityRequest]) {
         let arrays =
             || self.job_states.values().filter(|job_state| job_state.job.spec.job_type == JobType::Array);
         let mut waiting = 0.0;
--- a/crates/scheduler/src/node/leader/scheduling_pass.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass.rs
@@ -54,7 +54,7 @@
         let mut pass = Pass { live, own_node, candidates, claims: Vec::new(), searches_left, now };
         let mut requests_by_node: BTreeMap<NodeName, Vec<PlacementRequest>> = BTreeMap::new();
         for request in requests {
-            if let Some((node, request)) = self.prepare_offer(&mut pass, request) {
+            if let Some((node, request)) = self.prepare_request(&mut pass, request) {
                 requests_by_node.entry(node).or_default().push(request);
             }
         }
@@ -103,7 +103,7 @@
         }
         let guaranteed = self.guaranteed_jobs();
         ids.sort_by_cached_key(|id| self.scheduling_order(id, &self.job_states[id], &guaranteed));
-        let mut used = self.used_including_offered();
+        let mut used = self.used_including_pending_rounds();
         let mut requests = Vec::new();
         let mut left = max_tasks;
         for id in ids {
@@ -118,8 +118,8 @@
         requests
     }
 
-    /// Resources that each team uses, including those of tasks offered in rounds in progress.
-    fn used_including_offered(&self) -> BTreeMap<TeamName, Resources> {
+    /// Resources that each team uses, including those of tasks in pending rounds.
+    fn used_including_pending_rounds(&self) -> BTreeMap<TeamName, Resources> {
         let mut used = self.machines.used_by_teams().clone();
         for job_state in self.job_states.values().filter(|job_state| job_state.tasks_in_round > 0) {
             let spec = &job_state.job.spec;
@@ -160,9 +160,9 @@
         Some(placement_request(id, &spec, tasks, zones))
     }
 
-    /// The controller that will place the request, and the request with the tasks to offer; `None` if
-    /// the request is not offered in this pass.
-    fn prepare_offer(
+    /// The controller that will place the request, and the request with the tasks to place; `None` if
+    /// the request is in no round of this pass.
+    fn prepare_request(
         &mut self,
         pass: &mut Pass,
         mut request: PlacementRequest,
@@ -184,7 +184,7 @@
                 return None;
             }
         }
-        // A request that doesn't fit is not offered: the round would find no placement either.
+        // A request that doesn't fit is left out: the round would find no placement either.
         if !self.fit_into_partition(&node, &request, &mut pass.candidates, &mut pass.claims) {
             self.free_resources_for(pass, &request);
             return None;
--- a/crates/scheduler/src/node/leader/scheduling_rounds.rs
+++ b/crates/scheduler/src/node/leader/scheduling_rounds.rs
@@ -102,7 +102,7 @@
 impl Leader {
     /// Runs a scheduling pass if one is due: places the requests of this node's round, and sends the
     /// other controllers their rounds.
-    pub(super) fn offer_rounds(&mut self, context: &mut StepContext) {
+    pub(super) fn run_scheduling_pass(&mut self, context: &mut StepContext) {
         let now = context.now;
         if !self.rounds.passes.is_due(now) || !self.may_start(context) {
             return;
@@ -179,7 +179,7 @@
             );
             for request in pending.requests {
                 if let Some(job_state) = self.job_states.get_mut(&request.job) {
-                    // The proposals are lost: this node offers the tasks again in its own round.
+                    // The proposals are lost: this node includes the tasks in its own next round.
                     job_state.tasks_in_round = 0;
                     job_state.assigned_node = self.settings.node.clone();
                 }
