--- a/crates/scheduler/src/extension/mod.rs
+++ b/crates/scheduler/src/extension/mod.rs
@@ -1,9 +1,9 @@
-//! Extensions: features beside the core, such as the Nomad API.
+//! Extensions: optional features outside the core, such as the Nomad API.
 //!
-//! An extension is a state machine like the controller, and runs inside it: [`Input`]s come in, [`Action`]s go out.
-//! It has its own keys in the key-value store, its own requests, and a part of the node's budgets. It sees the node
-//! only through a [`View`]. The program registers extensions with `Controller::with_extension`, and the controller
-//! calls them; a node without extensions pays nothing for them.
+//! An extension is a state machine like the controller, and runs inside it: it receives [`Input`]s and
+//! returns [`Action`]s. It has its own keys in the key-value store, its own requests, and a part of the
+//! node's budgets. Its only access to the node's state is a [`View`]. The program registers extensions with
+//! `Controller::with_extension`, and the controller calls them; a node without extensions has no overhead.
 
 mod records;
 
@@ -18,7 +18,7 @@
 };
 use crate::wire::state::Change;
 
-/// What an extension sees of its node in one step.
+/// The part of the node's state that an extension can read in one step.
 pub struct View<'a> {
     /// Monotonic clock of this step.
     pub now: MonotonicTime,
@@ -32,9 +32,9 @@
     pub jobs: &'a JobCache,
     /// This node's copy of the extension's own records.
     pub records: &'a Records,
-    /// The fencing token by which this node leads with a valid lease; `None` if it does not.
+    /// This node's fencing token while it is the leader and its lease is valid; otherwise `None`.
     pub leadership: Option<FencingToken>,
-    /// What every submission is checked by, whichever API it comes through.
+    /// The admission checks for submissions, which are the same for every API.
     pub admission: Admission<'a>,
     pub(crate) task_counts: &'a dyn Fn(&JobId) -> Option<TaskCounts>,
     pub(crate) waiting: &'a dyn Fn(&JobId) -> Option<u32>,
@@ -42,17 +42,17 @@
 }
 
 impl View<'_> {
-    /// Tasks of a job that are done and that run, as far as this node knows.
+    /// Numbers of a job's done and running tasks, if this node knows them.
     pub fn task_counts(&self, id: &JobId) -> Option<TaskCounts> {
         (self.task_counts)(id)
     }
 
-    /// How many tasks of an open job have no machine yet; only the leader knows.
+    /// Number of tasks of an open job that have no machine yet; known only to the leader.
     pub fn waiting(&self, id: &JobId) -> Option<u32> {
         (self.waiting)(id)
     }
 
-    /// What the team may still use of its quota; only the leader knows.
+    /// The unused part of the team's quota; known only to the leader.
     pub fn remaining_quota(&self, team: &TeamName) -> Option<Resources> {
         (self.remaining_quota)(team)
     }
@@ -78,7 +78,7 @@
 pub struct Call {
     /// The HTTP method.
     pub verb: Verb,
-    /// The path as it came, still percent-encoded.
+    /// The path, still percent-encoded.
     pub path: String,
     /// The query string, without the `?`.
     pub query: String,
@@ -88,10 +88,10 @@
     pub body: Vec<u8>,
 }
 
-/// What happens to an extension.
+/// An input of an extension.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// Time has passed.
+    /// Periodic tick of the clock.
     Tick,
     /// A client's request; an [`Action::Answer`] with the same id answers it.
     Call {
@@ -100,34 +100,35 @@
         /// What the client sent.
         call: Call,
     },
-    /// Own records changed, here or at another node: their keys.
+    /// Keys of the extension's own records that were changed by this or another node.
     Records(&'a [String]),
-    /// Job records changed: the jobs.
+    /// Jobs whose records changed.
     Jobs(&'a [JobId]),
-    /// An [`Action::Commit`] has ended.
+    /// An [`Action::Commit`] has completed.
     Committed {
         /// The tag of the action.
         tag: u64,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// An [`Action::Read`] has ended.
+    /// An [`Action::Read`] has completed.
     Read {
         /// The tag of the action.
         tag: u64,
-        /// Whether the copies of the job records and of the own records are as of the action, or newer.
+        /// Whether this node's copies of the job records and of the extension's records are at least as
+        /// recent as the action.
         fresh: bool,
     },
-    /// An [`Action::Machines`] has ended.
+    /// An [`Action::Machines`] has completed.
     Machines {
         /// The tag of the action.
         tag: u64,
-        /// The machines, or why there are none.
+        /// The machines, or why they could not be read.
         found: Result<MachinePage, Outcome>,
     },
 }
 
-/// Machines that hold tasks, or have held some lately, by their assignment records.
+/// Machines with an assignment record: those that hold tasks, or held some recently.
 #[derive(Debug, Clone, Default)]
 pub struct MachinePage {
     /// The machines in the order of their names.
@@ -145,21 +146,21 @@
     pub record: MachineRecord,
 }
 
-/// Which machines an extension asks for.
+/// The machines that an extension requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Machines {
-    /// The one with this name.
+    /// The machine with this name.
     One(MachineId),
-    /// A page of all.
+    /// A page of all machines.
     Page {
         /// The last machine of the page before; `None` for the first page.
         after: Option<MachineId>,
-        /// Machines in the page, at most.
+        /// Maximum number of machines in the page.
         limit: u32,
     },
 }
 
-/// What became of a commit or a read of machines.
+/// Outcome of a commit or of a read of machines.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// Committed.
@@ -169,24 +170,24 @@
     },
     /// Not committed: these keys no longer have the revision that the conditions name.
     Conflict(Vec<String>),
-    /// Refused, as it would be at every further try.
+    /// Rejected as malformed: a retry would be rejected too.
     Malformed,
-    /// Nothing is known: it may have been carried out.
+    /// Unknown: it may have been executed.
     Unknown,
-    /// Not sent: the budget is spent.
+    /// Not sent: the budget is exhausted.
     NoBudget,
 }
 
-/// Whose write budget a commit takes from.
+/// The write budget that a commit is charged to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteBudget {
     /// The users' budget, as for submissions.
     Users,
-    /// What the leader can spare. The commit is conditional on this node's leadership.
+    /// Writes that the leader has to spare. The commit is conditional on this node's leadership.
     Maintenance,
 }
 
-/// What an extension wants done.
+/// An action that an extension requests.
 #[derive(Debug)]
 pub enum Action {
     /// Answers a client's request.
@@ -195,47 +196,47 @@
         request: RequestId,
         /// HTTP status.
         status: u16,
-        /// Value of the `Retry-After` header in seconds, if there is to be one.
+        /// Value of the `Retry-After` header in seconds, if the answer has one.
         retry_after_s: Option<u32>,
         /// Further headers.
         headers: Vec<(&'static str, String)>,
         /// The body.
         body: String,
     },
-    /// Commits changes of own keys and job records in one transaction.
+    /// Commits changes of the extension's own keys and of job records in one transaction.
     Commit {
         /// Identifies the commit in [`Input::Committed`].
         tag: u64,
-        /// Whose budget it takes from.
+        /// The budget that it is charged to.
         budget: WriteBudget,
         /// Keys, and the revisions that they must have; 0 for a key that must not exist.
         conditions: Vec<(String, Revision)>,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// Reads the job records and the own records, as of now or later.
+    /// Brings this node's copies of the job records and of the extension's records up to date.
     Read {
         /// Identifies the read in [`Input::Read`].
         tag: u64,
     },
-    /// Reads assignment records, of which only the leader keeps a copy. For operators' occasional requests: at most
-    /// a few a second are sent.
+    /// Reads assignment records, of which only the leader keeps a copy. For operators' occasional requests:
+    /// at most a few a second are sent.
     Machines {
         /// Identifies the read in [`Input::Machines`].
         tag: u64,
-        /// Which machines.
+        /// The machines to read.
         which: Machines,
     },
 }
 
-/// A feature beside the core.
+/// An optional feature outside the core.
 pub trait Extension: Send {
-    /// Prefix of its keys in the key-value store; nobody else has keys under it.
+    /// Prefix of its keys in the key-value store; no other component has keys with this prefix.
     fn prefix(&self) -> &'static str;
 
-    /// Processes one input and returns what is to be done, in order.
+    /// Processes one input and returns the actions to carry out, in order.
     fn step(&mut self, view: &View<'_>, input: Input<'_>) -> Vec<Action>;
 
-    /// Adds its metrics, one a line, in the text format of Prometheus.
+    /// Appends its metrics, one per line, in the text format of Prometheus.
     fn metrics(&self, lines: &mut Vec<String>);
 }
--- a/crates/scheduler/src/extension/records.rs
+++ b/crates/scheduler/src/extension/records.rs
@@ -10,8 +10,9 @@
 pub struct Records {
     records: BTreeMap<String, Record>,
     store_revision: Option<u64>,
-    /// Keys that a full read under way has not met yet: those left at its end were deleted unseen.
-    unmet: BTreeSet<String>,
+    /// Keys that the full read in progress has not returned yet. Those left at its end were deleted in an
+    /// event that this node did not receive.
+    unconfirmed: BTreeSet<String>,
     changed: Vec<String>,
 }
 
@@ -33,27 +34,27 @@
         records.map(|(key, record)| (key.as_str(), record.revision, &record.value))
     }
 
-    /// Revision of the key-value store up to which all changes are in the copy; `None` until the first full read has
-    /// ended.
+    /// Revision of the key-value store up to which the copy has all changes; `None` until a full read has
+    /// completed.
     pub fn store_revision(&self) -> Option<u64> {
         self.store_revision
     }
 
-    /// Takes out the keys that have changed since the last call.
+    /// Returns the keys that have changed since the last call, and clears the list.
     pub(crate) fn take_changed(&mut self) -> Vec<String> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Learns a key's value, unless a newer one is known.
+    /// Stores a key's value, unless the copy has a newer one.
     pub(crate) fn learn(&mut self, key: &str, revision: Revision, value: &str) {
-        self.unmet.remove(key);
+        self.unconfirmed.remove(key);
         if self.records.get(key).is_none_or(|known| known.revision < revision) {
             self.records.insert(key.into(), Record { revision, value: value.into() });
             self.changed.push(key.into());
         }
     }
 
-    /// Learns that a key was deleted at `revision`, unless a newer value is known.
+    /// Removes a key that was deleted at `revision`, unless the copy has a newer value.
     pub(crate) fn learn_removed(&mut self, key: &str, revision: Revision) {
         if self.records.get(key).is_some_and(|known| known.revision < revision) {
             self.records.remove(key);
@@ -61,15 +62,15 @@
         }
     }
 
-    /// A full read begins: the copy may lack changes until [`Self::reach`].
+    /// Begins a full read: the copy may lack changes until [`Self::reach`] is called.
     pub(crate) fn forget_store_revision(&mut self) {
         self.store_revision = None;
-        self.unmet = self.records.keys().cloned().collect();
+        self.unconfirmed = self.records.keys().cloned().collect();
     }
 
-    /// A full read has ended: the copy has all changes up to `store_revision`.
+    /// Completes a full read: the copy has all changes up to `store_revision`.
     pub(crate) fn reach(&mut self, store_revision: u64) {
-        for key in std::mem::take(&mut self.unmet) {
+        for key in std::mem::take(&mut self.unconfirmed) {
             self.records.remove(&key);
             self.changed.push(key);
         }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Learns the changes that a watch has returned, which are all up to `store_revision`.
+    /// Applies the changes that a watch has returned: all changes up to `store_revision`.
     pub(crate) fn learn_events(&mut self, store_revision: u64, events: &[Event]) {
         for event in events {
             match event {
--- a/crates/scheduler/src/extension/records/tests.rs
+++ b/crates/scheduler/src/extension/records/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A watch that came too late is followed by a full read: what was deleted meanwhile must go, and
-/// what is read from an old page must not bring back older values.
+/// If the store no longer has the events that a watch asks for, a full read follows. It must remove the keys
+/// deleted in the missed events, and an older page must not replace newer values.
 #[test]
-fn keys_deleted_unseen_are_gone_after_a_full_read() {
+fn full_read_removes_keys_whose_deletion_event_was_missed() {
     let mut records = Records::default();
     records.learn("x/a", Revision(3), "1");
     records.learn("x/b", Revision(4), "1");
--- a/crates/scheduler/src/golden.rs
+++ b/crates/scheduler/src/golden.rs
@@ -1,23 +1,23 @@
-//! Golden bytes: what a kind of record, message, request or answer looks like outside the process.
+//! Golden bytes: the external form of each kind of record, message, request and answer.
 //!
-//! Each group of kinds has a file under the package's `tests/golden/`, one line per kind: its name, a tab, its bytes
-//! (JSON and text as they are, postcard as hexadecimal digits). A test builds one value of each kind with every field
-//! filled in, writes it by the function that the program uses, and compares. Where the program also reads the kind, the
-//! test reads the recorded bytes and writes them again.
+//! Each group of kinds has a file under the package's `tests/golden/`, one line per kind: its name, a tab,
+//! its bytes (JSON and text as they are, postcard as hexadecimal digits). A test builds one value of each
+//! kind with every field filled in, writes it by the function that the program uses, and compares. Where the
+//! program also reads the kind, the test reads the recorded bytes and writes them again.
 //!
-//! A difference means that nodes of the version before, stored records, workers, users or the platform would no longer
-//! be understood. Bytes are recorded anew only with an intended change of a format:
-//! `PEARFORD_WRITE_GOLDEN=1 cargo test golden` writes the files, and the tests compare again from the next build on.
-//! Continuous integration never sets the variable. Files named `..._read.txt` hold what others send; they are written by
-//! hand and never recorded.
+//! A difference means that the program would no longer be compatible with nodes of the previous version,
+//! stored records, workers, users or the platform. Bytes are recorded again only for an intended change of a
+//! format: `PEARFORD_WRITE_GOLDEN=1 cargo test golden` writes the files, and the tests compare again from the
+//! next build on. Continuous integration never sets the variable. Files named `..._read.txt` hold what other
+//! programs send; they are written by hand and never recorded.
 
 use crate::wire::HttpRequest;
 use std::collections::BTreeSet;
 
-/// Makes the program write the files instead of comparing with them.
+/// Environment variable that makes the tests write the files instead of comparing with them.
 const WRITE: &str = "PEARFORD_WRITE_GOLDEN";
 
-/// The kinds of one file.
+/// The kinds recorded in one file.
 #[derive(Debug)]
 pub struct Group {
     path: &'static str,
@@ -38,17 +38,18 @@
 }
 
 impl Group {
-    /// `recorded`: what the file at `path` held when the test was built.
+    /// A group for the file at `path`; `recorded` is its content when the test was built.
     pub fn new(path: &'static str, recorded: &'static str) -> Self {
         Self { path, recorded, written: Vec::new(), differences: Vec::new() }
     }
 
-    /// A kind that the program only writes.
+    /// Adds a kind that the program only writes.
     pub fn writes(&mut self, name: &str, bytes: impl Into<String>) {
         self.written.push((name.into(), bytes.into()));
     }
 
-    /// A kind that the program writes and reads. `rewrite` reads the recorded bytes and writes them again.
+    /// Adds a kind that the program writes and reads. `rewrite` parses the recorded bytes and serializes them
+    /// again.
     pub fn both_ways(
         &mut self,
         name: &str,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Compares; panics with all that differs, so that one run shows it.
+    /// Compares all kinds, and panics with every difference found.
     pub fn finish(mut self) {
         let names: BTreeSet<&str> = self.written.iter().map(|(name, _)| name.as_str()).collect();
         assert_eq!(names.len(), self.written.len(), "{}: a name is used twice", self.path);
@@ -84,7 +85,7 @@
             }
         }
         for (name, _) in lines(self.recorded).filter(|(name, _)| !names.contains(name)) {
-            self.differences.push(format!("{name}: recorded, and not written any more"));
+            self.differences.push(format!("{name}: recorded, but no longer written"));
         }
         assert!(self.differences.is_empty(), "{}:\n{}", self.path, self.differences.join("\n"));
     }
@@ -112,7 +113,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes that hexadecimal digits stand for; none if they don't.
+/// Decodes hexadecimal digits; `None` if they are malformed.
 pub fn from_hex(digits: &str) -> Option<Vec<u8>> {
     let byte = |at: usize| u8::from_str_radix(digits.get(at..at + 2)?, 16).ok();
     (0..digits.len()).step_by(2).map(byte).collect()
--- a/crates/scheduler/src/settings/facts.rs
+++ b/crates/scheduler/src/settings/facts.rs
@@ -1,4 +1,5 @@
-//! The platform's facts that nodes use as they stand in its file: limits and objectives of the services around them.
+//! The facts of the platform's file that nodes use unchanged: limits and objectives of the surrounding
+//! services.
 //!
 //! Fields are named after the keys of the file, in the table `facts`.
 
@@ -9,13 +10,14 @@
 /// Margin, in seconds, by which a node without the key-value store stops answering heartbeats early.
 const ANSWER_MARGIN_S: f64 = 4.0;
 
-/// Whether a KiB counts as 1000 or 1024 bytes need not be known: the smaller is safe.
+/// Bytes in a KB. The smaller of 1000 and 1024, so that values fit whichever of the two the store counts by.
 const BYTES_PER_KB: f64 = 1000.0;
 
-/// What the users expect of a class of jobs.
+/// A service objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is expected: `wait` and `guarantee` bound the time until a job starts; other kinds are ignored.
+    /// The kind of objective: `wait` and `guarantee` bound the time until a job starts; other kinds are
+    /// ignored.
     pub kind: String,
     /// The class of jobs that a `wait` objective is for.
     #[serde(default)]
@@ -23,7 +25,7 @@
     /// The bound in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share of jobs for which the bound is to hold.
+    /// The share of jobs for which the bound must hold.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -37,18 +39,20 @@
     pub lease_s: f64,
     /// How long a gang's task waits for the others to start.
     pub gang_wait_s: f64,
-    /// How long a gang's task runs on after it has lost another one.
+    /// How long a gang's task keeps running after another task of the gang was lost.
     pub gang_peer_s: f64,
-    /// A cancelled job's tasks must be gone this long after the cancellation was acknowledged.
+    /// Time within which a cancelled job's tasks must have ended after the cancellation was acknowledged.
     pub cancel_s: f64,
 }
 
 impl WorkerFacts {
-    /// How long heartbeats may be answered with 200 after the start of the last linearizable read of the job records.
+    /// How long heartbeats may be answered with 200 after the start of the last linearizable read of the job
+    /// records.
     ///
-    /// A cancellation that the read didn't return was acknowledged after the read began. The worker's lease ends
-    /// `lease_s` after its last answered heartbeat, and the task must be gone `cancel_s` after the cancellation: so
-    /// heartbeats are answered until `cancel_s - lease_s` after the read, less a margin.
+    /// A cancellation that the read didn't return was acknowledged after the read began. The worker's lease
+    /// ends `lease_s` after its last answered heartbeat, and the task must have ended `cancel_s` after the
+    /// cancellation. Heartbeats are therefore answered until `cancel_s - lease_s` after the read, less a
+    /// margin.
     pub fn answer_window(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s - self.lease_s - ANSWER_MARGIN_S)
     }
@@ -61,11 +65,11 @@
     pub rps: f64,
     /// Changes (puts and deletes) a second.
     pub write_rps: f64,
-    /// Largest size of a value, in KB.
+    /// Maximum size of a value, in KB.
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Limits that the store will have from some moment on, without notice.
+    /// Limits that come into force later, at an unannounced time.
     #[serde(default)]
     pub next: Option<NextStateFacts>,
 }
@@ -79,17 +83,17 @@
     /// Changes (puts and deletes) a second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest size of a value, in KB.
+    /// Maximum size of a value, in KB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StateFacts {
-    /// The stricter of the present and the next limits holds from the start. The change comes without
-    /// notice, and what was written under the larger limit could not be rewritten after it.
+    /// For each limit, the stricter of the present and the next one, which applies from the start: the change
+    /// is not announced, and a value written under the larger limit could not be rewritten after it.
     pub(super) fn limits(&self) -> StoreLimits {
         let next = self.next.as_ref();
         let stricter = |now: f64, next: Option<f64>| next.map_or(now, |next| now.min(next));
@@ -109,7 +113,7 @@
 pub struct CloudFacts {
     /// Requests a second.
     pub rps: f64,
-    /// By how many seconds the list of machines may lag behind.
+    /// Maximum age, in seconds, of the data in the list of machines.
     pub list_lag_s: f64,
 }
 
@@ -120,19 +124,19 @@
     pub cpu_share: f64,
     /// Memory in MB.
     pub ram_mb: f64,
-    /// Open connections, in and out.
+    /// Maximum number of open connections, incoming and outgoing.
     pub max_connections: usize,
 }
 
 impl MachineLimits {
-    /// Connections reserved for those that this node opens itself, and for its peers: users and workers get the rest.
+    /// Connections reserved for outgoing calls and for peers; users and workers share the rest.
     pub fn reserved_connections(&self) -> usize {
         (self.max_connections / 5).clamp(8, 600)
     }
 
-    /// Most commands to workers under way at a time, a connection each. A part of `reserved_connections`: with as
-    /// many connections as there were commands, a node reached its limit and could no longer reach its peers
-    /// (seen in the offshore deployment at 1.5 times its load, with rough faults).
+    /// Maximum number of concurrent commands to workers, each of which takes a connection. Only a part of
+    /// `reserved_connections`: without this bound, a node at 1.5 times the planned load and with frequent
+    /// faults used up its connections for commands and could no longer reach its peers.
     pub fn max_concurrent_commands(&self) -> usize {
         self.reserved_connections() * 3 / 4
     }
--- a/crates/scheduler/src/settings/fault.rs
+++ b/crates/scheduler/src/settings/fault.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a settings file, and the checks that collect it.
+//! Faults in settings files, and the checks that collect them.
 
 use std::net::SocketAddr;
 
-/// What is wrong with one key.
+/// A fault in one key.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{file}: {key}: {message}")]
 pub struct Fault {
@@ -10,7 +10,7 @@
     pub file: String,
     /// The key, with the names of its tables, or `(syntax)`.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// The fault, and what a valid value is.
     pub message: String,
 }
 
@@ -25,7 +25,7 @@
         Self { file: file.into(), faults: Vec::new() }
     }
 
-    /// Faults found from now on are in `file`.
+    /// Attributes the faults of all following checks to `file`.
     pub(super) fn enter_file(&mut self, file: &str) {
         self.file = file.into();
     }
@@ -39,7 +39,7 @@
         self.faults.push(Fault { file: self.file.clone(), key: key.into(), message: message.into() });
     }
 
-    /// The address, or a placeholder if it can't be read.
+    /// Parses an address; records a fault and returns a placeholder if it is malformed.
     pub(super) fn address(&mut self, key: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
             self.fault(key, format!("`{text}` is not IP:PORT; give e.g. 10.0.0.1:8080"));
--- a/crates/scheduler/src/settings/golden.rs
+++ b/crates/scheduler/src/settings/golden.rs
@@ -1,4 +1,4 @@
-//! Golden settings: every key of the platform's file and of the operators' own arrives where it belongs.
+//! Golden settings: every key of the platform's file and of the operators' file sets the right field.
 
 use super::*;
 
@@ -48,16 +48,16 @@
     assert_eq!((wait.within_s, wait.share), (Some(60.5), Some(0.9)));
     assert_eq!((guarantee.kind.as_str(), guarantee.class.as_deref()), ("guarantee", None));
     assert_eq!((guarantee.within_s, guarantee.share), (Some(30.5), None));
-    // The words `wait` and `guarantee` are the platform's.
+    // `wait` and `guarantee` are the kinds of objectives that the platform's file defines.
     assert_eq!(s.wait_objective(&"train".into(), false), Some(60.5));
     assert_eq!(s.wait_objective(&"train".into(), true), Some(30.5));
     assert_eq!(s.wait_objective(&"serve".into(), false), None);
 }
 
 #[test]
-fn golden_platform_limits_of_the_state_service() {
+fn golden_platform_store_limits() {
     let next = StoreLimits { rps: 125.5, write_rps: 50.5, value_bytes: 2000, txn_ops: 10 };
-    assert_eq!(settings().state, next, "the next ones are stricter");
+    assert_eq!(settings().state, next, "the next limits are stricter");
     let (before, rest) = PLATFORM.split_once("[facts.state.next]").expect("there are next limits");
     let (_, after) = rest.split_once("[facts.cloud]").expect("the cloud follows");
     let present = format!("{before}[facts.cloud]{after}");
@@ -67,7 +67,7 @@
 
 #[test]
 fn golden_operator_keys() {
-    // Written out in full: a new key does not compile until it is in the file and here.
+    // All fields are listed, so that a new field does not compile until its key is checked here.
     let expected = Operator {
         leader_grant_ms: 4001,
         leader_renew_ms: 1001,
--- a/crates/scheduler/src/settings/mod.rs
+++ b/crates/scheduler/src/settings/mod.rs
@@ -23,13 +23,13 @@
 pub struct Team {
     /// The team's name, unique.
     pub name: TeamName,
-    /// CPUs that it gets when it needs them, by preemption if need be.
+    /// CPUs guaranteed to the team, if necessary by preemption.
     pub guaranteed_cpus: Option<f64>,
-    /// GPUs that it gets when it needs them, by preemption if need be.
+    /// GPUs guaranteed to the team, if necessary by preemption.
     pub guaranteed_gpus: Option<f64>,
-    /// Most CPUs that it may use at a time.
+    /// Maximum number of CPUs that it may use at a time.
     pub max_cpus: Option<f64>,
-    /// Most GPUs that it may use at a time.
+    /// Maximum number of GPUs that it may use at a time.
     pub max_gpus: Option<f64>,
 }
 
@@ -40,38 +40,38 @@
     pub name: NodeName,
     /// The zone that it runs in.
     pub zone: Zone,
-    /// Where it listens for other nodes.
+    /// The address at which it listens for other nodes.
     pub addr: SocketAddr,
 }
 
-/// Everything a node knows at start.
+/// A node's settings, checked at start.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This node's name.
     pub node: NodeName,
     /// The zone that this node runs in.
     pub zone: Zone,
-    /// Where this node listens for users and workers.
+    /// The address at which this node listens for users and workers.
     pub api_addr: SocketAddr,
-    /// Where this node listens for other nodes.
+    /// The address at which this node listens for other nodes.
     pub peer_addr: SocketAddr,
     /// The other nodes.
     pub peers: Vec<Peer>,
-    /// The cloud's API.
+    /// The address of the cloud's API.
     pub cloud_addr: SocketAddr,
-    /// The key-value store.
+    /// The address of the key-value store.
     pub state_addr: SocketAddr,
     /// The zones that machines may be in.
     pub zones: Vec<Zone>,
-    /// By how much the clocks of two nodes may differ.
+    /// Maximum difference between the clocks of two nodes.
     pub max_clock_difference: Duration,
     /// The teams, by name.
     pub teams: BTreeMap<TeamName, Team>,
-    /// What the users expect of classes of jobs.
+    /// The users' service objectives for classes of jobs.
     pub objectives: Vec<Objective>,
     /// Intervals and timeouts of workers.
     pub workers: WorkerFacts,
-    /// What the key-value store takes, now and after its next limits come into force.
+    /// The key-value store's limits: each is the stricter of the present and the next one.
     pub state: StoreLimits,
     /// The cloud's limits.
     pub cloud: CloudFacts,
@@ -82,8 +82,8 @@
 }
 
 impl Settings {
-    /// Within how many seconds work of `kind` is to start, if the users expect that: the strictest objective
-    /// counts. `guaranteed` says whether the work is within its team's guarantee.
+    /// Number of seconds within which work of `kind` must start to meet the strictest applicable objective;
+    /// `None` if no objective applies. `guaranteed` says whether the work is within its team's guarantee.
     pub fn wait_objective(&self, kind: &Kind, guaranteed: bool) -> Option<f64> {
         let applies = |objective: &&Objective| match objective.kind.as_str() {
             "wait" => objective.class.as_deref() == Some(kind.as_str()),
@@ -100,21 +100,21 @@
 pub struct SourceFile<'a> {
     /// The file's name.
     pub name: &'a str,
-    /// What it holds.
+    /// The file's contents.
     pub text: &'a str,
 }
 
 impl<'a> SourceFile<'a> {
-    /// The file `name` that holds `text`.
+    /// A file called `name` with the contents `text`.
     pub fn new(name: &'a str, text: &'a str) -> Self {
         Self { name, text }
     }
 }
 
-/// Reads and checks both files; without an operators' file their defaults hold.
+/// Parses and checks both files. Without an operators' file, the operators' settings have their defaults.
 ///
 /// # Errors
-/// Every fault found. If the platform's file can't be read at all, that is the only one.
+/// All faults found. If the platform's file can't be parsed, only that fault is returned.
 pub fn parse(platform: SourceFile, operator: Option<SourceFile>) -> Result<Settings, Vec<Fault>> {
     let platform_file = PlatformFile::read(platform).map_err(|fault| vec![fault])?;
     let mut checker = Checker::new(platform.name);
--- a/crates/scheduler/src/settings/operator.rs
+++ b/crates/scheduler/src/settings/operator.rs
@@ -1,22 +1,23 @@
-//! The operators' own settings, in YAML. Unknown keys are errors, since a misspelt key would otherwise silently
-//! leave its default in force.
+//! The operators' own settings, in YAML. Unknown keys are errors: with a misspelt key, the default would
+//! otherwise apply without notice.
 
 use super::fault::Checker;
 use serde::Deserialize;
 
-/// Most machines that the cloud rents out in one request.
+/// Maximum number of machines that the cloud rents out in one request.
 const CLOUD_RENT_LIMIT: u32 = 50;
 
-/// The operators' own settings. Every key has a default; see `docs/operating.md`. Fields are named after the keys.
+/// The operators' own settings. Every key has a default; see `docs/operating.md`. Fields are named after the
+/// keys.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// Life of the leader's lease in the key-value store, in ms. Shorter: faster failover; longer: survives slow
-    /// answers.
+    /// TTL of the leader's lease in the key-value store, in ms. A shorter TTL makes failover faster; a longer
+    /// one tolerates slower replies.
     pub leader_grant_ms: u64,
     /// Interval, in ms, between the leader's renewals of its lease.
     pub leader_renew_ms: u64,
-    /// How many seconds a partition of the machines is leased to a controller.
+    /// Duration, in seconds, of a controller's lease on a partition of the machines.
     pub block_lease_s: f64,
     /// How many ms the leader waits for a controller's proposals before it places the tasks itself.
     pub round_timeout_ms: u64,
@@ -26,36 +27,39 @@
     pub degraded_factor: f64,
     /// Factor on the sampled score of a machine that has not sent a heartbeat yet.
     pub unknown_factor: f64,
-    /// Factor on the sampled score of an empty machine while a partly used one fits; a half empty one
-    /// gets its square root.
+    /// Factor on the sampled score of an empty machine while a partly used one fits; the score of a
+    /// half-empty machine is multiplied by the square root of the factor.
     pub empty_factor: f64,
-    /// Factor on the sampled score of an on-demand machine for an array that may run on spot, while a spot machine
-    /// fits.
+    /// Factor on the sampled score of an on-demand machine for an array that may run on spot, while a spot
+    /// machine fits.
     pub dear_factor: f64,
     /// Image fetch time, in seconds, that halves the sampled score of a machine without the image.
     pub fetch_half_s: f64,
     /// A machine whose heartbeat is late by more than this many heartbeat intervals is degraded.
     pub degraded_reports: f64,
-    /// A machine later than this many heartbeat intervals is unreachable: nothing is placed there.
+    /// A machine whose heartbeat is late by more than this many heartbeat intervals is unreachable: no task
+    /// is placed on it.
     pub unreachable_reports: f64,
-    /// A machine later than this many heartbeat intervals is lost: it is returned to the cloud, which proves its
-    /// tasks gone.
+    /// A machine whose heartbeat is late by more than this many heartbeat intervals is lost: it is returned
+    /// to the cloud, which guarantees that its tasks have ended.
     pub lost_reports: f64,
     /// How many seconds a machine may be empty before it is returned.
     pub idle_return_s: f64,
-    /// A machine that has not come up after this many nominal boot times is returned.
+    /// A machine that has not become ready within this many nominal boot times is returned.
     pub boot_patience: f64,
-    /// Pause, in seconds, after a refused rental before the same machine type, zone and market is tried again.
+    /// Delay, in seconds, after a refused rental before the same machine type, zone and market is tried
+    /// again.
     pub refusal_pause_s: f64,
-    /// Most machines rented in one request (the cloud takes 50).
+    /// Maximum number of machines rented in one request (the cloud's limit is 50).
     pub rent_at_most: u32,
-    /// Most tasks offered in one scheduling round.
+    /// Maximum number of tasks offered in one scheduling round.
     pub round_tasks: usize,
-    /// Most requests of users that wait for the key-value store at a time.
+    /// Maximum number of users' requests that wait for the key-value store at a time.
     pub max_waiting_requests: usize,
-    /// How many ms a user's request may wait for the key-value store before it is refused for now.
+    /// Time, in ms, that a user's request may wait for the key-value store before it is refused and the user
+    /// has to retry.
     pub request_patience_ms: u64,
-    /// Share of the key-value store's write limit that users' requests may take, over all nodes.
+    /// Share of the key-value store's write limit that users' requests may use, over all nodes.
     pub user_write_share: f64,
     /// Interval, in seconds, between reads of the cloud's list of machines.
     pub list_every_s: f64,
@@ -94,7 +98,7 @@
 }
 
 impl Operator {
-    /// Reads the file's text; after a fault the defaults.
+    /// Parses the file's text. If that fails, records the fault and returns the defaults.
     pub(super) fn read(text: &str, checker: &mut Checker) -> Self {
         deserialize(text).unwrap_or_else(|error| {
             let message = error.to_string();
@@ -174,7 +178,7 @@
 }
 
 fn deserialize(text: &str) -> Result<Operator, serde_yaml_ng::Error> {
-    // An empty or all-comment file is a valid way of saying "defaults".
+    // An empty file, or one with only comments, is valid and selects the defaults.
     let value: serde_yaml_ng::Value = serde_yaml_ng::from_str(text)?;
     if value.is_null() {
         return Ok(Operator::default());
--- a/crates/scheduler/src/settings/platform.rs
+++ b/crates/scheduler/src/settings/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's file, in TOML: who the nodes are, and the facts about the services around them.
+//! The platform's file, in TOML: the nodes, and the facts about the surrounding services.
 //!
-//! Unknown fields are ignored, since new ones may come. Each section has a check of its own; together they run in
-//! the order of the file's tables.
+//! Unknown fields are ignored, so that the platform can add new ones. Each section has its own check; the
+//! checks run in the order of the file's tables.
 
 use super::facts::{CloudFacts, MachineLimits, Objective, StateFacts, WorkerFacts};
 use super::fault::{Checker, Fault};
@@ -10,11 +10,11 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A commit changes up to two keys that belong together.
+/// Minimum number of changes in a transaction: a commit changes up to two keys atomically.
 const MIN_TXN_OPS: usize = 2;
-/// Fewer connections leave nothing for users and workers.
+/// Minimum connection limit. With fewer, the reserved connections leave too few for users and workers.
 const MIN_CONNECTIONS: usize = 16;
-/// Most that the bound on clock differences counts, in ms: an hour.
+/// Upper limit of the bound on clock differences, in ms: one hour. Larger values are reduced to it.
 const MAX_TIME_BOUND_MS: f64 = 3.6e6;
 
 #[derive(Debug, Clone, Deserialize)]
@@ -81,7 +81,8 @@
         })
     }
 
-    /// The settings that the file gives, with the operators' defaults. Whether they are usable, `checker` tells.
+    /// Converts the file to settings, with the operators' defaults. The result is usable only if `checker`
+    /// has no faults.
     pub(super) fn into_settings(self, checker: &mut Checker) -> Settings {
         checker.not_empty("node", &self.node);
         checker.not_empty("site", &self.site);
@@ -208,7 +209,7 @@
     }
 }
 
-/// The key that a TOML error is about: the missing field, or the line it points at.
+/// The key that a TOML error is about: the missing field, or the key of the line that the error points at.
 fn key_of(error: &toml::de::Error, text: &str) -> String {
     let message = error.message();
     if let Some(field) = message.split('`').nth(1).filter(|_| message.contains("missing field")) {
--- a/crates/scheduler/src/settings/tests.rs
+++ b/crates/scheduler/src/settings/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn next_limits_of_the_state_service_are_checked_like_the_present_ones() {
+fn next_store_limits_are_checked_like_the_present_ones() {
     let with =
         |next: &str| SAMPLE.replace("[facts.cloud]", &format!("[facts.state.next]\n{next}\n[facts.cloud]"));
     assert_eq!(
@@ -37,7 +37,7 @@
     );
     let text = with("value_kb = 2.0\ntxn_ops = 40\nlater = 1");
     let settings = parse(SourceFile::new("p", &text), None).expect("valid");
-    // The stricter of each pair holds.
+    // The stricter of the present and the next limit applies.
     assert_eq!(
         (settings.state.value_bytes, settings.state.txn_ops, settings.state.write_rps),
         (2000, 12, 100.0)
--- a/crates/scheduler/src/wire/cloud.rs
+++ b/crates/scheduler/src/wire/cloud.rs
@@ -63,7 +63,7 @@
 pub struct ListedMachine {
     /// The machine's id.
     pub id: MachineId,
-    /// Where its worker listens, once that is known.
+    /// The address at which its worker listens, once it is known.
     #[serde(default)]
     pub addr: Option<String>,
     /// The machine's type.
@@ -75,14 +75,14 @@
     /// Whether it is a spot machine.
     #[serde(rename = "preemptible", default)]
     pub spot: bool,
-    /// Where it is in its life.
+    /// Its lifecycle phase.
     pub phase: MachinePhase,
     /// Seconds since it was rented.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// Where a machine is in its life, as the cloud sees it.
+/// Lifecycle phase of a machine, as the cloud reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachinePhase {
@@ -91,7 +91,7 @@
     Booting,
     /// Ready.
     Running,
-    /// Broken down, or not come up.
+    /// Broken, or failed to start.
     Failed,
     /// A phase that this version does not know.
     #[serde(other)]
@@ -105,7 +105,7 @@
     Types,
     /// Rent machines.
     Rent {
-        /// Makes the request idempotent: a repeated claim gives the machines of the first.
+        /// Idempotency key: a request that repeats a claim returns the machines of the first request.
         claim: String,
         /// Type of the machines.
         type_name: TypeName,
@@ -125,7 +125,7 @@
     List {
         /// Only machines after this one.
         after: Option<MachineId>,
-        /// Most machines in the answer.
+        /// Maximum number of machines in the answer.
         limit: u32,
     },
 }
@@ -145,12 +145,12 @@
     Listed {
         /// The machines.
         machines: Vec<ListedMachine>,
-        /// Whether machines after these are left out.
+        /// Whether there are further machines after these.
         more: bool,
     },
-    /// Not executed, or not understood; to be tried again later.
+    /// Not executed, or the answer is unreadable; to be retried later.
     Refused,
-    /// No answer: may have been executed or be executed later.
+    /// No usable answer: the request may have been executed, or may still be.
     Unknown,
 }
 
@@ -192,7 +192,7 @@
 }
 
 impl CloudRequest {
-    /// The request as it is sent.
+    /// The HTTP request.
     pub fn http(&self) -> HttpRequest {
         match self {
             CloudRequest::Types => HttpRequest::get("/flavors".into()),
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Reads the answer.
+    /// Parses the HTTP answer.
     pub fn reply(&self, status: u16, body: &[u8]) -> CloudReply {
         if status != StatusCode::OK {
             return self.failure(status, body);
@@ -223,7 +223,7 @@
             CloudRequest::Types => {
                 read(body).map_or(CloudReply::Refused, |types: TypesBody| CloudReply::Types(types.flavors))
             }
-            // What can't be read may name machines that are paid for.
+            // An unreadable answer may name machines that were rented and are charged for.
             CloudRequest::Rent { .. } => {
                 read(body).map_or(CloudReply::Unknown, |rented: RentedBody| CloudReply::Rented(rented.hosts))
             }
--- a/crates/scheduler/src/wire/mod.rs
+++ b/crates/scheduler/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The outside protocols: how requests and answers are written and read.
 //!
-//! The protocols' own words (shards, tenures, flavors, stamps, grants) stand only here; the rest of the code speaks
-//! of tasks, worker epochs, machine types, revisions and leases. Nodes build requests and read answers through these
-//! types; the program's runtime sends them.
+//! The protocols' own terms (shards, tenures, flavors, stamps, grants) occur only in this module; the rest of
+//! the code uses tasks, worker epochs, machine types, revisions and leases. Nodes build requests and read
+//! answers through these types; the program's runtime sends them.
 
 pub mod cloud;
 pub mod state;
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest body of a request that is read, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// A request as it is sent.
@@ -37,12 +37,12 @@
     }
 }
 
-/// Reads a body; `None` if it isn't what was expected.
+/// Deserializes a body; `None` if it doesn't have the expected format.
 fn read<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     serde_json::from_slice(body).ok()
 }
 
-/// Writes a body. The types written here can't fail.
+/// Serializes a body. Serialization of this module's types doesn't fail.
 fn write<T: Serialize>(body: &T) -> Vec<u8> {
     serde_json::to_vec(body).unwrap_or_default()
 }
--- a/crates/scheduler/src/wire/state.rs
+++ b/crates/scheduler/src/wire/state.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A stored value, kept as the JSON text it is.
+/// A stored value, as JSON text.
 pub type Value = String;
 
 /// Upper estimate of the bytes around the key and value of a put in a transaction.
 const PUT_OVERHEAD: usize = 64;
 /// Upper estimate of the bytes around the key of a delete in a transaction.
 const DELETE_OVERHEAD: usize = 32;
-/// In the error text of a transaction that names an expired lease.
+/// Part of the error text for a transaction that names an expired lease.
 const EXPIRED_LEASE: &[u8] = b"no such lease";
 
 /// A change of one key in a transaction.
@@ -25,7 +25,7 @@
         key: String,
         /// Its value, a JSON text.
         value: Value,
-        /// The lease that the key ends with, if any.
+        /// The lease whose expiry deletes the key, if any.
         lease: Option<LeaseId>,
     },
     /// Deletes the key.
@@ -66,7 +66,7 @@
         prefix: &'static str,
         /// Only keys after this one.
         after: Option<String>,
-        /// Most keys in the answer.
+        /// Maximum number of keys in the answer.
         limit: u32,
     },
     /// Make all changes if all conditions hold, else none.
@@ -76,12 +76,12 @@
         /// The changes.
         changes: Vec<Change>,
     },
-    /// Make a lease.
+    /// Grant a lease.
     GrantLease {
-        /// How many ms it lives unless it is renewed.
+        /// Time, in ms, after which it expires unless it is renewed.
         ttl_ms: u64,
     },
-    /// Start a lease's life anew.
+    /// Renew a lease for its full duration.
     RenewLease {
         /// The lease.
         lease: LeaseId,
@@ -92,7 +92,7 @@
         prefix: &'static str,
         /// Only changes after this revision of the store.
         from: u64,
-        /// How many ms to wait for a change.
+        /// Maximum time, in ms, to wait for a change.
         block_ms: u64,
     },
 }
@@ -113,7 +113,7 @@
 pub enum Event {
     /// The key was set.
     Put(Pair),
-    /// The key was deleted, or ended with its lease.
+    /// The key was deleted, or its lease expired.
     Delete {
         /// The key.
         key: String,
@@ -136,12 +136,12 @@
     Pairs {
         /// The keys, in order.
         pairs: Vec<Pair>,
-        /// Whether keys after these are left out.
+        /// Whether there are further keys after these.
         more: bool,
         /// Revision of the store at the read.
         store_revision: u64,
     },
-    /// The transaction's changes are made.
+    /// The transaction was committed.
     Committed {
         /// The revision that the changed keys have now.
         store_revision: u64,
@@ -153,7 +153,7 @@
     },
     /// The new lease.
     LeaseGranted(LeaseId),
-    /// The lease's life has started anew.
+    /// The lease was renewed.
     LeaseRenewed,
     /// The lease has expired.
     LeaseExpired,
@@ -164,13 +164,13 @@
         /// The changes.
         events: Vec<Event>,
     },
-    /// The watch's start is too old: the keys have to be read again.
+    /// The store no longer has all changes since the watch's start revision: the keys must be read again.
     TooOld,
-    /// Not executed: over a rate limit, or the service is away.
+    /// Not executed: a rate limit was exceeded, or the store is unavailable.
     Refused,
-    /// Refused for good: malformed.
+    /// Rejected as malformed: a retry would be rejected too.
     Malformed,
-    /// No answer: may have been executed or be executed later.
+    /// No usable answer: the request may have been executed, or may still be.
     Unknown,
 }
 
@@ -260,7 +260,7 @@
 }
 
 impl StoreRequest {
-    /// The request as it is sent.
+    /// The HTTP request.
     pub fn http(&self) -> HttpRequest {
         match self {
             StoreRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
@@ -283,9 +283,9 @@
         }
     }
 
-    /// Reads the answer.
+    /// Parses the HTTP answer.
     pub fn reply(&self, status: u16, body: &[u8]) -> StoreReply {
-        // A body that can't be read leaves open what happened.
+        // The outcome is unknown if the body can't be parsed.
         self.read_reply(status, body).unwrap_or(StoreReply::Unknown)
     }
 
--- a/crates/scheduler/src/wire/state/golden.rs
+++ b/crates/scheduler/src/wire/state/golden.rs
@@ -1,4 +1,5 @@
-//! Golden bytes between this node and the state service: every request, and how every answer is read.
+//! Golden bytes between this node and the key-value store: every request, and the parsed form of every
+//! answer.
 
 use super::*;
 use crate::golden::{recorded, request_line};
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn golden_requests_to_the_state_service() {
+fn golden_requests_to_the_store() {
     let requests = [
         ("get", get()),
         ("range", range(None)),
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn golden_answers_of_the_state_service() {
+fn golden_answers_of_the_store() {
     let pairs = vec![pair("j/req-1", "\"done\"", 5), pair("j/req-2", "{\"open\":{}}", 6)];
     let events = vec![
         Event::Put(pair("j/req-1", "\"done\"", 905)),
--- a/crates/scheduler/src/wire/state/tests.rs
+++ b/crates/scheduler/src/wire/state/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn commits_are_written_as_the_protocol_says() {
+fn commits_are_serialized_as_the_store_protocol_requires() {
     let request = StoreRequest::Commit {
         conditions: vec![("a/b".into(), Revision(0))],
         changes: vec![
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn watches_are_read_with_deletes() {
+fn watch_replies_are_parsed_with_puts_and_deletes() {
     let request = StoreRequest::Watch { prefix: "c/", from: 431, block_ms: 10 };
     let reply = request.reply(
         200,
--- a/crates/scheduler/src/wire/users.rs
+++ b/crates/scheduler/src/wire/users.rs
@@ -6,14 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What job ids begin with; up to `MAX_ID_DIGITS` digits follow.
+/// Prefix of job ids; 1 to `MAX_ID_DIGITS` digits follow.
 const ID_PREFIX: &str = "req-";
 const MAX_ID_DIGITS: usize = 32;
-/// Larger amounts than any machine has; bounds what arithmetic on them can reach.
+/// Maximum amount of a resource or a time: more than any machine has, and small enough for sums to stay
+/// finite.
 const MAX_AMOUNT: f64 = 1e9;
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 128;
-/// Most machine types that a submission may list.
+/// Maximum number of machine types that a submission may list.
 const MAX_TYPES: usize = 64;
 
 #[derive(Serialize, Deserialize)]
@@ -41,7 +42,7 @@
     snapshot_s: f64,
     #[serde(default)]
     due_s: Option<f64>,
-    /// Read by hand, so that the error names the field.
+    /// Parsed by `dependencies`, so that the error names the field.
     #[serde(default, skip_serializing_if = "serde_json::Value::is_null")]
     awaits: serde_json::Value,
 }
@@ -105,15 +106,15 @@
     }
 }
 
-/// The job id, if `id` has the form that all job ids have.
+/// Parses a job id; `None` if it is malformed.
 pub fn job_id(id: &str) -> Option<JobId> {
     let digits = id.strip_prefix(ID_PREFIX)?;
     ((1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit()))
         .then(|| id.into())
 }
 
-/// The id of a submission whose other fields may be anything: a repeat of an accepted job gets
-/// its state whatever the retry's body says.
+/// The id of a submission, without a check of its other fields: a retry for an accepted job is answered with
+/// the job's status, whatever else its body contains.
 pub fn submission_id(body: &[u8]) -> Option<JobId> {
     #[derive(Deserialize)]
     struct IdOnly {
@@ -123,13 +124,13 @@
     job_id(&submission.id)
 }
 
-/// What is wrong with a submission. Its text, which begins with the field, is the answer to the user.
+/// Why a submission is rejected. The text begins with the field and is returned to the user.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SubmissionError {
     /// The body is not JSON, or a field is missing or of the wrong type.
     #[error("{0}")]
     Body(String),
-    /// The id doesn't have the form of job ids.
+    /// The id is malformed.
     #[error("id: must look like req-000412")]
     Id,
     /// A name is empty or too long.
@@ -155,7 +156,7 @@
     /// A task needs no CPU.
     #[error("vcpus: must be above 0, is {0}")]
     NoCpus(f64),
-    /// The deadline lies before the submission.
+    /// The deadline is not after the submission.
     #[error("due_s: must be above 0 or null")]
     Deadline,
     /// The dependencies are not a list of job ids.
@@ -163,10 +164,10 @@
     Dependencies,
 }
 
-/// Reads a submission.
+/// Parses and checks a submission.
 ///
 /// # Errors
-/// The first thing that is wrong with it.
+/// The first fault found.
 pub fn submission(body: &[u8]) -> Result<(JobId, JobSpec), SubmissionError> {
     let submission: Submission =
         serde_json::from_slice(body).map_err(|error| SubmissionError::Body(error.to_string()))?;
@@ -304,7 +305,7 @@
     running: Option<u32>,
 }
 
-/// A job's status; `counts` are its tasks that are done and that run, where they are known.
+/// A job's status; `counts` has the numbers of its done and running tasks, if they are known.
 pub fn status(id: &JobId, phase: Phase, counts: Option<TaskCounts>) -> String {
     let status = Status {
         id: id.as_str(),
@@ -324,7 +325,7 @@
     }
 }
 
-/// An error's answer.
+/// The body of an error answer.
 pub fn error(message: &str) -> String {
     #[derive(Serialize)]
     struct Error<'a> {
--- a/crates/scheduler/src/wire/users/golden.rs
+++ b/crates/scheduler/src/wire/users/golden.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn bare(job_type: JobType, priority: Priority) -> JobSpec {
+fn minimal(job_type: JobType, priority: Priority) -> JobSpec {
     JobSpec {
         types: None,
         zone: None,
@@ -45,7 +45,7 @@
         ("array, low", full(JobType::Array, Priority::Low)),
         ("gang, normal", full(JobType::Gang, Priority::Normal)),
         ("service, high", full(JobType::Service, Priority::High)),
-        ("array, production, nothing optional", bare(JobType::Array, Priority::Production)),
+        ("array, production, nothing optional", minimal(JobType::Array, Priority::Production)),
     ];
     let mut group = golden_group!("submissions.txt");
     for (name, spec) in specs {
@@ -53,7 +53,7 @@
         group.both_ways(name, write_submission(&id, &spec), |body| {
             assert_eq!(submission_id(body.as_bytes()), Some(id.clone()));
             let (read_id, read) = submission(body.as_bytes()).ok()?;
-            assert_eq!(read, spec, "{name}: each field is read as what it is");
+            assert_eq!(read, spec, "{name}: every field keeps its value");
             Some(write_submission(&read_id, &read))
         });
     }
--- a/crates/scheduler/src/wire/workers.rs
+++ b/crates/scheduler/src/wire/workers.rs
@@ -14,7 +14,7 @@
     /// The worker's machine.
     #[serde(rename = "host")]
     pub machine: MachineId,
-    /// Where the worker listens.
+    /// The address at which the worker listens.
     pub addr: String,
     /// The machine's type.
     #[serde(rename = "flavor")]
@@ -25,7 +25,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "preemptible", default)]
     pub spot: bool,
-    /// Which start of the worker this is.
+    /// The worker's epoch, which differs for each start of the worker.
     #[serde(rename = "tenure")]
     pub worker_epoch: WorkerEpoch,
     /// Number of the heartbeat within the worker's epoch.
@@ -33,10 +33,10 @@
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "fence", default)]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the machine back, once it has announced that.
+    /// Seconds until the cloud reclaims the machine, once the cloud has announced that.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
-    /// The tasks that the worker has, or had and was not yet told to forget.
+    /// The worker's tasks, including exited ones that it was not yet told to forget.
     #[serde(rename = "shards", default)]
     pub tasks: Vec<ReportedTask>,
 }
@@ -55,7 +55,7 @@
 }
 
 impl Heartbeat {
-    /// Where it stands in the order of all heartbeats of its machine.
+    /// Its position in the order of all heartbeats of its machine.
     pub fn position(&self) -> HeartbeatPosition {
         HeartbeatPosition {
             worker_epoch: self.worker_epoch,
@@ -103,7 +103,7 @@
     /// The attempt that it was started for.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// What it is doing.
+    /// Its phase.
     pub phase: TaskPhase,
     /// Why it exited, if it has.
     #[serde(default)]
@@ -114,7 +114,7 @@
 }
 
 impl ReportedTask {
-    /// The task's id; `None` if it isn't one.
+    /// The task's id; `None` if the reported id is malformed.
     pub fn task(&self) -> Option<TaskId> {
         TaskId::parse(&self.task)
     }
@@ -135,14 +135,14 @@
             Some(Cause::Done) => TaskExit::Done,
             Some(Cause::Error) => TaskExit::Failed,
             Some(Cause::Stopped) => TaskExit::Stopped { saved: self.saved },
-            Some(Cause::Peers | Cause::Alone) => TaskExit::GangBroke,
+            Some(Cause::GangPeerLost | Cause::GangIncomplete) => TaskExit::GangBroke,
             Some(Cause::NoRoom) => TaskExit::InsufficientResources,
             Some(Cause::Busy | Cause::Unknown | Cause::Other) | None => TaskExit::Refused,
         }
     }
 }
 
-/// What a task is doing on its machine.
+/// Phase of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
@@ -172,15 +172,16 @@
     /// It was told to stop.
     Stopped,
     /// It lost another task of its gang.
-    Peers,
+    #[serde(rename = "peers")]
+    GangPeerLost,
     /// The other tasks of its gang did not start in time.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// It failed.
     Error,
     /// The machine's free resources don't suffice for it.
     NoRoom,
-    /// The worker could not take it.
+    /// The worker could not accept it.
     Busy,
     /// The worker does not know the task.
     Unknown,
@@ -245,7 +246,7 @@
     }
 }
 
-/// The answer to a heartbeat, with the leader's fencing token.
+/// The body of the answer to a heartbeat, with the leader's fencing token.
 pub fn answer(fencing_token: FencingToken, commands: &[WorkerCommand]) -> String {
     #[derive(Serialize)]
     struct Answer {
@@ -258,8 +259,8 @@
     serde_json::to_string(&Answer { fencing_token, commands }).unwrap_or_default()
 }
 
-/// The body of commands sent directly to a worker. It ignores them in another epoch, or with a lower fencing token
-/// than it has seen.
+/// The body of commands sent directly to a worker. The worker ignores them if they name another epoch of it,
+/// or a lower fencing token than it has seen.
 pub fn command(fencing_token: FencingToken, worker_epoch: WorkerEpoch, commands: &[WorkerCommand]) -> String {
     #[derive(Serialize)]
     struct Command {
@@ -274,10 +275,10 @@
     serde_json::to_string(&Command { fencing_token, worker_epoch, commands }).unwrap_or_default()
 }
 
-/// What is left of a direct command's body without the starts of finished jobs.
+/// Result of removing the starts of finished jobs from a direct command's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Filtered {
-    /// There was nothing to leave out.
+    /// There was nothing to remove.
     Unchanged,
     /// The body without these starts.
     Reduced(String),
@@ -285,9 +286,9 @@
     Empty,
 }
 
-/// Leaves out of a direct command's body the starts of jobs that are `finished`.
+/// Removes the starts of jobs that are `finished` from a direct command's body.
 pub fn without_starts(body: &str, finished: impl Fn(&JobId) -> bool) -> Filtered {
-    // Most bodies start nothing, and are not parsed.
+    // Most bodies contain no start; these are not parsed.
     if !body.contains("\"start\"") {
         return Filtered::Unchanged;
     }
@@ -307,8 +308,8 @@
     }
 }
 
-/// Sends a worker to the leader, or to the node that it is to send its heartbeats to; without one it has to try
-/// another node.
+/// The answer that redirects a worker to the leader, or to the node assigned to receive its heartbeats.
+/// Without either, the worker has to try another node.
 pub fn redirect(node: Option<&NodeName>) -> String {
     #[derive(Serialize)]
     struct Redirect<'a> {
--- a/crates/scheduler/src/wire/workers/golden.rs
+++ b/crates/scheduler/src/wire/workers/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes between workers and this node: reports as they are read and passed on, orders, redirects.
+//! Golden bytes between workers and this node: heartbeats as parsed and as relayed, commands and redirects.
 
 use super::*;
 use crate::golden::{from_hex, recorded, to_hex};
@@ -7,11 +7,11 @@
 const REPORTS: &str = include_str!("../../../tests/golden/reports_read.txt");
 
 fn heartbeat(name: &str) -> Heartbeat {
-    serde_json::from_str(recorded(REPORTS, name)).expect("the recorded report is read")
+    serde_json::from_str(recorded(REPORTS, name)).expect("the recorded heartbeat is valid")
 }
 
 #[test]
-fn golden_reports_are_read() {
+fn golden_heartbeats_are_parsed() {
     let full = heartbeat("every field");
     assert_eq!((full.machine, full.addr.as_str()), ("m-000231".into(), "10.1.0.232:9000"));
     assert_eq!((full.type_name, full.zone, full.spot), ("g8".into(), "z0".into(), true));
@@ -21,15 +21,15 @@
     assert_eq!(task.task(), TaskId::parse("req-000412/3"));
     assert_eq!((task.attempt, task.phase), (Attempt(2), TaskPhase::Exited));
     assert_eq!((task.cause, task.saved), (Some(Cause::Stopped), true));
-    let bare = heartbeat("required fields");
+    let minimal = heartbeat("required fields");
     assert_eq!(
-        (bare.spot, bare.fencing_token, bare.notice_s, bare.tasks.len()),
+        (minimal.spot, minimal.fencing_token, minimal.notice_s, minimal.tasks.len()),
         (false, FencingToken(0), None, 0)
     );
 }
 
 #[test]
-fn golden_phases_and_causes_are_read() {
+fn golden_phases_and_causes_are_parsed() {
     let reported_state =
         |name: &str| heartbeat(name).tasks.iter().map(ReportedTask::reported_state).collect::<Vec<_>>();
     let phases = [
@@ -48,8 +48,8 @@
     let expected = [
         Cause::Done,
         Cause::Stopped,
-        Cause::Peers,
-        Cause::Alone,
+        Cause::GangPeerLost,
+        Cause::GangIncomplete,
         Cause::Error,
         Cause::NoRoom,
         Cause::Busy,
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn golden_content_of_reports_between_nodes() {
+fn golden_relayed_heartbeat_contents() {
     let mut group = golden_group!("report_contents.txt");
     for name in ["every field", "required fields", "phases", "causes"] {
         let heartbeat = heartbeat(name);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn golden_orders_and_redirects() {
+fn golden_commands_and_redirects() {
     let task = TaskId { job: "req-000412".into(), index: 3 };
     let commands = [
         WorkerCommand::Start { task: task.clone(), attempt: Attempt(11) },
@@ -88,7 +88,7 @@
     group.writes("answer to a report", answer(FencingToken(412), &commands));
     group.writes("answer to a report, no orders", answer(FencingToken(412), &[]));
     let Filtered::Reduced(rest) = without_starts(&command, |job| *job == "req-000412".into()) else {
-        panic!("the start is taken out")
+        panic!("the start must be removed")
     };
     group.writes("direct command", command);
     group.writes("direct command without starts", rest);
--- a/crates/scheduler/src/wire/workers/tests.rs
+++ b/crates/scheduler/src/wire/workers/tests.rs
@@ -17,7 +17,7 @@
     let position = heartbeat.position();
     let content = heartbeat.content();
     let relayed = Heartbeat::from_content(machine, position, &content).expect("readable");
-    assert_eq!(format!("{relayed:?}"), format!("{heartbeat:?}"), "nodes relay all of it");
+    assert_eq!(format!("{relayed:?}"), format!("{heartbeat:?}"), "the relayed content must hold every field");
     let damaged = Heartbeat::from_content(machine, position, &content[1..]);
     assert!(damaged.is_none_or(|heartbeat| heartbeat.tasks.len() != 4));
     let task = TaskId::parse("req-000412/4").expect("valid");
