--- a/crates/dev-cluster/src/cloud.rs
+++ b/crates/dev-cluster/src/cloud.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the cloud, over HTTP. The machines that it rents out are workers' stand-ins in this process.
+//! A simulated cloud with an HTTP interface. The machines that it rents out are simulated workers in this
+//! process.
 
 use crate::http_server::{self, Answer};
 use crate::store::StoreHandle;
@@ -13,7 +14,7 @@
 use warp::http::{Method, StatusCode};
 use warp::path::FullPath;
 
-/// Machines that can be rented at a time.
+/// Maximum number of machines rented at a time.
 const MAX_MACHINES: usize = 64;
 /// The name of the only machine type.
 const MACHINE_TYPE: &str = "std";
@@ -32,18 +33,18 @@
 struct State {
     /// The number in the latest machine's name.
     last_machine: u64,
-    /// The machines that each request has got, by its claim: a repeated request gets the same.
+    /// The machines rented by each request, by its claim: a repeated request returns the same machines.
     claims: HashMap<String, Vec<String>>,
     machines: BTreeMap<String, Machine>,
 }
 
-/// How many machines are rented.
+/// Numbers of rented machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineCounts {
-    /// All of them.
+    /// All rented machines.
     pub total: usize,
-    /// Those that hang: they neither send heartbeats nor answer.
-    pub silent: usize,
+    /// Hung machines, which neither send heartbeats nor answer.
+    pub hung: usize,
 }
 
 /// The cloud. Clones share its machines.
@@ -56,20 +57,22 @@
 }
 
 impl Cloud {
-    /// A cloud without machines as yet. Theirs will send heartbeats to `nodes`, and look up jobs in `store`.
+    /// A cloud without machines. Workers of its machines will send heartbeats to `nodes` and read jobs from
+    /// `store`.
     pub fn new(store: StoreHandle, nodes: Vec<SocketAddr>, zones: Vec<String>) -> Self {
         Self { state: Arc::default(), store, nodes, zones }
     }
 
-    /// Makes up to `count` machines that have work hang for good; returns how many did.
-    pub fn silence(&self, count: usize) -> usize {
+    /// Makes up to `count` machines that have tasks hang permanently; returns their number.
+    pub fn hang_machines(&self, count: usize) -> usize {
         let state = self.lock();
         let workers = state.machines.values().map(|machine| &machine.worker);
-        let with_work = workers.filter(|worker| !worker.is_silent() && !worker.present_tasks().is_empty());
-        with_work.take(count).map(Worker::fall_silent).count()
+        let with_tasks = workers.filter(|worker| !worker.is_hung() && !worker.present_tasks().is_empty());
+        with_tasks.take(count).map(Worker::hang).count()
     }
 
-    /// On how many machines each task is. Those of silent machines count until the machines are returned.
+    /// The number of machines that each task is on. Tasks of hung machines count until the machines are
+    /// returned.
     pub fn present_tasks(&self) -> BTreeMap<String, usize> {
         let mut machines_by_task = BTreeMap::new();
         for machine in self.lock().machines.values() {
@@ -80,18 +83,18 @@
         machines_by_task
     }
 
-    /// How many machines are rented, and how many of them are silent.
+    /// The numbers of rented and of hung machines.
     pub fn machine_counts(&self) -> MachineCounts {
         let state = self.lock();
-        let silent = state.machines.values().filter(|machine| machine.worker.is_silent()).count();
-        MachineCounts { total: state.machines.len(), silent }
+        let hung = state.machines.values().filter(|machine| machine.worker.is_hung()).count();
+        MachineCounts { total: state.machines.len(), hung }
     }
 
     /// Serves the cloud on a free port.
     ///
     /// # Errors
     ///
-    /// No port can be listened on.
+    /// The cloud can't listen on a port.
     pub fn serve(&self) -> std::io::Result<SocketAddr> {
         let cloud = self.clone();
         let filter = warp::method().and(warp::path::full()).and(warp::body::bytes()).map(
@@ -182,7 +185,7 @@
 }
 
 impl Machine {
-    /// The machine as the cloud lists it.
+    /// The machine's entry in the cloud's list.
     fn description(&self, id: &str) -> Value {
         json!({"id": id, "addr": self.addr.to_string(), "flavor": MACHINE_TYPE, "region": self.zone,
             "preemptible": self.spot, "phase": "running", "age_s": self.rented_at.elapsed().as_secs_f64()})
--- a/crates/dev-cluster/src/cluster.rs
+++ b/crates/dev-cluster/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes, around the stand-ins of the key-value store and the cloud.
+//! Controllers as real processes, with a simulated key-value store and cloud.
 
 mod node_settings;
 
@@ -11,7 +11,7 @@
 use tempfile::TempDir;
 use tokio::process::{Child, Command};
 
-/// What in the operators' file is replaced by a free port.
+/// The text in the operators' file that is replaced by a free port.
 const PORT_PLACEHOLDER: &str = "PORT";
 
 /// A team of users.
@@ -19,29 +19,29 @@
 pub struct Team {
     /// Its name.
     pub name: String,
-    /// How many GPUs it may hold at most.
+    /// Maximum number of GPUs that it may use.
     pub max_gpus: u32,
 }
 
 impl Team {
-    /// A team that may hold `max_gpus` GPUs at most.
+    /// A team that may use up to `max_gpus` GPUs.
     pub fn new(name: &str, max_gpus: u32) -> Self {
         Self { name: name.to_string(), max_gpus }
     }
 }
 
-/// What a cluster is made of.
+/// Configuration of a cluster.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct ClusterConfig {
     /// The program that each controller runs.
     pub program: PathBuf,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub nodes: usize,
     /// The teams that may submit jobs.
     pub teams: Vec<Team>,
-    /// The operators' file; `PORT` in it becomes a free port, another for each node.
+    /// The operators' file; `PORT` in it is replaced by a free port, a different one for each node.
     pub operator: String,
-    /// Writes a second that the controllers are told the key-value store takes.
+    /// The key-value store's limit of writes a second, as given in the controllers' settings.
     pub write_rps: f64,
 }
 
@@ -50,42 +50,42 @@
 struct NodeAddresses {
     api: SocketAddr,
     peer: SocketAddr,
-    /// With the port that the operators' file gets.
+    /// The address with the port that replaces `PORT` in the operators' file.
     nomad_api: SocketAddr,
 }
 
-/// A running cluster. Its processes end with it.
+/// A running cluster. Its processes are killed when it is dropped.
 pub struct Cluster {
-    plan: Plan,
+    config: ClusterConfig,
     /// Holds the settings and the log of each node.
     folder: TempDir,
     /// The controllers' processes, once they have been started.
     processes: Vec<Option<Child>>,
-    /// The stand-in that rents out the machines.
+    /// The simulated cloud, which rents out the machines.
     pub cloud: Cloud,
     /// Each node's address for users and workers.
     pub api_addrs: Vec<SocketAddr>,
-    /// Each node's address with the port that its operators' file got.
+    /// Each node's address with the port that replaces `PORT` in its operators' file.
     pub nomad_api_addrs: Vec<SocketAddr>,
 }
 
 impl Cluster {
-    /// Starts the stand-ins and all controllers. Returns before the controllers answer.
+    /// Starts the simulated services and all controllers. Returns before the controllers accept requests.
     ///
     /// # Errors
     ///
     /// There are no free ports, files can't be written, or the program can't be started.
-    pub async fn start(plan: Plan) -> std::io::Result<Self> {
-        let nodes = free_addresses(plan.nodes)?;
+    pub async fn start(config: ClusterConfig) -> std::io::Result<Self> {
+        let nodes = free_addresses(config.nodes)?;
         let api_addrs: Vec<SocketAddr> = nodes.iter().map(|node| node.api).collect();
         let nomad_api_addrs = nodes.iter().map(|node| node.nomad_api).collect();
-        let zones = (0..plan.nodes).map(node_settings::zone).collect();
+        let zones = (0..config.nodes).map(node_settings::zone).collect();
         let store = StoreHandle::default();
         let cloud = Cloud::new(store.clone(), api_addrs.clone(), zones);
         let services = ServiceAddresses { store: store.serve()?, cloud: cloud.serve()? };
-        let processes = (0..plan.nodes).map(|_| None).collect();
+        let processes = (0..config.nodes).map(|_| None).collect();
         let folder = TempDir::new()?;
-        let mut cluster = Self { plan, folder, processes, cloud, api_addrs, nomad_api_addrs };
+        let mut cluster = Self { config, folder, processes, cloud, api_addrs, nomad_api_addrs };
         for node in 0..nodes.len() {
             cluster.write_settings(node, &nodes, services)?;
         }
@@ -101,18 +101,18 @@
         nodes: &[NodeAddresses],
         services: ServiceAddresses,
     ) -> std::io::Result<()> {
-        let platform = node_settings::platform(&self.plan, node, nodes, services);
+        let platform = node_settings::platform(&self.config, node, nodes, services);
         std::fs::write(self.file(node, "toml"), platform)?;
         let port = nodes[node].nomad_api.port().to_string();
-        std::fs::write(self.file(node, "yaml"), self.plan.operator.replace(PORT_PLACEHOLDER, &port))
+        std::fs::write(self.file(node, "yaml"), self.config.operator.replace(PORT_PLACEHOLDER, &port))
     }
 
-    /// A node's file of one kind.
+    /// The path of a node's file with the given extension.
     fn file(&self, node: usize, extension: &str) -> PathBuf {
         self.folder.path().join(format!("n{node}.{extension}"))
     }
 
-    /// Starts a controller's process. Its log begins anew.
+    /// Starts a controller's process, with an empty log.
     ///
     /// # Errors
     ///
@@ -123,7 +123,7 @@
         let platform = self.file(node, "toml");
         let arguments =
             [Path::new("serve"), Path::new("--operator"), &operator, Path::new("--config"), &platform];
-        let process = Command::new(&self.plan.program)
+        let process = Command::new(&self.config.program)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -134,11 +134,11 @@
         Ok(())
     }
 
-    /// Kills a controller's process, and returns when it has ended.
+    /// Kills a controller's process and waits until it has exited.
     ///
     /// # Errors
     ///
-    /// The operating system refuses.
+    /// The operating system can't kill the process.
     pub async fn kill_node(&mut self, node: usize) -> std::io::Result<()> {
         match &mut self.processes[node] {
             Some(process) => process.kill().await,
@@ -151,17 +151,18 @@
         self.processes[node].as_ref().and_then(Child::id)
     }
 
-    /// What a controller has logged since its latest start.
+    /// A controller's log since its latest start.
     pub fn log(&self, node: usize) -> String {
         std::fs::read_to_string(self.file(node, "log")).unwrap_or_default()
     }
 }
 
-/// Free addresses for as many nodes. They are only free for now: another process may take one before it is used.
+/// Returns addresses that are free at the moment. They are not reserved: another process may bind one before
+/// it is used.
 fn free_addresses(nodes: usize) -> std::io::Result<Vec<NodeAddresses>> {
     let listen = || TcpListener::bind(("127.0.0.1", 0));
-    // Held together, so that none is given twice.
-    let mut held = Vec::new();
+    // All listeners stay open until the end, so that no port is returned twice.
+    let mut open_listeners = Vec::new();
     let mut addresses = Vec::new();
     for _ in 0..nodes {
         let listeners = [listen()?, listen()?, listen()?];
@@ -170,7 +171,7 @@
             peer: listeners[1].local_addr()?,
             nomad_api: listeners[2].local_addr()?,
         });
-        held.push(listeners);
+        open_listeners.push(listeners);
     }
     Ok(addresses)
 }
--- a/crates/dev-cluster/src/cluster/node_settings.rs
+++ b/crates/dev-cluster/src/cluster/node_settings.rs
@@ -1,11 +1,11 @@
 //! The platform's settings file of each controller in a cluster.
 
-use super::{NodeAddresses, Plan};
+use super::{ClusterConfig, NodeAddresses};
 use std::net::SocketAddr;
 
-/// Requests a second that the key-value store takes, unless it takes more writes than that.
+/// The key-value store's limit of requests a second, unless its limit of writes is higher.
 const MIN_STORE_RPS: f64 = 250.0;
-/// What is the same for every cluster: the published facts of workers, cloud and controllers' machines.
+/// The facts that are the same for every cluster: those of workers, cloud and controllers' machines.
 const FIXED_FACTS: &str = "\
 [facts.workers]
 report_s = 1.0
@@ -22,7 +22,7 @@
 max_connections = 1500
 ";
 
-/// Where the stand-ins listen.
+/// The addresses of the simulated services.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServiceAddresses {
     /// The key-value store.
@@ -31,14 +31,14 @@
     pub(super) cloud: SocketAddr,
 }
 
-/// The zone that a node is in: each has its own.
+/// The zone of a node: each node has its own.
 pub(super) fn zone(node: usize) -> String {
     format!("z{node}")
 }
 
 /// The settings of one node, in TOML.
 pub(super) fn platform(
-    plan: &Plan,
+    config: &ClusterConfig,
     node: usize,
     nodes: &[NodeAddresses],
     services: ServiceAddresses,
@@ -51,19 +51,19 @@
         toml += &format!("peer_addr = \"{}\"\n", addresses.peer);
     }
     toml += &format!("[outside]\ncloud = \"{}\"\nstate = \"{}\"\n", services.cloud, services.store);
-    toml += &facts(plan);
+    toml += &facts(config);
     toml + FIXED_FACTS
 }
 
-/// What the plan says of the platform.
-fn facts(plan: &Plan) -> String {
-    let zones: Vec<String> = (0..plan.nodes).map(|node| format!("\"{}\"", zone(node))).collect();
+/// The facts that depend on the configuration.
+fn facts(config: &ClusterConfig) -> String {
+    let zones: Vec<String> = (0..config.nodes).map(|node| format!("\"{}\"", zone(node))).collect();
     let mut toml = format!("[facts]\nzones = [{}]\ntime_bound_ms = 5.0\n", zones.join(", "));
-    for team in &plan.teams {
+    for team in &config.teams {
         toml += &format!("[[facts.teams]]\nname = \"{}\"\n", team.name);
         toml += &format!("gpus = 4.0\ngpus_max = {}.0\n", team.max_gpus);
     }
-    let write_rps = plan.write_rps;
+    let write_rps = config.write_rps;
     let rps = MIN_STORE_RPS.max(write_rps);
     toml += &format!("[facts.state]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\n");
     toml + "value_kb = 16.0\ntxn_ops = 12\n"
--- a/crates/dev-cluster/src/http_server.rs
+++ b/crates/dev-cluster/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server beneath the stand-ins.
+//! The HTTP server of the simulated services.
 
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
@@ -9,11 +9,11 @@
 use warp::http::StatusCode;
 use warp::reply::Response;
 
-/// Serves a filter on a free port of loopback, in a task that lasts as long as the process.
+/// Serves a filter on a free port of loopback, in a task that runs until the process ends.
 ///
 /// # Errors
 ///
-/// No port can be listened on.
+/// The service can't listen on a port.
 pub(crate) fn serve<F>(filter: F) -> std::io::Result<SocketAddr>
 where
     F: warp::Filter + Clone + Send + Sync + 'static,
@@ -29,7 +29,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let service = service.clone();
             tokio::spawn(async move {
-                // An error means that the client has gone.
+                // Fails if the client disconnects.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -37,7 +37,7 @@
     Ok(addr)
 }
 
-/// What a stand-in answers: a status and a JSON body.
+/// An answer of a simulated service: a status and a JSON body.
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) body: Value,
@@ -54,7 +54,7 @@
         Self::new(StatusCode::OK, body)
     }
 
-    /// The refusal of a request that the stand-in doesn't know.
+    /// The answer to an unknown request.
     pub(crate) fn malformed() -> Self {
         Self::new(StatusCode::BAD_REQUEST, serde_json::json!({"error": "malformed"}))
     }
--- a/crates/dev-cluster/src/lib.rs
+++ b/crates/dev-cluster/src/lib.rs
@@ -1,8 +1,8 @@
-//! A whole service on one machine, on loopback: controllers as real processes, and stand-ins of the key-value store, the
-//! cloud and the workers, which speak the published protocols of the real ones.
+//! A complete service on one machine, on loopback: controllers as real processes, and simulated versions of
+//! the key-value store, the cloud and the workers, which implement the published protocols.
 //!
-//! `pearford-dev-cluster` runs it by hand, and the program's end-to-end tests through [`cluster::Cluster`].
-//! [`service_report`] is apart: it evaluates the controllers' logs.
+//! The program `pearford-dev-cluster` and the end-to-end tests run it through [`cluster::Cluster`].
+//! [`service_report`] is independent of it and evaluates the controllers' logs.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/dev-cluster/src/main.rs
+++ b/crates/dev-cluster/src/main.rs
@@ -1,49 +1,49 @@
-//! `pearford-dev-cluster`: runs a whole service on this machine, and may place a job on it.
+//! `pearford-dev-cluster`: runs a complete service on this machine, and optionally places a job on it.
 #![forbid(unsafe_code)]
 
 mod placement;
 
 use clap::Parser;
-use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
+use pearford_dev_cluster::cluster::{Cluster, ClusterConfig, Team};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Runs a whole service on this machine, on loopback, until Ctrl-C: three controllers as processes,
-/// stand-ins of key-value store, cloud and workers, the Nomad API open at each controller.
+/// Runs a complete service on this machine, on loopback, until Ctrl-C: three controllers as processes,
+/// each with the Nomad API, and a simulated key-value store, cloud and workers.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The controllers' program; the one beside this by default.
+    /// The controllers' program; by default `pearford` in the directory of this program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// A Nomad job file to place as soon as the service is up.
+    /// A Nomad job file to register as soon as the service is ready.
     #[arg(long, value_name = "FILE")]
     place: Option<PathBuf>,
-    /// End by itself after so many seconds.
+    /// Exit after this many seconds.
     #[arg(long = "for", value_name = "SECONDS")]
     run_for: Option<u64>,
 }
 
 /// Exit code if there is no program to run.
 const NO_PROGRAM: u8 = 2;
-/// How many controllers there are.
+/// Number of controllers.
 const NODES: usize = 3;
-/// How many GPUs each team may hold.
+/// Maximum number of GPUs that each team may use.
 const TEAM_MAX_GPUS: u32 = 32;
-/// Writes a second that the controllers are told the key-value store takes.
+/// The key-value store's limit of writes a second, as given in the controllers' settings.
 const STORE_WRITE_RPS: f64 = 100.0;
-/// Threads for the stand-ins.
+/// Threads for the simulated services.
 const WORKER_THREADS: usize = 2;
-/// The operators' settings; the cluster puts a port in.
+/// The operators' settings; the cluster replaces `PORT`.
 const OPERATOR: &str =
     "nomad:\n  listen: 127.0.0.1:PORT\n  mhz_per_cpu: 2500\n  namespaces:\n    default: red\n";
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let Some(program) = cli.program.clone().or_else(program_beside_this).filter(|path| path.exists()) else {
+    let Some(program) = cli.program.clone().or_else(default_program).filter(|path| path.exists()) else {
         eprintln!(
-            "pearford-dev-cluster: there is no controllers' program beside this; build it, or give --program FILE"
+            "pearford-dev-cluster: there is no controllers' program; build pearford, or give --program FILE"
         );
         return ExitCode::from(NO_PROGRAM);
     };
@@ -52,7 +52,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("pearford-dev-cluster: the runtime can't start: {error}");
+            eprintln!("pearford-dev-cluster: can't start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -65,12 +65,12 @@
     }
 }
 
-fn program_beside_this() -> Option<PathBuf> {
+fn default_program() -> Option<PathBuf> {
     Some(std::env::current_exe().ok()?.parent()?.join("pearford"))
 }
 
 async fn run(program: PathBuf, cli: Cli) -> std::io::Result<()> {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterConfig {
         program: program.clone(),
         nodes: NODES,
         teams: vec![Team::new("red", TEAM_MAX_GPUS), Team::new("blue", TEAM_MAX_GPUS)],
--- a/crates/dev-cluster/src/placement.rs
+++ b/crates/dev-cluster/src/placement.rs
@@ -1,4 +1,4 @@
-//! Registers a job file with a cluster that has just been started, and waits until its tasks run.
+//! Registers a job file with a cluster that was just started, and waits until the tasks run.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,18 +12,19 @@
 use std::time::{Duration, Instant};
 use tokio::process::Command;
 
-/// How long registering the job and starting its tasks may take together.
+/// Timeout for registering the job and starting its tasks.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause between two attempts.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Registers `file` at `nomad_api`, a URL, and prints how many tasks of each group run once none waits any more.
+/// Registers `file` at `nomad_api`, a URL. Once no task waits for a machine, prints how many tasks of each
+/// group run.
 ///
 /// # Errors
 ///
-/// The job is refused, or its tasks don't start in time.
+/// The job is refused, or its tasks don't start before the timeout.
 pub(crate) async fn place(program: &Path, nomad_api: &str, file: &Path) -> Result<()> {
     let began = Instant::now();
     let output = register(program, nomad_api, file, began).await?;
@@ -45,10 +46,10 @@
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
-    Err(Error::other("the job's tasks did not start in time"))
+    Err(Error::other("timeout waiting for the job's tasks to start"))
 }
 
-/// Runs `pearford nomad run` until it succeeds, fails for good, or time is up.
+/// Runs `pearford nomad run` until it succeeds, fails permanently, or the timeout is reached.
 async fn register(program: &Path, nomad_api: &str, file: &Path, began: Instant) -> Result<Output> {
     loop {
         let output =
@@ -60,14 +61,14 @@
     }
 }
 
-/// Whether the node refused for the moment, or could not be reached: both are usual right after its start.
+/// Whether the node refused temporarily or could not be reached: both are normal right after its start.
 fn is_transient(output: &Output) -> bool {
     let refused = String::from_utf8_lossy(&output.stderr).contains("come back");
-    // The client's own faults begin with the node's URL.
+    // Errors of the client itself begin with the node's URL.
     refused || output.stderr.starts_with(b"http")
 }
 
-/// The cluster's jobs; null if the node gives no usable answer.
+/// The cluster's jobs; null without a usable answer.
 async fn list_jobs(client: &HttpClient, nomad_api: &str) -> Result<Value> {
     let request = http::Request::get(format!("{nomad_api}/v1/jobs?namespace=*"))
         .body(Full::new(Bytes::new()))
@@ -77,7 +78,7 @@
     Ok(serde_json::from_slice(&body.to_bytes()).unwrap_or_default())
 }
 
-/// The summaries of a job's groups, if it has any and none of their tasks waits for a machine.
+/// The summaries of a job's groups, if it has any and no task waits for a machine.
 fn started_groups(job: &Value) -> Option<&Map<String, Value>> {
     let groups = job["JobSummary"]["Summary"].as_object()?;
     let started = !groups.is_empty() && groups.values().all(|tasks| tasks["Queued"] == 0);
--- a/crates/dev-cluster/src/service_report.rs
+++ b/crates/dev-cluster/src/service_report.rs
@@ -1,7 +1,7 @@
-//! What share of the jobs of each class and each team was served on a day, from the lines that controllers log:
-//! `accepted`, `started`, `done`, and `cancelled` or `withdrawn`, which mean the same.
+//! Computes the share of jobs of each class and each team that were served, from the events that controllers
+//! log: `accepted`, `started`, `done`, and `cancelled` or `withdrawn`, which mean the same.
 //!
-//! `pearford-service-report` prints it.
+//! `pearford-service-report` prints the result.
 
 mod log_line;
 #[cfg(test)]
@@ -11,15 +11,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A job accepted so shortly before the log ends could not be served any more, in seconds.
+/// A job accepted less than this many seconds before the end of the log is not counted unless it was started.
 pub const MIN_SERVICE_TIME_S: f64 = 60.0;
-/// A class or a team of which less than this share was served fails the day.
+/// A class or a team fails if less than this share of its jobs was served.
 const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// A job, by all lines about it. Each may come from several nodes, and more than once after a failover.
+/// The events of a job. Several nodes may log the same event, and a new leader logs it again after a
+/// failover.
 #[derive(Debug, Default)]
 struct Job {
-    /// Absent if the log has lines about the job, but not that it was accepted.
+    /// Absent if the log does not contain the acceptance of the job.
     acceptance: Option<Acceptance>,
     started: bool,
     done: bool,
@@ -33,34 +34,35 @@
     at_s: f64,
 }
 
-/// Jobs of a class or a team.
+/// Numbers of jobs of a class or a team.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Share {
-    /// Accepted, and neither cancelled before they started nor too late.
+pub struct JobCounts {
+    /// Accepted jobs, without those in `cancelled` and `late`.
     pub jobs: usize,
     /// Those of `jobs` that have started.
     pub started: usize,
     /// Those of `jobs` that are done.
     pub done: usize,
-    /// Cancelled before they had started; not among `jobs`.
+    /// Jobs cancelled before they started; not included in `jobs`.
     pub cancelled: usize,
-    /// Accepted too late to be served; not among `jobs`.
+    /// Jobs accepted too late to be served; not included in `jobs`.
     pub late: usize,
 }
 
-impl Share {
-    /// The share that was served, from 0 to 1: what has started, since services are never done.
+impl JobCounts {
+    /// The share of `jobs` that was served, from 0 to 1. A started job counts as served, since services are
+    /// never done.
     pub fn served(&self) -> f64 {
         if self.jobs == 0 { 1.0 } else { self.started as f64 / self.jobs as f64 }
     }
 
-    /// Whether less than half was served.
+    /// Whether less than half of the jobs were served.
     pub fn fails(&self) -> bool {
         self.served() < MIN_SERVED_SHARE
     }
 
-    /// Counts a job that was accepted `remaining_s` seconds before the log's end.
-    fn count(&mut self, job: &Job, remaining_s: f64) {
+    /// Adds a job that was accepted `remaining_s` seconds before the end of the log.
+    fn add(&mut self, job: &Job, remaining_s: f64) {
         let started = job.started || job.done;
         if !started && job.cancelled {
             self.cancelled += 1;
@@ -74,17 +76,17 @@
     }
 }
 
-/// What was served on a day.
+/// The jobs that were served, by class and by team.
 #[derive(Debug, Default)]
 pub struct ServiceReport {
-    /// By the jobs' class.
-    pub classes: BTreeMap<String, Share>,
-    /// By the jobs' team.
-    pub teams: BTreeMap<String, Share>,
+    /// The numbers of jobs of each class.
+    pub classes: BTreeMap<String, JobCounts>,
+    /// The numbers of jobs of each team.
+    pub teams: BTreeMap<String, JobCounts>,
 }
 
 impl ServiceReport {
-    /// Counts the jobs of a day's log lines, in any order. Other lines are passed over.
+    /// Counts the jobs in log lines, which may be in any order. Unrelated lines are ignored.
     pub fn from_log<'a>(lines: impl Iterator<Item = &'a str>) -> Self {
         let mut jobs: BTreeMap<String, Job> = BTreeMap::new();
         let mut end_s = 0.0f64;
@@ -96,20 +98,20 @@
         for job in jobs.values() {
             let Some(acceptance) = &job.acceptance else { continue };
             let remaining_s = end_s - acceptance.at_s;
-            report.classes.entry(acceptance.class.clone()).or_default().count(job, remaining_s);
-            report.teams.entry(acceptance.team.clone()).or_default().count(job, remaining_s);
+            report.classes.entry(acceptance.class.clone()).or_default().add(job, remaining_s);
+            report.teams.entry(acceptance.team.clone()).or_default().add(job, remaining_s);
         }
         report
     }
 
-    /// Classes and teams of which less than half was served.
+    /// Classes and teams of which less than half of the jobs were served.
     pub fn failures(&self) -> Vec<&str> {
         let all = self.classes.iter().chain(&self.teams);
-        all.filter(|(_, share)| share.fails()).map(|(name, _)| name.as_str()).collect()
+        all.filter(|(_, counts)| counts.fails()).map(|(name, _)| name.as_str()).collect()
     }
 }
 
-/// Notes what a line says of a job.
+/// Records a line's event for its job.
 fn record(jobs: &mut BTreeMap<String, Job>, line: &LogLine) {
     let Some(id) = line.field("job") else { return };
     let Some(event) = line.event else { return };
@@ -129,17 +131,17 @@
 
 impl fmt::Display for ServiceReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (class, share) in &self.classes {
-            writeln!(formatter, "class {class}: {share}")?;
+        for (class, counts) in &self.classes {
+            writeln!(formatter, "class {class}: {counts}")?;
         }
-        for (team, share) in &self.teams {
-            writeln!(formatter, "team {team}: {share}")?;
+        for (team, counts) in &self.teams {
+            writeln!(formatter, "team {team}: {counts}")?;
         }
         Ok(())
     }
 }
 
-impl fmt::Display for Share {
+impl fmt::Display for JobCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { jobs, started, done, cancelled, late } = self;
         let served = self.served();
--- a/crates/dev-cluster/src/service_report/tests.rs
+++ b/crates/dev-cluster/src/service_report/tests.rs
@@ -8,15 +8,15 @@
     )
 }
 
-/// A day on which one team's jobs are started and another's, of the same class, are not. One job is cancelled, which
-/// is logged as `cancellation`.
-fn day_with_a_starved_team(cancellation: &str) -> ServiceReport {
+/// A log in which one team's jobs start, and those of another team with the same class don't. One job is
+/// cancelled, which is logged as the event `cancellation`.
+fn report_with_starved_team(cancellation: &str) -> ServiceReport {
     let mut log = Vec::new();
     for job in 0..40u32 {
         let team = if job % 4 == 0 { "blue" } else { "red" };
         log.push(line(job, "accepted", job, "a", team));
         if team == "red" || job == 0 {
-            // Logged again by the next leader.
+            // A new leader logs the event again.
             (0..2).for_each(|n| log.push(line(60 + job + n, "started", job, "a", team)));
         }
     }
@@ -30,28 +30,28 @@
 
 fn assert_only_the_starved_team_fails(report: &ServiceReport) {
     assert_eq!(report.failures(), ["blue"]);
-    assert_eq!(report.classes["a"], Share { jobs: 40, started: 31, done: 1, cancelled: 1, late: 1 });
-    assert_eq!(report.teams["blue"], Share { jobs: 10, started: 1, done: 0, cancelled: 1, late: 1 });
+    assert_eq!(report.classes["a"], JobCounts { jobs: 40, started: 31, done: 1, cancelled: 1, late: 1 });
+    assert_eq!(report.teams["blue"], JobCounts { jobs: 10, started: 1, done: 0, cancelled: 1, late: 1 });
 }
 
 #[test]
-fn a_starved_team_fails_the_day_though_its_class_does_not() {
-    let report = day_with_a_starved_team("withdrawn");
+fn starved_team_fails_although_its_class_does_not() {
+    let report = report_with_starved_team("withdrawn");
     assert_only_the_starved_team_fails(&report);
     assert!(report.to_string().contains("team blue: 10 jobs, 1 started (0.10)"));
 }
 
 #[test]
-fn a_cancellation_counts_under_either_of_its_words() {
-    let withdrawn = day_with_a_starved_team("withdrawn");
-    let cancelled = day_with_a_starved_team("cancelled");
+fn cancelled_and_withdrawn_events_are_counted_alike() {
+    let withdrawn = report_with_starved_team("withdrawn");
+    let cancelled = report_with_starved_team("cancelled");
     assert_only_the_starved_team_fails(&cancelled);
     assert_eq!(cancelled.to_string(), withdrawn.to_string());
 }
 
 #[test]
-fn each_line_of_the_report_names_all_its_counts() {
-    let report = day_with_a_starved_team("cancelled");
+fn report_lines_contain_all_counts() {
+    let report = report_with_starved_team("cancelled");
     let expected = "class a: 40 jobs, 31 started (0.78), 1 done; left out: 1 withdrawn before, 1 too late\n\
         team blue: 10 jobs, 1 started (0.10), 0 done; left out: 1 withdrawn before, 1 too late  LESS THAN HALF\n\
         team red: 30 jobs, 30 started (1.00), 1 done; left out: 0 withdrawn before, 0 too late\n";
--- a/crates/dev-cluster/src/store.rs
+++ b/crates/dev-cluster/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the key-value store, over HTTP. It forgets everything when its process ends.
+//! A simulated key-value store with an HTTP interface. Its contents are not persisted.
 
 mod state;
 
@@ -15,11 +15,11 @@
 use warp::path::FullPath;
 use warp::reply::Response;
 
-/// The longest that a watch waits for a change, in milliseconds.
+/// Maximum time that a watch waits for a change, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
-/// How often a waiting watch looks for changes without being notified, so that expired leases show.
+/// Interval at which a waiting watch checks for changes without a notification, to detect expired leases.
 const WATCH_POLL: Duration = Duration::from_millis(200);
-/// A lease's length if the request names none, in milliseconds.
+/// Default duration of a lease, in milliseconds.
 const DEFAULT_LEASE_MS: u64 = 5000;
 
 /// A request's query parameters.
@@ -33,7 +33,7 @@
 }
 
 impl StoreHandle {
-    /// A key's value, if it has one.
+    /// A key's value, if the key exists.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.lock().get(key).map(|entry| entry.value.clone())
     }
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// No port can be listened on.
+    /// The store can't listen on a port.
     pub fn serve(&self) -> std::io::Result<SocketAddr> {
         let watched = self.clone();
         let watch =
@@ -58,7 +58,7 @@
         http_server::serve(watch.or(rest))
     }
 
-    /// The contents, without what expired leases held.
+    /// Locks the contents, after expiring leases and deleting their keys.
     fn lock(&self) -> MutexGuard<'_, Store> {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         store.expire_leases();
@@ -83,24 +83,24 @@
         answer.into_response()
     }
 
-    /// Answers with what has changed under a prefix since a revision, as soon as there is anything.
+    /// Answers with the changes of keys with a prefix since a revision; waits until there is one.
     async fn watch(self, query: Query) -> Response {
         let number = |key: &str| query.get(key).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
         let prefix = query.get("under").cloned().unwrap_or_default();
         let deadline = Instant::now() + Duration::from_millis(number("block_ms").min(MAX_WATCH_MS));
         loop {
-            // Before the contents are read, so that no change is missed in between.
+            // Subscribes before reading the contents, so that no change in between is missed.
             let changed = self.changed.notified();
             if let Some(answer) = self.changes(&prefix, number("from"), Instant::now() >= deadline) {
                 return answer.into_response();
             }
             let remaining = deadline.saturating_duration_since(Instant::now());
-            // Whether it was notified or not, the contents are read again.
+            // The contents are read again after a notification and after a timeout.
             let _ = tokio::time::timeout(remaining.min(WATCH_POLL), changed).await;
         }
     }
 
-    /// What has changed; `None` if nothing has, unless `even_if_none`.
+    /// The answer with the changes; `None` if there are none, unless `even_if_none`.
     fn changes(&self, prefix: &str, from: u64, even_if_none: bool) -> Option<Answer> {
         let store = self.lock();
         let revision = store.revision();
@@ -126,7 +126,7 @@
     Answer::ok(store.range(text("under"), text("from"), text("most").parse().ok()))
 }
 
-/// Ends a lease, or renews it.
+/// Revokes or renews a lease.
 fn change_lease(store: &mut Store, method: &str, path: &str) -> Answer {
     let lease = path.split('/').nth(1).and_then(|id| id.parse().ok()).unwrap_or(0);
     let known = match method {
--- a/crates/dev-cluster/src/store/state.rs
+++ b/crates/dev-cluster/src/store/state.rs
@@ -1,4 +1,4 @@
-//! The contents of the key-value store's stand-in: keys with revisions, leases, and the latest changes.
+//! The contents of the simulated key-value store: keys with revisions, leases, and the latest changes.
 
 use crate::http_server::Answer;
 use serde_json::{Value, json};
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 use warp::http::StatusCode;
 
-/// Changes that are kept for watches.
+/// Number of changes kept for watches.
 const MAX_EVENTS: usize = 10_000;
-/// The most pairs that one read of a range gives.
+/// Maximum number of pairs in the answer to one range read.
 const MAX_PAIRS: usize = 1000;
 
 /// A key's value.
@@ -16,7 +16,7 @@
     pub(super) value: Value,
     /// The store's revision when it was written.
     pub(super) revision: u64,
-    /// The lease that it ends with.
+    /// The lease whose end deletes the key.
     pub(super) lease: Option<u64>,
 }
 
@@ -27,11 +27,11 @@
 
 struct Event {
     revision: u64,
-    /// As watches get it.
+    /// The change as watches return it.
     body: Value,
 }
 
-/// The contents.
+/// Contents of the store.
 #[derive(Default)]
 pub(super) struct Store {
     revision: u64,
@@ -43,7 +43,7 @@
 }
 
 impl Store {
-    /// The number of changes so far.
+    /// The current revision: the number of transactions and lease ends that changed keys.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
@@ -68,7 +68,7 @@
         json!({"pairs": pairs, "more": more, "epoch": self.revision})
     }
 
-    /// Makes all changes of a request in one revision, if every key that it names has the revision it expects.
+    /// Makes all changes of a request in one revision if all its conditions hold.
     pub(super) fn transaction(&mut self, body: &Value) -> Answer {
         let no_items = Vec::new();
         let conditions = body["if"].as_array().unwrap_or(&no_items);
@@ -90,7 +90,7 @@
         Answer::ok(json!({"epoch": self.revision}))
     }
 
-    /// The keys that don't have the revision that a condition expects; a key without a value has revision 0.
+    /// The keys whose revision differs from the one that a condition expects; a missing key has revision 0.
     fn failed_conditions<'a>(&self, conditions: &'a [Value]) -> Vec<&'a str> {
         let mut failed = Vec::new();
         for condition in conditions {
@@ -103,7 +103,7 @@
         failed
     }
 
-    /// Makes one change, at the present revision.
+    /// Makes one change at the current revision.
     fn apply(&mut self, change: &Value) {
         if let Some(key) = change["set"].as_str() {
             let value = change["v"].clone();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What has changed under a prefix after a revision; `None` if changes since then are no longer kept.
+    /// The changes of keys with a prefix after a revision; `None` if some of them are no longer kept.
     pub(super) fn events_since(&self, prefix: &str, from: u64) -> Option<Vec<Value>> {
         let oldest = self.events.first().map_or(0, |event| event.revision);
         if self.events.len() >= MAX_EVENTS && oldest > from + 1 {
@@ -142,21 +142,21 @@
         Some(events.map(|event| event.body.clone()).collect())
     }
 
-    /// Grants a lease and gives its number.
+    /// Grants a lease and returns its id.
     pub(super) fn grant_lease(&mut self, ttl: Duration) -> u64 {
         self.last_lease += 1;
         self.leases.insert(self.last_lease, Lease { ttl, expires_at: Instant::now() + ttl });
         self.last_lease
     }
 
-    /// Renews a lease for its full length; whether there is such a lease.
+    /// Renews a lease for its full duration; returns whether it exists.
     pub(super) fn renew_lease(&mut self, lease: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&lease) else { return false };
         lease.expires_at = Instant::now() + lease.ttl;
         true
     }
 
-    /// Ends a lease, and the keys that were written under it; whether there was such a lease.
+    /// Revokes a lease and deletes its keys; returns whether it existed.
     pub(super) fn revoke_lease(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
@@ -176,7 +176,7 @@
         true
     }
 
-    /// Ends the leases that have run out.
+    /// Revokes all expired leases.
     pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired: Vec<u64> =
--- a/crates/dev-cluster/src/worker.rs
+++ b/crates/dev-cluster/src/worker.rs
@@ -1,4 +1,5 @@
-//! A stand-in of a worker: it takes commands and sends heartbeats, and lets time pass in place of work.
+//! A simulated worker: it accepts commands and sends heartbeats. Its tasks do no work, and end after their
+//! run time.
 
 use crate::http_server::{self, Answer};
 use crate::store::StoreHandle;
@@ -17,16 +18,16 @@
 use warp::http::StatusCode;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a heartbeat's answer may take.
+/// Timeout for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long a task fetches its image before it runs.
+/// Duration of a task's image fetch, before it runs.
 const IMAGE_FETCH: Duration = Duration::from_millis(200);
-/// The epoch of every worker: none is ever restarted.
+/// The epoch of every worker. Workers are never restarted.
 const WORKER_EPOCH: u64 = 1;
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// What a machine was rented as.
+/// The properties of a rented machine.
 pub(crate) struct MachineSpec {
     pub(crate) id: String,
     pub(crate) type_name: String,
@@ -34,19 +35,19 @@
     pub(crate) spot: bool,
 }
 
-/// A worker that has just been started.
+/// A worker that was just started.
 pub(crate) struct StartedWorker {
     pub(crate) worker: Worker,
-    /// Where it takes commands.
+    /// The address at which it accepts commands.
     pub(crate) addr: SocketAddr,
-    /// Sends its heartbeats; to be aborted when the machine is returned.
+    /// The task that sends its heartbeats; it is aborted when the machine is returned.
     pub(crate) heartbeats: JoinHandle<()>,
 }
 
 struct Task {
     attempt: u64,
     started_at: Instant,
-    /// How long it runs once its image is there; `None` for a service, which runs until it is stopped.
+    /// How long it runs after the image fetch; `None` for a service, which runs until it is stopped.
     run_time: Option<Duration>,
     stopped: bool,
 }
@@ -56,23 +57,24 @@
     addr: SocketAddr,
     /// The number of the latest heartbeat.
     serial: u64,
-    /// The highest that a leader has shown.
+    /// The highest fencing token received.
     fencing_token: u64,
     tasks: BTreeMap<String, Task>,
     store: StoreHandle,
-    /// The machine hangs, or is dead: it is never heard of again, and what runs there counts until it is returned.
-    silent: bool,
+    /// The machine hangs: it neither sends heartbeats nor answers, and its tasks count as present until it is
+    /// returned.
+    hung: bool,
 }
 
-/// A worker. Clones are the same worker.
+/// A worker. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct Worker(Arc<Mutex<State>>);
 
-/// Starts a worker that takes commands on a free port and sends heartbeats to `nodes`.
+/// Starts a worker that accepts commands on a free port and sends heartbeats to `nodes`.
 ///
 /// # Errors
 ///
-/// No port can be listened on.
+/// The worker can't listen on a port.
 pub(crate) fn start(
     machine: MachineSpec,
     nodes: Vec<SocketAddr>,
@@ -80,23 +82,23 @@
 ) -> std::io::Result<StartedWorker> {
     let state = State {
         machine,
-        // Known only once the port is open.
+        // Replaced when the port is known.
         addr: SocketAddr::from(([127, 0, 0, 1], 0)),
         serial: 0,
         fencing_token: 0,
         tasks: BTreeMap::new(),
         store,
-        silent: false,
+        hung: false,
     };
     let worker = Worker(Arc::new(Mutex::new(state)));
-    let commanded = worker.clone();
+    let command_worker = worker.clone();
     let addr = http_server::serve(warp::body::bytes().then(move |body: Bytes| {
-        let worker = commanded.clone();
+        let worker = command_worker.clone();
         async move {
-            if worker.is_silent() {
+            if worker.is_hung() {
                 std::future::pending::<()>().await;
             }
-            worker.take_commands(&body).into_response()
+            worker.handle_commands(&body).into_response()
         }
     }))?;
     worker.lock().addr = addr;
@@ -105,16 +107,16 @@
 }
 
 impl Worker {
-    /// From now on it neither sends heartbeats nor answers.
-    pub(crate) fn fall_silent(&self) {
-        self.lock().silent = true;
+    /// Makes the worker hang: from now on it neither sends heartbeats nor answers.
+    pub(crate) fn hang(&self) {
+        self.lock().hung = true;
     }
 
-    pub(crate) fn is_silent(&self) -> bool {
-        self.lock().silent
+    pub(crate) fn is_hung(&self) -> bool {
+        self.lock().hung
     }
 
-    /// The names of the tasks that are on the machine and have not ended.
+    /// The names of the tasks on the machine that have not ended.
     pub(crate) fn present_tasks(&self) -> Vec<String> {
         let state = self.lock();
         let present = state.tasks.iter().filter(|(_, task)| task.is_present());
@@ -125,39 +127,39 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes commands that a controller sends, and answers with a heartbeat.
-    fn take_commands(&self, body: &[u8]) -> Answer {
+    /// Executes commands that a controller sends, and answers with a heartbeat.
+    fn handle_commands(&self, body: &[u8]) -> Answer {
         let commands: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let mut state = self.lock();
-        let accepted = commands.is_null() || (commands["tenure"] == WORKER_EPOCH && state.obey(&commands));
+        let accepted = commands.is_null() || (commands["tenure"] == WORKER_EPOCH && state.execute(&commands));
         let status = if accepted { StatusCode::OK } else { StatusCode::CONFLICT };
         Answer::new(status, state.heartbeat())
     }
 
-    /// Sends heartbeats until the worker falls silent; to the next node if one doesn't take them.
+    /// Sends heartbeats until the worker hangs. Switches to the next node if one doesn't accept a heartbeat.
     async fn send_heartbeats(self, nodes: Vec<SocketAddr>) {
         let client: HttpClient = Client::builder(TokioExecutor::new()).build_http();
         let mut node = 0;
-        while !self.is_silent() {
+        while !self.is_hung() {
             let heartbeat = self.lock().heartbeat().to_string();
             let exchange = exchange_heartbeat(&client, nodes[node % nodes.len()], heartbeat);
             match tokio::time::timeout(HEARTBEAT_TIMEOUT, exchange).await.ok().flatten() {
-                Some(commands) => self.obey_unless_silent(&commands),
+                Some(commands) => self.execute_unless_hung(&commands),
                 None => node += 1,
             }
             tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    fn obey_unless_silent(&self, commands: &Value) {
+    fn execute_unless_hung(&self, commands: &Value) {
         let mut state = self.lock();
-        if !state.silent {
-            state.obey(commands);
+        if !state.hung {
+            state.execute(commands);
         }
     }
 }
 
-/// Sends a heartbeat; `None` if it was not taken, else the commands that came back.
+/// Sends a heartbeat and returns the commands in the answer; `None` if the heartbeat was not accepted.
 async fn exchange_heartbeat(client: &HttpClient, node: SocketAddr, heartbeat: String) -> Option<Value> {
     let uri = format!("http://{node}/v1/report");
     let request = http::Request::post(uri).body(Full::new(Bytes::from(heartbeat))).ok()?;
@@ -176,19 +178,20 @@
             "serial": self.serial, "fence": self.fencing_token, "warning_s": null, "shards": tasks})
     }
 
-    /// Carries out commands; false, without doing so, if they are from an earlier leader.
-    fn obey(&mut self, commands: &Value) -> bool {
-        let shown_token = commands["fence"].as_u64().filter(|token| *token >= self.fencing_token);
-        let Some(fencing_token) = shown_token else { return false };
+    /// Executes commands. Returns false, without executing them, if their fencing token is lower than the
+    /// highest received.
+    fn execute(&mut self, commands: &Value) -> bool {
+        let valid_token = commands["fence"].as_u64().filter(|token| *token >= self.fencing_token);
+        let Some(fencing_token) = valid_token else { return false };
         self.fencing_token = fencing_token;
         for command in commands["orders"].as_array().into_iter().flatten() {
-            self.carry_out(command);
+            self.execute_one(command);
         }
         true
     }
 
-    /// Carries out one command. One for another attempt of its task has no effect, nor has starting a task twice.
-    fn carry_out(&mut self, command: &Value) {
+    /// Executes one command. A command for another attempt of its task has no effect, nor has a second start.
+    fn execute_one(&mut self, command: &Value) {
         let name = command["shard"].as_str().unwrap_or_default();
         let attempt = command["try"].as_u64().unwrap_or(0);
         let same_attempt = self.tasks.get(name).is_some_and(|task| task.attempt == attempt);
@@ -220,13 +223,13 @@
 }
 
 impl Task {
-    /// Whether it has been started and has neither been stopped nor come to its end.
+    /// Whether it was started and has neither been stopped nor ended.
     fn is_present(&self) -> bool {
         let elapsed = self.started_at.elapsed();
         !self.stopped && self.run_time.is_none_or(|run_time| elapsed < IMAGE_FETCH + run_time)
     }
 
-    /// The task as a heartbeat describes it.
+    /// The task's entry in a heartbeat.
     fn status(&self, name: &str) -> Value {
         let elapsed = self.started_at.elapsed();
         let (phase, cause) = match self.run_time {
--- a/crates/pearford/benches/nomad_api.rs
+++ b/crates/pearford/benches/nomad_api.rs
@@ -1,12 +1,12 @@
-//! What the Nomad API costs, against the same node without it or its native API, as ratios in one run:
-//! `cargo bench -p pearford --bench nomad_api`. Real processes, stand-ins beside them, on loopback.
+//! Measures the cost of the Nomad API, as ratios to a node without it and to the native API within one run:
+//! `cargo bench -p pearford --bench nomad_api`. Uses real node processes and simulated services on loopback.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
+use pearford_dev_cluster::cluster::{Cluster, ClusterConfig, Team};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Processor seconds and resident MB of a process.
+/// CPU seconds and resident memory in MB of a process.
 fn used(pid: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
@@ -49,7 +49,7 @@
     let kb = status
         .lines()
         .find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB")?.trim().parse::<f64>().ok());
-    // Linux counts in hundredths of a second here.
+    // The times in /proc/PID/stat are in hundredths of a second.
     ((ticks(11) + ticks(12)) / 100.0, kb.unwrap_or(0.0) / 1024.0)
 }
 
@@ -63,16 +63,16 @@
 
 impl Node {
     async fn start(operator: &str) -> Self {
-        let plan = Plan {
+        let config = ClusterConfig {
             program: env!("CARGO_BIN_EXE_pearford").into(),
             nodes: 1,
-            // One job of the team runs; all others wait for its limit.
+            // Only one job runs; all others wait because the team's limit is reached.
             teams: vec![Team::new("red", 1)],
             operator: operator.into(),
             write_rps: 100_000.0,
         };
         let began = Instant::now();
-        let cluster = Cluster::start(plan).await.expect("starts");
+        let cluster = Cluster::start(config).await.expect("starts");
         let client = Client::builder(TokioExecutor::new()).build_http();
         let (api, nomad_api) = (cluster.api_addrs[0], cluster.nomad_api_addrs[0]);
         while send(&client, "GET", format!("http://{api}/up"), &Value::Null).await.0 != 200 {
@@ -80,7 +80,7 @@
         }
         let ready_ms = began.elapsed().as_secs_f64() * 1000.0;
         let node = Self { cluster, client, api, nomad_api, ready_ms };
-        // Until machine types are known and a leader is there.
+        // Submissions are refused until the machine types are known and there is a leader.
         while node.native(999_999_999).await != 201 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -107,20 +107,20 @@
         send(&self.client, "POST", format!("http://{}/v1/jobs", self.nomad_api), &body).await.0
     }
 
-    /// Submits `jobs` one after another; per processor second of the node.
+    /// Submits `jobs` one after another; returns the number per CPU second of the node.
     async fn rate(&self, jobs: usize, nomad_api: bool) -> f64 {
         let (before, _) = self.used();
-        let mut taken = 0;
+        let mut accepted = 0;
         for n in 0..jobs {
             let status = if nomad_api { self.nomad(n).await } else { self.native(n).await };
-            taken += usize::from(matches!(status, 200 | 201));
+            accepted += usize::from(matches!(status, 200 | 201));
         }
         let (after, _) = self.used();
-        assert_eq!(taken, jobs, "all are taken");
-        taken as f64 / (after - before)
+        assert_eq!(accepted, jobs, "all jobs must be accepted");
+        accepted as f64 / (after - before)
     }
 
-    /// Median and 95th percentile of native submissions, ms.
+    /// Median and 95th percentile of the latency of native submissions, in ms.
     async fn latency(&self, from: usize) -> (f64, f64) {
         let mut ms = Vec::new();
         for n in 0..200 {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Processor share, in percent of a core, over a few seconds.
+/// CPU usage over a few seconds, in percent of a core.
 async fn idle_share(node: &Node) -> f64 {
     let (before, _) = node.used();
     let began = Instant::now();
@@ -144,24 +144,25 @@
 
 async fn measure() {
     let (off, on) = (Node::start("{}\n").await, Node::start(OPERATOR).await);
-    println!("ready: {:.0} ms without, {:.0} ms with the nomad_api", off.ready_ms, on.ready_ms);
+    println!("ready: {:.0} ms without, {:.0} ms with the Nomad API", off.ready_ms, on.ready_ms);
     println!("memory at the start: {:.1} MB without, {:.1} MB with", off.used().1, on.used().1);
     println!("idle: {:.2}% of a core without, {:.2}% with", idle_share(&off).await, idle_share(&on).await);
 
     let native = off.rate(JOBS, false).await;
-    let (beside, nomad_api) =
+    let (native_with_nomad, nomad_api) =
         (on.rate(JOBS, false).await, Node::start(OPERATOR).await.rate(JOBS, true).await);
     println!(
-        "submissions a processor second: native {native:.0}, native with the nomad_api open {beside:.0}, nomad_api {nomad_api:.0}"
+        "submissions per CPU second: native {native:.0}, native on a node with the Nomad API {native_with_nomad:.0}, \
+         Nomad API {nomad_api:.0}"
     );
     println!(
-        "  ratio nomad_api to native: {:.2}; native with to without: {:.2}",
+        "  ratio of the Nomad API to native: {:.2}; ratio of native with to native without it: {:.2}",
         nomad_api / native,
-        beside / native
+        native_with_nomad / native
     );
     drop((off, on));
 
-    // 10,000 names of finished jobs, so that what they cost is the Nomad API's alone.
+    // The names belong to finished jobs, so that the difference in memory is due to the Nomad API only.
     let node = Arc::new(Node::start(OPERATOR).await);
     let baseline = Node::start("{}\n").await;
     for n in 0..NAMES {
@@ -178,7 +179,7 @@
         node.used().1
     );
     println!(
-        "idle with them: native {:.2}% of a core, nomad_api {:.2}%",
+        "idle with {NAMES} finished jobs: native {:.2}% of a core, Nomad API {:.2}%",
         idle_share(&baseline).await,
         idle_share(&node).await
     );
@@ -206,7 +207,7 @@
     let node = Arc::new(Node::start(OPERATOR).await);
     let (quiet, quiet95) = node.latency(20_000_000).await;
     let stop = Arc::new(AtomicBool::new(false));
-    let storm: Vec<_> = (0..8)
+    let registrations: Vec<_> = (0..8)
         .map(|lane| {
             let (node, stop) = (node.clone(), stop.clone());
             tokio::spawn(async move {
@@ -219,16 +220,17 @@
             })
         })
         .collect();
-    let (storm50, storm95) = node.latency(30_000_000).await;
+    let (loaded, loaded95) = node.latency(30_000_000).await;
     stop.store(true, Ordering::Relaxed);
     let mut registered = 0;
-    for lane in storm {
+    for lane in registrations {
         registered += lane.await.unwrap_or(0);
     }
     println!(
-        "native submissions: median {quiet:.2} ms, 95% {quiet95:.2} ms; beside a storm of {registered} registrations: {storm50:.2} and {storm95:.2} ms"
+        "native submissions: median {quiet:.2} ms, 95% {quiet95:.2} ms; with {registered} concurrent \
+         registrations: {loaded:.2} and {loaded95:.2} ms"
     );
-    println!("  ratios: {:.1} and {:.1}", storm50 / quiet, storm95 / quiet95);
+    println!("  ratios: {:.1} and {:.1}", loaded / quiet, loaded95 / quiet95);
 }
 
 fn main() {
--- a/crates/pearford/src/files.rs
+++ b/crates/pearford/src/files.rs
@@ -1,6 +1,7 @@
-//! Reads and checks the settings files: the platform's TOML, and the operators' YAML with a section for each extension.
+//! Reads and checks the settings files: the platform's TOML, and the operators' YAML with a section for each
+//! extension.
 //!
-//! Every fault is a line that names the file, the key and the remedy.
+//! Every fault is one line with the file, the key, and the problem or its remedy.
 
 use pearford_nomad::operator::NomadSettings;
 use pearford_scheduler::settings::{self, Settings, SourceFile};
@@ -13,15 +14,15 @@
 /// All settings of a node, checked.
 #[derive(Debug)]
 pub struct LoadedSettings {
-    /// The controller's settings, of both files.
+    /// The controller's settings, from both files.
     pub settings: Settings,
     /// The operators' `nomad` section, if there is one.
     pub nomad: Option<NomadSettings>,
 }
 
-/// The operators' file, taken apart by who reads what.
+/// The operators' file, split into its parts.
 struct OperatorFile {
-    /// What concerns the controller, as YAML; empty if there is nothing.
+    /// The controller's settings, as YAML; empty if there are none.
     controller: String,
     /// The section of the Nomad API.
     nomad: Option<NomadSettings>,
@@ -31,8 +32,8 @@
 ///
 /// # Errors
 ///
-/// The faults, a line each. Those of the operators' file as YAML, and of its `nomad` section, come alone; after them
-/// all faults of the controller's settings come together.
+/// The faults, one line each. If a file can't be read, the operators' file is not valid YAML, or its `nomad`
+/// section has faults, only those are returned; otherwise all faults of the controller's settings.
 pub fn load(platform: &Path, operator: Option<&Path>) -> Result<LoadedSettings, Vec<String>> {
     let text = read(platform)?;
     let platform_name = platform.display().to_string();
@@ -46,11 +47,11 @@
     Ok(LoadedSettings { settings, nomad: file.nomad })
 }
 
-/// The `nomad` section of the operators' file, with defaults for what it leaves out.
+/// The `nomad` section of the operators' file, with defaults for missing keys.
 ///
 /// # Errors
 ///
-/// The faults of the file as YAML, or of its `nomad` section, a line each.
+/// The fault of the file itself, or the faults of its `nomad` section, one line each.
 pub fn load_nomad(operator: &Path) -> Result<NomadSettings, Vec<String>> {
     Ok(read_operator_file(operator)?.nomad.unwrap_or_default())
 }
--- a/crates/pearford/src/golden.rs
+++ b/crates/pearford/src/golden.rs
@@ -1,6 +1,7 @@
-//! The command line as it is recorded in `tests/golden/command_line.txt`: every subcommand, flag and argument, with its
-//! value's name and its default. A flag's name follows from a field's unless it is given, so renaming one would change
-//! the interface. The file is changed by hand, with an intended change of the command line.
+//! Compares the command line with `tests/golden/command_line.txt`: every subcommand, flag and argument, with
+//! its value's name and its default. Unless a flag's name is given explicitly, it is derived from the field's
+//! name, so that renaming a field would change the interface. The file is edited by hand for intended changes
+//! of the command line.
 
 use super::Cli;
 use clap::{Arg, Command, CommandFactory};
@@ -20,13 +21,13 @@
     format!("{flag} {} {required} {}", values.join(" "), defaults.join(" ")).trim_end().to_string()
 }
 
-/// A line for the command, and one for each of its arguments and of the subcommands below it.
+/// One line for the command, one for each of its arguments, and the lines of its subcommands.
 fn describe(path: &str, command: &Command) -> Vec<String> {
     let path = format!("{path} {}", command.get_name()).trim_start().to_string();
     let arguments = command.get_arguments().map(|arg| format!("{path}: {}", argument(arg)));
     let mut lines: Vec<String> = std::iter::once(path.clone()).chain(arguments).collect();
-    for inner in command.get_subcommands() {
-        lines.extend(describe(&path, inner));
+    for subcommand in command.get_subcommands() {
+        lines.extend(describe(&path, subcommand));
     }
     lines
 }
--- a/crates/pearford/src/main.rs
+++ b/crates/pearford/src/main.rs
@@ -1,5 +1,5 @@
-//! The `pearford` program: its command line, and the start of a node. The settings files are read by [`files`], the
-//! node runs in [`runtime`], and `pearford nomad` is [`nomad`].
+//! The `pearford` program: its command line, and the start of a node. [`files`] reads the settings files,
+//! [`runtime`] runs the node, and [`nomad`] implements `pearford nomad`.
 #![forbid(unsafe_code)]
 
 mod files;
@@ -19,13 +19,13 @@
 
 /// Exit code for settings that are not valid.
 const INVALID_SETTINGS: u8 = 2;
-/// How much longer than the longest blocking query an answer of the Nomad API may take, in seconds.
+/// Time, in seconds, that an answer of the Nomad API may take beyond the maximum wait of a blocking query.
 const ANSWER_MARGIN_S: f64 = 10.0;
 
-/// A cluster scheduler: takes jobs from users, rents machines, and runs the jobs' tasks on them.
+/// A cluster scheduler: accepts jobs from users, rents machines, and runs the jobs' tasks on them.
 ///
-/// Several nodes run the same program. They share their state through the state service, elect a
-/// leader among themselves, and any of them takes users' requests.
+/// Several nodes run the same program. They share their state through the key-value store, elect a
+/// leader, and each of them accepts users' requests.
 #[derive(Parser)]
 #[command(
     version,
@@ -43,13 +43,13 @@
     /// Work with Nomad's job files.
     #[command(subcommand)]
     Nomad(nomad::Command),
-    /// Check the settings files, name each bad key, and exit non-zero if there is one.
+    /// Check the settings files, print a line for each invalid key, and exit non-zero if there is one.
     Check(Files),
 }
 
 #[derive(Args)]
 struct Files {
-    /// Operators' own settings (YAML); every key has a default, see docs/operating.md.
+    /// The operators' own settings (YAML); every key has a default, see docs/operating.md.
     #[arg(long, value_name = "FILE.yaml")]
     operator: Option<PathBuf>,
     /// The platform's settings (TOML).
@@ -58,13 +58,13 @@
 }
 
 impl Files {
-    /// Reads and checks the files; the faults go to standard error.
+    /// Reads and checks the files; prints the faults to standard error.
     fn load(&self) -> Result<LoadedSettings, ExitCode> {
         files::load(&self.config, self.operator.as_deref()).map_err(|faults| invalid_settings("", &faults))
     }
 }
 
-/// Prints the faults of the settings, each after `prefix`, and gives the exit code.
+/// Prints the faults of the settings, each with `prefix`, and returns the exit code.
 fn invalid_settings(prefix: &str, faults: &[String]) -> ExitCode {
     for fault in faults {
         eprintln!("pearford: {prefix}{fault}");
@@ -73,15 +73,15 @@
 }
 
 fn main() -> ExitCode {
-    let outcome = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Check(files) => files.load().map(|loaded| check(&loaded)),
         Command::Nomad(command) => Ok(nomad::run(command)),
         Command::Serve(files) => files.load().map(serve),
     };
-    outcome.unwrap_or_else(|code| code)
+    result.unwrap_or_else(|code| code)
 }
 
-/// `pearford check`, once the files have been found valid.
+/// The output of `pearford check` for valid files.
 fn check(loaded: &LoadedSettings) -> ExitCode {
     let settings = &loaded.settings;
     println!("settings are valid: node {}, {} peers", settings.node, settings.peers.len());
@@ -94,7 +94,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("pearford: the runtime can't start: {error}");
+            eprintln!("pearford: can't start the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -107,14 +107,14 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!(
-                "pearford: can't listen: {error}; check api_addr, back and the features' `listen` in the settings"
+                "pearford: can't listen: {error}; check api_addr, back and nomad.listen in the settings"
             );
             ExitCode::FAILURE
         }
     }
 }
 
-/// Logs the workspace's own events to standard error, at the level of the environment's `LOG_LEVEL`.
+/// Logs the events of this workspace to standard error, at the level that the variable `LOG_LEVEL` names.
 fn start_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     let filter = tracing_subscriber::EnvFilter::try_new(format!("off,pearford={level}"))
--- a/crates/pearford/src/nomad/client.rs
+++ b/crates/pearford/src/nomad/client.rs
@@ -1,4 +1,4 @@
-//! The client of a node's Nomad API, for `pearford nomad`: one request at a time.
+//! The client of a node's Nomad API for `pearford nomad`. It sends one request at a time.
 
 use bytes::Bytes;
 use clap::Args;
@@ -10,36 +10,36 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// How long a request may take, with its response.
+/// Timeout for a request and its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
-/// The longest response that is read, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// The environment variable with the client's token.
+/// The environment variable that holds the client's token.
 const TOKEN_VARIABLE: &str = "NOMAD_TOKEN";
 
-/// The node that a command talks to.
+/// The node that a command sends its requests to.
 #[derive(Args)]
 pub struct Server {
-    /// A node's Nomad API: `nomad.listen` in its operators' file.
+    /// URL of a node's Nomad API: `nomad.listen` in the node's operators' file.
     #[arg(long, value_name = "URL", default_value = "http://127.0.0.1:4646")]
     address: String,
-    /// The namespace, where the job names none.
+    /// The namespace of a job that names none.
     #[arg(long, default_value = "default")]
     namespace: String,
 }
 
-/// A response, read in full.
+/// A complete response.
 struct TextResponse {
     status: StatusCode,
     body: String,
 }
 
 impl Server {
-    /// Sends a request, without a body if `body` is null, and reads the JSON that comes back.
+    /// Sends a request, without a body if `body` is null, and parses the JSON of the response.
     ///
     /// # Errors
     ///
-    /// The lines of the node's refusal, or why there was no usable response.
+    /// The lines of the node's error answer, or the reason why there is no usable response.
     pub(super) fn call(&self, method: Method, path: &str, body: &Value) -> Result<Value, Vec<String>> {
         let failed = |reason: String| vec![format!("{}: {reason}", self.address)];
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,7 +49,7 @@
         let response = runtime.block_on(self.exchange(method, path, body)).map_err(failed)?;
         if response.status.is_success() {
             return serde_json::from_str(&response.body)
-                .map_err(|error| failed(format!("answers what is not JSON: {error}")));
+                .map_err(|error| failed(format!("the response is not valid JSON: {error}")));
         }
         Err(response.body.lines().map(|line| format!("{line} ({})", response.status)).collect())
     }
@@ -59,16 +59,18 @@
         let client: Client<HttpConnector, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
         let exchange = async {
             let response =
-                client.request(request).await.map_err(|error| format!("can't be reached: {error}"))?;
+                client.request(request).await.map_err(|error| format!("the request failed: {error}"))?;
             let status = response.status();
             let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
-                .map_err(|error| format!("its answer broke off: {error}"))?
+                .map_err(|error| format!("reading the response failed: {error}"))?
                 .to_bytes();
             Ok(TextResponse { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
-        tokio::time::timeout(REQUEST_TIMEOUT, exchange).await.unwrap_or(Err("does not answer".into()))
+        tokio::time::timeout(REQUEST_TIMEOUT, exchange)
+            .await
+            .unwrap_or(Err("no response before the timeout".into()))
     }
 
     fn request(&self, method: Method, path: &str, body: &Value) -> Result<Request<Full<Bytes>>, String> {
@@ -82,11 +84,11 @@
         let bytes = if body.is_null() { Bytes::new() } else { Bytes::from(body.to_string()) };
         request
             .body(Full::new(bytes))
-            .map_err(|error| format!("is no address: {error}; write http://IP:PORT"))
+            .map_err(|error| format!("the address is not a valid URL: {error}; use http://IP:PORT"))
     }
 }
 
-/// `text` as it goes into a URL's path or query: all but RFC 3986's unreserved characters are escaped.
+/// Percent-encodes `text` for a URL's path or query: all characters except RFC 3986's unreserved ones.
 pub(super) fn percent_encoded(text: &str) -> String {
     text.bytes().map(percent_encoded_byte).collect()
 }
--- a/crates/pearford/src/nomad/job_file.rs
+++ b/crates/pearford/src/nomad/job_file.rs
@@ -1,4 +1,4 @@
-//! Reads a Nomad job file with its variables, for `pearford nomad`.
+//! Reads a Nomad job file and its variables for `pearford nomad`.
 
 use super::Outcome;
 use crate::files;
@@ -11,36 +11,36 @@
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
-/// A job file, and what it is read with.
+/// A job file, with the settings and variables for reading it.
 #[derive(Args)]
 pub struct JobFile {
     /// The job file, HCL or JSON.
     file: PathBuf,
-    /// The operators' settings for Nomad's files (YAML): MHz of a CPU, namespaces, devices.
+    /// The operators' settings for job files (YAML): MHz of a CPU, namespaces, devices.
     #[arg(long, value_name = "FILE.yaml")]
     operator: Option<PathBuf>,
-    /// A variable's value; may be given several times.
+    /// The value of a variable; may be given several times.
     #[arg(long = "var", value_name = "NAME=VALUE")]
     variables: Vec<String>,
-    /// A file of NAME = VALUE lines; may be given several times. `--var` goes before it.
+    /// A file of NAME = VALUE lines; may be given several times. `--var` takes precedence.
     #[arg(long = "var-file", value_name = "FILE")]
     variable_files: Vec<PathBuf>,
 }
 
 impl JobFile {
-    /// The native submissions, in JSON, a line each.
+    /// The native submissions as JSON, one per line.
     pub(super) fn submissions(&self) -> Outcome {
         let text = read(&self.file)?;
         let job = source::job(&text, &self.assignments()?, &self.context()?)
-            .map_err(|faults| located(&self.file, &faults))?;
+            .map_err(|faults| format_faults(&self.file, &faults))?;
         Ok(job.submissions())
     }
 
-    /// The body of a request to register or plan the job.
+    /// The body of a request that registers or plans the job.
     pub(super) fn registration(&self) -> Result<Value, Vec<String>> {
         let text = read(&self.file)?;
         let job = source::as_api(&text, &self.assignments()?, &self.context()?)
-            .map_err(|faults| located(&self.file, &faults))?;
+            .map_err(|faults| format_faults(&self.file, &faults))?;
         Ok(json!({"Job": job}))
     }
 
@@ -52,13 +52,13 @@
         Ok(Context { settings, zones: Vec::new() })
     }
 
-    /// The variables' values. A later one of the same name goes before an earlier one.
+    /// The variables' values. Of several with the same name, the last one applies.
     fn assignments(&self) -> Result<Vec<Assignment>, Vec<String>> {
         let mut assignments = Vec::new();
         for path in &self.variable_files {
-            let of_file =
-                read_assignments(&read(path)?, Budget::FILE).map_err(|faults| located(path, &faults))?;
-            assignments.extend(of_file);
+            let from_file = read_assignments(&read(path)?, Budget::FILE)
+                .map_err(|faults| format_faults(path, &faults))?;
+            assignments.extend(from_file);
         }
         for variable in &self.variables {
             let assignment = Assignment::typed(variable)
@@ -73,8 +73,8 @@
     std::fs::read_to_string(path).map_err(|error| vec![format!("{}: can't be read: {error}", path.display())])
 }
 
-/// The faults as lines, each with its file, line and column.
-fn located(path: &Path, faults: &[Fault]) -> Vec<String> {
+/// Formats the faults, one per line, with file, line and column.
+fn format_faults(path: &Path, faults: &[Fault]) -> Vec<String> {
     let line = |fault: &Fault| {
         let position = format!("{}:{}", fault.at.line.max(1), fault.at.column.max(1));
         format!("{}:{position}: {}: {}", path.display(), fault.path, fault.reason)
--- a/crates/pearford/src/nomad/mod.rs
+++ b/crates/pearford/src/nomad/mod.rs
@@ -1,4 +1,4 @@
-//! `pearford nomad`: translates Nomad's job files, and manages jobs through a node's Nomad API.
+//! `pearford nomad`: translates Nomad job files, and manages jobs through a node's Nomad API.
 
 mod client;
 mod job_file;
@@ -11,25 +11,25 @@
 use serde_json::Value;
 use std::process::ExitCode;
 
-/// Exit code if a file can't be honoured, or a node refuses or can't be reached.
+/// Exit code if a file can't be translated, or a node rejects the request or can't be reached.
 const FAILED: u8 = 2;
 
-/// What a command comes to: the lines for standard output, or the faults, a line each, for standard error.
+/// The result of a command: the lines for standard output, or the faults for standard error, one per line.
 type Outcome = Result<Vec<String>, Vec<String>>;
 
 /// The subcommands of `pearford nomad`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Print the native submissions of a job file as JSON, one on a line.
+    /// Print the native submissions of a job file as JSON, one per line.
     ///
-    /// Exits with 2 and prints nothing on standard output if the file has a field that pearford can't
-    /// honour; every fault is then on a line of its own on standard error.
+    /// If the file has a field that pearford doesn't support, exits with 2, prints nothing on standard
+    /// output, and prints every fault on its own line on standard error.
     Translate(JobFile),
-    /// Print what becomes of every field of a job file, as a Markdown table.
+    /// Print how each field of a job file is handled, as a Markdown table.
     Fields,
     /// Register a job file with a node's Nomad API and print the result.
     Run(Submission),
-    /// Say what registering a job file would do, and do nothing.
+    /// Print what registering a job file would change, without registering it.
     Plan(Submission),
     /// Print a job's status.
     Status(NamedJob),
@@ -37,13 +37,13 @@
     Stop {
         #[command(flatten)]
         job: NamedJob,
-        /// Also take it off the lists. Its final status stays known.
+        /// Also remove it from lists of jobs. Its final status remains available.
         #[arg(long)]
         purge: bool,
     },
 }
 
-/// A job file, and the node to send it to.
+/// A job file and the node to send it to.
 #[derive(Args)]
 pub struct Submission {
     #[command(flatten)]
@@ -52,7 +52,7 @@
     file: JobFile,
 }
 
-/// A job that is registered, and the node to ask.
+/// A registered job and the node to send requests to.
 #[derive(Args)]
 pub struct NamedJob {
     #[command(flatten)]
@@ -61,11 +61,11 @@
     name: String,
 }
 
-/// Runs a subcommand and prints what it comes to.
+/// Runs a subcommand and prints its result.
 pub fn run(command: Command) -> ExitCode {
     let outcome = match command {
         Command::Fields => {
-            // The table ends its own last line.
+            // The table ends with a newline.
             print!("{}", pearford_nomad::fields::as_markdown());
             return ExitCode::SUCCESS;
         }
--- a/crates/pearford/src/nomad/output.rs
+++ b/crates/pearford/src/nomad/output.rs
@@ -1,8 +1,8 @@
-//! The lines that `pearford nomad` prints for the responses of a node's Nomad API.
+//! Formats the responses of a node's Nomad API for `pearford nomad`.
 
 use serde_json::Value;
 
-/// A registration that was accepted.
+/// The lines for an accepted registration.
 pub(super) fn registered(response: &Value) -> Vec<String> {
     let evaluation = text(response, "EvalID");
     let mut lines = vec![format!("evaluation {evaluation}, job modify index {}", response["JobModifyIndex"])];
@@ -13,7 +13,7 @@
     lines
 }
 
-/// What registering a job would do.
+/// The line for a plan: what registering the job would change.
 pub(super) fn planned(response: &Value) -> Vec<String> {
     let change = match response["Diff"]["Type"].as_str() {
         Some("Added") => "would be registered for the first time",
@@ -23,7 +23,7 @@
     vec![format!("{change}; job modify index {}", response["JobModifyIndex"])]
 }
 
-/// A job's status, with a line for each of its groups.
+/// The lines for a job's status, including one for each of its groups.
 pub(super) fn status(job: &Value, summary: &Value) -> Vec<String> {
     let headline = format!("{}: {} {}", text(job, "ID"), text(job, "Status"), text(job, "StatusDescription"));
     let mut lines = vec![
--- a/crates/pearford/src/runtime/clock.rs
+++ b/crates/pearford/src/runtime/clock.rs
@@ -4,7 +4,8 @@
 use pearford_scheduler::types::{self, MonotonicTime, WallTime};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The monotonic time at the node's start, in milliseconds. Above 0, so that times used for "never" lie in the past.
+/// The monotonic time at the node's start, in milliseconds. Above 0, so that times that stand for "never" lie
+/// in the past.
 const MONOTONIC_START_MS: u64 = 1_000_000;
 
 /// The node's monotonic and wall clocks.
@@ -18,7 +19,7 @@
         Self { started: Instant::now() }
     }
 
-    /// The present time, for a step that follows one which took `last_step`.
+    /// The current time for a step; `last_step` is the duration of the previous step.
     pub(super) fn now(&self, last_step: Duration) -> Now {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
--- a/crates/pearford/src/runtime/cloud_client.rs
+++ b/crates/pearford/src/runtime/cloud_client.rs
@@ -9,15 +9,15 @@
 /// Sends requests to the cloud.
 #[derive(Clone)]
 pub(super) struct CloudClient {
-    /// Connections, shared with the key-value store's client.
+    /// The HTTP client, whose connection pool is shared with the key-value store's client.
     pub(super) http: HttpClient,
     /// The cloud's address.
     pub(super) addr: SocketAddr,
 }
 
 impl CloudClient {
-    /// Makes one request. Without a response in time the reply is [`CloudReply::Unknown`]: machines may have been
-    /// rented or returned.
+    /// Sends one request. Without a response before the timeout the reply is [`CloudReply::Unknown`]:
+    /// machines may have been rented or returned.
     pub(super) async fn call(&self, request: &CloudRequest, timeout: Duration) -> CloudReply {
         let HttpRequest { method, path, body } = request.http();
         match self.http.send(self.addr, method, &path, body, timeout).await {
--- a/crates/pearford/src/runtime/event_loop.rs
+++ b/crates/pearford/src/runtime/event_loop.rs
@@ -1,6 +1,6 @@
-//! The event loop: takes one input at a time, has the controller step, and carries out the effects in their order.
+//! The event loop: passes one input at a time to the controller and executes the resulting effects in order.
 //!
-//! Inputs are taken in a fixed order of precedence: the clock tick, then replies and peers' messages, then requests.
+//! Inputs have a fixed order of priority: the clock tick, then replies and peers' messages, then requests.
 
 use super::clock::NodeClock;
 use super::outbound::OutboundCalls;
@@ -12,29 +12,29 @@
 use tokio::sync::mpsc;
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// How often the controller steps when nothing else happens.
+/// Interval between clock ticks, which step the controller even without other inputs.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A request that has waited this long for the controller is refused: its client has nearly given up, and the time goes
-/// to requests whose clients have not.
+/// A request that has waited this long for the controller is refused: its client is close to its timeout, and
+/// the time is better spent on newer requests.
 ///
-/// Measured with the andina fleet at four times its load after a crash of all nodes: without this limit the replies of
-/// the key-value store waited behind thousands of requests, the leader lost its lease every ten seconds, and each
-/// successor started again from nothing.
+/// Without this limit, at four times the machines and after a crash of all nodes, replies of the key-value
+/// store waited behind thousands of requests: the leader lost its lease every ten seconds, and each new
+/// leader had to start over.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3500);
-/// What a client is told to wait after [`MAX_REQUEST_WAIT`], in seconds.
+/// `Retry-After`, in seconds, of the refusal after [`MAX_REQUEST_WAIT`].
 const STALE_RETRY_AFTER_S: u32 = 2;
 
-/// The controller, with everything its inputs come from and its effects go to.
+/// The controller, with the sources of its inputs and the recipients of its effects.
 pub(super) struct EventLoop {
     /// The node's state machine.
     pub(super) controller: Controller,
-    /// Read before each step.
+    /// The clock, read before each step.
     pub(super) clock: NodeClock,
     /// Replies to outgoing calls, and peers' messages.
     pub(super) inputs: mpsc::Receiver<Input>,
     /// Requests of users, workers and operators.
     pub(super) requests: mpsc::Receiver<PendingRequest>,
-    /// Where the answers to the requests under way go.
+    /// The requests that are not answered yet.
     pub(super) answers: PendingAnswers,
     /// Connections to the other nodes.
     pub(super) peers: PeerLinks,
@@ -54,12 +54,12 @@
             let effects = self.controller.step(self.clock.now(last_step), input);
             last_step = began.elapsed();
             for effect in effects {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
     }
 
-    /// Waits for the next input; `None` if it was a request that is refused here.
+    /// Waits for the next input; `None` if it was a request that was refused without the controller.
     async fn next_input(&mut self, ticks: &mut Interval) -> Option<Input> {
         tokio::select! {
             biased;
@@ -73,18 +73,18 @@
     fn admit(&mut self, pending: PendingRequest) -> Option<Input> {
         let PendingRequest { received_at, content, reply } = pending;
         if received_at.elapsed() >= MAX_REQUEST_WAIT {
-            // An error means that the client has gone meanwhile: there is nobody to answer.
+            // Sending fails only if the client has disconnected.
             let _ = reply.send(Reply::too_many_requests(STALE_RETRY_AFTER_S));
             return None;
         }
-        let request = self.answers.expect(reply);
+        let request = self.answers.register(reply);
         Some(match content {
             RequestContent::Api { method, path, body } => Input::Http { request, method, path, body },
             RequestContent::Extension { slot, call } => Input::Call { slot, request, call },
         })
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { request, status, retry_after_s, headers, body } => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/pearford/src/runtime/http_client.rs
+++ b/crates/pearford/src/runtime/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client beneath those of the key-value store, the cloud and workers.
+//! The HTTP client that the clients of the key-value store, the cloud and workers use.
 
 use super::CONNECT_TIMEOUT;
 use bytes::Bytes;
@@ -11,16 +11,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a connection is kept without use.
+/// Time after which an unused connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A longer response counts as none, in bytes.
+/// Maximum size of a response, in bytes. A longer response is treated as missing.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// A client with a pool of connections. Clones share the pool.
 #[derive(Clone)]
 pub(super) struct HttpClient(Client<HttpConnector, Full<Bytes>>);
 
-/// A response, read in full.
+/// A complete response.
 pub(super) struct HttpResponse {
     /// The HTTP status code.
     pub(super) status: u16,
@@ -43,8 +43,8 @@
         )
     }
 
-    /// Sends a request and reads the response; `None` if that fails, or takes longer than `timeout`. The request may
-    /// have been carried out all the same.
+    /// Sends a request and reads the response. Returns `None` if that fails or takes longer than `timeout`;
+    /// the request may still have been executed.
     pub(super) async fn send(
         &self,
         addr: SocketAddr,
--- a/crates/pearford/src/runtime/http_server.rs
+++ b/crates/pearford/src/runtime/http_server.rs
@@ -1,7 +1,8 @@
-//! The HTTP listeners: the node's own API, for users, workers and operators, and those of extensions.
+//! The HTTP listeners: one for the node's own API, for users, workers and operators, and one for each
+//! extension.
 //!
-//! Each request's body is read in full, the request is handed to the event loop, and the connection's task waits for
-//! the answer.
+//! The connection's task reads the complete body of a request, passes the request to the event loop, and
+//! waits for the answer.
 
 use super::ACCEPT_RETRY_DELAY;
 use super::requests::{PendingRequest, Reply, RequestContent, RequestSender};
@@ -21,15 +22,15 @@
 use warp::Filter;
 use warp::path::FullPath;
 
-/// How long a client may take to send a request's body.
+/// Timeout for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a client may take to send a request's headers; an idle connection is closed after this time too.
+/// Timeout for receiving a request's headers; also closes idle connections.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long an answer of the node's own API may take.
+/// Timeout for an answer of the node's own API.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The most memory that one connection's buffer takes, in bytes.
+/// Maximum size of a connection's buffer, in bytes.
 const MAX_BUFFER_BYTES: usize = 128 * 1024;
-/// What a client is told to wait after a refusal for want of a place in the queue, or of an answer in time, in seconds.
+/// `Retry-After`, in seconds, of an answer for a full queue or a timeout.
 const RETRY_AFTER_S: u32 = 1;
 
 /// Why a request's body could not be read.
@@ -63,15 +64,16 @@
     }
 }
 
-/// What becomes of the connection after a response.
+/// Whether the connection is kept after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Connection {
     KeepAlive,
-    /// The request's body has not been read, so no further request can follow.
+    /// The request's body has not been read completely, so no further request can follow.
     Close,
 }
 
-/// Serves the node's own API to users, workers and operators, one connection for each permit of `connections`.
+/// Serves the node's own API to users, workers and operators, one connection for each permit of
+/// `connections`.
 pub(super) async fn serve_api(listener: TcpListener, connections: Arc<Semaphore>, requests: RequestSender) {
     let filter = warp::any()
         .and(warp::method())
@@ -91,7 +93,7 @@
     accept(listener, connections, TowerToHyperService::new(warp::service(filter))).await;
 }
 
-/// Serves an extension's listener: `slot` is its number in the controller.
+/// Serves an extension's listener; `slot` is the extension's index in the controller.
 pub(super) async fn serve_extension(
     listener: TcpListener,
     max_connections: usize,
@@ -122,11 +124,11 @@
     accept(listener, connections, TowerToHyperService::new(warp::service(filter))).await;
 }
 
-/// Accepts connections, as many at a time as there are permits, and serves each in a task of its own.
+/// Accepts connections, at most one for each permit, and serves each in its own task.
 ///
-/// Further connections wait in the listener's backlog. Closing them at once made their clients come back at once: under
-/// overload all nodes did nothing but open connections (the andina fleet at four times its load, after a restart: the
-/// score fell from 0.28 to 0.15).
+/// Further connections wait in the listener's backlog. Closing them makes their clients reconnect
+/// immediately: at four times the machines, after a restart, all nodes then did nothing but accept
+/// connections, and the bench score fell from 0.28 to 0.15.
 async fn accept<S, B>(listener: TcpListener, connections: Arc<Semaphore>, service: S)
 where
     S: hyper::service::Service<http::Request<hyper::body::Incoming>, Response = Response<B>>,
@@ -142,12 +144,12 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "a connection could not be accepted");
+                tracing::warn!(%error, "can't accept a connection; retrying. If this persists, raise the open-file limit");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        // Without it answers are only delayed.
+        // A failure only delays answers.
         let _ = stream.set_nodelay(true);
         let service = service.clone();
         tokio::spawn(async move {
@@ -158,7 +160,7 @@
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                tracing::debug!(%error, "connection ended");
+                tracing::debug!(%error, "client connection ended with an error");
             }
             drop(permit);
         });
@@ -183,7 +185,7 @@
     }
 }
 
-/// A call with what a request's line and headers say. The header for tokens goes before that for authorization.
+/// A call built from a request's line and headers. `x-nomad-token` takes precedence over `authorization`.
 fn call_without_body(
     method: http::Method,
     path: FullPath,
@@ -201,7 +203,7 @@
     }
 }
 
-/// Hands a request to the event loop and waits for its answer.
+/// Passes a request to the event loop and waits for the answer.
 async fn answer(requests: RequestSender, content: RequestContent, timeout: Duration) -> Response<String> {
     let (reply, answered) = oneshot::channel();
     let pending = PendingRequest { received_at: Instant::now(), content, reply };
@@ -215,7 +217,7 @@
     respond(reply, Connection::KeepAlive)
 }
 
-/// Reads a body of at most [`MAX_BODY`] bytes. One that is announced as longer isn't read at all.
+/// Reads a body of at most [`MAX_BODY`] bytes. If its announced length exceeds that, it isn't read at all.
 async fn read_body(
     content_length: Option<u64>,
     body: impl Stream<Item = Result<impl Buf, warp::Error>>,
--- a/crates/pearford/src/runtime/mod.rs
+++ b/crates/pearford/src/runtime/mod.rs
@@ -1,17 +1,19 @@
-//! The node's runtime: all sockets, clocks and randomness around the [`Controller`], which is a state machine without
-//! I/O. `main` calls [`run`] for `pearford serve`; nothing else in the workspace is asynchronous.
+//! The node's runtime: all sockets, clocks and randomness for the [`Controller`], which is a state machine
+//! without I/O. `main` calls [`run`] for `pearford serve`. The crates that the controller consists of are
+//! synchronous.
 //!
 //! One thread runs every task:
 //!
-//! - the event loop (this module) feeds the controller one input at a time and carries out the effects it returns;
+//! - the event loop ([`event_loop`]) feeds the controller one input at a time and carries out the effects it
+//!   returns;
 //! - a task accepts connections on each listener, and a further task serves each connection ([`http_server`],
 //!   [`peer_links`]);
 //! - a task for each peer keeps the outgoing connection to it ([`peer_links`]);
-//! - a task for each call to the key-value store, the cloud or a worker brings its reply back as an input
+//! - a task for each call to the key-value store, the cloud or a worker delivers its reply as an input
 //!   ([`outbound`]).
 //!
-//! There is no orderly shutdown: a node is ended by killing its process, and whatever must survive that is in the
-//! key-value store. No task is waited for, and none is ever cancelled while the event loop runs.
+//! There is no graceful shutdown: a node is stopped by killing its process, and all state that must survive
+//! this is in the key-value store. No task is joined, and none is cancelled while the event loop runs.
 
 mod clock;
 mod cloud_client;
@@ -38,31 +40,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, mpsc};
 
-/// Replies and peers' messages that may wait for the controller. Beyond that their senders wait.
+/// Capacity of the queue of replies and peers' messages for the controller. If it is full, their senders
+/// wait.
 ///
-/// They have a queue of their own, which goes before that of requests: renewals of the leader's lease, status
-/// broadcasts and the peers' part in scheduling rounds must not wait behind users and workers, however many come.
+/// This queue is separate from the queue of requests and has priority over it: renewals of the leader's
+/// lease, status broadcasts and the peers' messages of scheduling rounds must not wait behind requests of
+/// users and workers.
 const INPUT_QUEUE_LENGTH: usize = 4096;
-/// Requests of users, workers and operators that may wait for the controller. Beyond that they are refused.
+/// Capacity of the queue of requests of users, workers and operators. If it is full, requests are refused.
 const REQUEST_QUEUE_LENGTH: usize = 2048;
-/// How long opening a connection may take, to a peer or to any other service.
+/// Timeout for opening a connection to a peer or to any other service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a connection could not be accepted: the usual cause, a lack of file descriptors, takes a moment to pass.
+/// Delay after a failure to accept a connection. The usual cause, a lack of file descriptors, is temporary.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Incoming connections allowed for each peer. A peer keeps one; those it has abandoned count until they time out.
+/// Incoming connections allowed for each peer. A peer uses one; abandoned ones count until they time out.
 const CONNECTIONS_PER_PEER: usize = 4;
 /// Incoming peer connections allowed on top of [`CONNECTIONS_PER_PEER`].
 const SPARE_PEER_CONNECTIONS: usize = 4;
 
-/// An extension of the controller with an HTTP listener of its own.
+/// An extension of the controller, with its own HTTP listener.
 pub struct ExtensionListener {
     /// The extension that answers the requests.
     pub extension: Box<dyn Extension>,
     /// The address to listen on.
     pub listen: SocketAddr,
-    /// Connections at a time; they are taken out of the node's limit.
+    /// Maximum number of concurrent connections, a part of the node's limit.
     pub max_connections: usize,
-    /// How long an answer may take: a query may wait for a change.
+    /// Timeout for an answer, including the time that a blocking query waits for a change.
     pub answer_timeout: Duration,
 }
 
@@ -70,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// An address of the settings or of an extension can't be listened on.
+/// The node can't listen on an address of the settings or of an extension.
 pub async fn run(settings: Settings, extension_listeners: Vec<ExtensionListener>) -> std::io::Result<()> {
     let settings = Arc::new(settings);
     let api_listener = TcpListener::bind(settings.api_addr).await?;
@@ -82,7 +86,8 @@
     let mut controller = Controller::new(settings.clone(), rand::random());
     for (slot, extension) in extension_listeners.into_iter().enumerate() {
         let listener = TcpListener::bind(extension.listen).await?;
-        // Users and workers keep half, however many connections an extension is configured for.
+        // An extension gets at most half of the free connections, so that enough remain for users and
+        // workers.
         let connections = extension.max_connections.min(free_connections / 2).max(1);
         free_connections -= connections;
         let timeout = extension.answer_timeout;
--- a/crates/pearford/src/runtime/outbound.rs
+++ b/crates/pearford/src/runtime/outbound.rs
@@ -1,5 +1,5 @@
-//! Calls that the controller makes over HTTP: each runs in a task of its own, beside the event loop, and its reply comes
-//! back as an input.
+//! The HTTP calls of the controller. Each runs in its own task, concurrently with the event loop, and its
+//! reply becomes an input.
 
 use super::cloud_client::CloudClient;
 use super::http_client::HttpClient;
@@ -12,10 +12,10 @@
 use pearford_scheduler::wire::state::StoreRequest;
 use tokio::sync::mpsc;
 
-/// Unused connections kept to the key-value store, and to the cloud.
+/// Unused connections kept to the key-value store and to the cloud, each.
 const IDLE_CONNECTIONS_PER_SERVICE: usize = 8;
 
-/// Starts calls, and hands their replies to the event loop.
+/// Starts calls and sends their replies to the event loop.
 pub(super) struct OutboundCalls {
     store: StoreClient,
     cloud: CloudClient,
@@ -24,7 +24,7 @@
 }
 
 impl OutboundCalls {
-    /// Calls to the services that `settings` name; replies go to `inputs`.
+    /// Clients for the services in `settings`; replies are sent to `inputs`.
     pub(super) fn new(settings: &Settings, inputs: mpsc::Sender<Input>) -> Self {
         let services = HttpClient::new(IDLE_CONNECTIONS_PER_SERVICE);
         Self {
@@ -55,7 +55,8 @@
         });
     }
 
-    /// Starts sending commands to a worker. Without a response the input has status 0 and an empty body.
+    /// Starts a request with commands to a worker. Without a response, the input has status 0 and an empty
+    /// body.
     pub(super) fn call_worker(&self, request_id: RequestId, addr: String, body: String, timeout: Duration) {
         let workers = self.workers.clone();
         let inputs = self.inputs.clone();
@@ -69,8 +70,8 @@
     }
 }
 
-/// Hands a call's reply to the event loop, when there is a place in its queue.
+/// Sends a call's reply to the event loop; waits while its queue is full.
 async fn deliver(inputs: &mpsc::Sender<Input>, input: Input) {
-    // An error means that the event loop has ended, and with it all that waits for replies.
+    // Sending fails only after the event loop has ended, when replies are no longer needed.
     let _ = inputs.send(input).await;
 }
--- a/crates/pearford/src/runtime/peer_links.rs
+++ b/crates/pearford/src/runtime/peer_links.rs
@@ -1,6 +1,7 @@
 //! Connections between nodes: length-delimited frames over TCP, one connection for each direction.
 //!
-//! Delivery isn't guaranteed. What can't be sent is dropped: every message is repeated by its sender, or void soon.
+//! Delivery isn't guaranteed: a message that can't be sent is dropped. Every message is either repeated by
+//! its sender or soon obsolete.
 
 use super::{ACCEPT_RETRY_DELAY, CONNECT_TIMEOUT};
 use bytes::Bytes;
@@ -16,15 +17,15 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Messages that may wait for one peer; later ones are dropped.
+/// Capacity of a peer's send queue. If it is full, further messages are dropped.
 const QUEUE_LENGTH: usize = 64;
-/// The longest message, in bytes.
+/// Maximum size of a message, in bytes.
 const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// Peers send every second: a connection that is silent for this long is dead.
+/// Peers send at least every second: a connection without a message for this long is considered dead.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long sending one message may take before the connection is given up.
+/// Timeout for sending one message, after which the connection is closed.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two attempts to connect to a peer.
+/// Delay between two attempts to connect to a peer.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
 type PeerConnection = Framed<TcpStream, LengthDelimitedCodec>;
@@ -35,18 +36,18 @@
 }
 
 impl PeerLinks {
-    /// Starts a task for each peer that keeps a connection to it.
+    /// Starts a task for each peer, which keeps a connection to it open.
     pub(super) fn open(peers: &[Peer]) -> Self {
         let queues = peers.iter().map(|peer| (peer.name.clone(), open_link(peer.clone()))).collect();
         Self { queues }
     }
 
-    /// Queues a message for a peer, or drops it if too many wait. Messages to unknown nodes are dropped too.
+    /// Queues a message for a peer; drops it if the queue is full or the node is unknown.
     pub(super) fn send(&self, to: &NodeName, message: Vec<u8>) {
         if let Some(queue) = self.queues.get(to)
             && queue.try_send(message).is_err()
         {
-            tracing::debug!(peer = %to, "message dropped: too many wait");
+            tracing::debug!(peer = %to, "message to a peer dropped: its send queue is full");
         }
     }
 }
@@ -57,16 +58,16 @@
     sender
 }
 
-/// Keeps one connection to a peer, until nobody can queue messages for it any more.
+/// Keeps one connection to a peer open until the sender of its queue is dropped.
 async fn keep_connected(peer: Peer, mut queue: mpsc::Receiver<Vec<u8>>) {
     loop {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer.addr)).await;
         if let Ok(Ok(stream)) = connected {
-            // Without it messages are only delayed.
+            // A failure only delays messages.
             let _ = stream.set_nodelay(true);
             send_queued(framed(stream), &mut queue).await;
         }
-        // What was queued while there was no connection is out of date.
+        // Messages queued while there was no connection are obsolete.
         while queue.try_recv().is_ok() {}
         if queue.is_closed() {
             return;
@@ -85,7 +86,7 @@
     }
 }
 
-/// Accepts peers' connections, at most `max_connections` at a time, and hands their messages to `inputs`.
+/// Accepts peers' connections, at most `max_connections` at a time, and sends their messages to `inputs`.
 pub(super) async fn serve(listener: TcpListener, max_connections: usize, inputs: mpsc::Sender<Input>) {
     let connections = Arc::new(Semaphore::new(max_connections));
     loop {
@@ -106,7 +107,7 @@
 async fn receive(mut connection: PeerConnection, inputs: mpsc::Sender<Input>) {
     while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE_TIMEOUT, connection.next()).await {
         let Some(envelope) = peer_messages::decode(&frame) else {
-            tracing::debug!("a peer's message was not understood");
+            tracing::debug!("ignoring a malformed message from a peer");
             continue;
         };
         if inputs.send(Input::Peer(envelope)).await.is_err() {
--- a/crates/pearford/src/runtime/requests.rs
+++ b/crates/pearford/src/runtime/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way from the HTTP server to the controller, and replies on their way back.
+//! Requests that the HTTP server passes to the controller, and the replies to them.
 
 use http::StatusCode;
 use pearford_scheduler::extension::Call;
@@ -9,23 +9,23 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
-/// Hands requests to the event loop.
+/// Sends requests to the event loop.
 pub(super) type RequestSender = mpsc::Sender<PendingRequest>;
 
-/// What a client asks of the controller.
+/// The content of a client's request to the controller.
 pub(super) enum RequestContent {
-    /// A request to the node's own API, of a user, a worker or an operator.
+    /// A request to the node's own API, from a user, a worker or an operator.
     Api {
         /// The HTTP method.
         method: Method,
-        /// The path, still escaped.
+        /// The path, still percent-encoded.
         path: String,
-        /// The whole body.
+        /// The complete body.
         body: Vec<u8>,
     },
     /// A request to an extension's listener.
     Extension {
-        /// The extension's number, in the order in which they were given to the controller.
+        /// The extension's index, in the order in which the extensions were registered with the controller.
         slot: usize,
         /// The request.
         call: Call,
@@ -34,11 +34,11 @@
 
 /// A request that waits for the controller.
 pub(super) struct PendingRequest {
-    /// When it had been read in full.
+    /// When the request had been read completely.
     pub(super) received_at: Instant,
-    /// What is asked.
+    /// The content.
     pub(super) content: RequestContent,
-    /// Where the answer goes.
+    /// The channel for the answer.
     pub(super) reply: oneshot::Sender<Reply>,
 }
 
@@ -46,16 +46,16 @@
 pub(super) struct Reply {
     /// The HTTP status.
     pub(super) status: StatusCode,
-    /// When the client may try again, in seconds.
+    /// Time, in seconds, after which the client may retry.
     pub(super) retry_after_s: Option<u32>,
-    /// Headers besides the usual ones.
+    /// Additional headers.
     pub(super) headers: Vec<(&'static str, String)>,
     /// The body, in JSON.
     pub(super) body: String,
 }
 
 impl Reply {
-    /// The refusal of a request because too many wait.
+    /// The refusal of a request because too many requests are pending.
     pub(super) fn too_many_requests(retry_after_s: u32) -> Self {
         Self::unavailable(retry_after_s, "too many requests wait here; come back")
     }
@@ -65,7 +65,7 @@
         Self::unavailable(retry_after_s, "no answer in time; come back")
     }
 
-    /// An error for which trying again is of no use.
+    /// An error after which a retry is pointless.
     pub(super) fn error(status: StatusCode, reason: &str) -> Self {
         Self { status, retry_after_s: None, headers: Vec::new(), body: users::error(reason) }
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// The requests that the controller has and has not answered yet.
+/// The requests that were passed to the controller and not answered yet.
 #[derive(Default)]
 pub(super) struct PendingAnswers {
     last_request: u64,
@@ -83,15 +83,16 @@
 }
 
 impl PendingAnswers {
-    /// Numbers a request, from 1, and remembers where its answer goes.
-    pub(super) fn expect(&mut self, reply: oneshot::Sender<Reply>) -> RequestId {
+    /// Assigns a request its id, counting from 1, and stores the channel for its answer.
+    pub(super) fn register(&mut self, reply: oneshot::Sender<Reply>) -> RequestId {
         self.last_request += 1;
         let request = RequestId(self.last_request);
         self.replies.insert(request, reply);
         request
     }
 
-    /// Sends the answer to a request's client. Nothing happens if it had one already, or if the client has gone.
+    /// Sends the answer to a request's client. Has no effect if the request was answered already or the
+    /// client has disconnected.
     pub(super) fn deliver(&mut self, request: RequestId, answer: Reply) {
         if let Some(reply) = self.replies.remove(&request) {
             let _ = reply.send(answer);
--- a/crates/pearford/src/runtime/worker_client.rs
+++ b/crates/pearford/src/runtime/worker_client.rs
@@ -6,21 +6,23 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// The path at which a worker takes commands, by the workers' protocol.
+/// The path at which a worker accepts commands, as defined by the workers' protocol.
 const COMMANDS_PATH: &str = "/do";
-/// Unused connections kept to each worker: none, as thousands of them once held half of all sockets.
+/// Unused connections kept to each worker. None: with thousands of workers they would take up half of all
+/// sockets.
 const IDLE_CONNECTIONS_PER_WORKER: usize = 0;
 
 /// Sends commands to workers, over a bounded number of sockets.
 #[derive(Clone)]
 pub(super) struct WorkerClient {
     http: HttpClient,
-    /// One permit for each socket. Commands beyond that wait, and the wait counts towards their timeout.
+    /// One permit for each socket. Further commands wait for a permit, and the wait counts towards their
+    /// timeout.
     sockets: Arc<Semaphore>,
 }
 
 impl WorkerClient {
-    /// A client that has up to `max_sockets` commands under way.
+    /// A client that sends up to `max_sockets` commands concurrently.
     pub(super) fn new(max_sockets: usize) -> Self {
         Self {
             http: HttpClient::new(IDLE_CONNECTIONS_PER_WORKER),
@@ -28,8 +30,8 @@
         }
     }
 
-    /// Sends commands to the worker at `addr`; `None` without a response in time, or if `addr` is no address. The
-    /// worker may have carried them out all the same.
+    /// Sends commands to the worker at `addr`. Returns `None` without a response before the timeout, in which
+    /// case the worker may still have executed them, or if `addr` is malformed.
     pub(super) async fn call(&self, addr: &str, body: String, timeout: Duration) -> Option<HttpResponse> {
         let exchange = async {
             let _socket = self.sockets.acquire().await.ok()?;
--- a/crates/pearford/tests/nomad_client.rs
+++ b/crates/pearford/tests/nomad_client.rs
@@ -1,10 +1,11 @@
-//! A client library of Nomad's API against real processes on loopback: register a job, wait for it, read its
-//! allocations, change it, stop it; with a node killed on the way.
+//! Runs a client library of Nomad's API against real processes on loopback: registers a job, waits for it,
+//! reads its allocations, changes it and stops it. A node is killed during the rollout. Guards against
+//! answers that clients of Nomad can't parse, and against requests that fail while a node is down.
 
 use nomad_client::apis::configuration::Configuration;
 use nomad_client::apis::{evaluations_api, jobs_api};
 use nomad_client::models::{Job, JobPlanRequest, JobsParseRequest, RegisterJobRequest};
-use pearford_dev_cluster::cluster::{Cluster, Plan, Team};
+use pearford_dev_cluster::cluster::{Cluster, ClusterConfig, Team};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -13,8 +14,8 @@
 async fn cluster() -> Cluster {
     let program = env!("CARGO_BIN_EXE_pearford").into();
     let teams = vec![Team::new("red", 32), Team::new("blue", 32)];
-    let plan = Plan { program, nodes: 3, teams, operator: OPERATOR.into(), write_rps: 100.0 };
-    Cluster::start(plan).await.expect("the processes start")
+    let config = ClusterConfig { program, nodes: 3, teams, operator: OPERATOR.into(), write_rps: 100.0 };
+    Cluster::start(config).await.expect("the processes start")
 }
 
 fn at(cluster: &Cluster, node: usize) -> Configuration {
@@ -30,16 +31,20 @@
         "TaskGroups": [{"Name": "main", "Count": count, "Tasks": [{"Name": "work", "Driver": "docker",
             "Config": {"image": image}, "Resources": {"Cores": 2, "MemoryMB": 1024,
                 "Devices": [{"Name": "nvidia/gpu", "Count": 1}]}}]}]});
-    serde_json::from_value(job).expect("a job of the client's")
+    serde_json::from_value(job).expect("must be a job of the client library")
 }
 
 fn register(job: Job) -> Option<RegisterJobRequest> {
-    // Its constructors leave the job out.
+    // The client library's constructors leave the job out.
     Some(RegisterJobRequest { job: Some(Box::new(job)), ..RegisterJobRequest::new(None) })
 }
 
-/// Polls until there is a result; a node that has just started may refuse for a while.
-async fn until<T, F: Future<Output = Option<T>>>(what: &str, cluster: &Cluster, poll: impl Fn() -> F) -> T {
+/// Polls until there is a result. A node that was just started may refuse requests for some time.
+async fn poll_until<T, F: Future<Output = Option<T>>>(
+    what: &str,
+    cluster: &Cluster,
+    poll: impl Fn() -> F,
+) -> T {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(20) {
         if let Some(result) = poll().await {
@@ -47,24 +52,24 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("never came: {what}; logs:\n{}\n{}\n{}", cluster.log(0), cluster.log(1), cluster.log(2));
+    panic!("timeout waiting for {what}; logs:\n{}\n{}\n{}", cluster.log(0), cluster.log(1), cluster.log(2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_of_nomads_api_is_served_by_real_processes() {
+async fn nomad_client_library_manages_jobs_across_a_node_failure() {
     let mut cluster = cluster().await;
     let a = at(&cluster, 0);
     let b = at(&cluster, 1);
     let c = at(&cluster, 2);
 
-    // Register, and the same again elsewhere: one evaluation.
-    let first = until("the first registration", &cluster, || async {
+    // Registering the same job at two nodes gives one evaluation.
+    let first = poll_until("the first registration", &cluster, || async {
         jobs_api::register_job(&a, None, None, None, None, register(job("forecast", "batch", 4, "img-1")))
             .await
             .ok()
     })
     .await;
-    let again = until("its repeat", &cluster, || async {
+    let again = poll_until("its repeat", &cluster, || async {
         jobs_api::register_job(&b, None, None, None, None, register(job("forecast", "batch", 4, "img-1")))
             .await
             .ok()
@@ -73,7 +78,7 @@
     assert_eq!(first.eval_id, again.eval_id);
     let evaluation = first.eval_id.expect("an evaluation");
 
-    // Wait with blocking queries at another node until it has finished.
+    // Blocking queries at another node return until the job is complete.
     let mut index = 1;
     let done = loop {
         let read =
@@ -96,17 +101,17 @@
             .expect("read");
     assert_eq!(of_evaluation.len(), 4);
 
-    // Done work does not run again.
+    // Registering a complete job again does not run it again.
     let after =
         jobs_api::register_job(&c, None, None, None, None, register(job("forecast", "batch", 4, "img-1")));
     let after = after.await.expect("answered");
     assert_eq!(after.eval_id.as_deref(), Some(evaluation.as_str()));
     assert!(after.warnings.is_some_and(|w| w.contains("does not run again")));
 
-    // A service gets a new image while a node is killed.
+    // A node is killed while a service is updated to a new image.
     jobs_api::register_job(&a, None, None, None, None, register(job("quotes", "service", 3, "img-1")))
         .await
-        .expect("taken");
+        .expect("accepted");
     let running = |configuration: Configuration, version: i32| async move {
         let job = jobs_api::get_job(&configuration, "quotes", None, None, None, None).await.ok()?;
         let summary =
@@ -115,15 +120,15 @@
         (job.version == Some(version) && up == 3 && job.status_description.as_deref() == Some(""))
             .then_some(())
     };
-    until("three replicas", &cluster, || running(b.clone(), 0)).await;
+    poll_until("three replicas", &cluster, || running(b.clone(), 0)).await;
     jobs_api::register_job(&b, None, None, None, None, register(job("quotes", "service", 3, "img-2")))
         .await
-        .expect("taken");
+        .expect("accepted");
     cluster.kill_node(0).await.expect("killed");
-    until("the end of the rollout", &cluster, || running(c.clone(), 1)).await;
+    poll_until("the end of the rollout", &cluster, || running(c.clone(), 1)).await;
     cluster.start_node(0).expect("starts again");
 
-    // Planning changes nothing; check-and-set is honoured.
+    // Planning changes nothing. A registration with an outdated job modify index is refused.
     let plan = JobPlanRequest {
         job: Some(Box::new(job("quotes", "service", 3, "img-3"))),
         ..JobPlanRequest::new(None)
@@ -135,7 +140,7 @@
     (enforced.enforce_index, enforced.job_modify_index) = (Some(true), Some(1));
     assert!(jobs_api::register_job(&b, None, None, None, None, Some(enforced)).await.is_err());
 
-    // What can't be honoured is refused, with the reason.
+    // An unsupported field is refused.
     let mut with_env = job("env", "batch", 1, "img-1");
     if let Some(task) = with_env.task_groups.as_mut().and_then(|g| g[0].tasks.as_mut()).map(|t| &mut t[0]) {
         task.env = Some([("MODE".to_string(), "fast".to_string())].into());
@@ -144,20 +149,20 @@
         jobs_api::register_job(&b, None, None, None, None, register(with_env)).await.expect_err("refused");
     assert!(refused.to_string().contains("400"), "{refused}");
 
-    // A file in HCL, as the server parses it, is registered as it is.
+    // The server parses a job file in HCL.
     let hcl =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/quote-api.nomad.hcl"));
     let parse = JobsParseRequest::new(hcl.expect("the example"));
     let parsed = jobs_api::parse_job_hcl(&b, None, None, None, None, Some(parse)).await.expect("parsed");
     assert_eq!(parsed.task_groups.as_ref().and_then(|g| g[0].count), Some(6));
 
-    // Stop, at any node.
-    let stopped = until("the stop", &cluster, || async {
+    // The restarted node stops the job.
+    let stopped = poll_until("the stop", &cluster, || async {
         jobs_api::stop_job(&a, "quotes", None, None, None, None, Some(false)).await.ok()
     })
     .await;
     assert!(stopped.eval_id.is_some());
-    until("no replica", &cluster, || async {
+    poll_until("no replica", &cluster, || async {
         let job = jobs_api::get_job(&c, "quotes", None, None, None, None).await.ok()?;
         (job.status.as_deref() == Some("dead")).then_some(())
     })
