--- a/crates/scheduler/src/election/mod.rs
+++ b/crates/scheduler/src/election/mod.rs
@@ -149,13 +149,13 @@
     }
 
     /// Whether this node holds the leader key as far as it knows, even if its lease is no longer valid.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.state, CampaignState::Leading { .. })
     }
 
     /// Whether this node may commit, send commands and call the cloud at `now`.
-    pub fn valid(&self, now: MonotonicTime) -> bool {
-        self.leads() && now < self.valid_until
+    pub fn has_valid_lease(&self, now: MonotonicTime) -> bool {
+        self.is_leader() && now < self.valid_until
     }
 
     /// The fencing token of this node's last term; 0 if it has not been leader yet.
@@ -166,7 +166,7 @@
     /// Another node that held the leader key when it was last read, if that is at most `within` ago; `None`
     /// while this node is leader.
     pub fn other_leader(&self, within: Duration, now: MonotonicTime) -> Option<&OtherLeader> {
-        self.other_leader.as_ref().filter(|leader| now.since(leader.read_at) <= within && !self.leads())
+        self.other_leader.as_ref().filter(|leader| now.since(leader.read_at) <= within && !self.is_leader())
     }
 
     /// The next request to the key-value store, if one is due; its id is to be passed to
@@ -225,7 +225,7 @@
 
     fn key_read(&mut self, now: MonotonicTime, reply: StoreReply) -> ElectionStep {
         if let StoreReply::Found(pair) = &reply {
-            self.note_other_leader(now, pair);
+            self.record_other_leader(now, pair);
         }
         if now < self.campaigns_from {
             return self.abandon_campaign();
@@ -242,7 +242,7 @@
         }
     }
 
-    fn note_other_leader(&mut self, now: MonotonicTime, pair: &Pair) {
+    fn record_other_leader(&mut self, now: MonotonicTime, pair: &Pair) {
         self.other_leader =
             LeaderRecord::parse(pair).filter(|record| record.node != self.node).map(|record| OtherLeader {
                 node: record.node,
@@ -362,7 +362,8 @@
         LeaderRecord::parse(pair).is_some_and(|record| record.node == self.node && record.lease == lease)
     }
 
-    /// Gives up leadership. The node doesn't campaign for a short time, so that another node becomes leader.
+    /// Ends this node's leadership, without a request to the key-value store. The node doesn't campaign for a
+    /// short time, so that another node becomes leader.
     pub fn step_down(&mut self, now: MonotonicTime) {
         self.state = CampaignState::Idle;
         self.valid_until = MonotonicTime::default();
@@ -370,7 +371,7 @@
         self.request_id = None;
     }
 
-    /// Gives up leadership and doesn't campaign for `pause`.
+    /// Like [`Self::step_down`], but the node doesn't campaign for `pause`.
     pub fn back_off(&mut self, now: MonotonicTime, pause: Duration) {
         self.step_down(now);
         self.campaigns_from = now + pause;
--- a/crates/scheduler/src/node/controller/extensions.rs
+++ b/crates/scheduler/src/node/controller/extensions.rs
@@ -74,7 +74,7 @@
     /// Passes a client's request to the extension in `slot`.
     pub(super) fn extension_call(&mut self, slot: usize, request: RequestId, call: Call) {
         if slot >= self.extensions.len() {
-            return self.out.refuse(request, StatusCode::NOT_FOUND, "no such path");
+            return self.outbox.refuse(request, StatusCode::NOT_FOUND, "no such path");
         }
         self.run_extension(slot, Input::Call { request, call });
     }
@@ -112,7 +112,7 @@
             let slot = &mut self.extensions[slot_number];
             let wanted =
                 slot.reads.iter().any(|read| slot.watcher.outcome_since(read.own_reads_started).is_none());
-            slot.watcher.send_due_reads(self.now, slot.records.store_revision(), wanted, &mut self.out);
+            slot.watcher.send_due_reads(self.now, slot.records.store_revision(), wanted, &mut self.outbox);
             let changed = slot.records.take_changed();
             if !changed.is_empty() {
                 self.run_extension(slot_number, Input::Records(&changed));
@@ -145,7 +145,7 @@
     /// Processes the store's reply to a read of an extension's records.
     pub(super) fn extension_records_reply(&mut self, slot: usize, read: Read, reply: StoreReply) {
         let Some(slot) = self.extensions.get_mut(slot) else { return };
-        slot.watcher.reply(self.now, read, reply, &mut slot.records, &mut slot.rng, &mut self.out);
+        slot.watcher.reply(self.now, read, reply, &mut slot.records, &mut slot.rng, &mut self.outbox);
     }
 
     /// Processes the store's reply to an extension's commit.
@@ -160,7 +160,7 @@
             StoreReply::Committed { store_revision } => {
                 // Updates the local copies immediately, before the watch returns the change.
                 for change in &changes {
-                    self.learn_change(slot, store_revision, change);
+                    self.apply_change(slot, store_revision, change);
                 }
                 Outcome::Done { store_revision }
             }
@@ -171,14 +171,14 @@
         self.run_extension(slot, Input::Committed { tag, outcome });
     }
 
-    fn learn_change(&mut self, slot: usize, store_revision: u64, change: &Change) {
+    fn apply_change(&mut self, slot: usize, store_revision: u64, change: &Change) {
         let revision = Revision(store_revision);
         match change {
             Change::Put { key, value, .. } => match key.strip_prefix(jobs::PREFIX) {
                 Some(id) => match serde_json::from_str(value) {
                     Ok(record) => self.job_cache.learn(JobId::from(id), revision, record),
                     Err(error) => {
-                        tracing::error!(key, %error, "committed job record can't be parsed; skipping it");
+                        tracing::error!(key, %error, "committed job record can't be read; skipping it");
                     }
                 },
                 None => self.extensions[slot].records.learn(key, revision, value),
@@ -197,7 +197,7 @@
 
     fn step_extension(&mut self, slot: usize, input: Input<'_>) -> Vec<Action> {
         let Some(mut extension) = self.extensions[slot].extension.take() else { return Vec::new() };
-        let fencing_token = self.election.valid(self.now).then(|| self.election.fencing_token());
+        let fencing_token = self.election.has_valid_lease(self.now).then(|| self.election.fencing_token());
         let leader = self.leader.as_ref();
         let view = View {
             now: self.now,
@@ -220,7 +220,7 @@
     fn execute(&mut self, slot: usize, action: Action) {
         match action {
             Action::Answer { request, status, retry_after_s, headers, body } => {
-                self.out.push(Effect::Answer { request, status, retry_after_s, headers, body });
+                self.outbox.push(Effect::Answer { request, status, retry_after_s, headers, body });
             }
             Action::Read { tag } => {
                 let own_reads_started = self.extensions[slot].watcher.reads_started();
@@ -247,7 +247,7 @@
                 limit,
             },
         };
-        self.out.request_store(request, Pending::ExtensionMachines { slot, tag });
+        self.outbox.request_store(request, Pending::ExtensionMachines { slot, tag });
     }
 
     /// Processes the store's reply to an extension's read of machines.
@@ -278,7 +278,7 @@
             WriteBudget::Users => self.user_writes.take(changes.len() as f64, now),
             WriteBudget::Maintenance => {
                 conditions.push((election::LEADER_KEY.into(), Revision(self.election.fencing_token().0)));
-                self.election.valid(now)
+                self.election.has_valid_lease(now)
                     && self.leader.as_mut().is_some_and(|leader| leader.take_spare_writes(changes.len(), now))
             }
         };
@@ -286,7 +286,7 @@
             return self.run_extension(slot, Input::Committed { tag, outcome: Outcome::NoBudget });
         }
         let request = StoreRequest::Commit { conditions, changes: changes.clone() };
-        self.out.request_store(request, Pending::ExtensionCommit { slot, tag, changes });
+        self.outbox.request_store(request, Pending::ExtensionCommit { slot, tag, changes });
     }
 
     pub(super) fn extension_metrics(&self, lines: &mut Vec<String>) {
@@ -296,7 +296,7 @@
     }
 }
 
-/// The machine of an assignment record; `None`, with an error in the log, if the record can't be parsed.
+/// The machine of an assignment record; `None`, with an error in the log, if the record can't be read.
 fn recorded_machine(pair: &Pair) -> Option<RecordedMachine> {
     match serde_json::from_str(&pair.value) {
         Ok(record) => {
@@ -304,7 +304,7 @@
             Some(RecordedMachine { id, record })
         }
         Err(error) => {
-            tracing::error!(key = pair.key, %error, "machine record can't be parsed; skipping it");
+            tracing::error!(key = pair.key, %error, "machine record can't be read; skipping it");
             None
         }
     }
