--- a/crates/scheduler/src/simulation/days/bad_records.rs
+++ b/crates/scheduler/src/simulation/days/bad_records.rs
@@ -1,4 +1,5 @@
-//! Days with records that can't be read or say the impossible, and with heartbeats that contradict themselves.
+//! Days with records that are unreadable or hold impossible values, and with heartbeats that contradict
+//! themselves.
 
 use super::ordinary::day;
 use super::{crash_all_nodes, schedule_period};
@@ -6,10 +7,10 @@
 use crate::simulation::{Fault, NODES, Simulation, job};
 use serde_json::{Value, json};
 
-/// Records that can't be read.
+/// Values that cannot be parsed as a record.
 pub const BAD: [&str; 5] = ["{\"open\":{\"spec\":7}}", "torn {", "{\"later\":{\"form\":2}}", "", "[]"];
 
-/// A long job's record becomes unreadable while it runs, all nodes begin anew, and the record is put back later.
+/// The record of a running job becomes unreadable and all nodes restart. The record is restored later.
 pub fn unreadable_job_record(seed: u64, bad: &str) -> Simulation {
     let mut simulation = Simulation::new(seed);
     let mut body = job(0, "array", 2);
@@ -17,7 +18,7 @@
     simulation.add_user(1_000, body, None);
     simulation.add_user(1_500, job(1, "array", 3), None);
     simulation.run_until(12_000);
-    let good = simulation.state.key("j/req-000000").expect("accepted").to_string();
+    let good = simulation.state.key("j/req-000000").expect("the job was accepted").to_string();
     simulation.state.overwrite("j/req-000000", bad);
     crash_all_nodes(&mut simulation, 12_100);
     simulation.run_until(24_000);
@@ -38,26 +39,27 @@
     for answer in &simulation.answers {
         assert!(answer.status == 503 && answer.body.contains("j/req-000000"), "{answer:?}");
     }
-    assert_eq!(simulation.state.key("j/req-000000"), Some(bad), "left for operators");
-    let stays =
+    assert_eq!(simulation.state.key("j/req-000000"), Some(bad), "an unreadable record is left for operators");
+    let running_tasks =
         simulation.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.job() == "req-000000" && t.present());
-    assert!(stays.count() > 0, "what runs is not stopped on a guess");
+    assert!(running_tasks.count() > 0, "tasks of a job with an unreadable record keep running");
     simulation.state.overwrite("j/req-000000", &good);
     simulation
 }
 
-/// Two machines' records become unreadable while they work and their heartbeats reach nobody, and all nodes begin anew.
+/// The records of two machines that run tasks become unreadable, no node receives their heartbeats, and all
+/// nodes restart.
 pub fn unreadable_machine_records(seed: u64, bad: &str) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.keeps_images = true;
-    for repetition in 0..6 {
-        let mut body = job(repetition, "array", 2);
+    for number in 0..6 {
+        let mut body = job(number, "array", 2);
         body["expected_s"] = 25.0.into();
         simulation.add_user(1_000, body, None);
     }
-    // These leave free resources behind.
-    for repetition in 10..14 {
-        let mut body = job(repetition, "array", 2);
+    // These short jobs end early and leave free capacity on their machines.
+    for number in 10..14 {
+        let mut body = job(number, "array", 2);
         body["expected_s"] = 2.0.into();
         simulation.add_user(1_100, body, None);
     }
@@ -65,11 +67,11 @@
     let keys: Vec<String> = simulation.state.under("m/").map(|(key, _)| key.to_string()).collect();
     assert!(keys.len() > 1, "several machines have records");
     keys.iter().take(2).for_each(|key| simulation.state.overwrite(key, bad));
-    // Their workers reach nobody meanwhile, and the cloud answers late.
+    // The heartbeats of the two machines are lost until 40 s, and the cloud is unreachable until 27 s.
     simulation
         .workers
         .iter_mut()
-        .filter(|m| keys.iter().take(2).any(|repetition| repetition.ends_with(m.id.as_str())))
+        .filter(|m| keys.iter().take(2).any(|key| key.ends_with(m.id.as_str())))
         .for_each(|m| {
             m.heartbeats_lost_until = 40_000;
         });
@@ -78,12 +80,14 @@
     simulation
 }
 
-/// Records that are whole JSON and say what nobody can have stored; all nodes begin anew and are asked for them.
+/// Job records are valid JSON but hold values that no node stores. All nodes restart, and users query these
+/// jobs.
 pub fn impossible_job_records(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| simulation.add_user(1_000, job(50, "array", 2), None));
     simulation.run_until(10_000);
     let good: Value =
-        serde_json::from_str(simulation.state.key("j/req-000050").expect("accepted")).expect("whole");
+        serde_json::from_str(simulation.state.key("j/req-000050").expect("the job was accepted"))
+            .expect("the stored record is valid JSON");
     for (number, (path, value)) in [
         ("/open/spec/tasks", json!(4_000_000_000_u32)),
         ("/open/spec/tasks", json!(0)),
@@ -106,11 +110,12 @@
     simulation
 }
 
-/// A heartbeat with the same task twice, one of a job nobody submitted, and names that are none.
+/// A heartbeat reports a task several times with different phases, tasks of a job that was never submitted,
+/// and invalid task names.
 pub fn contradicting_heartbeats(seed: u64) -> Simulation {
     let mut simulation = day(seed, |_| {});
     simulation.run_until(12_000);
-    let leader = simulation.leader().expect("somebody leads");
+    let leader = simulation.leader().expect("there is a leader");
     let task = |name: &str, attempt: u64, phase: &str| json!({"shard": name, "try": attempt, "phase": phase, "cause": "done"});
     let shards = json!([
         task("req-000000/0", 1, "running"),
--- a/crates/scheduler/src/simulation/days/combined_faults.rs
+++ b/crates/scheduler/src/simulation/days/combined_faults.rs
@@ -1,4 +1,4 @@
-//! Days on which two faults overlap, drawn by the seed.
+//! Days on which two random faults overlap.
 
 use super::ordinary::day;
 use super::{TROUBLE_ENDS, crash_all_nodes, schedule_fault, schedule_period};
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use std::ops::Range;
 
-/// The rows of `docs/design/combined_failures.md`.
+/// The faults that are combined. `docs/design/combined_failures.md` describes them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrawnFault {
     CommandsHeld,
@@ -29,7 +29,7 @@
     FastBoots,
 }
 
-/// All faults, in the order in which the seed's draws name them.
+/// All faults. The random draws are indices into this array, so its order must not change.
 const ALL: [DrawnFault; 18] = [
     DrawnFault::CommandsHeld,
     DrawnFault::LateWrites,
@@ -51,7 +51,7 @@
     DrawnFault::FastBoots,
 ];
 
-/// A part of a day in which a fault lasts or takes place, in milliseconds.
+/// The period of a day in which a fault occurs or lasts, in milliseconds of simulated time.
 #[derive(Clone, Copy)]
 struct Period {
     from: u64,
@@ -64,15 +64,15 @@
     }
 }
 
-/// Brings a fault about within a period.
+/// Schedules a fault within a period.
 fn schedule(simulation: &mut Simulation, fault: DrawnFault, period: Period) {
     let Period { from, to } = period;
-    let mut lasting = |on, off| schedule_period(simulation, from, to, on, off);
+    let mut schedule_for_period = |on, off| schedule_period(simulation, from, to, on, off);
     match fault {
-        DrawnFault::CancelledAtEnd => lasting(Fault::CancelAtEnd(0.5), Fault::CancelAtEnd(0.0)),
-        DrawnFault::OddRequests => lasting(Fault::OddRequests(true), Fault::OddRequests(false)),
-        DrawnFault::CloseReads => lasting(Fault::CloseReads(true), Fault::CloseReads(false)),
-        DrawnFault::FastBoots => lasting(Fault::FastBoots(true), Fault::FastBoots(false)),
+        DrawnFault::CancelledAtEnd => schedule_for_period(Fault::CancelAtEnd(0.5), Fault::CancelAtEnd(0.0)),
+        DrawnFault::OddRequests => schedule_for_period(Fault::OddRequests(true), Fault::OddRequests(false)),
+        DrawnFault::CloseReads => schedule_for_period(Fault::CloseReads(true), Fault::CloseReads(false)),
+        DrawnFault::FastBoots => schedule_for_period(Fault::FastBoots(true), Fault::FastBoots(false)),
         DrawnFault::LateWrites => schedule_share(simulation, period, 0.1..0.5, Fault::LateWrites),
         DrawnFault::LateHeartbeats => schedule_share(simulation, period, 0.2..0.6, Fault::LateHeartbeats),
         DrawnFault::LostStoreAnswers => {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A fault that concerns a share of all messages, drawn from a range.
+/// Schedules a fault that affects a share of all messages. The share is drawn from a range.
 fn schedule_share(
     simulation: &mut Simulation,
     period: Period,
@@ -110,7 +110,8 @@
     schedule_period(simulation, period.from, period.to, fault(share), fault(0.0));
 }
 
-/// Links between nodes and machines are held one way, most of them the commands' way.
+/// Holds messages back in one direction of links between nodes and machines, mostly from the node to the
+/// machine.
 fn hold_commands(simulation: &mut Simulation, period: Period) {
     for _ in 0..8 {
         let node = Host::Node(simulation.rng.random_range(0..NODES));
@@ -123,7 +124,7 @@
     }
 }
 
-/// Leaders end every few seconds, now and then all nodes at once.
+/// Crashes the leader every few seconds, and sometimes all nodes at once.
 fn repeat_failovers(simulation: &mut Simulation, period: Period) {
     let mut at = period.from;
     while at < period.to {
@@ -136,7 +137,7 @@
     }
 }
 
-/// The key-value store refuses the leader, and is then down for everybody.
+/// The key-value store refuses the requests of the leader, and becomes unreachable for all nodes afterwards.
 fn refuse_leader_then_all(simulation: &mut Simulation, period: Period) {
     schedule_fault(simulation, period.from, Fault::Leader(LeaderFault::Refused, 9_000));
     let down = period.from + simulation.rng_ms(500, 8_000);
@@ -160,7 +161,7 @@
     }
 }
 
-/// Heartbeats are lost: once those of all machines, and of some machines later or before.
+/// Heartbeats are lost: in one period those of all machines, in three others those of some machine.
 fn lose_heartbeats(simulation: &mut Simulation, period: Period) {
     for repetition in 0..4 {
         let at = period.draw(simulation);
@@ -179,7 +180,8 @@
     }
 }
 
-/// A day on which two faults overlap, twice, while at least three machines fail; and which faults they are.
+/// A day with two pairs of overlapping faults, on which at least three machines fail. Also returns the four
+/// faults.
 pub fn day_of_combined_faults(seed: u64) -> (Simulation, Vec<DrawnFault>) {
     let mut drawn = Vec::new();
     let simulation = day(seed, |simulation| {
@@ -202,7 +204,7 @@
     (simulation, drawn)
 }
 
-/// Jobs of two or three tasks, some of which end far apart.
+/// Adds short jobs of two or three tasks, some of which are cancelled.
 fn add_short_jobs(simulation: &mut Simulation) {
     for number in 20..30 {
         let job_type = ["array", "ensemble", "array"][number % 3];
--- a/crates/scheduler/src/simulation/days/directed/mod.rs
+++ b/crates/scheduler/src/simulation/days/directed/mod.rs
@@ -1,5 +1,5 @@
-//! Combinations of faults, each with a day that brings it about and a check that the day needs.
-//! `docs/design/combined_failures.md` has the rows.
+//! Combinations of faults. Each has a day on which it occurs, and an injected fault that the rules must
+//! detect on that day. `docs/design/combined_failures.md` describes the rows.
 
 mod scenarios;
 
@@ -7,17 +7,17 @@
 use crate::simulation::Simulation;
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
 
-/// A combination of faults: its day, what must have taken place, and a check that its day needs.
+/// A combination of faults: its day, the occurrences that the day must show, and an injected fault.
 pub struct Row {
     pub name: &'static str,
     pub day: fn(u64) -> Simulation,
-    /// What must have taken place, and how often at least over the seeds.
+    /// Situations that must occur, each with the minimum count over all seeds.
     pub occurrences: &'static [(&'static str, u64)],
-    /// Disables the check, or injects another fault that the rules must notice.
+    /// Disables a safety check or injects another fault. The rules must detect it on this day.
     pub without: fn(&mut Simulation),
 }
 
-fn injected_fault(simulation: &mut Simulation, fault: fn(&mut Controller, u64)) {
+fn inject_fault(simulation: &mut Simulation, fault: fn(&mut Controller, u64)) {
     simulation.injected_fault = Some(fault);
 }
 
@@ -28,7 +28,7 @@
         day: scenarios::held_messages,
         occurrences: &[("a link held", 10), ("cancelled now", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
             });
         },
@@ -42,7 +42,7 @@
             ("a repeat after the acceptance", 1),
         ],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::ReadBeforeAnswer);
             });
         },
@@ -58,7 +58,7 @@
         day: scenarios::full_teams,
         occurrences: &[("cancelled and hung", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::StoppingTasks);
             });
         },
@@ -68,7 +68,7 @@
         day: scenarios::failovers,
         occurrences: &[("a terminal status within two seconds of a new leader", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::RelayFilter));
+            inject_fault(simulation, |controller, _| controller.disable_check(DisabledCheck::RelayFilter));
         },
     },
     Row {
@@ -76,7 +76,7 @@
         day: scenarios::fast_boots,
         occurrences: &[("a start within three seconds of the boot", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::DurableBeforeStart);
             });
         },
@@ -86,7 +86,7 @@
         day: scenarios::old_heartbeats,
         occurrences: &[("copy for the next leader", 1), ("copy to every node as a leader begins", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::HeartbeatOrder);
             });
         },
@@ -96,7 +96,7 @@
         day: scenarios::small_jobs,
         occurrences: &[("accepted", 800)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseRenewal(LeaseCheck::Stops));
                 controller.disable_check(DisabledCheck::StopCommands);
             });
@@ -107,7 +107,7 @@
         day: scenarios::cancelled,
         occurrences: &[("cancelled at the end", 1), ("cancelled now", 1), ("cancelled and hung", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::SilenceDetection);
             });
         },
@@ -117,7 +117,7 @@
         day: scenarios::heartbeats_lost,
         occurrences: &[("heartbeats lost", 1), ("a direct start at a machine whose heartbeats are lost", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
             });
         },
@@ -127,7 +127,7 @@
         day: scenarios::ten_leaders,
         occurrences: &[("a new leader", 40)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::TaskCompletion);
             });
         },
@@ -141,7 +141,7 @@
             ("a repeat after the acceptance", 1),
         ],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::StoppingTasks);
             });
         },
@@ -151,7 +151,7 @@
         day: scenarios::bound_to_a_zone,
         occurrences: &[("a machine lost with tasks bound to its zone", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::ZoneConstraint);
             });
         },
@@ -161,7 +161,7 @@
         day: scenarios::cut_off_zone,
         occurrences: &[("a zone cut off", 1), ("cancelled now", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::LeaseExpiry { silence_ms: 4_000 });
             });
         },
@@ -171,7 +171,7 @@
         day: scenarios::all_away,
         occurrences: &[("copy for the next leader", 1)],
         without: |simulation| {
-            injected_fault(simulation, |controller, _| {
+            inject_fault(simulation, |controller, _| {
                 controller.disable_check(DisabledCheck::HeartbeatOrder);
             });
         },
--- a/crates/scheduler/src/simulation/days/directed/scenarios.rs
+++ b/crates/scheduler/src/simulation/days/directed/scenarios.rs
@@ -1,12 +1,13 @@
-//! The days of the table: each brings one combination of faults about.
+//! The days of `ROWS`. One combination of faults occurs on each.
 
 use crate::simulation::days::ordinary::{cut_zone, day};
 use crate::simulation::days::{DAY_ENDS, TROUBLE_ENDS, schedule_fault, schedule_period};
 use crate::simulation::{Fault, Host, LeaderFault, NODES, Simulation, job};
 use rand::RngExt;
 
-/// Leaders end every so often, and are back within a fraction of a second on every second seed.
-fn leaders_end(simulation: &mut Simulation, seed: u64, from: u64, to: u64, every: u64) {
+/// Schedules crashes of the leader, `every` milliseconds apart on average. Crashed nodes restart within
+/// 400 ms on even seeds and within 4 s on odd seeds.
+fn schedule_leader_crashes(simulation: &mut Simulation, seed: u64, from: u64, to: u64, every: u64) {
     simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     let mut ms = from;
     while ms < to {
@@ -15,8 +16,8 @@
     }
 }
 
-/// Several machines fail, in different ways.
-fn machines_fail(simulation: &mut Simulation, count: usize) {
+/// Schedules `count` machine faults: machines die, hang or receive no commands.
+fn schedule_machine_faults(simulation: &mut Simulation, count: usize) {
     for number in 0..count {
         let at = simulation.rng_ms(8_000, 75_000);
         let lasts_ms = simulation.rng.random_range(3_000..30_000).min(14_000);
@@ -29,26 +30,27 @@
     }
 }
 
-/// Jobs of one or two tasks that come all along, some of which are cancelled.
-fn stream(simulation: &mut Simulation, first: usize, jobs: usize, to: u64, cancelled_share: f64) {
+/// Adds short jobs of one or two tasks that are submitted at random times until `to`. A share of them is
+/// cancelled.
+fn add_job_stream(simulation: &mut Simulation, first: usize, jobs: usize, to: u64, cancelled_share: f64) {
     for number in first..first + jobs {
         let tasks = simulation.rng.random_range(1..3);
         let mut body = job(number, "array", tasks);
         body["expected_s"] = simulation.rng.random_range(1.0..4.0).into();
         body["vcpus"] = 1.0.into();
-        let when = simulation.rng_ms(2_000, to);
+        let submitted_at = simulation.rng_ms(2_000, to);
         let is_cancelled = simulation.rng.random_bool(cancelled_share);
-        let cancel_at = is_cancelled.then(|| when + simulation.rng.random_range(300..6_000));
-        simulation.add_user(when, body, cancel_at);
+        let cancel_at = is_cancelled.then(|| submitted_at + simulation.rng.random_range(300..6_000));
+        simulation.add_user(submitted_at, body, cancel_at);
     }
 }
 
-/// Users send requests to all nodes around acceptances, ends and cancellations, while leaders end.
+/// Users send requests to all nodes right after jobs are accepted, end or are cancelled, while leaders crash.
 pub(super) fn close_reads(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 40, 70_000, 0.3);
-        leaders_end(simulation, seed, 20_000, 80_000, 20_000);
-        machines_fail(simulation, 3);
+        add_job_stream(simulation, 20, 40, 70_000, 0.3);
+        schedule_leader_crashes(simulation, seed, 20_000, 80_000, 20_000);
+        schedule_machine_faults(simulation, 3);
     });
     schedule_period(&mut simulation, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
     schedule_period(&mut simulation, 10_000, 50_000, Fault::SlowStore(900), Fault::SlowStore(0));
@@ -56,12 +58,12 @@
     simulation
 }
 
-/// The answers to many transactions are lost, and some transactions are carried out late.
+/// The answers to many transactions of the key-value store are lost, and some transactions are applied late.
 pub(super) fn lost_answers(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 30, 70_000, 0.4);
-        leaders_end(simulation, seed, 15_000, 80_000, 15_000);
-        machines_fail(simulation, 3);
+        add_job_stream(simulation, 20, 30, 70_000, 0.4);
+        schedule_leader_crashes(simulation, seed, 15_000, 80_000, 15_000);
+        schedule_machine_faults(simulation, 3);
     });
     schedule_period(&mut simulation, 1_000, TROUBLE_ENDS, Fault::CloseReads(true), Fault::CloseReads(false));
     schedule_period(
@@ -75,15 +77,16 @@
     simulation
 }
 
-/// Every team is at its limit; many jobs are cancelled while their machines hang or can't be asked, and the leader ends.
+/// Every team is at its limit. Jobs are cancelled while their machines hang or receive no commands, and the
+/// leader crashes.
 pub(super) fn full_teams(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, 6);
     simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     for number in 0..40 {
         let mut body = job(number, "array", 1);
         body["expected_s"] = simulation.rng.random_range(15.0..30.0).into();
-        let when = simulation.rng_ms(500, 20_000);
-        simulation.add_user(when, body, None);
+        let submitted_at = simulation.rng_ms(500, 20_000);
+        simulation.add_user(submitted_at, body, None);
     }
     simulation.keeps_images = true;
     for repetition in 0..3 {
@@ -96,32 +99,34 @@
     simulation
 }
 
-/// Cancellations fall into the seconds in which nodes take work over from one another.
+/// Jobs are cancelled while a new leader takes over.
 pub(super) fn failovers(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
         for number in 20..110 {
             let mut body = job(number, "array", 1);
             body["expected_s"] = 3.0.into();
             (body["vcpus"], body["accelerators"]) = (0.5.into(), 0.1.into());
-            let when = simulation.rng_ms(2_000, 80_000);
-            let cancel_at =
-                simulation.rng.random_bool(0.6).then(|| when + simulation.rng.random_range(150..2_500));
-            simulation.add_user(when, body, cancel_at);
+            let submitted_at = simulation.rng_ms(2_000, 80_000);
+            let cancel_at = simulation
+                .rng
+                .random_bool(0.6)
+                .then(|| submitted_at + simulation.rng.random_range(150..2_500));
+            simulation.add_user(submitted_at, body, cancel_at);
         }
-        leaders_end(simulation, seed, 12_000, 85_000, 8_000);
-        machines_fail(simulation, 3);
+        schedule_leader_crashes(simulation, seed, 12_000, 85_000, 8_000);
+        schedule_machine_faults(simulation, 3);
     });
-    // What follows the records lags, so that nodes know different things.
+    // Store requests are slow, so the nodes' caches of the job records lag by different amounts.
     schedule_period(&mut simulation, 5_000, TROUBLE_ENDS, Fault::SlowStore(600), Fault::SlowStore(0));
     simulation
 }
 
-/// New machines are up at once and get work while writes lag, and the leader ends.
+/// New machines boot within seconds and receive tasks while store writes are delayed and leaders crash.
 pub(super) fn fast_boots(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 50, 75_000, 0.2);
-        leaders_end(simulation, seed, 8_000, 80_000, 9_000);
-        machines_fail(simulation, 6);
+        add_job_stream(simulation, 20, 50, 75_000, 0.2);
+        schedule_leader_crashes(simulation, seed, 8_000, 80_000, 9_000);
+        schedule_machine_faults(simulation, 6);
     });
     simulation.keeps_images = true;
     schedule_period(&mut simulation, 1, DAY_ENDS, Fault::FastBoots(true), Fault::FastBoots(false));
@@ -130,12 +135,12 @@
     simulation
 }
 
-/// Copies of heartbeats arrive late, many of them at a leader that has just begun.
+/// Copies of heartbeats arrive late, many of them at a newly elected leader.
 pub(super) fn old_heartbeats(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 40, 75_000, 0.3);
-        leaders_end(simulation, seed, 12_000, 85_000, 9_000);
-        machines_fail(simulation, 6);
+        add_job_stream(simulation, 20, 40, 75_000, 0.3);
+        schedule_leader_crashes(simulation, seed, 12_000, 85_000, 9_000);
+        schedule_machine_faults(simulation, 6);
     });
     simulation.keeps_images = true;
     schedule_period(
@@ -149,7 +154,7 @@
     simulation
 }
 
-/// One-task jobs, four a second for over a minute, a quarter of them cancelled.
+/// Four jobs of one task are submitted per second for over a minute. A quarter of them are cancelled.
 pub(super) fn small_jobs(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, 60);
     simulation.cloud.generous = 12;
@@ -158,22 +163,23 @@
         body["expected_s"] = 2.0.into();
         body["vcpus"] = 1.0.into();
         body["accelerators"] = 0.25.into();
-        let when = 2_000 + 250 * number as u64;
-        let cancel_at = number.is_multiple_of(4).then(|| when + simulation.rng_ms(200, 4_000));
+        let submitted_at = 2_000 + 250 * number as u64;
+        let cancel_at = number.is_multiple_of(4).then(|| submitted_at + simulation.rng_ms(200, 4_000));
         if cancel_at.is_some() {
             body["expected_s"] = 100.0.into();
         }
-        simulation.add_user(when, body, cancel_at);
+        simulation.add_user(submitted_at, body, cancel_at);
     }
-    leaders_end(&mut simulation, seed, 30_000, 60_000, 20_000);
-    machines_fail(&mut simulation, 3);
+    schedule_leader_crashes(&mut simulation, seed, 30_000, 60_000, 20_000);
+    schedule_machine_faults(&mut simulation, 3);
     simulation
 }
 
-/// Jobs are cancelled at the very end, or while running with a hang: with no other fault on every second seed.
+/// Jobs are cancelled at the moment they end, or while they run and their machines hang. Even seeds have no
+/// other fault.
 pub(super) fn cancelled(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 50, 75_000, 0.0);
+        add_job_stream(simulation, 20, 50, 75_000, 0.0);
         for number in 70..90 {
             let mut body = job(number, ["array", "daemon"][number % 2], 1);
             body["expected_s"] = 150.0.into();
@@ -181,8 +187,8 @@
             simulation.add_user(1_000 + number as u64, body, Some(TROUBLE_ENDS));
         }
         if !seed.is_multiple_of(2) {
-            leaders_end(simulation, seed, 20_000, 80_000, 20_000);
-            machines_fail(simulation, 3);
+            schedule_leader_crashes(simulation, seed, 20_000, 80_000, 20_000);
+            schedule_machine_faults(simulation, 3);
         }
     });
     schedule_period(&mut simulation, 1_000, 85_000, Fault::CancelAtEnd(0.7), Fault::CancelAtEnd(0.0));
@@ -191,11 +197,12 @@
     simulation
 }
 
-/// The heartbeats of all machines reach no node for a while, those of some for longer; direct commands reach them.
+/// The heartbeats of all machines are lost for 25 s, and later those of some machines for 30 s. The machines
+/// still receive direct commands.
 pub(super) fn heartbeats_lost(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 30, 75_000, 0.3);
-        machines_fail(simulation, 3);
+        add_job_stream(simulation, 20, 30, 75_000, 0.3);
+        schedule_machine_faults(simulation, 3);
     });
     simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
     schedule_fault(&mut simulation, 20_000, Fault::AllHeartbeatsLost(25_000));
@@ -208,28 +215,30 @@
     simulation
 }
 
-/// Ten leaders in two minutes, some of them in an outage; jobs of two or three tasks that end far apart.
+/// About ten leader changes within two minutes, with an outage of the key-value store in between. The tasks of
+/// a job end at different times.
 pub(super) fn ten_leaders(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
         for number in 20..40 {
             let mut body = job(number, ["array", "ensemble"][number % 2], 2 + number as u32 % 2);
             body["expected_s"] = simulation.rng.random_range(1.0..14.0).into();
             body["accelerators"] = 0.5.into();
-            let when = simulation.rng_ms(500, 60_000);
-            simulation.add_user(when, body, None);
+            let submitted_at = simulation.rng_ms(500, 60_000);
+            simulation.add_user(submitted_at, body, None);
         }
-        leaders_end(simulation, seed, 5_000, 88_000, 7_000);
-        machines_fail(simulation, 3);
+        schedule_leader_crashes(simulation, seed, 5_000, 88_000, 7_000);
+        schedule_machine_faults(simulation, 3);
     });
     schedule_period(&mut simulation, 30_000, 55_000, Fault::StoreOutage(true), Fault::StoreOutage(false));
     for node in 0..NODES {
-        // All end; one is back at once.
+        // All nodes crash at nearly the same time.
         schedule_fault(&mut simulation, 60_000 + node as u64, Fault::Crash(node));
     }
     simulation
 }
 
-/// Far more work than resources, urgent and not, over slow links; and odd requests all along.
+/// Far more jobs of all urgencies than the resources allow, a slow key-value store, and malformed or
+/// impossible requests throughout.
 pub(super) fn overload(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, 8);
     simulation.away_ms = if seed.is_multiple_of(2) { 20..400 } else { 1_000..4_000 };
@@ -237,27 +246,27 @@
         let mut body = job(number, ["array", "ensemble", "array"][number % 3], 1 + number as u32 % 4);
         body["urgency"] = ["urgent", "idle", "normal", "production"][number % 4].into();
         body["expected_s"] = simulation.rng.random_range(1.0..3.0).into();
-        let when = simulation.rng_ms(500, 40_000);
-        simulation.add_user(when, body, None);
+        let submitted_at = simulation.rng_ms(500, 40_000);
+        simulation.add_user(submitted_at, body, None);
     }
     schedule_period(&mut simulation, 1_000, 85_000, Fault::OddRequests(true), Fault::OddRequests(false));
     schedule_period(&mut simulation, 5_000, 60_000, Fault::SlowStore(700), Fault::SlowStore(0));
-    leaders_end(&mut simulation, seed, 20_000, 70_000, 25_000);
-    machines_fail(&mut simulation, 3);
+    schedule_leader_crashes(&mut simulation, seed, 20_000, 70_000, 25_000);
+    schedule_machine_faults(&mut simulation, 3);
     simulation
 }
 
-/// Jobs bound to one zone, arrays too, lose machines there.
+/// Jobs that are bound to one zone lose machines in that zone.
 pub(super) fn bound_to_a_zone(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, 40);
     for number in 0..20 {
         let mut body = job(number, ["array", "daemon", "ensemble"][number % 3], 3);
         body["region"] = ["z0", "z1"][number % 2].into();
         body["expected_s"] = simulation.rng.random_range(4.0..15.0).into();
-        let when = simulation.rng_ms(500, 40_000);
-        simulation.add_user(when, body, None);
+        let submitted_at = simulation.rng_ms(500, 40_000);
+        simulation.add_user(submitted_at, body, None);
     }
-    leaders_end(&mut simulation, seed, 25_000, 70_000, 25_000);
+    schedule_leader_crashes(&mut simulation, seed, 25_000, 70_000, 25_000);
     for repetition in 0..9 {
         let ms = 12_000 + 6_000 * repetition;
         schedule_fault(
@@ -270,11 +279,12 @@
     simulation
 }
 
-/// A zone with workers and a node is cut off for longer than a lease, while jobs are cancelled.
+/// A zone with workers and a node is partitioned from everything else for longer than a lease, while jobs are
+/// cancelled.
 pub(super) fn cut_off_zone(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 40, 80_000, 0.5);
-        machines_fail(simulation, 3);
+        add_job_stream(simulation, 20, 40, 80_000, 0.5);
+        schedule_machine_faults(simulation, 3);
     });
     simulation.run_until(25_000);
     cut_zone(&mut simulation, seed as usize % NODES, true);
@@ -286,11 +296,11 @@
     simulation
 }
 
-/// All nodes are away for longer than a lease, and come back one after the other.
+/// All nodes are down for longer than a lease, and restart one after another.
 pub(super) fn all_away(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 30, 70_000, 0.3);
-        machines_fail(simulation, 3);
+        add_job_stream(simulation, 20, 30, 70_000, 0.3);
+        schedule_machine_faults(simulation, 3);
     });
     simulation.away_ms = 19_000..30_000;
     for node in 0..NODES {
@@ -307,11 +317,12 @@
     simulation
 }
 
-/// Commands, their answers and messages between nodes are held up; the leader is isolated while the cloud does not answer.
+/// Commands, their answers and messages between nodes are held back. The leader is isolated while the cloud
+/// is unreachable.
 pub(super) fn held_messages(seed: u64) -> Simulation {
     let mut simulation = day(seed, |simulation| {
-        stream(simulation, 20, 60, 75_000, 0.5);
-        machines_fail(simulation, 3);
+        add_job_stream(simulation, 20, 60, 75_000, 0.5);
+        schedule_machine_faults(simulation, 3);
     });
     simulation.keeps_images = true;
     for repetition in 0..12 {
--- a/crates/scheduler/src/simulation/days/fields.rs
+++ b/crates/scheduler/src/simulation/days/fields.rs
@@ -1,11 +1,11 @@
-//! Submissions with each field wrong in turn.
+//! Submissions that must be refused: each field with invalid values, and malformed bodies.
 
 use super::{crash_all_nodes, schedule_fault};
 use crate::node::Method;
 use crate::simulation::{Fault, NODES, Simulation, job};
 use serde_json::{Value, json};
 
-/// Sends a request to a node; the answer's status, or 0 if there is none within 2 s.
+/// Sends a request to a node. Returns the status of the answer, or 0 if there is no answer within 2 s.
 pub fn ask(simulation: &mut Simulation, node: usize, method: Method, path: &str, body: &str) -> u16 {
     let tag = simulation.answers.len() as u64 + 1_000;
     assert!(simulation.ask(node, tag, method, path, body));
@@ -18,12 +18,12 @@
     0
 }
 
-/// Sends a submission to a node; the answer's status.
+/// Sends a submission to a node. Returns the status of the answer, or 0 if there is no answer within 2 s.
 pub fn submit(simulation: &mut Simulation, node: usize, body: &str) -> u16 {
     ask(simulation, node, Method::Post, "/submissions", body)
 }
 
-/// A value that a submission's field may not have, and the status that refuses it.
+/// An invalid value of a submission's field, and the HTTP status that the answer must have.
 struct BadValue {
     value: Value,
     status: u16,
@@ -33,7 +33,7 @@
     BadValue { value, status: 400 }
 }
 
-/// A value that is well formed and asks for what there is not.
+/// A well-formed value that no machine, team or zone of the cluster satisfies.
 fn unsatisfiable(value: Value) -> BadValue {
     BadValue { value, status: 422 }
 }
@@ -42,27 +42,27 @@
     values.into_iter().map(malformed).collect()
 }
 
-/// Bad values of a resource amount; no machine has as much as `too_much`.
+/// Invalid values of a resource amount. `too_much` exceeds what any machine has.
 fn bad_amounts(too_much: Value) -> Vec<BadValue> {
     let mut bad = all_malformed([json!(-1.0), json!("8"), json!(2e9), json!([1]), json!({})]);
     bad.push(unsatisfiable(too_much));
     bad
 }
 
-fn bad_texts() -> Vec<BadValue> {
+fn bad_strings() -> Vec<BadValue> {
     all_malformed([json!(""), json!(7), json!("x".repeat(200)), json!(["a"])])
 }
 
-fn bad_durations() -> Vec<BadValue> {
+fn bad_non_negative_numbers() -> Vec<BadValue> {
     all_malformed([json!(-0.5), json!("2"), json!(true), json!(1e300)])
 }
 
-fn bad_flags() -> Vec<BadValue> {
+fn bad_booleans() -> Vec<BadValue> {
     all_malformed([json!(0), json!("true"), json!([])])
 }
 
 fn bad_owners() -> Vec<BadValue> {
-    let mut bad = bad_texts();
+    let mut bad = bad_strings();
     bad.push(unsatisfiable(json!("nobody")));
     bad
 }
@@ -90,11 +90,11 @@
     bad
 }
 
-/// Each field with what it may not be. A field is also left out, and null.
+/// Each field with its invalid values. `refused_fields` adds the cases of a null and of a missing field.
 fn bad_values() -> Vec<(&'static str, Vec<BadValue>)> {
     vec![
         ("id", all_malformed([json!("job-1"), json!("req-"), json!("req-1/2"), json!(12)])),
-        ("job_class", bad_texts()),
+        ("job_class", bad_strings()),
         ("owner", bad_owners()),
         ("shape", all_malformed([json!("swarm"), json!("Array"), json!(1)])),
         ("urgency", all_malformed([json!("soon"), json!(3)])),
@@ -102,24 +102,24 @@
         ("vcpus", bad_cpus()),
         ("accelerators", bad_amounts(json!(5.0))),
         ("memory_gb", bad_amounts(json!(65.0))),
-        ("bundle", bad_texts()),
-        ("image_gb", bad_durations()),
+        ("bundle", bad_strings()),
+        ("image_gb", bad_non_negative_numbers()),
         ("flavors", bad_machine_types()),
         ("region", bad_zones()),
-        ("together", bad_flags()),
-        ("spread", bad_flags()),
-        ("preemptible", bad_flags()),
-        ("expected_s", bad_durations()),
-        ("snapshot_every_s", bad_durations()),
-        ("snapshot_s", bad_durations()),
+        ("together", bad_booleans()),
+        ("spread", bad_booleans()),
+        ("preemptible", bad_booleans()),
+        ("expected_s", bad_non_negative_numbers()),
+        ("snapshot_every_s", bad_non_negative_numbers()),
+        ("snapshot_s", bad_non_negative_numbers()),
         ("due_s", all_malformed([json!(0), json!(-3.0), json!("9"), json!(1e300)])),
     ]
 }
 
-/// Fields that a submission may hold as null, or leave out.
+/// Fields that may be null or missing in a submission.
 pub const MAY_BE_NULL: [&str; 3] = ["flavors", "region", "due_s"];
 
-/// A submission that must be refused, with the status.
+/// A submission that must be refused, and the HTTP status that the answer must have.
 pub struct RefusedSubmission {
     pub body: String,
     pub status: u16,
@@ -134,13 +134,13 @@
 /// All submissions that must be refused.
 pub fn refused() -> Vec<RefusedSubmission> {
     let mut refused = refused_fields();
-    refused.extend(malformed_texts());
-    refused.extend(over_the_limit());
+    refused.extend(malformed_bodies());
+    refused.extend(over_team_limit());
     refused.push(impossible_combination());
     refused
 }
 
-/// One field wrong, null or left out.
+/// Submissions in which one field is invalid, null or missing.
 fn refused_fields() -> Vec<RefusedSubmission> {
     let good = job(1, "array", 2);
     let mut refused = Vec::new();
@@ -162,8 +162,8 @@
     refused
 }
 
-/// Texts that are no JSON, or no submission.
-fn malformed_texts() -> Vec<RefusedSubmission> {
+/// Bodies that are not valid JSON, or not a submission.
+fn malformed_bodies() -> Vec<RefusedSubmission> {
     let good = job(1, "array", 2).to_string();
     let numbers = ["1e999", "NaN", "Infinity", "-", "0x10"];
     let with_number = |number| good.replace("\"vcpus\":2.0", &format!("\"vcpus\":{number}"));
@@ -172,8 +172,9 @@
     bodies.map(|body| RefusedSubmission::new(body, 400)).collect()
 }
 
-/// More than its team may have at once, as a whole; in one zone and in two.
-fn over_the_limit() -> Vec<RefusedSubmission> {
+/// Jobs that need all their tasks at once and exceed the limit of their team, in one zone or spread over
+/// zones.
+fn over_team_limit() -> Vec<RefusedSubmission> {
     let jobs = [("ensemble", 13, false), ("daemon", 13, false), ("daemon", 2, true), ("ensemble", 3, true)];
     let bodies = jobs.map(|(job_type, tasks, spread)| {
         let mut body = job(1, job_type, tasks);
@@ -184,7 +185,7 @@
     bodies.map(|body| RefusedSubmission::new(body, 422)).into()
 }
 
-/// Types and zones that don't go together: the big type is not in z2.
+/// A machine type that is not available in the requested zone: zone z2 has no `big` machines.
 fn impossible_combination() -> RefusedSubmission {
     let mut body = job(1, "array", 2);
     body["flavors"] = json!(["big"]);
@@ -192,7 +193,7 @@
     RefusedSubmission::new(body, 422)
 }
 
-/// All nodes restart while the cloud is away.
+/// Restarts all nodes during a cloud outage, so that they cannot load the machine types.
 pub fn restart_without_machine_types(simulation: &mut Simulation) {
     simulation.run_until(5_000);
     schedule_fault(simulation, 5_000, Fault::CloudOutage(true));
@@ -208,7 +209,7 @@
     }
 }
 
-/// All refused submissions at all nodes.
+/// Sends every submission that must be refused to every node.
 pub fn day_of_refused_submissions(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.run_until(5_000);
@@ -216,7 +217,7 @@
     simulation
 }
 
-/// The same at nodes that do not know the machine types.
+/// Sends the same submissions to nodes that have not loaded the machine types.
 pub fn day_without_machine_types(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
     restart_without_machine_types(&mut simulation);
--- a/crates/scheduler/src/simulation/days/isolated_leader.rs
+++ b/crates/scheduler/src/simulation/days/isolated_leader.rs
@@ -1,13 +1,14 @@
-//! Days on which the key-value store refuses the leader, and is then down for everybody.
+//! Days on which the leader fails or loses its connection to the key-value store, which then becomes
+//! unreachable for all nodes.
 
 use super::{schedule_fault, schedule_period};
 use crate::simulation::{Fault, Host, LeaderFault, NODES, Simulation, job};
 use rand::RngExt;
 
-/// When the faults begin, in milliseconds.
+/// The simulated time around which the faults begin, in milliseconds.
 const FAULTS_BEGIN: u64 = 30_000;
 
-/// Clocks at the ends of their drift, and images that stay where they are.
+/// A simulation in which each node's clock has the largest permitted drift, and machines keep fetched images.
 fn drifting_simulation(seed: u64, gpus: u32) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, gpus);
     simulation.cloud.generous = 30;
@@ -17,7 +18,8 @@
     simulation
 }
 
-/// Long jobs of all shapes, most of them cancelled around the refusal. Gives when the last fault has ended.
+/// A day with long jobs of all shapes, most of which are cancelled at about the time of the leader's fault.
+/// Also returns the time by which the store outages and the held links have ended.
 pub fn isolated_leader_day(seed: u64) -> (Simulation, u64) {
     let mut simulation = drifting_simulation(seed, 60);
     add_long_jobs(&mut simulation);
@@ -48,7 +50,7 @@
         let cancel_at = is_cancelled.then(|| simulation.rng_ms(FAULTS_BEGIN - 8_000, FAULTS_BEGIN + 16_000));
         simulation.add_user(at, body, cancel_at);
     }
-    // New work all along, so that starts are on their way at every moment.
+    // Short-lived jobs are submitted throughout, so that start commands are in flight at any time.
     for number in 36..70 {
         let mut body = job(number, "array", 1);
         body["expected_s"] = 400.0.into();
@@ -59,7 +61,7 @@
     }
 }
 
-/// The first fault: of the leader alone.
+/// The first fault affects only the leader: it is isolated, crashes, or is refused by the key-value store.
 fn isolate_leader(simulation: &mut Simulation, at_ms: u64) {
     let lasts_ms = simulation.rng_ms(2_000, 20_000);
     let fault = match simulation.rng.random_range(0..4) {
@@ -70,7 +72,8 @@
     schedule_fault(simulation, at_ms, Fault::Leader(fault, lasts_ms));
 }
 
-/// A change of the leader, all nodes ending, or a slow key-value store in the midst.
+/// Schedules one fault or none during the takeover: a crash of all nodes, a crash of the leader, or a slow
+/// key-value store.
 fn disturb_takeover(simulation: &mut Simulation, first: u64) {
     simulation.away_ms = if simulation.rng.random_bool(0.5) { 20..300 } else { 1_000..9_000 };
     let at = simulation.rng_ms(first, first + 8_000);
@@ -89,24 +92,33 @@
     }
 }
 
-/// Nobody reaches the key-value store for longer than `cancel_s`. Gives when it is up again for good.
+/// Schedules outages of the key-value store that last longer than `cancel_s`. Returns the time at which the
+/// last ends.
 fn schedule_outages(simulation: &mut Simulation, seed: u64, first: u64) -> u64 {
-    let down = simulation.rng_ms(first, first + 16_000);
-    let up = down + simulation.rng_ms(49_000, 75_000);
-    schedule_period(simulation, down, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
+    let outage_starts = simulation.rng_ms(first, first + 16_000);
+    let outage_ends = outage_starts + simulation.rng_ms(49_000, 75_000);
+    schedule_period(
+        simulation,
+        outage_starts,
+        outage_ends,
+        Fault::StoreOutage(true),
+        Fault::StoreOutage(false),
+    );
     if !seed.is_multiple_of(3) {
-        return up;
+        return outage_ends;
     }
-    // Leases have their full time again, so the leader before may lead on; and it is refused again at once.
-    let again = up + simulation.rng_ms(0, 1_500);
-    schedule_fault(simulation, again, Fault::Leader(LeaderFault::Refused, 14_000));
-    let up_again = again + 65_000;
+    // After the outage leases run for their full duration, so the previous leader may keep its lease. The
+    // store refuses the leader once more shortly afterwards.
+    let refused_again_at = outage_ends + simulation.rng_ms(0, 1_500);
+    schedule_fault(simulation, refused_again_at, Fault::Leader(LeaderFault::Refused, 14_000));
+    let second_outage_ends = refused_again_at + 65_000;
     let outage = Fault::StoreOutage;
-    schedule_period(simulation, again + 1_500, up_again, outage(true), outage(false));
-    up_again
+    schedule_period(simulation, refused_again_at + 1_500, second_outage_ends, outage(true), outage(false));
+    second_outage_ends
 }
 
-/// Commands to some machines are held up, from a node or from all; answers to others. Gives when the last hold ends.
+/// Holds back commands to some machines, from one node or from all, and answers of others. Returns the time
+/// at which the last hold ends.
 fn hold_links(simulation: &mut Simulation) -> u64 {
     let mut ends = 0;
     for _ in 0..simulation.rng.random_range(0..5) {
@@ -126,19 +138,32 @@
     ends
 }
 
-/// Starts are held up on their way from the leader, longer than their jobs' cancellations may take, while their workers
-/// are answered by other nodes; and the cloud does not answer the leader that would return those machines, before the
-/// key-value store goes away too. Gives when the last fault has ended.
+/// The leader's start commands are held back for longer than the cancellation of a job may take, while other
+/// nodes answer the heartbeats of the affected workers. The cloud is unreachable, so the leader cannot return
+/// those machines, and later the key-value store is unreachable too. Also returns the time at which the last
+/// fault, the store outage, ends.
 pub fn held_starts_day(seed: u64) -> (Simulation, u64) {
     let mut simulation = drifting_simulation(seed, 200);
     add_jobs_around_the_hold(&mut simulation);
-    let held = simulation.rng_ms(FAULTS_BEGIN - 500, FAULTS_BEGIN + 500);
-    let for_ms = simulation.rng_ms(48_500, 57_000);
-    schedule_fault(&mut simulation, held, Fault::Leader(LeaderFault::CommandsHeld, for_ms));
-    let down = simulation.rng_ms(FAULTS_BEGIN + 5_000, FAULTS_BEGIN + 14_000);
-    let up = down + 70_000;
-    schedule_period(&mut simulation, down, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
-    schedule_period(&mut simulation, FAULTS_BEGIN, up, Fault::CloudOutage(true), Fault::CloudOutage(false));
+    let held_at = simulation.rng_ms(FAULTS_BEGIN - 500, FAULTS_BEGIN + 500);
+    let held_for_ms = simulation.rng_ms(48_500, 57_000);
+    schedule_fault(&mut simulation, held_at, Fault::Leader(LeaderFault::CommandsHeld, held_for_ms));
+    let outage_starts = simulation.rng_ms(FAULTS_BEGIN + 5_000, FAULTS_BEGIN + 14_000);
+    let outage_ends = outage_starts + 70_000;
+    schedule_period(
+        &mut simulation,
+        outage_starts,
+        outage_ends,
+        Fault::StoreOutage(true),
+        Fault::StoreOutage(false),
+    );
+    schedule_period(
+        &mut simulation,
+        FAULTS_BEGIN,
+        outage_ends,
+        Fault::CloudOutage(true),
+        Fault::CloudOutage(false),
+    );
     for number in 0..simulation.rng.random_range(3..6) {
         let at = simulation.rng_ms(FAULTS_BEGIN - 3_000, FAULTS_BEGIN + 20_000);
         let ms = simulation.rng.random_range(2_000..20_000);
@@ -146,11 +171,12 @@
             [Fault::MachineHangs(ms), Fault::MachineDies, Fault::CommandsLost(ms)][number % 3].clone();
         schedule_fault(&mut simulation, at, fault);
     }
-    (simulation, up)
+    (simulation, outage_ends)
 }
 
 fn add_jobs_around_the_hold(simulation: &mut Simulation) {
-    // These end before the hold, and leave free capacity on machines whose heartbeats all nodes have received.
+    // These jobs end before the hold and leave free capacity on machines whose heartbeats all nodes have
+    // received.
     for number in 0..24 {
         let mut body = job(number, "array", 2);
         let at = simulation.rng_ms(500, 8_000);
--- a/crates/scheduler/src/simulation/days/kinds.rs
+++ b/crates/scheduler/src/simulation/days/kinds.rs
@@ -1,4 +1,4 @@
-//! All kinds of days that the tests of the simulation play, for a comparison of two builds.
+//! All kinds of days that the simulation's tests run. `simulation_digest` runs them to compare two builds.
 
 use super::bad_records::{
     BAD, contradicting_heartbeats, impossible_job_records, unreadable_job_record, unreadable_machine_records,
@@ -16,27 +16,27 @@
 use crate::types::Duration;
 use pearford_heartbeat::DisabledCheck as LeaseCheck;
 
-/// How long a day goes on after its last fault, where that has no set time, in milliseconds.
+/// How long a day lasts after its last fault, for days whose faults end at a random time, in milliseconds.
 const CALM_MS: u64 = 120_000;
-/// Jobs on a day of recovery with a usual number of machines.
+/// The number of jobs on a recovery day with the usual number of machines.
 const RECOVERY_JOBS: usize = 40;
-/// Jobs on the day of 300 machines.
+/// The number of jobs on the recovery day with 300 machines.
 const LARGE_RECOVERY_JOBS: usize = 220;
-/// How much of the day of 300 machines is played where the whole would take minutes: up to the first crashes.
+/// The end of the shortened day of 300 machines, whose full run takes minutes: after the first crashes.
 const LARGE_RECOVERY_PART_MS: u64 = 28_000;
-/// The end of the large fleet's day.
+/// The simulated time at which the day of the large fleet ends, in milliseconds.
 const LARGE_FLEET_ENDS_MS: u64 = 110_000;
 
-/// A kind of day, which each seed plays differently.
+/// A kind of day. Each seed gives a different run of it.
 pub struct DayKind {
     pub name: String,
-    /// The first seed that the tests play.
+    /// The first seed that the tests run.
     pub first_seed: u64,
-    /// How many seeds the kind is played with at most: some days take long, some are written for one seed.
+    /// The largest number of seeds for this kind: some days take long, and some are written for one seed.
     seeds_max: u64,
-    /// Of how many seeds asked for one is played: more than one for days that take seconds.
+    /// One of this many requested seeds is run. Larger than 1 for days that take seconds.
     one_in: u64,
-    /// A day takes minutes.
+    /// Whether a run takes minutes.
     pub is_slow: bool,
     play: Box<dyn Fn(u64) -> Simulation + Send + Sync>,
 }
@@ -57,25 +57,25 @@
         }
     }
 
-    /// A day that `build` sets up, played to its usual end.
+    /// A day that `build` sets up and that ends at `DAY_ENDS`.
     fn usual(
         name: impl Into<String>,
         first_seed: u64,
         build: impl Fn(u64) -> Simulation + Send + Sync + 'static,
     ) -> Self {
-        Self::new(name, first_seed, move |seed| until(build(seed), DAY_ENDS))
+        Self::new(name, first_seed, move |seed| run_until(build(seed), DAY_ENDS))
     }
 
-    /// A day of a larger fleet, played to its end.
+    /// A recovery day that `build` sets up and that ends at `recovery::ENDS`.
     fn recovery(
         name: &str,
         first_seed: u64,
         build: impl Fn(u64) -> Simulation + Send + Sync + 'static,
     ) -> Self {
-        Self::new(name, first_seed, move |seed| until(build(seed), recovery::ENDS))
+        Self::new(name, first_seed, move |seed| run_until(build(seed), recovery::ENDS))
     }
 
-    /// An ordinary day with faults, in a simulation that `corrupt` changes.
+    /// An ordinary day with random faults, into whose simulation `corrupt` injects a defect.
     fn with_fault_injected(name: &str, corrupt: fn(&mut Simulation)) -> Self {
         Self::usual(name, 300, move |seed| {
             let mut simulation = ordinary::day(seed, troubles);
@@ -84,7 +84,7 @@
         })
     }
 
-    /// A day that goes on until some time after its last fault, with a check of the controllers disabled.
+    /// A day that ends `CALM_MS` after its last fault, with an optional fault injected into the controllers.
     fn isolated_leader(
         name: &str,
         first_seed: u64,
@@ -94,7 +94,7 @@
         Self::new(name, first_seed, move |seed| {
             let (mut simulation, last_fault_ends) = day(seed);
             simulation.injected_fault = injected_fault;
-            until(simulation, last_fault_ends + CALM_MS)
+            run_until(simulation, last_fault_ends + CALM_MS)
         })
     }
 
@@ -102,9 +102,9 @@
         Self { one_in, ..self }
     }
 
-    /// How many seeds are played if `asked` are asked for.
-    pub fn seeds(&self, asked: u64) -> u64 {
-        asked.div_ceil(self.one_in).min(self.seeds_max)
+    /// How many seeds are run if `requested` seeds are requested.
+    pub fn seeds(&self, requested: u64) -> u64 {
+        requested.div_ceil(self.one_in).min(self.seeds_max)
     }
 
     fn slow(self) -> Self {
@@ -115,18 +115,19 @@
         Self { seeds_max, ..self }
     }
 
-    /// Plays a seed's day to its end, or until a rule breaks.
+    /// Runs the day of a seed to its end, or until a rule is violated.
     pub fn play(&self, seed: u64) -> Simulation {
         (self.play)(seed)
     }
 }
 
-fn until(mut simulation: Simulation, end_ms: u64) -> Simulation {
+fn run_until(mut simulation: Simulation, end_ms: u64) -> Simulation {
     simulation.run_until(end_ms);
     simulation
 }
 
-/// All kinds, in an order that stays: those that take longest first, so that threads end together.
+/// All kinds in a fixed order. The slowest kinds come first, so that parallel threads finish at about the
+/// same time.
 pub fn all() -> Vec<DayKind> {
     let mut kinds = recovery_kinds();
     kinds.extend(ordinary_kinds());
@@ -146,7 +147,7 @@
         DayKind::usual("withdrawals", 400, ordinary::cancellations),
         DayKind::usual("refused-leader", 500, ordinary::day_of_a_refused_leader),
         DayKind::new("large-fleet", 600, |seed| {
-            until(ordinary::day_of_a_large_fleet(seed), LARGE_FLEET_ENDS_MS)
+            run_until(ordinary::day_of_a_large_fleet(seed), LARGE_FLEET_ENDS_MS)
         })
         .one_in(3),
         DayKind::usual("pipelines", 700, ordinary::pipelined_day),
@@ -158,7 +159,8 @@
     ]
 }
 
-/// Days with a check of the controllers disabled, or a stand-in that does not do what it answers.
+/// Days with a safety check of the controllers disabled, or with a defect in the simulated cloud or key-value
+/// store.
 fn kinds_with_faults_injected() -> Vec<DayKind> {
     fn pipelines_without(check: DependencyCheck, seed: u64) -> Simulation {
         let mut simulation = ordinary::pipelined_day(seed);
@@ -236,7 +238,7 @@
     vec![
         DayKind::recovery("recovery-of-300-machines", 2_300, day_of_300_machines).at_most(1).slow(),
         DayKind::new("recovery-of-300-machines-part", 2_300, |seed| {
-            until(day_of_300_machines(seed), LARGE_RECOVERY_PART_MS)
+            run_until(day_of_300_machines(seed), LARGE_RECOVERY_PART_MS)
         })
         .at_most(1),
         DayKind::recovery("recovery-once", 2_000, |seed| recovery::day(seed, Down::Once, RECOVERY_JOBS))
@@ -270,15 +272,15 @@
 fn bad_input_kinds() -> Vec<DayKind> {
     const JOB_RECORDS: u64 = 9_200;
     const MACHINE_RECORDS: u64 = 9_220;
-    let bad = |n: u64| BAD[n as usize % BAD.len()];
+    let bad_record = |n: u64| BAD[n as usize % BAD.len()];
     let each = BAD.len() as u64;
     vec![
         DayKind::usual("unreadable-job-record", JOB_RECORDS, move |seed| {
-            unreadable_job_record(seed, bad(seed - JOB_RECORDS))
+            unreadable_job_record(seed, bad_record(seed - JOB_RECORDS))
         })
         .at_most(each),
         DayKind::usual("unreadable-machine-records", MACHINE_RECORDS, move |seed| {
-            unreadable_machine_records(seed, bad(seed - MACHINE_RECORDS))
+            unreadable_machine_records(seed, bad_record(seed - MACHINE_RECORDS))
         })
         .at_most(each),
         DayKind::usual("impossible-job-records", 9_240, impossible_job_records).at_most(1),
@@ -288,7 +290,7 @@
     ]
 }
 
-/// Each directed row as it is, and with its check disabled.
+/// The day of each directed row, unchanged and with the fault of the row's `without` injected.
 fn directed_kinds() -> Vec<DayKind> {
     const FIRST_SEED: u64 = 6_000;
     let mut kinds = Vec::new();
--- a/crates/scheduler/src/simulation/days/ordinary.rs
+++ b/crates/scheduler/src/simulation/days/ordinary.rs
@@ -6,7 +6,7 @@
 use crate::types::MonotonicTime;
 use rand::RngExt;
 
-/// A day with jobs of all shapes; `faults` adds its faults.
+/// A day with jobs of all shapes. `faults` schedules the faults of the day.
 pub fn day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Simulation {
     let mut simulation = Simulation::new(seed);
     for number in 0..14 {
@@ -26,13 +26,14 @@
     simulation
 }
 
-/// Cuts (or mends) a zone off from everything else.
+/// Cuts the links between a zone and everything else, or restores them if `on` is false.
 pub fn cut_zone(simulation: &mut Simulation, zone: usize, on: bool) {
-    divide(simulation, zone, &[Host::Store, Host::Cloud, Host::User], on, false);
+    cut_links_of_zone(simulation, zone, &[Host::Store, Host::Cloud, Host::User], on, false);
 }
 
-/// Cuts (or mends) the links between a zone's node and machines and those of the other zones and `others`.
-fn divide(simulation: &mut Simulation, zone: usize, others: &[Host], on: bool, late: bool) {
+/// Cuts the links from a zone's node and machines to those of the other zones and to `others`, or restores
+/// them if `on` is false.
+fn cut_links_of_zone(simulation: &mut Simulation, zone: usize, others: &[Host], on: bool, late: bool) {
     let name = format!("z{zone}");
     let inside = |simulation: &Simulation, host: Host| match host {
         Host::Node(node) => node == zone,
@@ -51,14 +52,14 @@
     }
 }
 
-/// Cuts a zone's node and machines off from the other zones' (or mends that), while the key-value store, the cloud and
-/// users are reached from both sides.
+/// Cuts the links between a zone and the other zones, or restores them if `on` is false. Both sides still
+/// reach the key-value store, the cloud and users.
 fn partition_zone(simulation: &mut Simulation, zone: usize, on: bool, late: bool) {
-    divide(simulation, zone, &[], on, late);
+    cut_links_of_zone(simulation, zone, &[], on, late);
 }
 
-/// Machines of a zone that are up and run a replica.
-fn at_work(simulation: &Simulation, zone: usize) -> Vec<usize> {
+/// Returns the machines of a zone that are up and have a task of a service.
+fn machines_with_services(simulation: &Simulation, zone: usize) -> Vec<usize> {
     let name = format!("z{zone}");
     let is_service =
         |job: &str| simulation.users.iter().any(|user| user.id == job && user.body["shape"] == "daemon");
@@ -71,9 +72,10 @@
     (0..simulation.workers.len()).filter(works).collect()
 }
 
-/// A day with services in all zones, one of which can't reach the others for longer than a lease; the node there, or
-/// the leader on the other side, crashes in the midst, and machines hang. Gives the living machines at work in the zone
-/// that were returned meanwhile.
+/// A day with services in all zones, on which one zone is partitioned from the others for longer than a
+/// lease. During the partition machines of other zones hang and, on odd seeds, the zone's node or a node of
+/// another zone crashes. Also returns how many machines that ran services in the zone were returned to the
+/// cloud during the partition (0 if there were at most two).
 pub fn day_of_a_partitioned_zone(
     seed: u64,
     injected_fault: Option<fn(&mut Controller, u64)>,
@@ -89,40 +91,46 @@
         simulation.add_user(at, body, None);
     }
     simulation.run_until(30_000);
-    // The first zone from the seed's on in which something runs.
-    let mut zones = (0..NODES).map(|repetition| (seed as usize + repetition) % NODES);
-    let zone = zones.find(|zone| !at_work(&simulation, *zone).is_empty()).expect("something runs");
+    // The first zone that runs a service, in an order that starts at the zone `seed % NODES`.
+    let mut zones = (0..NODES).map(|offset| (seed as usize + offset) % NODES);
+    let zone = zones
+        .find(|zone| !machines_with_services(&simulation, *zone).is_empty())
+        .expect("a zone runs a service");
     partition_zone(&mut simulation, zone, true, seed.is_multiple_of(2));
     simulation.run_until(31_000);
-    let before = at_work(&simulation, zone);
-    assert!(!before.is_empty(), "seed {seed}: nothing runs in the zone");
+    let before = machines_with_services(&simulation, zone);
+    assert!(!before.is_empty(), "seed {seed}: no service runs in the zone");
     match seed % 4 {
-        // Where messages are held, a worker tries the nodes in turn for longer than a lease until one has restarted.
+        // No node crashes on even seeds, on which messages are held back: a worker would retry the nodes in
+        // turn for longer than a lease until the crashed node has restarted.
         1 => schedule_fault(&mut simulation, 45_000, Fault::Crash(zone)),
         3 => schedule_fault(&mut simulation, 45_000, Fault::Crash((zone + 1) % NODES)),
         _ => {}
     }
-    // Five machines hang, on the other side.
-    let mut others: Vec<usize> =
-        (0..NODES).filter(|other| *other != zone).flat_map(|other| at_work(&simulation, other)).collect();
+    // Five machines of other zones hang.
+    let mut others: Vec<usize> = (0..NODES)
+        .filter(|other| *other != zone)
+        .flat_map(|other| machines_with_services(&simulation, other))
+        .collect();
     others.truncate(5);
     others.iter().for_each(|m| simulation.workers[*m].hung_until = 60_000);
     simulation.run_until(85_000);
-    // Two machines alone in a zone look like two that hang: that is not told apart.
+    // A partition that affects only two machines cannot be distinguished from two machines that hang.
     let returned = before.iter().filter(|m| !simulation.workers[**m].up && before.len() > 2).count();
     partition_zone(&mut simulation, zone, false, seed.is_multiple_of(2));
     (simulation, returned)
 }
 
-/// When a pipeline's stage is cancelled, in milliseconds.
+/// Which stage of a pipeline is cancelled, and when in milliseconds.
 #[derive(Clone, Copy)]
 struct Cancellation {
     stage: usize,
     at: u64,
 }
 
-/// Pipelines of all forms: arrays, a gang between them, fan-out and fan-in, on earlier jobs, the last
-/// stage late, and some cancelled on the way.
+/// Adds pipelines of arrays and ensembles with fan-out and fan-in, which depend on earlier jobs of the day.
+/// The last stage of some is submitted only after its dependencies have finished, and one stage of some is
+/// cancelled.
 pub fn pipelines(simulation: &mut Simulation, from: u64, to: u64) {
     for pipeline in 0..6 {
         let first = 100 + 10 * pipeline;
@@ -132,7 +140,7 @@
             stage: simulation.rng.random_range(0..5),
             at: at + simulation.rng_ms(500, 40_000),
         });
-        // An ordinary job of the day, which may be of another team, done or cancelled by then.
+        // An ordinary job of the day, which may belong to another team and may be done or cancelled already.
         let earlier = format!("req-{:06}", [0, 1, 3, 4][pipeline % 4]);
         let needs = [vec![earlier], vec![id(0)], vec![id(0)], vec![id(1), id(2)], vec![id(0), id(3), id(3)]];
         for (number, needs) in needs.into_iter().enumerate() {
@@ -154,8 +162,9 @@
     }
 }
 
-/// The version before dependencies serves at first; its processes are replaced one by one while
-/// faults come, some days all at once in between; then the key-value store lowers its limits.
+/// All nodes start with the version that does not support dependencies and are upgraded one by one. If `hard`
+/// is set, random faults occur and all nodes may crash between two upgrades. Afterwards the key-value store
+/// lowers its limits.
 pub fn upgrade_day(seed: u64, hard: bool) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.begin_old();
@@ -169,7 +178,7 @@
         schedule_fault(&mut simulation, at, Fault::Upgrade(node));
         at += simulation.rng_ms(3_000, 9_000);
         if hard && simulation.rng.random_bool(0.5) {
-            // Nodes that are not yet upgraded come back with the previous version.
+            // Nodes that are not yet upgraded restart with the previous version.
             crash_all_nodes(&mut simulation, at);
             at += 6_000;
         }
@@ -182,7 +191,7 @@
     simulation
 }
 
-/// All nodes end during an outage of the key-value store.
+/// All nodes crash during an outage of the key-value store.
 pub fn crash_of_all_in_an_outage(seed: u64) -> Simulation {
     day(seed, |simulation| {
         schedule_fault(simulation, 20_000, Fault::StoreOutage(true));
@@ -193,7 +202,7 @@
     })
 }
 
-/// Most machines die at once, and a node ends.
+/// Most machines fail within milliseconds and a node crashes, in addition to random faults.
 pub fn dead_majority(seed: u64) -> Simulation {
     day(seed, |simulation| {
         troubles(simulation);
@@ -202,7 +211,7 @@
     })
 }
 
-/// Short jobs that are cancelled at about the time of their end.
+/// Short jobs that are cancelled at about the time at which they end, with random faults.
 pub fn cancellations(seed: u64) -> Simulation {
     day(seed, |simulation| {
         troubles(simulation);
@@ -216,7 +225,7 @@
     })
 }
 
-/// Ordinary jobs, pipelines and troubles of all kinds.
+/// Ordinary jobs, pipelines and random faults.
 pub fn pipelined_day(seed: u64) -> Simulation {
     day(seed, |simulation| {
         simulation.run_until(1_000);
@@ -225,7 +234,7 @@
     })
 }
 
-/// The key-value store refuses the leader for 40 s; another node takes over.
+/// The key-value store refuses the requests of the leader for 40 s, and another node takes over.
 pub fn day_of_a_refused_leader(seed: u64) -> Simulation {
     let mut simulation = day(seed, |_| {});
     simulation.run_until(20_000);
@@ -233,15 +242,18 @@
         let at = MonotonicTime::from_millis(1_000_000 + simulation.now);
         simulation.nodes[node].controller.as_ref().is_some_and(|controller| controller.holds_lease(at))
     };
-    let old = (0..NODES).find(|node| leads(&simulation, *node)).expect("somebody leads");
+    let old = (0..NODES).find(|node| leads(&simulation, *node)).expect("a node holds the lease");
     schedule_fault(&mut simulation, 20_001, Fault::StoreRefuses(old, true));
     simulation.run_until(30_000);
-    assert!((0..NODES).any(|node| node != old && leads(&simulation, node)), "seed {seed}: nobody took over");
+    assert!(
+        (0..NODES).any(|node| node != old && leads(&simulation, node)),
+        "seed {seed}: no other node took over the lease"
+    );
     schedule_fault(&mut simulation, 60_000, Fault::StoreRefuses(old, false));
     simulation
 }
 
-/// A zone is cut off from everything else for 75 s.
+/// A zone is partitioned from everything else for 75 s.
 pub fn cut_off_zone(seed: u64) -> Simulation {
     let mut simulation = day(seed, |_| {});
     simulation.run_until(25_000);
@@ -251,7 +263,7 @@
     simulation
 }
 
-/// Five nodes, more than a hundred machines, and a crash of all nodes during an outage.
+/// Five nodes, more than 100 machines, and a crash of all nodes during an outage of the key-value store.
 pub fn day_of_a_large_fleet(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, 5, 300);
     simulation.cloud.generous = 50;
@@ -271,7 +283,7 @@
     simulation
 }
 
-/// Two of three nodes are upgraded, and a job that depends on another is submitted to one of them.
+/// Two of three nodes are upgraded, and a job with a dependency is submitted to one of the upgraded nodes.
 pub fn day_of_a_mixed_version(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.begin_old();
--- a/crates/scheduler/src/simulation/days/recovery.rs
+++ b/crates/scheduler/src/simulation/days/recovery.rs
@@ -1,29 +1,29 @@
-//! Days on which all controllers of a larger fleet go down while several machines fail.
+//! Days on which all nodes of a larger cluster crash while several machines fail.
 
 use super::{schedule_fault, schedule_period};
 use crate::simulation::{Fault, Host, Simulation, job};
 use rand::RngExt;
 
-/// How many nodes these days have.
+/// The number of nodes on these days.
 pub const NODES: usize = 5;
 
-/// When the last fault of a day has ended, in milliseconds.
+/// The simulated time by which link cuts and store refusals have ended, in milliseconds.
 const LAST_FAULT_ENDS: u64 = 70_000;
 
-/// When these days end, in milliseconds.
+/// The simulated time at which these days end, in milliseconds.
 pub const ENDS: u64 = 170_000;
 
-/// When all nodes crash; the seed draws the rest.
+/// How often all nodes crash. The exact times are random.
 #[derive(Debug, Clone, Copy)]
 pub enum Down {
     Once,
-    /// Every few seconds, until leases have run out.
+    /// Repeatedly every few seconds, until leases have expired.
     InARow,
-    /// Again so long after each return: in the midst of loading records, collecting heartbeats, reconciling.
+    /// Four times, while the restarted nodes load records, collect heartbeats or reconcile.
     Midst,
 }
 
-/// Ends all nodes' processes within 400 ms.
+/// Crashes all nodes within 400 ms.
 pub fn crash_all(simulation: &mut Simulation, at: u64) {
     for node in 0..NODES {
         let after = simulation.rng_ms(0, 400);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Jobs of all shapes and both teams, and the day's crashes and faults.
+/// A day with jobs of all shapes, crashes of all nodes, machine failures and at most one other fault.
 pub fn day(seed: u64, down: Down, jobs: usize) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, 400);
     simulation.cloud.generous = 50;
@@ -46,12 +46,12 @@
 
 fn add_job(simulation: &mut Simulation, number: usize) {
     let job_type = ["array", "ensemble", "daemon", "array", "daemon"][number % 5];
-    let most_tasks = match job_type {
+    let max_tasks = match job_type {
         "array" => 26,
         "ensemble" => 6,
         _ => 9,
     };
-    let tasks = simulation.rng.random_range(2..most_tasks);
+    let tasks = simulation.rng.random_range(2..max_tasks);
     let mut body = job(number, job_type, tasks);
     body["together"] = (job_type == "ensemble" && number.is_multiple_of(2)).into();
     body["spread"] = (job_type == "daemon").into();
@@ -75,20 +75,20 @@
         Down::Midst => {
             for _ in 0..4 {
                 crash_all(simulation, at);
-                // Nodes take 1 to 4 s to come back.
+                // A crashed node restarts after 1 to 4 s.
                 at += simulation.rng_ms(4_500, 12_000);
             }
         }
     }
 }
 
-/// At least five machines fail, in ways drawn by the seed.
+/// Schedules 5 to 11 random machine failures.
 fn fail_machines(simulation: &mut Simulation) {
     for _ in 0..simulation.rng.random_range(5..12) {
         let at = simulation.rng_ms(23_000, 60_000);
         let fault = match simulation.rng.random_range(0..4) {
             0 => Fault::MachineDies,
-            // Some longer than a lease: their tasks are gone when they go on.
+            // Some hang for longer than a lease: their tasks have ended when the machine resumes.
             1 | 2 => Fault::MachineHangs(simulation.rng.random_range(2_000..35_000)),
             _ => Fault::SpotNotice,
         };
@@ -96,7 +96,8 @@
     }
 }
 
-/// An outage of the key-value store, a node cut off from machines, a node that the store refuses, or nothing.
+/// Schedules at random a store outage, a cut between a node and machines, a node whose requests the store
+/// refuses, or nothing.
 fn schedule_drawn_fault(simulation: &mut Simulation) {
     let at = simulation.rng_ms(22_000, 55_000);
     match simulation.rng.random_range(0..4) {
@@ -122,8 +123,9 @@
     }
 }
 
-/// Nodes are back within a fraction of a second, alone, all at once and several times in a row, while the connections,
-/// lease and transactions of the process before live on; what was sent comes again up to 20 s later.
+/// Crashed nodes restart quickly (on most seeds within 300 ms) while connections, the lease and transactions
+/// of the previous process still exist. Single nodes crash once or several times in a row, and all nodes
+/// crash together. Some messages are delivered a second time up to 20 s later.
 pub fn day_of_quick_returns(seed: u64, jobs: usize) -> Simulation {
     let mut simulation = day(seed, Down::Once, jobs);
     simulation.away_ms = if seed.is_multiple_of(3) { 20..5_000 } else { 20..300 };
@@ -145,10 +147,10 @@
     simulation
 }
 
-/// When all nodes go down on the day of lost leases, in milliseconds.
+/// The simulated time at which all nodes crash on the day of lost leases, in milliseconds.
 pub const DOWN_MS: u64 = 30_000;
 
-/// Services only; all leases run out while nobody leads.
+/// A day with services only, on which all leases expire while there is no leader.
 pub fn day_of_lost_leases(seed: u64) -> Simulation {
     let mut simulation = Simulation::of(seed, NODES, 400);
     simulation.cloud.generous = 50;
@@ -157,7 +159,7 @@
         body["spread"] = number.is_multiple_of(2).into();
         simulation.add_user(500 + 50 * number as u64, body, None);
     }
-    // Without the key-value store the nodes that come back can't answer anybody.
+    // Restarted nodes cannot serve requests during the outage of the key-value store.
     crash_all(&mut simulation, DOWN_MS);
     let up = DOWN_MS + 24_000;
     schedule_period(&mut simulation, DOWN_MS, up, Fault::StoreOutage(true), Fault::StoreOutage(false));
