--- a/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
+++ b/crates/scheduler/src/node/leader/scheduling_pass/tests.rs
@@ -51,7 +51,7 @@
 }
 
 /// The first job and the number of machines of each round.
-fn offered(rounds: &[Round]) -> Vec<(String, usize)> {
+fn first_jobs_and_machine_counts(rounds: &[Round]) -> Vec<(String, usize)> {
     rounds.iter().map(|round| (round.requests[0].job.to_string(), round.machines.len())).collect()
 }
 
@@ -59,7 +59,7 @@
 /// with free resources to its own controller's partition, the least urgent request gets it. Replicas then
 /// preempt array tasks in each pass, and array tasks take the machine again.
 #[test]
-fn offers_only_free_machine_to_most_urgent_request() {
+fn includes_only_free_machine_in_round_of_most_urgent_request() {
     for nodes in [["n0", "n1", "n2"], ["n2", "n1", "n0"], ["n1", "n0", "n2"]] {
         let mut cluster = Cluster::new(1);
         for (index, node) in nodes.iter().enumerate() {
@@ -67,7 +67,7 @@
             cluster.add_job(&format!("req-{index}"), node, priority, 1);
         }
         let rounds = cluster.build_rounds();
-        assert_eq!(offered(&rounds), [("req-0".to_string(), 1)], "{nodes:?}");
+        assert_eq!(first_jobs_and_machine_counts(&rounds), [("req-0".to_string(), 1)], "{nodes:?}");
     }
 }
 
@@ -82,7 +82,7 @@
     cluster.leader.job_states.values_mut().for_each(|job_state| job_state.tasks_in_round = 0);
     let all: Vec<MachineId> = cluster.leader.machines.ids().cloned().collect();
     cluster.leader.partitions.transfer(&"n1".into(), all);
-    let mut offered = offered(&cluster.build_rounds());
-    offered.sort();
-    assert_eq!(offered, [("req-0".to_string(), 2), ("req-1".to_string(), 4)]);
+    let mut counts = first_jobs_and_machine_counts(&cluster.build_rounds());
+    counts.sort();
+    assert_eq!(counts, [("req-0".to_string(), 2), ("req-1".to_string(), 4)]);
 }
--- a/crates/scheduler/src/node/leader/write_budget/tests.rs
+++ b/crates/scheduler/src/node/leader/write_budget/tests.rs
@@ -73,7 +73,7 @@
 }
 
 /// Guards against one kind of job delaying the other while writes are scarce: array jobs and services are
-/// requested in alternating passes, and the passes for services offer all machines.
+/// requested in alternating passes, and the rounds of a pass for services include all machines.
 #[test]
 fn passes_alternate_between_arrays_and_services_when_writes_are_scarce() {
     let mut leader = cluster();
--- a/crates/scheduler/src/settings/operator.rs
+++ b/crates/scheduler/src/settings/operator.rs
@@ -49,7 +49,7 @@
     pub refusal_pause_s: f64,
     /// Most machines rented in one request (the cloud takes 50).
     pub rent_at_most: u32,
-    /// Most tasks offered in one scheduling round.
+    /// Most tasks in one scheduling round.
     pub round_tasks: usize,
     /// Most requests of users that wait for the key-value store at a time.
     pub max_waiting_requests: usize,
