--- a/crates/nomad/src/api/answers.rs
+++ b/crates/nomad/src/api/answers.rs
@@ -163,7 +163,7 @@
 
 /// The versions whose records are kept, the newest first.
 pub fn versions(view: &View<'_>, head: &Head) -> Value {
-    let from = head.hash().versions_from();
+    let from = head.hash().versions_prefix();
     let known = view.records.iter_from(&from).take_while(|(key, ..)| key.starts_with(&from));
     let numbers = known.filter_map(|(key, ..)| key.rsplit('/').next()?.parse::<u64>().ok());
     let mut jobs: Vec<Value> = numbers.filter_map(|version| version_job(view, head, version)).collect();
--- a/crates/nomad/src/api/dispatch.rs
+++ b/crates/nomad/src/api/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests as they come in: token, path and body are checked, then what they ask for is begun.
+//! Dispatch of incoming requests: checks token, path and body, then starts the requested read or write.
 
 use super::endpoints::{Endpoint, ReadRequest};
 use super::guards::{Guard, holds};
@@ -17,33 +17,33 @@
 use pearford_scheduler::types::{Duration, RequestId};
 use serde_json::{Value, json};
 
-/// How long a blocking query waits if it does not say.
+/// Default wait of a blocking query.
 const DEFAULT_WAIT: Duration = Duration::from_millis(300_000);
-/// The namespace of requests that name none.
+/// The namespace of requests without a `namespace` parameter.
 const DEFAULT_NAMESPACE: &str = "default";
-/// Stands for all namespaces in a query.
+/// The query value that selects all namespaces.
 const ALL_NAMESPACES: &str = "*";
 
-/// What is to be done for a request that has passed its checks.
+/// The work for a request that has passed its checks.
 enum Checked {
-    /// It is answered at once.
+    /// Send this reply; no further work is needed.
     Reply(Reply),
-    /// Records are read.
+    /// Read records.
     Read {
         read: ReadRequest,
-        /// The node's copies will do as they are.
+        /// Whether the node's current copies may be used without a read of the store.
         stale: bool,
     },
-    /// Machines are read.
+    /// Read machines.
     Machines(MachineQuery),
-    /// A job is registered or stopped.
+    /// Register or stop a job.
     Change(Change),
 }
 
-/// A job that a request's body holds.
+/// The job in a request's body.
 struct SubmittedJob {
     job: Job,
-    /// As it was sent.
+    /// The job as the client sent it.
     json: Value,
     /// The index that the registered job must have, if the request enforces one.
     enforced_index: Option<u64>,
@@ -55,7 +55,7 @@
 }
 
 impl NomadApi {
-    /// Begins what a request asks for, or refuses it.
+    /// Starts the work for a request, or refuses the request.
     pub(super) fn call(&mut self, view: &View<'_>, request: RequestId, call: &Call) -> Vec<Action> {
         match self.check(view, call) {
             Err(refusal) => respond(request, refusal),
--- a/crates/nomad/src/api/mod.rs
+++ b/crates/nomad/src/api/mod.rs
@@ -1,10 +1,10 @@
 //! Nomad's HTTP API as an extension of a node: a state machine without I/O, stepped by the node.
 //!
-//! Every node answers. Reads are by default as of a read of the store begun after the request; with `stale` they come
-//! from the node's copies as they are. Writes go through the same checks and budgets as native ones.
+//! Every node answers requests. By default, a read reflects a store read that began after the request arrived; with
+//! `stale`, it is answered from the node's current copies. Writes pass the same checks and budgets as native ones.
 //!
 //! A request goes through `dispatch` (token, route, body) to `reads`, `machines` or `retry` (writes); `reply` makes
-//! the answer. What the leader does for jobs on its own is in `maintenance`.
+//! the answer. `maintenance` holds the work that the leader does for jobs without a request.
 
 pub mod answers;
 mod blocking_queries;
@@ -46,16 +46,16 @@
 use tokens::Tokens;
 use versions::RecordedName;
 
-/// What waits for a read or a commit of the node.
+/// A request that waits for the node to complete a read or a commit.
 #[derive(Debug)]
 enum Waiting {
-    /// A read, for the records to be read.
+    /// A read that waits for the records to be read.
     Read { request: RequestId, read: ReadRequest },
-    /// A read of machines, for their records.
+    /// A read of machines that waits for their records.
     Machines { request: RequestId, query: MachineQuery },
-    /// A write, for the records that it is decided from to be read.
+    /// A write that waits for the records that its decision depends on.
     Write(Write),
-    /// A write, for its commit.
+    /// A write that waits for its commit.
     Committing(Write),
 }
 
@@ -63,9 +63,9 @@
 pub struct NomadApi {
     settings: NomadSettings,
     tokens: Tokens,
-    /// The latest tag of a read or commit.
+    /// The last tag given to a read or commit.
     last_tag: u64,
-    /// By the tag of the read or commit that each waits for.
+    /// Waiting requests, by the tag of the read or commit that each waits for.
     waiting: BTreeMap<u64, Waiting>,
     blocking_queries: BlockingQueries,
     names: NameIndex,
@@ -73,10 +73,10 @@
 }
 
 impl NomadApi {
-    /// The API with the operators' settings.
+    /// Creates the API with the operators' settings.
     ///
     /// # Errors
-    /// A line for each token that is misconfigured.
+    /// One line for each fault in the configured tokens.
     pub fn new(settings: NomadSettings) -> Result<Self, Vec<String>> {
         Ok(Self {
             tokens: Tokens::new(&settings.tokens)?,
@@ -98,7 +98,7 @@
         translation_context(&self.settings, view)
     }
 
-    /// Reads the records, and lets a request wait for that.
+    /// Starts a read of the records; the request waits until it completes.
     fn read_records_first(&mut self, request: RequestId, waiting: Waiting) -> Vec<Action> {
         self.wait(request, waiting, |tag| Action::Read { tag })
     }
@@ -108,7 +108,8 @@
         self.wait(request, Waiting::Machines { request, query }, |tag| Action::Machines { tag, which })
     }
 
-    /// Lets a request wait for the result of `action`, which is given its tag; refuses it if too many wait.
+    /// Makes a request wait for the result of `action`, which gets the request's tag. Refuses the request if
+    /// `max_waiting` requests wait already.
     fn wait(
         &mut self,
         request: RequestId,
@@ -124,7 +125,7 @@
         vec![action(tag)]
     }
 
-    /// Takes in a name's record as it is now.
+    /// Updates the node's state after a name's record changed.
     fn record_changed(&mut self, view: &View<'_>, key: &str) {
         let Some(hash) = NameHash::from_key(key) else { return };
         let Some(RecordedName { revision, head }) = versions::recorded_name(view, &hash) else { return };
@@ -133,7 +134,7 @@
         self.blocking_queries.changed(hash);
     }
 
-    /// Takes in that native jobs' records have changed, of which some run parts of names.
+    /// Updates the node's state after native jobs' records changed; some of the jobs run parts of names.
     fn jobs_changed(&mut self, view: &View<'_>, jobs: &[JobId]) {
         for job in jobs {
             if let Some(hash) = self.names.owner(job).cloned() {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Goes on with what waited for a read of the records.
+    /// Continues the request that waited for a read of the records.
     fn records_read(&mut self, view: &View<'_>, tag: u64, succeeded: bool) -> Vec<Action> {
         let waiting = self.waiting.remove(&tag);
         if succeeded {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Goes on with the write, or the maintenance, that a commit was for.
+    /// Continues the write or the maintenance step that a commit belongs to.
     fn commit_ended(&mut self, view: &View<'_>, tag: u64, outcome: Outcome) -> Vec<Action> {
         match self.waiting.remove(&tag) {
             Some(Waiting::Committing(write)) => self.committed(view, write, outcome),
@@ -182,7 +183,7 @@
 
     fn tick(&mut self, view: &View<'_>) -> Vec<Action> {
         let mut actions = self.wake_blocking_queries(view);
-        // The tag is used up only if there is something to commit.
+        // The tag is consumed only if there is something to commit.
         let tag = self.last_tag + 1;
         let settings = &self.settings;
         let context = || translation_context(settings, view);
@@ -194,7 +195,7 @@
     }
 }
 
-/// What jobs are translated with.
+/// The settings and zones that jobs are translated with.
 fn translation_context(settings: &NomadSettings, view: &View<'_>) -> Context {
     let zones = view.settings.zones.iter().map(ToString::to_string).collect();
     Context { settings: settings.clone(), zones }
--- a/crates/nomad/src/api/name_index.rs
+++ b/crates/nomad/src/api/name_index.rs
@@ -1,4 +1,4 @@
-//! The copy of names' records that a node reads from, and the ways to find one.
+//! The node's copy of the names' records, indexed by hash, by name and by native job.
 
 use super::ids;
 use super::names::{Head, NameHash};
@@ -17,21 +17,21 @@
 
 /// A page of a list.
 pub struct ListPage {
-    /// What the names on it give.
+    /// The elements for the names on this page.
     pub elements: Vec<Value>,
-    /// Where the next page begins, if there is one.
+    /// Token of the next page, if there is one.
     pub next_token: Option<String>,
 }
 
-/// A name that an id stands for.
+/// The name that an id refers to.
 pub struct IdentifiedName<'a> {
     /// The name's record.
     pub head: &'a Head,
-    /// The id, read.
+    /// The parsed id.
     pub id: ids::Id,
 }
 
-/// Names' records, found by hash, by name, and by the native jobs that run them.
+/// Names' records, indexed by hash, by name and by the native jobs that run them.
 #[derive(Debug)]
 pub struct NameIndex {
     heads: BTreeMap<NameHash, Head>,
@@ -43,24 +43,24 @@
 }
 
 impl Default for NameIndex {
-    /// An empty index. Revisions begin at 1: blocking queries with index 0 don't wait.
+    /// An empty index. The newest revision starts at 1 because blocking queries with index 0 don't wait.
     fn default() -> Self {
         Self { heads: BTreeMap::new(), by_name: BTreeMap::new(), owners: BTreeMap::new(), newest_revision: 1 }
     }
 }
 
 impl NameIndex {
-    /// How many names have a record, purged ones too.
+    /// Number of names with a record, purged names included.
     pub fn len(&self) -> usize {
         self.heads.len()
     }
 
-    /// The largest revision of any name's or native job's record: the index of lists.
+    /// The largest revision of any name's or native job's record; lists report it as their index.
     pub fn newest_revision(&self) -> u64 {
         self.newest_revision
     }
 
-    /// All names' records, purged ones too.
+    /// All names' records, purged names included.
     pub fn heads(&self) -> &BTreeMap<NameHash, Head> {
         &self.heads
     }
@@ -70,14 +70,14 @@
         self.owners.get(job)
     }
 
-    /// The namespaces that have names, each once, in order.
+    /// The namespaces that contain names, sorted and without duplicates.
     pub fn namespaces(&self) -> Vec<String> {
         let mut namespaces: Vec<String> = self.by_name.keys().map(|key| key.namespace.clone()).collect();
         namespaces.dedup();
         namespaces
     }
 
-    /// Takes in a name's record as it is now.
+    /// Inserts or replaces a name's record.
     pub fn insert(&mut self, view: &View<'_>, hash: &NameHash, revision: u64, head: Head) {
         self.newest_revision = self.newest_revision.max(revision);
         if let Some(previous) = self.heads.get(hash) {
@@ -87,8 +87,8 @@
         }
         for job in head.jobs() {
             self.owners.insert(job.clone(), hash.clone());
-            // Job records may have been read before the name's: lists must not show an older index here than
-            // other nodes have shown.
+            // A job's record may have been read before the name's record. Its revision counts here too, so that
+            // this node's lists don't report an older index than other nodes have reported.
             self.newest_revision = self.newest_revision.max(job_revision(view, job));
         }
         let key = QualifiedName { namespace: head.namespace.clone(), name: head.name.clone() };
@@ -96,18 +96,19 @@
         self.heads.insert(hash.clone(), head);
     }
 
-    /// Takes in that a native job's record has changed.
+    /// Updates the newest revision after a native job's record changed.
     pub fn job_changed(&mut self, view: &View<'_>, job: &JobId) {
         self.newest_revision = self.newest_revision.max(job_revision(view, job));
     }
 
-    /// The record of a name in the first of the namespaces, unless it is purged.
+    /// The record of a name in the first of `namespaces`, unless it is purged.
     pub fn find(&self, namespaces: &[String], name: &str) -> Option<&Head> {
         let namespace = namespaces.first()?;
         self.heads.get(&NameHash::of(namespace, name)).filter(|head| !head.purged)
     }
 
-    /// The name that an id stands for, if it is in one of the namespaces and has had the id's version.
+    /// The name that an id refers to, if it is in one of the namespaces and the id's version is not newer than its
+    /// newest version.
     pub fn find_by_id(&self, namespaces: &[String], id: &str) -> Option<IdentifiedName<'_>> {
         let id = ids::parse(id)?;
         let (hash, head) = self.heads.range(NameHash::beginning(&id.hash)..).next()?;
@@ -118,11 +119,11 @@
         visible.then_some(IdentifiedName { head, id })
     }
 
-    /// A page of what each name in the namespaces gives.
+    /// A page of the elements that `show` returns for each name in the namespaces.
     pub fn list(&self, namespaces: &[String], page: &Page, show: impl Fn(&Head) -> Vec<Value>) -> ListPage {
         let mut elements = Vec::new();
         for namespace in namespaces {
-            // The token is namespace and name of the first element that the page before had no place for.
+            // The token is the namespace and name of the first element that did not fit on the previous page.
             let first_name = page.from.strip_prefix(namespace).and_then(|rest| rest.strip_prefix('/'));
             let first = QualifiedName {
                 namespace: namespace.clone(),
--- a/crates/nomad/src/api/names.rs
+++ b/crates/nomad/src/api/names.rs
@@ -1,8 +1,7 @@
 //! Durable records: one for each name, and one for each version of it.
 //!
-//! A name's record says which native jobs stand for it now, and what is under way between versions. It
-//! is never removed: it carries the final answer of the newest version, also after a purge. A version's
-//! record holds the job as it was registered.
+//! A name's record lists the native jobs that run it and the state of its rollout. It is never removed: it holds the
+//! final state of the newest version, also after a purge. A version's record holds the job as it was registered.
 
 use crate::translate::{Job, Update, native_id};
 use base64::Engine;
@@ -21,18 +20,18 @@
 pub const NAMES: &str = "nomad/n/";
 /// Prefix of versions' records.
 const VERSIONS: &str = "nomad/v/";
-/// Bytes that a stored job may unfold to.
+/// Maximum size of a stored job after decompression, in bytes.
 const MAX_JOB_BYTES: usize = 1024 * 1024;
-/// Level of compression, from 1 to 10.
+/// Compression level, from 1 to 10.
 const COMPRESSION: u8 = 6;
-/// Bytes up to which a job is stored as it is: most are, and deflating cost more than all else of a
-/// registration.
+/// Maximum size of a job that is stored uncompressed, in bytes. Most jobs are this small, and compression would
+/// take longer than the rest of a registration.
 const MAX_PLAIN_BYTES: usize = 1024;
 
-/// First part of what native jobs' ids are hashes of. Stored records hold the ids: it must not change.
+/// Domain prefix of the hash from which native jobs' ids are made. It must not change: stored records hold the ids.
 const PART_ID_DOMAIN: &str = "door";
 
-/// Stands for a namespace and a name in keys, which hold neither blanks nor many bytes.
+/// Hash of a namespace and a name, for use in keys, which are short and have no blanks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NameHash(String);
 
@@ -46,7 +45,7 @@
         Self(hash.finalize().iter().take(16).map(|b| format!("{b:02x}")).collect())
     }
 
-    /// Where hashes with this beginning lie.
+    /// The lower bound of hashes that begin with these digits.
     pub fn beginning(hash: &str) -> Self {
         Self(hash.into())
     }
@@ -71,18 +70,18 @@
         format!("{VERSIONS}{}/{version:010}", self.0)
     }
 
-    /// From which key on its versions lie.
-    pub fn versions_from(&self) -> String {
+    /// The prefix of the keys of its version records.
+    pub fn versions_prefix(&self) -> String {
         format!("{VERSIONS}{}/", self.0)
     }
 }
 
-/// A native job that runs a part of a group.
+/// A native job that runs some or all tasks of a group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     /// The native job.
     pub id: JobId,
-    /// How many tasks it has.
+    /// Number of its tasks.
     pub tasks: u32,
 }
 
@@ -96,30 +95,30 @@
     /// The native jobs that run it.
     pub parts: Vec<Part>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    /// How its next version replaces it; none for a batch job.
+    /// How a newer version replaces it; none for a batch job.
     pub update: Option<Update>,
 }
 
 impl GroupRecord {
-    /// How many tasks it has.
+    /// Number of its tasks.
     pub fn tasks(&self) -> u32 {
         self.parts.iter().map(|part| part.tasks).sum()
     }
 }
 
-/// A service's way from one version to the next.
+/// The rollout of a service from one version to the next.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The version that runs as long as the new one doesn't.
+    /// The version that the rollout replaces, and that a revert restores.
     pub from: u64,
-    /// Parts of earlier versions that are still there, by group, in the order in which they go.
+    /// Remaining parts of earlier versions with their groups, in the order of their removal.
     pub olds: Vec<Old>,
-    /// Replicas of earlier versions that have gone already, by group.
+    /// Number of removed replicas of earlier versions, by group.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub gone: Vec<(String, u32)>,
-    /// Time of day of its last step.
+    /// Time of day of its last step, in ms.
     pub progressed_ms: u64,
-    /// It failed, and is kept as it stands.
+    /// Whether it failed and is left as it is.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub kept: bool,
 }
@@ -127,7 +126,7 @@
 /// A native job of an earlier version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Old {
-    /// The group that it runs a part of.
+    /// The group whose tasks it runs.
     pub group: String,
     /// The native job.
     #[serde(flatten)]
@@ -137,13 +136,13 @@
 /// How the last rollout ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ended {
-    /// The new version runs alone.
+    /// Only the new version runs.
     Successful,
     /// New replicas did not become healthy in time.
     Failed,
-    /// The version is the one before, after the version between had failed.
+    /// The rollout of a version failed, and the job was reverted to the version before it.
     Reverted,
-    /// A newer registration or a stop came in between.
+    /// The job was stopped during the rollout.
     Cancelled,
 }
 
@@ -164,7 +163,7 @@
     pub priority: i64,
     /// Time of day when the newest version was registered, in ms.
     pub submitted_ms: u64,
-    /// Revision of the first registration, from the second on.
+    /// Revision of the name's record before its second registration; 0 until then.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub created: u64,
     /// Its groups.
@@ -176,7 +175,7 @@
     /// Whether it is no longer listed.
     pub purged: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    /// The rollout under way, or one that failed and is kept.
+    /// The rollout in progress, or a failed one that is left as it is.
     pub roll: Option<Rollout>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     /// How the last rollout ended.
@@ -201,7 +200,7 @@
         self.groups.iter().flat_map(|group| &group.parts)
     }
 
-    /// All native jobs that it still answers for.
+    /// All native jobs of the name: of the newest version, of its rollout, and those that must still be cancelled.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
         let olds = self.roll.iter().flat_map(|rollout| &rollout.olds).map(|old| &old.part.id);
         self.parts().map(|part| &part.id).chain(olds).chain(&self.ending)
@@ -228,7 +227,7 @@
 #[serde(rename_all = "lowercase")]
 enum Stored {
     Plain(serde_json::Value),
-    /// Deflated, in base 64: values of the state service are small, and large jobs repeat themselves.
+    /// Deflated, in base 64: the state service limits the size of values, and large jobs compress well.
     Packed(String),
 }
 
@@ -262,11 +261,11 @@
     }
 }
 
-/// Tasks of each part of a group: one part, unless it is a service of which two versions can't run side by side within
-/// the team's quota. Then it is rolled in steps, and each step is a part.
+/// Splits a group into parts and returns the number of tasks of each. A group is one part, unless it is a service of
+/// which two versions don't fit into the team's quota at the same time. Then each part is one step of a rollout.
 ///
-/// `most` parts at the most. A part of a service that is spread has an even number of tasks where
-/// there are two or more, so that half of each is half of all; one that is kept together is one part.
+/// There are at most `most` parts. If a service is spread, each part but the last has an even number of tasks, so
+/// that each part can be spread evenly. A group whose tasks must be placed together is one part.
 pub fn split(job: &Job, group: usize, settings: &Settings, most: usize) -> Vec<u32> {
     let group = &job.groups[group];
     let spec = &group.spec;
@@ -276,15 +275,15 @@
     if spec.job_type != JobType::Service || spec.together || tasks < 2 || most < 2 {
         return whole;
     }
-    let beside = fitting(team, spec.resources.cpus, spec.resources.gpus).saturating_sub(tasks);
-    if beside >= tasks {
+    let spare = fitting(team, spec.resources.cpus, spec.resources.gpus).saturating_sub(tasks);
+    if spare >= tasks {
         return whole;
     }
     let wanted = match group.update.max_parallel {
         0 => tasks,
         replicas => replicas.min(tasks),
     };
-    let mut size = wanted.min(beside.max(1)).max(tasks.div_ceil(most as u32));
+    let mut size = wanted.min(spare.max(1)).max(tasks.div_ceil(most as u32));
     if spec.spread && size % 2 == 1 {
         size += 1;
     }
@@ -293,7 +292,7 @@
     std::iter::repeat_n(size, full as usize).chain((rest > 0).then_some(rest)).collect()
 }
 
-/// Tasks of this size that fit the team's limit when nothing else of it runs.
+/// Number of tasks of this size that fit the team's limit if the team runs nothing else.
 fn fitting(team: &Team, cpus: f64, gpus: f64) -> u32 {
     let of = |max: Option<f64>, each: f64| match max {
         Some(max) if each > 0.0 => ((max + 1e-6) / each) as u32,
@@ -302,8 +301,8 @@
     of(team.max_cpus, cpus).min(of(team.max_gpus, gpus))
 }
 
-/// The native job of a part. It follows from what it stands for, so that two nodes that accept the same
-/// version at once make the same; `salt` tells it from one that a user happens to have.
+/// The id of a part's native job. It is derived from its arguments, so that two nodes that accept the same version
+/// concurrently make the same id. `salt` changes the id if a user's own job has it already.
 pub fn part_id(hash: &NameHash, version: u64, group: &str, part: usize, salt: u64) -> JobId {
     native_id(&[
         PART_ID_DOMAIN,
--- a/crates/nomad/src/api/names/golden.rs
+++ b/crates/nomad/src/api/names/golden.rs
@@ -121,7 +121,7 @@
     group.writes("prefix", PREFIX);
     group.writes("name", hash.key());
     group.writes("version", hash.version_key(7));
-    group.writes("versions", hash.versions_from());
+    group.writes("versions", hash.versions_prefix());
     group.writes("native job of a part", part_id(&hash, 7, "web", 1, 2).as_str());
     group.writes("evaluation and deployment", crate::api::ids::of_version(&hash, 7));
     group.writes("allocation", crate::api::ids::of_task(&hash, 7, 1, 300));
--- a/crates/nomad/src/api/reads.rs
+++ b/crates/nomad/src/api/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: answered from the node's copies, at once or, for blocking queries, when there is something new.
+//! Reads, answered from the node's copies of the records: immediately, or for a blocking query after a change.
 
 use super::cluster_info::{self, records_are_read};
 use super::endpoints::{Endpoint, IdKind, JobPart, ListKind, ReadRequest};
@@ -19,14 +19,14 @@
     Reply::error(status::NOT_FOUND, "job not found")
 }
 
-/// An answer about one name, as of its index.
-fn about(view: &View<'_>, head: &Head, value: &Value) -> Reply {
+/// A reply about one name, with the name's index.
+fn reply_about(view: &View<'_>, head: &Head, value: &Value) -> Reply {
     Reply::json(status::OK, Some(answers::index(view, head)), value)
 }
 
-/// The same, if there is something to show.
-fn about_or_not_found(view: &View<'_>, head: &Head, value: Option<Value>) -> Reply {
-    value.map_or_else(not_found, |value| about(view, head, &value))
+/// A reply about one name, or "not found" if there is no value.
+fn reply_about_or_not_found(view: &View<'_>, head: &Head, value: Option<Value>) -> Reply {
+    value.map_or_else(not_found, |value| reply_about(view, head, &value))
 }
 
 /// A name's deployment, as a list of at most one.
@@ -44,12 +44,12 @@
         .filter_map(|(group, task)| answers::allocation(view, head, group, task))
         .collect();
     let next_token = places.next().map(|_| (skipped + page.most).to_string());
-    let mut reply = about(view, head, &shown.into());
+    let mut reply = reply_about(view, head, &shown.into());
     reply.next_token = next_token;
     reply
 }
 
-/// Whether a blocking query has to wait: its index is not exceeded yet.
+/// Whether a blocking query has to wait because the reply's index does not exceed the query's.
 fn must_wait(read: &ReadRequest, reply: &Reply) -> bool {
     match (read.index, reply.index) {
         (Some(after), Some(index)) => after > 0 && index <= after && reply.status == status::OK,
@@ -58,7 +58,7 @@
 }
 
 impl NomadApi {
-    /// Answers a read, or lets it wait for a change.
+    /// Answers a read, or makes it wait for a change.
     pub(super) fn read(&mut self, view: &View<'_>, request: RequestId, read: ReadRequest) -> Vec<Action> {
         if !records_are_read(view) {
             return respond(
@@ -77,7 +77,7 @@
         respond(request, Reply::error(status::TOO_MANY_REQUESTS, reason))
     }
 
-    /// Answers blocking queries that have something new or have waited long enough; a few in one step.
+    /// Answers blocking queries whose index is exceeded or whose deadline has passed; a bounded number in one step.
     pub(super) fn wake_blocking_queries(&mut self, view: &View<'_>) -> Vec<Action> {
         let mut queries = std::mem::take(&mut self.blocking_queries);
         let mut actions = Vec::new();
@@ -104,7 +104,7 @@
                 Some(found) => answer_by_id(view, &found, *kind, &read.page),
                 None => not_found(),
             },
-            // Read from the store for each request, as this node has no copy of them: see `machines`.
+            // Not answered here: nodes hold no copy of machines' records; see `machines`.
             Endpoint::Machines | Endpoint::Machine(_) => not_found(),
             Endpoint::Cluster(info) => cluster_info::answer(view, &self.settings, *info),
         }
@@ -129,14 +129,14 @@
 
 fn answer_job(view: &View<'_>, head: &Head, part: JobPart, page: &Page) -> Reply {
     match part {
-        JobPart::Registration => about_or_not_found(view, head, answers::job(view, head)),
-        JobPart::Versions => about(view, head, &answers::versions(view, head)),
-        JobPart::Summary => about(view, head, &answers::summary(view, head)),
+        JobPart::Registration => reply_about_or_not_found(view, head, answers::job(view, head)),
+        JobPart::Versions => reply_about(view, head, &answers::versions(view, head)),
+        JobPart::Summary => reply_about(view, head, &answers::summary(view, head)),
         JobPart::Allocations => allocations(view, head, page),
-        JobPart::Evaluations => about(view, head, &json!([answers::evaluation(view, head)])),
-        JobPart::Deployments => about(view, head, &deployments(view, head).into()),
+        JobPart::Evaluations => reply_about(view, head, &json!([answers::evaluation(view, head)])),
+        JobPart::Deployments => reply_about(view, head, &deployments(view, head).into()),
         JobPart::LatestDeployment => {
-            about(view, head, &answers::deployment(view, head).unwrap_or(Value::Null))
+            reply_about(view, head, &answers::deployment(view, head).unwrap_or(Value::Null))
         }
     }
 }
@@ -144,12 +144,12 @@
 fn answer_by_id(view: &View<'_>, found: &IdentifiedName<'_>, kind: IdKind, page: &Page) -> Reply {
     let head = found.head;
     match kind {
-        IdKind::Evaluation => about(view, head, &answers::evaluation(view, head)),
+        IdKind::Evaluation => reply_about(view, head, &answers::evaluation(view, head)),
         IdKind::EvaluationAllocations => allocations(view, head, page),
-        IdKind::Deployment => about_or_not_found(view, head, answers::deployment(view, head)),
+        IdKind::Deployment => reply_about_or_not_found(view, head, answers::deployment(view, head)),
         IdKind::Allocation => match found.id {
             ids::Id { task: Some((group, task)), .. } => {
-                about_or_not_found(view, head, answers::allocation(view, head, group.into(), task))
+                reply_about_or_not_found(view, head, answers::allocation(view, head, group.into(), task))
             }
             ids::Id { task: None, .. } => not_found(),
         },
--- a/crates/nomad/src/api/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -1,5 +1,5 @@
-//! Registrations and stops under way: decided from the records as they are, committed on condition that they still
-//! are so, and decided anew if not.
+//! Registrations and stops in progress: each is decided from the current records, committed on the condition that the
+//! records are unchanged, and retried from new records on a conflict.
 
 use super::names::{NameHash, PREFIX};
 use super::reply::{Refusal, Reply, respond, send, status};
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// How often a commit whose conditions failed is tried again.
+/// Maximum number of retries after a commit whose conditions failed.
 const MAX_RETRIES: u32 = 4;
 
 /// A registration or a stop.
@@ -26,14 +26,14 @@
         json: Box<Value>,
         /// The index that the registered job must have, if the client enforces one.
         enforced_index: Option<u64>,
-        /// Whether the client only wants to know what would be done.
+        /// Whether the client only requests the plan; nothing is written.
         plan: bool,
     },
     /// A job is stopped.
     Deregister {
-        /// Its name.
+        /// The hash of its name.
         hash: NameHash,
-        /// Whether it is to be no longer listed.
+        /// Whether the job is removed from lists too.
         purge: bool,
     },
 }
@@ -47,25 +47,25 @@
     }
 }
 
-/// A change under way, and the request that it answers.
+/// A change in progress and the request that it answers.
 #[derive(Debug)]
 pub(super) struct Write {
     pub(super) request: RequestId,
     change: Change,
-    /// How often it has been tried again.
-    tries: u32,
-    /// Part of new native jobs' ids; moves on when one is taken.
+    /// Number of retries so far.
+    retries: u32,
+    /// Part of new native jobs' ids; incremented if an id is already in use.
     salt: u64,
-    /// Keys that the last commit was to make: if one exists, its id is taken.
-    made: BTreeSet<String>,
+    /// Keys that the last commit was to create: if one exists, its id is already in use.
+    created_keys: BTreeSet<String>,
 }
 
 impl NomadApi {
-    /// Begins a change.
+    /// Starts a change.
     pub(super) fn write(&mut self, view: &View<'_>, request: RequestId, change: Change) -> Vec<Action> {
-        let write = Write { request, change, tries: 0, salt: 0, made: BTreeSet::new() };
-        // Setting the keys if absent decides by itself; no read is needed before. A name that this node
-        // doesn't know may have been registered at another one a moment ago: then a read follows.
+        let write = Write { request, change, retries: 0, salt: 0, created_keys: BTreeSet::new() };
+        // A name that this node doesn't know needs no read first: the commit is conditional on the absence of the
+        // keys. If another node has just registered the name, the commit conflicts and a read follows.
         let known = view.records.get(&write.change.hash().key()).is_some();
         let registers = matches!(write.change, Change::Register { plan: false, .. });
         if view.records.store_revision().is_none() || view.jobs.store_revision().is_none() {
@@ -74,12 +74,12 @@
                 Reply::error(status::UNAVAILABLE, "records are not read yet; come back"),
             );
         }
-        // A refusal stands only after the read: what was accepted elsewhere keeps its answer. (Repeats got
-        // "machine types are not known yet" from a node that had just started: seed 119 of the placements.)
+        // A refusal is final only after the read: a node that has just started and doesn't know the machine types
+        // yet must not refuse the repeat of a registration that another node accepted.
         if registers && !known {
             let decision = self.decision(view, &write);
             if decision.is_ok() {
-                return self.carry_out(view, write, decision);
+                return self.apply_decision(view, write, decision);
             }
         }
         self.read_records_first(request, Waiting::Write(write))
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Decides a change from the records, which have just been read, and commits it.
+    /// Decides a change from the records that were just read, and commits it.
     pub(super) fn decide(&mut self, view: &View<'_>, write: Write) -> Vec<Action> {
         let decision = self.decision(view, &write);
-        self.carry_out(view, write, decision)
+        self.apply_decision(view, write, decision)
     }
 
-    fn carry_out(
+    fn apply_decision(
         &mut self,
         view: &View<'_>,
         mut write: Write,
@@ -111,9 +111,9 @@
             Ok(Decision::Same) => vec![self.saved_reply(view, &write, true)],
             Ok(Decision::Write(writes)) => {
                 if let Change::Register { plan: true, .. } = &write.change {
-                    return respond(write.request, self.planned(view, &write.change.hash(), false));
+                    return respond(write.request, self.plan_reply(view, &write.change.hash(), false));
                 }
-                write.made =
+                write.created_keys =
                     writes.conditions.iter().filter(|(_, s)| s.0 == 0).map(|(k, _)| k.clone()).collect();
                 let tag = self.next_tag();
                 self.waiting.insert(tag, Waiting::Committing(write));
@@ -124,7 +124,7 @@
     }
 
     /// The answer to a plan.
-    fn planned(&self, view: &View<'_>, hash: &NameHash, same: bool) -> Reply {
+    fn plan_reply(&self, view: &View<'_>, hash: &NameHash, same: bool) -> Reply {
         let known = versions::recorded_name(view, hash);
         let kind = if same {
             "None"
@@ -143,12 +143,12 @@
         )
     }
 
-    /// The answer to a change that has been made, or was so already.
+    /// The answer to a change that was committed, or that the records already contained (`same`).
     fn saved_reply(&self, view: &View<'_>, write: &Write, same: bool) -> Action {
         let hash = write.change.hash();
         let registers = match &write.change {
             Change::Register { plan: true, .. } => {
-                return send(write.request, self.planned(view, &hash, same));
+                return send(write.request, self.plan_reply(view, &hash, same));
             }
             Change::Register { .. } => true,
             Change::Deregister { .. } => false,
@@ -176,20 +176,20 @@
         send(write.request, Reply::json(status::OK, Some(index), &reply))
     }
 
-    /// Goes on after a commit: answers, or tries again.
+    /// Handles the outcome of a commit: answers the request or retries the change.
     pub(super) fn committed(&mut self, view: &View<'_>, mut write: Write, outcome: Outcome) -> Vec<Action> {
         match outcome {
             Outcome::Done { .. } => {
                 self.record_changed(view, &write.change.hash().key());
                 if let Change::Register { job, .. } = &write.change {
-                    tracing::info!(job = job.id, namespace = job.namespace, "registered");
+                    tracing::info!(job = job.id, namespace = job.namespace, "job registered");
                 }
                 vec![self.saved_reply(view, &write, false)]
             }
-            Outcome::Conflict(failed) if write.tries < MAX_RETRIES => {
-                write.tries += 1;
-                // An id that was to be new is there: another node's try of the same, or a user's own job.
-                if failed.iter().any(|key| !key.starts_with(PREFIX) && write.made.contains(key)) {
+            Outcome::Conflict(failed) if write.retries < MAX_RETRIES => {
+                write.retries += 1;
+                // The id of a new native job exists: another node made the same change, or a user's own job has the id.
+                if failed.iter().any(|key| !key.starts_with(PREFIX) && write.created_keys.contains(key)) {
                     write.salt += 1;
                 }
                 self.read_records_first(write.request, Waiting::Write(write))
--- a/crates/nomad/src/api/rollouts.rs
+++ b/crates/nomad/src/api/rollouts.rs
@@ -1,38 +1,38 @@
-//! How a service goes from one version to the next. Pure: what the leader sees goes in, the next step
-//! comes out. The steps that are taken are durable, so that the next leader goes on from there.
+//! Decides the steps of a service's rollout from one version to the next. Pure functions: they compute the next step
+//! from the leader's observations. Each step is stored, so that a new leader continues from it.
 //!
-//! New replicas come beside the old ones, and old ones go only once as many new ones are healthy. Only
-//! where the team's limit leaves no room for another new one does an old part go first.
+//! New replicas start beside the old ones, and an old part is cancelled only once as many new replicas are healthy.
+//! An old part is cancelled earlier only if the team's limit leaves no room for another new replica.
 
 use super::guards::{Guard, holds};
 use super::names::{Head, Rollout};
 use pearford_scheduler::types::{Duration, JobId, MonotonicTime, Resources};
 use std::collections::BTreeMap;
 
-/// How long the limit must have been in the way before an old part goes first: what was just placed or
-/// stopped takes a while to show.
+/// How long a name's task counts must be unchanged before an old part is cancelled for lack of quota: recent
+/// placements and stops reach the quota with a delay.
 const QUOTA_SETTLING_TIME: Duration = Duration::from_millis(4000);
 
-/// What the leader sees of a new part.
+/// The leader's observation of a part of the new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Seen {
-    /// Tasks that run.
+pub struct PartStatus {
+    /// Running tasks.
     pub running: u32,
     /// Tasks without a machine.
     pub waiting: u32,
-    /// All of its tasks have run for the group's `min_healthy`.
+    /// Whether all of its tasks have run for the group's `min_healthy`.
     pub healthy: bool,
 }
 
-/// What a step is decided from.
+/// The inputs of a decision.
 pub struct Facts<'a> {
     /// Parts of the new version.
-    pub parts: &'a BTreeMap<JobId, Seen>,
+    pub parts: &'a BTreeMap<JobId, PartStatus>,
     /// Whether another task of the group fits its team's limit.
     pub fits: &'a dyn Fn(&str) -> bool,
     /// Whether the old part's job is still open.
     pub open: &'a dyn Fn(&JobId) -> bool,
-    /// How long nothing has changed that this leader has seen.
+    /// Time since the last change that this leader observed.
     pub unchanged: Duration,
     /// Time of day, in ms.
     pub wall_ms: u64,
@@ -43,11 +43,11 @@
 pub enum Step {
     /// Nothing to do yet.
     Wait,
-    /// This old part goes; it has gone already if it isn't open any more.
+    /// Cancel this old part and remove it from the rollout; its job may have ended already.
     Cancel(JobId),
-    /// The new version runs alone.
+    /// Only the new version runs: the rollout is complete.
     Finish,
-    /// No progress within the deadline.
+    /// The rollout made no progress within its deadline.
     Fail,
 }
 
@@ -59,27 +59,29 @@
     if let Some(old) = roll.olds.iter().find(|o| !(facts.open)(&o.part.id)) {
         return Step::Cancel(old.part.id.clone());
     }
-    let seen =
-        |id: &JobId| facts.parts.get(id).copied().unwrap_or(Seen { running: 0, waiting: 0, healthy: false });
+    let status = |id: &JobId| {
+        facts.parts.get(id).copied().unwrap_or(PartStatus { running: 0, waiting: 0, healthy: false })
+    };
     let mut all_healthy = true;
     for group in &head.groups {
-        let healthy: u32 = group.parts.iter().filter(|p| seen(&p.id).healthy).map(|p| p.tasks).sum();
-        let whole = group.parts.iter().all(|p| seen(&p.id).healthy);
-        all_healthy &= whole;
+        let healthy: u32 = group.parts.iter().filter(|p| status(&p.id).healthy).map(|p| p.tasks).sum();
+        let group_healthy = group.parts.iter().all(|p| status(&p.id).healthy);
+        all_healthy &= group_healthy;
         let Some(old) = roll.olds.iter().find(|o| o.group == group.name) else { continue };
         let gone: u32 = roll.gone.iter().filter(|(g, _)| *g == group.name).map(|(_, n)| n).sum();
-        if whole || healthy >= gone + old.part.tasks || !holds(Guard::HealthyFirst) {
+        if group_healthy || healthy >= gone + old.part.tasks || !holds(Guard::HealthyFirst) {
             return Step::Cancel(old.part.id.clone());
         }
-        // More of the new version waits, and the limit has no room for it. What has a machine but does not
-        // run yet takes of the limit too: it is waited for. (With two of three new replicas up, a roll once
-        // waited for the third until it had failed: seed 316 of the histories. And with all that fits on
-        // its way, an old replica once went for nothing: seed 10 of the rolls.)
-        let waits = group.parts.iter().any(|p| seen(&p.id).waiting > 0);
-        let coming = group.parts.iter().any(|p| seen(&p.id).running + seen(&p.id).waiting < p.tasks);
+        // Cancels an old part if new tasks wait and the limit has no room for them. Without this, a rollout with
+        // two of three new replicas running would wait for the third until its deadline. Tasks that have a machine
+        // but don't run yet count against the limit too: cancelling an old part before they run would remove a
+        // replica without need.
+        let has_waiting = group.parts.iter().any(|p| status(&p.id).waiting > 0);
+        let has_starting =
+            group.parts.iter().any(|p| status(&p.id).running + status(&p.id).waiting < p.tasks);
         let min_healthy = group.update.unwrap_or_default().min_healthy;
         let settled = facts.unchanged.0 >= QUOTA_SETTLING_TIME.0 + min_healthy.0;
-        if waits && !coming && settled && !(facts.fits)(&group.name) {
+        if has_waiting && !has_starting && settled && !(facts.fits)(&group.name) {
             return Step::Cancel(old.part.id.clone());
         }
     }
@@ -94,8 +96,8 @@
     if facts.wall_ms.saturating_sub(roll.progressed_ms) > deadline { Step::Fail } else { Step::Wait }
 }
 
-/// The record after an old part has gone.
-pub fn without(head: &Head, id: &JobId, wall_ms: u64) -> Head {
+/// The name's record after an old part was removed from the rollout.
+pub fn with_part_removed(head: &Head, id: &JobId, wall_ms: u64) -> Head {
     let mut head = head.clone();
     if let Some(roll) = &mut head.roll {
         for old in roll.olds.extract_if(.., |o| o.part.id == *id) {
@@ -109,12 +111,12 @@
     head
 }
 
-/// Whether a task of `each` fits what is left of a limit.
-pub fn fits(left: Option<Resources>, each: &Resources) -> bool {
-    left.is_some_and(|left| each.fits_in(&left))
+/// Whether a task with resources `each` fits into the remaining quota.
+pub fn fits(remaining: Option<Resources>, each: &Resources) -> bool {
+    remaining.is_some_and(|remaining| each.fits_in(&remaining))
 }
 
-/// When each part became healthy, as this leader has seen it: a new leader counts anew.
+/// Since when each part has run all its tasks, as this leader observed it. A new leader starts with no observations.
 #[derive(Debug, Default)]
 pub struct Health {
     full_since: BTreeMap<JobId, MonotonicTime>,
@@ -123,8 +125,8 @@
 }
 
 impl Health {
-    /// Takes in how many tasks of a part run, of `tasks`; says how it is seen.
-    pub fn see(
+    /// Records the running tasks of a part with `tasks` tasks, and returns the part's status.
+    pub fn observe(
         &mut self,
         name: &str,
         id: &JobId,
@@ -132,29 +134,29 @@
         tasks: u32,
         min: Duration,
         now: MonotonicTime,
-    ) -> Seen {
+    ) -> PartStatus {
         if self.running.insert(id.clone(), running) != Some(running) {
             self.changed_at.insert(name.into(), now);
         }
         if running < tasks {
             self.full_since.remove(id);
-            return Seen { running, waiting, healthy: false };
+            return PartStatus { running, waiting, healthy: false };
         }
         let since = *self.full_since.entry(id.clone()).or_insert(now);
-        Seen { running, waiting, healthy: now.since(since) >= min }
+        PartStatus { running, waiting, healthy: now.since(since) >= min }
     }
 
-    /// How long nothing has changed under a name.
+    /// Time since the last observed change of a name's parts.
     pub fn unchanged(&self, name: &str, now: MonotonicTime) -> Duration {
         self.changed_at.get(name).map_or(Duration::from_millis(0), |at| now.since(*at))
     }
 
-    /// Takes in that something has changed under a name.
-    pub fn touched(&mut self, name: &str, now: MonotonicTime) {
+    /// Records a change of a name's parts.
+    pub fn record_change(&mut self, name: &str, now: MonotonicTime) {
         self.changed_at.insert(name.into(), now);
     }
 
-    /// Forgets a name.
+    /// Removes the observations of a name.
     pub fn forget(&mut self, name: &str, head: &Head) {
         self.changed_at.remove(name);
         for part in head.parts() {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Forgets everything.
+    /// Removes all observations.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/nomad/src/api/routes.rs
+++ b/crates/nomad/src/api/routes.rs
@@ -1,32 +1,32 @@
-//! From a method and a path to what the request is for.
+//! Maps a request's method and path to its operation.
 
 use super::endpoints::{ClusterInfo, Endpoint, IdKind, JobPart, ListKind};
 use super::query::{Query, percent_decoded};
 use super::reply::{Refusal, status};
 use pearford_scheduler::extension::Verb;
 
-/// What a request is for.
+/// The operation that a request asks for.
 pub enum Route {
-    /// Reads without changing anything.
+    /// Reads an endpoint.
     Read(Endpoint),
-    /// Gives a file in HCL as the JSON that is registered.
+    /// Converts a job file in HCL to the JSON of a registration.
     Parse,
-    /// Gives the JSON schema of jobs.
+    /// Returns the JSON schema of jobs.
     Schema,
     /// Checks a job without registering it.
     Validate,
-    /// Registers a job, or only plans to.
+    /// Registers a job, or plans a registration.
     Register {
-        /// The name in the path, which must be the job's.
+        /// The name in the path, if there is one; it must equal the job's name.
         name: Option<String>,
-        /// Whether nothing is to be changed.
+        /// Whether only the plan is requested; nothing is written.
         plan: bool,
     },
     /// Stops a job.
     Deregister {
         /// The job's name.
         name: String,
-        /// Whether it is to be no longer listed.
+        /// Whether the job is removed from lists too.
         purge: bool,
     },
 }
@@ -43,10 +43,11 @@
     matches!(verb, Verb::Post | Verb::Put)
 }
 
-/// Finds what a request is for.
+/// Finds a request's operation.
 ///
 /// # Errors
-/// The path is malformed or unknown, does not take the method, or is Nomad's but not pearford's.
+/// The path is malformed or unknown, does not allow the method, or belongs to a part of Nomad's API that pearford
+/// does not support.
 pub fn route(verb: Verb, path: &str, query: &Query) -> Result<Route, Refusal> {
     let segments: Option<Vec<String>> = path.trim_matches('/').split('/').map(percent_decoded).collect();
     let segments = segments.ok_or_else(|| Refusal::new(status::BAD_REQUEST, "the path is not UTF-8"))?;
@@ -68,7 +69,8 @@
     }
 }
 
-/// What a path under `/v1/job` is for. A job's name may hold slashes: the last segment says what follows the name.
+/// Finds the operation of a path under `/v1/job`. A job's name may contain slashes: only the last segment can be an
+/// operation or a part of the job.
 fn job_route(verb: Verb, segments: &[&str], query: &Query) -> Result<Route, Refusal> {
     match segments {
         [name @ .., "plan"] if is_write(verb) && !name.is_empty() => {
@@ -99,7 +101,7 @@
     }
 }
 
-/// What is read of a job by a path of several segments; an unknown last one is part of the name.
+/// The endpoint of a job's path with several segments. An unknown last segment is part of the job's name.
 fn job_endpoint(name: &str, last: &str) -> Endpoint {
     let part = match last {
         "versions" => JobPart::Versions,
@@ -113,7 +115,7 @@
     Endpoint::Job { name: name.into(), part }
 }
 
-/// What a path other than a job's reads; none if it reads nothing.
+/// The endpoint of a path outside `/v1/job`; none if the path is unknown.
 fn endpoint(segments: &[&str]) -> Option<Endpoint> {
     let by_id = |id: &str, kind| Endpoint::ById { id: id.into(), kind };
     let endpoint = match segments {
@@ -138,9 +140,9 @@
     Some(endpoint)
 }
 
-/// Says what pearford lacks, of what Nomad has under this path.
+/// The refusal of a path that pearford does not support; it names the unsupported feature if the path is Nomad's.
 fn not_supported(segments: &[&str]) -> Refusal {
-    let lacking = match segments {
+    let unsupported = match segments {
         ["node", ..] => "draining or purging of machines here; they come and go with the work",
         ["event", "stream"] => "event stream; use blocking queries (`index` and `wait`)",
         ["acl", ..] => "tokens to give out here; the operators' file has them",
@@ -150,5 +152,5 @@
         ["client", ..] => "files or logs of tasks here",
         _ => return no_such_path(),
     };
-    Refusal::new(status::NOT_IMPLEMENTED, format!("pearford has no {lacking}"))
+    Refusal::new(status::NOT_IMPLEMENTED, format!("pearford has no {unsupported}"))
 }
--- a/crates/nomad/src/api/versions.rs
+++ b/crates/nomad/src/api/versions.rs
@@ -1,7 +1,7 @@
-//! What a registration or a stop leads to. All of it is one transaction: the name's record, the version's, and the
-//! native jobs, conditional on the name's record as it was read.
+//! Builds the transaction of a registration or a stop: the name's record, the version's record and the native jobs'
+//! records in one transaction, conditional on the revision of the name's record.
 //!
-//! `retry` calls it for clients' writes, `maintenance` for what the leader does on its own.
+//! `retry` calls this module for clients' writes, `maintenance` for the leader's background work.
 
 use super::guards::{Guard, holds};
 use super::names::{Ended, GroupRecord, Head, NameHash, Old, Part, Rollout, VersionRecord, part_id, split};
@@ -16,15 +16,15 @@
 
 /// The revision of a key that must not exist.
 const ABSENT: Revision = Revision(0);
-/// Records of a registration besides its native jobs': the name's and the version's.
+/// Number of records that a registration writes besides native jobs' records: the name's and the version's.
 const NAME_RECORDS: usize = 2;
 
-/// What a registration or a stop leads to, if it is not refused.
+/// The decision on a registration or a stop that is not refused.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Nothing: the records are so already.
+    /// Nothing to write: the records are in the requested state already.
     Same,
-    /// The transaction is to be committed.
+    /// Commit this transaction.
     Write(Writes),
 }
 
@@ -36,13 +36,17 @@
     pub head: Head,
 }
 
-/// The name's record as this node has read it; none, with a line in the log, if it can't be decoded.
+/// The name's record as this node has read it; none if it is absent or can't be decoded, which is logged.
 pub fn recorded_name(view: &View<'_>, hash: &NameHash) -> Option<RecordedName> {
     let (revision, value) = view.records.get(&hash.key())?;
     match serde_json::from_str(value) {
         Ok(head) => Some(RecordedName { revision, head }),
         Err(error) => {
-            tracing::error!(key = hash.key(), %error, "a name's record can't be read");
+            tracing::error!(
+                key = hash.key(),
+                %error,
+                "a name's record can't be decoded; the name is skipped until its record is repaired"
+            );
             None
         }
     }
@@ -53,12 +57,12 @@
     view.records.get(&head.hash().version_key(head.version)).map_or(0, |(revision, _)| revision.0)
 }
 
-/// Whether a native job is there and not finished.
+/// Whether a native job exists and is not finished.
 pub fn is_open(view: &View<'_>, id: &JobId) -> bool {
     view.jobs.get(id).is_some_and(|known| known.record.is_open())
 }
 
-/// A record of a native job that is to be new.
+/// The record of a native job to be created.
 struct NewRecord {
     key: String,
     value: String,
@@ -70,11 +74,11 @@
     records: Vec<NewRecord>,
 }
 
-/// Registers a job. `enforced_index` is the modify index that the client has read, if it enforces one, 0 for a job
-/// that must not be registered. `salt` moves on when the id of a native job turns out to be taken.
+/// Registers a job. `enforced_index` is the modify index that the client requires, if any; 0 requires that the job is
+/// not registered. `salt` is increased by the caller if the id of a new native job is already in use.
 ///
 /// # Errors
-/// The job is refused, with the answer to the client.
+/// The job is refused; the refusal holds the answer to the client.
 pub fn register(
     view: &View<'_>,
     job: &Job,
@@ -89,7 +93,7 @@
         return Err(Refusal::new(status::INTERNAL_ERROR, reason));
     }
     let digest = job.digest();
-    // Before the check of the index: a client that repeats itself has changed the index by its first try.
+    // Must precede the check of the index: a client that retries has changed the index with its first attempt.
     if holds(Guard::Repeat) && known.as_ref().is_some_and(|known| known.head.digest == digest) {
         return Ok(Decision::Same);
     }
@@ -98,16 +102,16 @@
     let version = known.as_ref().map_or(0, |known| known.head.version + 1);
     let parts = new_parts(view, job, &hash, version, salt)?;
     let mut head = new_head(view, job, version, &digest, parts.groups);
-    let mut leaving = Vec::new();
+    let mut to_cancel = Vec::new();
     let mut revision = ABSENT;
     if let Some(known) = &known {
         revision = known.revision;
         head.created = if known.head.created > 0 { known.head.created } else { revision.0 };
-        leaving = succeed(view, &known.head, &mut head);
+        to_cancel = take_over_parts(view, &known.head, &mut head);
     }
     let mut writes = Writes::default();
     let spare = view.settings.state.txn_ops - NAME_RECORDS - parts.records.len();
-    head.ending.extend(writes.cancel_some(view, leaving, spare));
+    head.ending.extend(writes.cancel_some(view, to_cancel, spare));
     let head_value = head.to_value();
     let version_value = VersionRecord::new(&digest, view.wall_time.0, json).to_value();
     check_size(view, "its record", &head_value)?;
@@ -120,7 +124,7 @@
     Ok(Decision::Write(writes))
 }
 
-/// Checks the index that a client enforces against the job's; a purged job has none.
+/// Checks the index that a client enforces against the job's modify index, which is 0 for a purged job.
 fn check_index(view: &View<'_>, known: Option<&RecordedName>, enforced: Option<u64>) -> Result<(), Refusal> {
     let index = match known {
         Some(known) if !known.head.purged => modify_index(view, &known.head),
@@ -136,12 +140,12 @@
     }
 }
 
-/// The most native jobs that one transaction can make.
+/// Maximum number of native jobs that one transaction can create.
 fn max_new_records(view: &View<'_>) -> usize {
     view.settings.state.txn_ops.saturating_sub(NAME_RECORDS)
 }
 
-/// Checks that each group is admitted, and that all fit into one transaction.
+/// Checks that each group passes admission and that all groups fit into one transaction.
 fn check_groups(view: &View<'_>, job: &Job) -> Result<(), Refusal> {
     for group in &job.groups {
         view.admission.check(&group.spec).map_err(|refusal| {
@@ -196,7 +200,7 @@
     Record::Open(view.admission.open(&spec)).to_value()
 }
 
-/// The name's record with a new version, as if there had been none before.
+/// The name's record with a new version, without regard to earlier versions.
 fn new_head(view: &View<'_>, job: &Job, version: u64, digest: &str, groups: Vec<GroupRecord>) -> Head {
     Head {
         namespace: job.namespace.clone(),
@@ -216,7 +220,7 @@
     }
 }
 
-/// Checks that the store takes a value.
+/// Checks a value against the store's size limit.
 fn check_size(view: &View<'_>, what: &str, value: &str) -> Result<(), Refusal> {
     let bytes = value.len();
     let limit = view.settings.state.value_bytes;
@@ -228,37 +232,38 @@
     Ok(())
 }
 
-/// What becomes of the native jobs of the version before: a service's are replaced by a rollout; the others are
-/// returned, to be cancelled.
-fn succeed(view: &View<'_>, old: &Head, head: &mut Head) -> Vec<JobId> {
+/// Hands over the native jobs of earlier versions: those that a rollout replaces go into `head.roll`, the others are
+/// returned to be cancelled.
+fn take_over_parts(view: &View<'_>, old: &Head, head: &mut Head) -> Vec<JobId> {
     head.ending = old.ending.iter().filter(|id| is_open(view, id)).cloned().collect();
     let mut olds: Vec<Old> = old.roll.iter().flat_map(|rollout| rollout.olds.clone()).collect();
     olds.extend(current_parts(old));
     olds.retain(|old| is_open(view, &old.part.id));
-    let rollouts = old.service && head.service && !old.stopped;
-    let (staying, going): (Vec<Old>, Vec<Old>) =
-        olds.into_iter().partition(|old| rollouts && head.groups.iter().any(|group| group.name == old.group));
-    if !staying.is_empty() {
+    let rolls_out = old.service && head.service && !old.stopped;
+    let (replaced, cancelled): (Vec<Old>, Vec<Old>) = olds
+        .into_iter()
+        .partition(|old| rolls_out && head.groups.iter().any(|group| group.name == old.group));
+    if !replaced.is_empty() {
         let from = old.roll.as_ref().filter(|rollout| !rollout.kept);
         let from = from.map_or(old.version, |rollout| rollout.from);
-        head.roll = Some(new_rollout(view, from, staying));
+        head.roll = Some(new_rollout(view, from, replaced));
     }
-    going.into_iter().map(|old| old.part.id).collect()
+    cancelled.into_iter().map(|old| old.part.id).collect()
 }
 
-/// The native jobs of a name's current version, as ones to be replaced.
+/// The native jobs of a name's current version, as the old parts of a rollout.
 fn current_parts(head: &Head) -> impl Iterator<Item = Old> {
     head.groups.iter().flat_map(|group| {
         group.parts.iter().map(|part| Old { group: group.name.clone(), part: part.clone() })
     })
 }
 
-/// A rollout that begins now.
+/// Creates a rollout that begins now.
 fn new_rollout(view: &View<'_>, from: u64, olds: Vec<Old>) -> Rollout {
     Rollout { from, olds, gone: Vec::new(), progressed_ms: view.wall_time.0, kept: false }
 }
 
-/// Stops a job: no new version, and all of its native jobs cancelled, those of a rollout included.
+/// Stops a job without making a new version: cancels all of its native jobs, including those of a rollout.
 ///
 /// # Errors
 /// There is no such job.
@@ -276,7 +281,7 @@
     head.stopped = true;
     head.purged |= purge;
     let mut writes = Writes::default();
-    // The version's record is written again: its revision is the index that clients compare.
+    // Rewrites the version's record unchanged: its revision is the modify index that clients compare.
     let version_key = hash.version_key(head.version);
     let version = view.records.get(&version_key).map(|(revision, value)| (revision, value.to_string()));
     let at_most = view.settings.state.txn_ops - 1 - usize::from(version.is_some());
@@ -288,8 +293,8 @@
     Ok(Decision::Write(writes))
 }
 
-/// Cancels native jobs that a stop or a new version could not cancel at once; none if there are none.
-pub fn end_some(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
+/// Cancels native jobs that did not fit into the transaction of a stop or a new version; none if no jobs are left.
+pub fn cancel_ending(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
     let RecordedName { revision, mut head } = recorded_name(view, hash)?;
     if head.ending.is_empty() {
         return None;
@@ -302,13 +307,13 @@
     Some(writes)
 }
 
-/// Versions whose records are kept, besides the newest.
+/// Number of version records that are kept besides the newest.
 pub const VERSIONS_KEPT: u64 = 6;
 
-/// Removes the oldest version's record beyond those that are kept.
-pub fn tidy(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
+/// Removes the oldest version's record if it is beyond those that are kept and no rollout can revert to it.
+pub fn remove_oldest_version(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
     let RecordedName { revision, head } = recorded_name(view, hash)?;
-    let from = hash.versions_from();
+    let from = hash.versions_prefix();
     let (key, old, _) = view.records.iter_from(&from).next().filter(|(key, ..)| key.starts_with(&from))?;
     let version: u64 = key.rsplit('/').next()?.parse().ok()?;
     let rolls_from = head.roll.as_ref().is_some_and(|rollout| rollout.from == version);
@@ -317,14 +322,14 @@
     }
     let key = key.to_string();
     Some(Writes {
-        // Conditional on the name's record: a rollout that is reverted meanwhile needs the version.
+        // Conditional on the name's record: a rollout that is reverted concurrently needs the version.
         conditions: vec![(hash.key(), revision), (key.clone(), old)],
         changes: vec![Change::Delete { key }],
     })
 }
 
-/// The next step of a rollout, as the leader decided: the new record, and a native job that is cancelled.
-pub fn write_roll(view: &View<'_>, revision: Revision, head: &Head, cancel: Option<&JobId>) -> Writes {
+/// Writes a rollout's step: the new record of the name and, if given, the cancellation of a native job.
+pub fn write_rollout(view: &View<'_>, revision: Revision, head: &Head, cancel: Option<&JobId>) -> Writes {
     let mut writes = Writes::default();
     if let Some(id) = cancel {
         writes.cancel(view, id);
@@ -333,8 +338,9 @@
     writes
 }
 
-/// Reverts a failed rollout to the version `before`: parts of it that are still there go on, missing ones are made
-/// anew, and those of the failed version are replaced. None if that is impossible, or too large for one transaction.
+/// Reverts a failed rollout to the version `before`: its remaining parts are kept, missing tasks get a new part, and
+/// a rollout replaces the failed version's parts. None if a record is missing or can't be decoded, or if the changes
+/// don't fit into one transaction.
 pub fn revert(view: &View<'_>, revision: Revision, failed: &Head, before: &Job, salt: u64) -> Option<Writes> {
     let roll = failed.roll.as_ref()?;
     let hash = failed.hash();
--- a/crates/nomad/src/api/writes.rs
+++ b/crates/nomad/src/api/writes.rs
@@ -1,4 +1,4 @@
-//! Transactions of the API, put together write by write.
+//! Builds the API's transactions from single writes.
 
 use super::guards::{Guard, holds};
 use pearford_scheduler::extension::View;
@@ -9,21 +9,21 @@
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Writes {
-    /// Keys, and the revisions that they must have; 0 for a key that must not exist.
+    /// Keys with their required revisions; 0 requires that the key does not exist.
     pub conditions: Vec<(String, Revision)>,
-    /// What is changed if all conditions hold.
+    /// Changes that are applied if all conditions hold.
     pub changes: Vec<Change>,
 }
 
 impl Writes {
-    /// Writes a key on condition of its revision.
+    /// Writes a key on the condition that it still has the given revision.
     pub fn put(&mut self, key: String, revision: Revision, value: String) {
         self.conditions.push((key.clone(), revision));
         self.changes.push(Change::Put { key, value, lease: None });
     }
 
-    /// Cancels a native job that is not finished yet. The transaction fails if the job finishes meanwhile, so that
-    /// neither result overwrites the other.
+    /// Cancels a native job that is not finished. The transaction fails if the job finishes before the commit, so
+    /// that neither result overwrites the other.
     pub fn cancel(&mut self, view: &View<'_>, id: &JobId) {
         if holds(Guard::Cancellation)
             && let Some(known) = view.jobs.get(id).filter(|known| known.record.is_open())
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Cancels at most so many native jobs. Returns the others, for the `ending` of the name's record.
+    /// Cancels at most `at_most` native jobs. Returns the others, which go into `ending` of the name's record.
     pub fn cancel_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
         let rest = open.split_off(at_most.min(open.len()));
         open.iter().for_each(|id| self.cancel(view, id));
