--- a/crates/nomad/src/api/answers.rs
+++ b/crates/nomad/src/api/answers.rs
@@ -1,4 +1,4 @@
-//! What answers say of names, versions and tasks, from the copies of the records that every node has.
+//! The JSON of answers about names, versions and tasks, made from the node's copies of the records.
 
 use super::ids;
 use super::names::{Ended, Head, Part, VersionRecord};
@@ -7,21 +7,21 @@
 use pearford_scheduler::jobs::{Phase, TaskCounts};
 use serde_json::{Value, json};
 
-/// How many tasks of something are where.
+/// Numbers of tasks by state.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Counts {
     /// All tasks.
     pub tasks: u32,
-    /// Done.
+    /// Completed tasks.
     pub done: u32,
-    /// Running.
+    /// Running tasks.
     pub running: u32,
-    /// Cancelled before they were done.
+    /// Tasks cancelled before completion.
     pub stopped: u32,
 }
 
 impl Counts {
-    /// Neither running nor finished.
+    /// Tasks that neither run nor have finished.
     pub fn waiting(&self) -> u32 {
         self.tasks.saturating_sub(self.done + self.running + self.stopped)
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Of a native job.
+/// The counts of a native job.
 pub fn counts_of(view: &View<'_>, part: &Part) -> Counts {
     let TaskCounts { done, running } = view.task_counts(&part.id).unwrap_or_default();
     let tasks = part.tasks;
@@ -50,14 +50,14 @@
     }
 }
 
-/// Of a job, or of one of its groups by its index.
+/// The counts of a job, or of the group with the given index.
 pub fn counts(view: &View<'_>, head: &Head, group: Option<usize>) -> Counts {
     let groups = head.groups.iter().enumerate().filter(|(index, _)| group.is_none_or(|only| only == *index));
     let parts = groups.flat_map(|(_, group)| &group.parts);
     parts.map(|part| counts_of(view, part)).fold(Counts::default(), Counts::plus)
 }
 
-/// `pending`, `running` or `dead`.
+/// The job's status: `pending`, `running` or `dead`.
 pub fn status(view: &View<'_>, head: &Head) -> &'static str {
     let finished = head.parts().all(|part| view.jobs.terminal_status(&part.id).is_some());
     if head.stopped || finished {
@@ -90,14 +90,15 @@
     }
 }
 
-/// The largest revision of the records that a job is answered from: never falls, as names' records are never removed.
+/// The largest revision of the records that a job's answer depends on. It never decreases, as names' records
+/// are never removed.
 pub fn index(view: &View<'_>, head: &Head) -> u64 {
     let own = view.records.get(&head.hash().key()).map_or(0, |(revision, _)| revision.0);
     let jobs = head.parts().filter_map(|part| view.jobs.get(&part.id)).map(|known| known.revision.0);
     jobs.chain([own, 1]).max().unwrap_or(1)
 }
 
-/// Counts by group, as Nomad's job summary.
+/// Nomad's job summary: counts by group.
 pub fn summary(view: &View<'_>, head: &Head) -> Value {
     let of = |counts: Counts| {
         json!({"Queued": counts.waiting(), "Starting": 0, "Running": counts.running, "Complete": counts.done + counts.stopped,
@@ -119,7 +120,7 @@
     if head.service { "service" } else { "batch" }
 }
 
-/// A job in the short form of lists.
+/// A job in the short form used in lists.
 pub fn stub(view: &View<'_>, head: &Head) -> Value {
     json!({"ID": head.name, "Name": head.name, "Namespace": head.namespace, "ParentID": "", "Type": kind(head),
         "Priority": head.priority, "Periodic": false, "ParameterizedJob": false, "Stop": head.stopped,
@@ -129,7 +130,7 @@
         "Version": head.version})
 }
 
-/// A version's job as it was registered, with what the server adds.
+/// A version's job as it was registered, with the members that the server adds.
 fn version_job(view: &View<'_>, head: &Head, version: u64) -> Option<Value> {
     let (revision, record) = view.records.get(&head.hash().version_key(version))?;
     let record: VersionRecord = serde_json::from_str(record).ok()?;
@@ -156,12 +157,12 @@
     Some(job)
 }
 
-/// The newest version as it was registered, with what the server adds.
+/// The newest version as it was registered, with the members that the server adds.
 pub fn job(view: &View<'_>, head: &Head) -> Option<Value> {
     version_job(view, head, head.version)
 }
 
-/// The versions whose records are kept, the newest first.
+/// The versions that still have a record, newest first.
 pub fn versions(view: &View<'_>, head: &Head) -> Value {
     let from = head.hash().versions_prefix();
     let known = view.records.iter_from(&from).take_while(|(key, ..)| key.starts_with(&from));
@@ -171,7 +172,7 @@
     json!({"Versions": jobs, "Diffs": null})
 }
 
-/// What Nomad says of an allocation's progress.
+/// The members of Nomad's allocation that describe its progress.
 struct AllocationStatus {
     client: &'static str,
     desired: &'static str,
@@ -179,7 +180,8 @@
     task_state: &'static str,
 }
 
-/// The status of a task of a group by its place in order of progress: those done come first, then those that run.
+/// The status of a group's task by its index in order of progress: completed tasks first, then running,
+/// stopped and waiting ones.
 fn allocation_status(head: &Head, counts: Counts, task: u32) -> AllocationStatus {
     let desired = if head.stopped { "stop" } else { "run" };
     let running_end = counts.done + counts.running;
@@ -195,7 +197,7 @@
     }
 }
 
-/// A task of a group by its place in order of progress; none if the group has fewer.
+/// A group's task by its index in order of progress; none if the group has fewer tasks.
 pub fn allocation(view: &View<'_>, head: &Head, group_index: usize, task: u32) -> Option<Value> {
     let group = head.groups.get(group_index)?;
     if task >= group.tasks() {
@@ -216,13 +218,13 @@
     )
 }
 
-/// All allocations of a job: the index of the group, and the place in it.
+/// All allocations of a job, each as the index of its group and of its task.
 pub fn places(head: &Head) -> impl Iterator<Item = (usize, u32)> + '_ {
     let groups = head.groups.iter().enumerate();
     groups.flat_map(|(index, group)| (0..group.tasks()).map(move |task| (index, task)))
 }
 
-/// The one evaluation of the newest version.
+/// The evaluation of the newest version; each version has one.
 pub fn evaluation(view: &View<'_>, head: &Head) -> Value {
     let waiting = counts(view, head, None).waiting();
     let mut queued = serde_json::Map::new();
@@ -241,7 +243,7 @@
         "ModifyTime": head.submitted_ms * 1_000_000, "Waiting": waiting})
 }
 
-/// A service's rollout to its newest version, under way or finished; none for a batch job.
+/// A service's rollout to its newest version, in progress or finished; none for a batch job.
 pub fn deployment(view: &View<'_>, head: &Head) -> Option<Value> {
     if !head.service {
         return None;
--- a/crates/nomad/src/api/blocking_queries.rs
+++ b/crates/nomad/src/api/blocking_queries.rs
@@ -1,13 +1,15 @@
-//! Blocking queries: reads that wait for a change, bounded in number and time, and woken a few in one step.
+//! Blocking queries: reads that wait for a change. Their number and their wait are bounded, and each step
+//! answers a bounded number of them.
 
 use super::endpoints::ReadRequest;
 use super::names::NameHash;
 use pearford_scheduler::types::{Duration, MonotonicTime, RequestId};
 use std::collections::BTreeSet;
 
-/// Queries answered in one step, so that a change that wakes many does not hold up the node.
+/// Maximum number of queries answered in one step, so that a change that many queries wait for does not block
+/// the node.
 const MAX_WOKEN_PER_STEP: usize = 16;
-/// Time between wakes of queries for lists, at least: each list goes through all names.
+/// Minimum time between evaluations of waiting list queries: each list iterates over all names.
 const LIST_WAKE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
@@ -16,7 +18,7 @@
     read: ReadRequest,
     /// The job whose changes it waits for; none if any job's change may matter.
     name: Option<NameHash>,
-    /// When it is answered, changed or not.
+    /// When it is answered even without a change.
     deadline: MonotonicTime,
 }
 
@@ -25,28 +27,28 @@
 pub struct BlockingQueries {
     max_waiting: usize,
     waiting: Vec<BlockingQuery>,
-    /// The earliest deadline of those that wait.
+    /// The earliest deadline of the waiting queries.
     next_deadline: MonotonicTime,
-    /// Names that changed since queries were last woken.
+    /// Names that changed since the last complete pass over the queries.
     changed: BTreeSet<NameHash>,
-    /// Whether any name changed since lists were last woken.
+    /// Whether any name changed since list queries were last evaluated.
     any_changed: bool,
-    /// When lists may be woken again.
+    /// The earliest time of the next evaluation of list queries.
     next_list_wake: MonotonicTime,
 }
 
 impl BlockingQueries {
-    /// No queries, of which at most `max_waiting` may wait.
+    /// Creates an empty set that accepts at most `max_waiting` queries.
     pub fn new(max_waiting: usize) -> Self {
         Self { max_waiting, ..Self::default() }
     }
 
-    /// How many wait.
+    /// Number of waiting queries.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Lets a query wait. Returns false, and forgets it, if too many do.
+    /// Adds a waiting query. Returns false and drops the query if `max_waiting` queries wait already.
     pub fn wait(&mut self, request: RequestId, read: ReadRequest, now: MonotonicTime) -> bool {
         if self.waiting.len() >= self.max_waiting {
             return false;
@@ -59,7 +61,7 @@
         true
     }
 
-    /// Takes in that a name, or a native job that runs a part of it, has changed.
+    /// Records that a name, or a native job that runs a part of it, has changed.
     pub fn changed(&mut self, name: NameHash) {
         self.any_changed = true;
         if !self.waiting.is_empty() {
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Goes through the queries that may have something new or are past their deadline. `answer` is given whether
-    /// the query is overdue and returns whether it has answered; it must answer an overdue one.
+    /// Evaluates the queries whose name changed or whose deadline has passed. `answer` gets whether the query
+    /// is overdue and returns whether it answered the query; it must answer an overdue one.
     pub fn wake(
         &mut self,
         now: MonotonicTime,
@@ -90,7 +92,7 @@
                 continue;
             }
             if woken >= MAX_WOKEN_PER_STEP {
-                return; // The others follow in the next step: what has changed is kept until then.
+                return; // The other queries follow in the next step; `changed` is kept until then.
             }
             if answer(query.request, &query.read, overdue) {
                 self.waiting.swap_remove(index);
--- a/crates/nomad/src/api/bodies.rs
+++ b/crates/nomad/src/api/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests: registrations, and files to be parsed.
+//! Parsing of request bodies: registrations and job files.
 
 use super::reply::{Refusal, status};
 use crate::fault::Fault;
@@ -11,14 +11,14 @@
 pub struct Registration {
     /// The job, as the API's JSON.
     pub job: Value,
-    /// The index that the job must have for the registration to be made, if it enforces one.
+    /// The modify index that the job must have, if the client enforces one.
     pub enforced_index: Option<u64>,
 }
 
 /// Reads a registration's body.
 ///
 /// # Errors
-/// The body is not an object with a job, or asks for what pearford does not do.
+/// The body is not an object with a job, or has a member or option that pearford does not support.
 pub fn registration(body: &[u8]) -> Result<Registration, String> {
     let body: Value =
         serde_json::from_slice(body).map_err(|error| format!("the body is not JSON: {error}"))?;
@@ -37,7 +37,8 @@
     if body.remove("EvalPriority").is_some_and(|priority| !priority.is_null() && priority != 0) {
         return Err("EvalPriority: is not known here; set the job's priority".into());
     }
-    // The text that the job was made from, who sends it, and what a plan is to show.
+    // Accepted and ignored: the job's source text, the sender's region, namespace and tokens, and a plan's
+    // options.
     for known in ["Submission", "Region", "Namespace", "SecretID", "AuthToken", "Diff"] {
         body.remove(known);
     }
@@ -57,10 +58,10 @@
     }
 }
 
-/// Reads a file in HCL, checks it, and gives it as the JSON that is registered.
+/// Parses and checks a job file in HCL and returns the JSON of its registration.
 ///
 /// # Errors
-/// The body is malformed, or the file or its variables are at fault.
+/// The body, the file or its variables are invalid.
 pub fn parse_file(body: &[u8], context: &Context) -> Result<Value, Refusal> {
     let body: Value = serde_json::from_slice(body)
         .map_err(|error| Refusal::new(status::BAD_REQUEST, format!("the body is not JSON: {error}")))?;
@@ -74,13 +75,13 @@
     source::hcl_as_api(text, &variables, Budget::CALL, context).map_err(faulty_job)
 }
 
-/// An object's member. Servers of this protocol read names whatever their case, and clients rely on it.
+/// An object's member, with the name's case ignored: clients rely on this, as Nomad's servers ignore it too.
 fn member<'a>(body: &'a Value, name: &str) -> Option<&'a Value> {
     let members = body.as_object()?;
     members.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value)
 }
 
-/// The refusal of a job at fault: a line for each fault.
+/// The refusal of an invalid job, with one line for each fault.
 pub fn faulty_job(faults: Vec<Fault>) -> Refusal {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     Refusal::new(status::BAD_REQUEST, lines.join("\n"))
--- a/crates/nomad/src/api/cluster_info.rs
+++ b/crates/nomad/src/api/cluster_info.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::iter::once;
 
-/// Index of what does not change while a node runs.
+/// Index of answers that don't change while a node runs.
 const CONSTANT_INDEX: u64 = 1;
 
 /// Whether the node has read all records that answers are made from.
--- a/crates/nomad/src/api/endpoints.rs
+++ b/crates/nomad/src/api/endpoints.rs
@@ -1,26 +1,26 @@
-//! What clients can read: the endpoints, and a read with its page and wait.
+//! The endpoints that clients can read, and a read request with its page and wait.
 
 use super::names::NameHash;
 use super::query::Page;
 use pearford_scheduler::types::Duration;
 
-/// What a read is about.
+/// The subject of a read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Endpoint {
-    /// Everything of one kind in the namespaces.
+    /// All objects of one kind in the namespaces.
     List(ListKind),
     /// One job.
     Job {
         /// Its name within the namespace.
         name: String,
-        /// What about it.
+        /// The part of the job's data that is read.
         part: JobPart,
     },
-    /// What an id stands for.
+    /// The object that an id refers to.
     ById {
-        /// The id, as it was given out.
+        /// The id as the client sent it.
         id: String,
-        /// What it is to be the id of.
+        /// The kind of object that the id must refer to.
         kind: IdKind,
     },
     /// The machines.
@@ -31,7 +31,7 @@
     Cluster(ClusterInfo),
 }
 
-/// What a list is of.
+/// The kind of a list's elements.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ListKind {
     /// Jobs, in short form.
@@ -49,7 +49,7 @@
 pub enum JobPart {
     /// The job as it was registered.
     Registration,
-    /// Its versions whose records are kept.
+    /// Its versions that still have a record.
     Versions,
     /// Counts of its tasks by state.
     Summary,
@@ -81,11 +81,11 @@
 pub enum ClusterInfo {
     /// The namespaces: teams, and names that the operators map to teams.
     Namespaces,
-    /// Address of a node that answers for the leader.
+    /// Address of this node's API if this node is the leader, else empty.
     Leader,
     /// Addresses of all nodes.
     Peers,
-    /// The one region.
+    /// The names of regions, of which there is one.
     Regions,
     /// This node.
     Agent,
@@ -94,12 +94,12 @@
 }
 
 impl Endpoint {
-    /// Whether a read may go over all namespaces that its token reaches (`namespace=*`).
+    /// Whether a read may cover all namespaces that its token gives access to (`namespace=*`).
     pub fn spans_namespaces(&self) -> bool {
         matches!(self, Self::List(_) | Self::ById { .. })
     }
 
-    /// The job whose changes a blocking query waits for; none if any job's change may matter.
+    /// The job whose changes a blocking query waits for; none if it waits for changes of any job.
     pub fn job(&self, namespaces: &[String]) -> Option<NameHash> {
         match self {
             Self::Job { name, .. } => namespaces.first().map(|namespace| NameHash::of(namespace, name)),
@@ -108,17 +108,17 @@
     }
 }
 
-/// A read that has been checked.
+/// A read request that has passed its checks.
 #[derive(Debug, Clone)]
 pub struct ReadRequest {
     /// What is read.
     pub endpoint: Endpoint,
     /// The namespaces that it covers, all of them readable with the client's token.
     pub namespaces: Vec<String>,
-    /// Which part of a list.
+    /// The requested page of a list.
     pub page: Page,
-    /// A blocking query's index: the answer is to be newer than this.
+    /// A blocking query's index: the query waits until the answer's index is greater.
     pub index: Option<u64>,
-    /// How long a blocking query waits for that.
+    /// Maximum wait of a blocking query.
     pub wait: Duration,
 }
--- a/crates/nomad/src/api/guards.rs
+++ b/crates/nomad/src/api/guards.rs
@@ -1,28 +1,28 @@
-//! Guarantees that tests can disable, to prove that the checks of them can fail (as in mutation testing). Outside of
-//! tests all hold.
+//! Guarantees that tests can disable, to prove that the tests detect a violation (as in mutation testing).
+//! Outside tests all guarantees hold.
 
 /// A guarantee of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
-    /// A file that is registered already makes no new version.
+    /// The repeat of a registration makes no new version.
     Repeat,
-    /// An answer is as of a read begun after the request.
+    /// An answer reflects a store read that began after the request arrived.
     FreshRead,
-    /// A stop cancels the native jobs.
+    /// Native jobs of a stopped job or a replaced version are cancelled.
     Cancellation,
-    /// An old part goes only once new replicas are healthy in its place.
+    /// An old part is cancelled only once as many new replicas are healthy.
     HealthyFirst,
 }
 
 #[cfg(test)]
 thread_local! {
-    static OUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
+    static DISABLED: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Whether the guarantee holds: always, but in tests that disable it.
+/// Whether the guarantee holds: always, except in tests that disable it.
 #[cfg(test)]
 pub fn holds(guard: Guard) -> bool {
-    OUT.get() != Some(guard)
+    DISABLED.get() != Some(guard)
 }
 
 #[cfg(not(test))]
@@ -30,11 +30,11 @@
     true
 }
 
-/// Does something with a guarantee disabled.
+/// Runs `action` with a guarantee disabled.
 #[cfg(test)]
-pub fn without<T>(guard: Guard, what: impl FnOnce() -> T) -> T {
-    OUT.set(Some(guard));
-    let out = what();
-    OUT.set(None);
-    out
+pub fn with_disabled<T>(guard: Guard, action: impl FnOnce() -> T) -> T {
+    DISABLED.set(Some(guard));
+    let result = action();
+    DISABLED.set(None);
+    result
 }
--- a/crates/nomad/src/api/machines.rs
+++ b/crates/nomad/src/api/machines.rs
@@ -1,5 +1,6 @@
-//! Machines, as Nomad's nodes: their assignment records are read from the store for each request, as no node but the
-//! leader keeps a copy. Machines that hold no task, and have held none lately, have no record and are not listed.
+//! Machines, shown as Nomad's nodes. Their assignment records are read from the store for each request, as
+//! only the leader keeps a copy. Machines that hold no task and have not held one recently have no record and
+//! are not listed.
 
 use super::endpoints::Endpoint;
 use super::query::Page;
@@ -9,9 +10,9 @@
 use pearford_scheduler::types::MachineId;
 use serde_json::{Value, json};
 
-/// The most machines on one page: half a megabyte of records.
+/// Maximum number of machines on a page, which bounds the records of a read to half a megabyte.
 const MAX_MACHINES: usize = 500;
-/// The most bytes of a machine's name.
+/// Maximum length of a machine's name, in bytes.
 const MAX_NAME_BYTES: usize = 150;
 
 /// A read of machines.
@@ -43,10 +44,10 @@
         Some(Self { scope, all_teams })
     }
 
-    /// The machines to be read.
+    /// The machines to read from the store.
     pub fn selection(&self) -> Machines {
         match &self.scope {
-            // What can't be a machine's name is replaced by a name that no machine has.
+            // An invalid name is replaced by a name that no machine has.
             Scope::One(id) if !is_name(id) => Machines::One("-".into()),
             Scope::One(id) => Machines::One(id.as_str().into()),
             Scope::Page { after, most, .. } => {
@@ -56,13 +57,14 @@
     }
 }
 
-/// Whether it can be a machine's name: it becomes part of a path to the state service.
+/// Whether `text` is a valid machine name. The check is required because the name becomes part of a path to
+/// the state service.
 fn is_name(text: &str) -> bool {
     let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(fits)
 }
 
-/// The answer, from what was found.
+/// The answer to a query, made from the records that were read.
 pub fn reply(query: &MachineQuery, found: Result<MachinePage, Outcome>) -> Reply {
     let found = match found {
         Ok(found) => found,
@@ -103,7 +105,7 @@
 fn node(id: &MachineId, record: &MachineRecord, all_teams: bool) -> Value {
     let mut node = stub(id, record);
     if all_teams {
-        // Native names: what a machine holds needn't have come through this API.
+        // Tasks have native names, as a machine can also run jobs that were not registered through this API.
         node["Tasks"] = record.assignments.iter().map(|assignment| assignment.task.to_string()).collect();
     }
     node
--- a/crates/nomad/src/api/maintenance.rs
+++ b/crates/nomad/src/api/maintenance.rs
@@ -1,5 +1,6 @@
-//! The leader's background work for names: it advances rollouts, cancels the remaining native jobs of stopped or
-//! replaced versions, and deletes old version records. It makes one commit at a time, from the maintenance budget.
+//! The leader's background work for names: it advances rollouts, cancels the remaining native jobs of stopped
+//! or replaced versions, and deletes old version records. It makes one commit at a time, from the maintenance
+//! budget.
 
 use super::names::{Ended, Head, NameHash, VersionRecord};
 use super::rollouts::{self, Facts, Health, Step};
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Handles a failed rollout: reverts it if a group has `auto_revert` and the revert is possible, else leaves it as
-    /// it is.
+    /// Handles a failed rollout: reverts it if a group has `auto_revert` and the revert is possible, else
+    /// leaves it as it is.
     fn fail_rollout(
         &self,
         view: &View<'_>,
--- a/crates/nomad/src/api/mod.rs
+++ b/crates/nomad/src/api/mod.rs
@@ -1,10 +1,11 @@
 //! Nomad's HTTP API as an extension of a node: a state machine without I/O, stepped by the node.
 //!
-//! Every node answers requests. By default, a read reflects a store read that began after the request arrived; with
-//! `stale`, it is answered from the node's current copies. Writes pass the same checks and budgets as native ones.
+//! Every node answers requests. By default, a read reflects a store read that began after the request
+//! arrived; with `stale`, it is answered from the node's current copies. Writes pass the same checks and
+//! budgets as native ones.
 //!
-//! A request goes through `dispatch` (token, route, body) to `reads`, `machines` or `retry` (writes); `reply` makes
-//! the answer. `maintenance` holds the work that the leader does for jobs without a request.
+//! A request goes through `dispatch` (token, route, body) to `reads`, `machines` or `retry` (writes); `reply`
+//! makes the answer. `maintenance` holds the work that the leader does for jobs without a request.
 
 pub mod answers;
 mod blocking_queries;
--- a/crates/nomad/src/api/name_index.rs
+++ b/crates/nomad/src/api/name_index.rs
@@ -87,8 +87,8 @@
         }
         for job in head.jobs() {
             self.owners.insert(job.clone(), hash.clone());
-            // A job's record may have been read before the name's record. Its revision counts here too, so that
-            // this node's lists don't report an older index than other nodes have reported.
+            // A job's record may have been read before the name's record. Its revision counts here too, so
+            // that this node's lists don't report an older index than other nodes have reported.
             self.newest_revision = self.newest_revision.max(job_revision(view, job));
         }
         let key = QualifiedName { namespace: head.namespace.clone(), name: head.name.clone() };
@@ -107,8 +107,8 @@
         self.heads.get(&NameHash::of(namespace, name)).filter(|head| !head.purged)
     }
 
-    /// The name that an id refers to, if it is in one of the namespaces and the id's version is not newer than its
-    /// newest version.
+    /// The name that an id refers to, if it is in one of the namespaces and the id's version is not newer
+    /// than its newest version.
     pub fn find_by_id(&self, namespaces: &[String], id: &str) -> Option<IdentifiedName<'_>> {
         let id = ids::parse(id)?;
         let (hash, head) = self.heads.range(NameHash::beginning(&id.hash)..).next()?;
--- a/crates/nomad/src/api/names.rs
+++ b/crates/nomad/src/api/names.rs
@@ -1,7 +1,8 @@
 //! Durable records: one for each name, and one for each version of it.
 //!
-//! A name's record lists the native jobs that run it and the state of its rollout. It is never removed: it holds the
-//! final state of the newest version, also after a purge. A version's record holds the job as it was registered.
+//! A name's record lists the native jobs that run it and the state of its rollout. It is never removed: it
+//! holds the final state of the newest version, also after a purge. A version's record holds the job as it
+//! was registered.
 
 use crate::translate::{Job, Update, native_id};
 use base64::Engine;
@@ -24,11 +25,12 @@
 const MAX_JOB_BYTES: usize = 1024 * 1024;
 /// Compression level, from 1 to 10.
 const COMPRESSION: u8 = 6;
-/// Maximum size of a job that is stored uncompressed, in bytes. Most jobs are this small, and compression would
-/// take longer than the rest of a registration.
+/// Maximum size of a job that is stored uncompressed, in bytes. Most jobs are this small, and compression
+/// would take longer than the rest of a registration.
 const MAX_PLAIN_BYTES: usize = 1024;
 
-/// Domain prefix of the hash from which native jobs' ids are made. It must not change: stored records hold the ids.
+/// Domain prefix of the hash from which native jobs' ids are made. It must not change: stored records hold
+/// the ids.
 const PART_ID_DOMAIN: &str = "door";
 
 /// Hash of a namespace and a name, for use in keys, which are short and have no blanks.
@@ -200,7 +202,8 @@
         self.groups.iter().flat_map(|group| &group.parts)
     }
 
-    /// All native jobs of the name: of the newest version, of its rollout, and those that must still be cancelled.
+    /// All native jobs of the name: of the newest version, of its rollout, and those that must still be
+    /// cancelled.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
         let olds = self.roll.iter().flat_map(|rollout| &rollout.olds).map(|old| &old.part.id);
         self.parts().map(|part| &part.id).chain(olds).chain(&self.ending)
@@ -261,11 +264,12 @@
     }
 }
 
-/// Splits a group into parts and returns the number of tasks of each. A group is one part, unless it is a service of
-/// which two versions don't fit into the team's quota at the same time. Then each part is one step of a rollout.
+/// Splits a group into parts and returns the number of tasks of each. A group is one part, unless it is a
+/// service of which two versions don't fit into the team's quota at the same time. Then each part is one step
+/// of a rollout.
 ///
-/// There are at most `most` parts. If a service is spread, each part but the last has an even number of tasks, so
-/// that each part can be spread evenly. A group whose tasks must be placed together is one part.
+/// There are at most `most` parts. If a service is spread, each part but the last has an even number of
+/// tasks, so that each part can be spread evenly. A group whose tasks must be placed together is one part.
 pub fn split(job: &Job, group: usize, settings: &Settings, most: usize) -> Vec<u32> {
     let group = &job.groups[group];
     let spec = &group.spec;
@@ -301,8 +305,8 @@
     of(team.max_cpus, cpus).min(of(team.max_gpus, gpus))
 }
 
-/// The id of a part's native job. It is derived from its arguments, so that two nodes that accept the same version
-/// concurrently make the same id. `salt` changes the id if a user's own job has it already.
+/// The id of a part's native job. It is derived from its arguments, so that two nodes that accept the same
+/// version concurrently make the same id. `salt` changes the id if a user's own job has it already.
 pub fn part_id(hash: &NameHash, version: u64, group: &str, part: usize, salt: u64) -> JobId {
     native_id(&[
         PART_ID_DOMAIN,
--- a/crates/nomad/src/api/names/golden.rs
+++ b/crates/nomad/src/api/names/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the records of names and versions.
+//! Golden tests of the stored bytes of names' and versions' records.
 
 use super::*;
 use pearford_scheduler::golden_group;
@@ -36,7 +36,7 @@
     Rollout { from: 6, olds, gone, progressed_ms: 1_700_000_000_456, kept }
 }
 
-/// Every field is given.
+/// A record with all fields set.
 fn full(ended: Ended) -> Head {
     Head {
         namespace: "red".into(),
@@ -88,7 +88,7 @@
         group.both_ways(name, bytes, |line| {
             let (key, value) = line.split_once(' ')?;
             let read: Head = serde_json::from_str(value).ok()?;
-            assert_eq!(read, head, "{name}: each field is read as what it is");
+            assert_eq!(read, head, "{name}: the record must decode to the same value");
             Some(format!("{key} {}", read.to_value()))
         });
     }
@@ -106,14 +106,14 @@
         group.both_ways(name, format!("{key} {}", record.to_value()), |line| {
             let (key, value) = line.split_once(' ')?;
             let read: VersionRecord = serde_json::from_str(value).ok()?;
-            assert_eq!(read.job().as_ref(), Some(&job), "{name}: the job comes back");
+            assert_eq!(read.job().as_ref(), Some(&job), "{name}: the record must return the job");
             Some(format!("{key} {}", read.to_value()))
         });
     }
     group.finish();
 }
 
-/// Other nodes, and the next version of the program, must derive the same keys and ids.
+/// Other nodes and later versions of pearford must derive the same keys and ids.
 #[test]
 fn golden_keys_and_ids() {
     let hash = NameHash::of("red", "shop");
--- a/crates/nomad/src/api/names/tests.rs
+++ b/crates/nomad/src/api/names/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn names_of_any_script_and_length_get_keys_and_ids_of_their_own() {
+fn names_of_any_script_and_length_get_distinct_keys_and_ids() {
     let long = "x".repeat(512);
     let names = ["a", "b", "ab", "a b", "señal", "地震", "рой", "j/x", long.as_str()];
     let mut keys = std::collections::BTreeSet::new();
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn a_job_comes_back_from_its_record_and_a_bomb_does_not() {
+fn version_record_returns_its_job_unless_it_decompresses_beyond_the_limit() {
     let job = serde_json::json!({"ID": "x", "Meta": {"k": "v".repeat(40_000)}});
     let record = VersionRecord::new("d", 7, &job);
     assert!(record.to_value().len() < 1000, "{}", record.to_value().len());
     assert_eq!(record.job(), Some(job));
-    let bomb = VersionRecord::new("d", 7, &serde_json::json!("x".repeat(2 * MAX_JOB_BYTES)));
-    assert_eq!(bomb.job(), None);
+    let oversized = VersionRecord::new("d", 7, &serde_json::json!("x".repeat(2 * MAX_JOB_BYTES)));
+    assert_eq!(oversized.job(), None);
 }
--- a/crates/nomad/src/api/query.rs
+++ b/crates/nomad/src/api/query.rs
@@ -1,15 +1,16 @@
-//! Query strings, and the pages of lists that they select.
+//! Query strings, and the list pages that they select.
 
 use crate::decode;
 use pearford_scheduler::types::Duration;
 use std::collections::BTreeMap;
 
-/// The most elements on one page.
+/// Maximum number of elements on a page.
 pub const MAX_PAGE: usize = 1000;
-/// Parameters of a query that are read; further ones are ignored.
+/// Maximum number of parameters that are read from a query; further ones are ignored.
 const MAX_PARAMETERS: usize = 32;
 
-/// Percent-decodes a text; none if it is not UTF-8 then, or holds control characters, which no name does.
+/// Percent-decodes a text; none if the result is not UTF-8 or has control characters, which names can't
+/// contain.
 pub fn percent_decoded(text: &str) -> Option<String> {
     let digit = |byte: Option<u8>| char::from(byte?).to_digit(16);
     let mut out = Vec::with_capacity(text.len());
@@ -26,12 +27,12 @@
     String::from_utf8(out).ok().filter(|text| !text.contains(char::is_control))
 }
 
-/// Parameters of a query string; their names are read whatever their case.
+/// Parameters of a query string; the case of their names is ignored.
 #[derive(Debug, Default)]
 pub struct Query(BTreeMap<String, String>);
 
 impl Query {
-    /// Reads a query string; parameters that can't be decoded are left out.
+    /// Parses a query string; parameters that can't be decoded are ignored.
     pub fn of(text: &str) -> Self {
         let pairs = text.split('&').filter(|pair| !pair.is_empty()).take(MAX_PARAMETERS).filter_map(|pair| {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
@@ -45,30 +46,30 @@
         self.0.get(key).map(String::as_str).filter(|value| !value.is_empty())
     }
 
-    /// Whether a flag is given, and not as `false` or `0`.
+    /// Whether a flag is given with a value other than `false` or `0`.
     pub fn has(&self, key: &str) -> bool {
         self.0.get(key).is_some_and(|value| value != "false" && value != "0")
     }
 
-    /// A parameter as a whole number, if it is one.
+    /// A parameter as a non-negative integer; none if it is absent or not a number.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.get(key)?.parse().ok()
     }
 
-    /// A parameter as a duration (`90s`, `5m`), if it is one.
+    /// A parameter as a duration (`90s`, `5m`); none if it is absent or not a duration.
     pub fn duration(&self, key: &str) -> Option<Duration> {
         decode::duration(self.get(key)?).ok().map(Duration::from_secs_f64)
     }
 }
 
-/// Which part of a list is wanted.
+/// The requested part of a list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
-    /// Beginning of the names that are wanted.
+    /// Prefix that the names must have.
     pub prefix: String,
-    /// Where the page begins: the token that came with the page before, or empty.
+    /// Where the page begins: the `next_token` of the previous page, or empty for the first.
     pub from: String,
-    /// The most elements that it may have.
+    /// Maximum number of elements on the page.
     pub most: usize,
 }
 
--- a/crates/nomad/src/api/reads.rs
+++ b/crates/nomad/src/api/reads.rs
@@ -1,4 +1,5 @@
-//! Reads, answered from the node's copies of the records: immediately, or for a blocking query after a change.
+//! Reads, answered from the node's copies of the records: immediately, or for a blocking query after a
+//! change.
 
 use super::cluster_info::{self, records_are_read};
 use super::endpoints::{Endpoint, IdKind, JobPart, ListKind, ReadRequest};
@@ -77,7 +78,8 @@
         respond(request, Reply::error(status::TOO_MANY_REQUESTS, reason))
     }
 
-    /// Answers blocking queries whose index is exceeded or whose deadline has passed; a bounded number in one step.
+    /// Answers blocking queries whose index is exceeded or whose deadline has passed; a bounded number in one
+    /// step.
     pub(super) fn wake_blocking_queries(&mut self, view: &View<'_>) -> Vec<Action> {
         let mut queries = std::mem::take(&mut self.blocking_queries);
         let mut actions = Vec::new();
--- a/crates/nomad/src/api/reply.rs
+++ b/crates/nomad/src/api/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, and how they become actions of the node.
+//! Answers to clients, and their conversion to actions of the node.
 
 use pearford_scheduler::extension::Action;
 use pearford_scheduler::types::RequestId;
@@ -8,42 +8,42 @@
 pub mod status {
     /// The answer holds what was requested.
     pub const OK: u16 = 200;
-    /// The request is malformed, or the job in it is at fault.
+    /// The request is malformed, or its job is invalid.
     pub const BAD_REQUEST: u16 = 400;
-    /// The token is unknown, or does not reach the namespace.
+    /// The token is unknown or has no access to the namespace.
     pub const FORBIDDEN: u16 = 403;
-    /// There is no such path, or no such object.
+    /// The path or the object does not exist.
     pub const NOT_FOUND: u16 = 404;
-    /// The path does not take this method.
+    /// The path does not allow this method.
     pub const METHOD_NOT_ALLOWED: u16 = 405;
     /// The job has changed since the client read it.
     pub const CONFLICT: u16 = 409;
-    /// The store refuses the records as they are.
+    /// The job fails admission, or its records exceed the store's limits.
     pub const UNPROCESSABLE: u16 = 422;
-    /// A bound on requests or writes is reached; the client is to retry.
+    /// A limit on requests or writes is reached; the client should retry.
     pub const TOO_MANY_REQUESTS: u16 = 429;
     /// A record can't be decoded.
     pub const INTERNAL_ERROR: u16 = 500;
-    /// Nomad has it, pearford does not.
+    /// A part of Nomad's API that pearford does not support.
     pub const NOT_IMPLEMENTED: u16 = 501;
-    /// Records can't be read or written now; the client is to retry.
+    /// Records can't be read or written at present; the client should retry.
     pub const UNAVAILABLE: u16 = 503;
 }
 
-/// Seconds after which a client is to retry.
+/// Seconds after which a client should retry.
 const RETRY_AFTER_S: u32 = 1;
 
 /// An answer before it is sent.
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Revision that the answer is as of, for blocking queries; none for what has no index.
+    /// The answer's index, which blocking queries compare; none for answers without an index.
     pub index: Option<u64>,
-    /// Where the next page begins, if there is one.
+    /// Token of the next page, if there is one.
     pub next_token: Option<String>,
-    /// Whether the client is to retry.
+    /// Whether the client should retry.
     pub retry: bool,
-    /// JSON, or the text of an error.
+    /// JSON, or an error's text.
     pub body: String,
 }
 
@@ -53,20 +53,20 @@
         Self { status, index, next_token: None, retry: false, body: value.to_string() }
     }
 
-    /// An error. Clients show its text as it is.
+    /// An error. Clients display its text unchanged.
     pub fn error(status: u16, reason: impl Into<String>) -> Self {
         let retry = matches!(status, status::TOO_MANY_REQUESTS | status::UNAVAILABLE);
         Self { status, index: None, next_token: None, retry, body: reason.into() }
     }
 }
 
-/// Why a request is refused, before anything is done for it.
+/// The refusal of a request before any write.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{reason}")]
 pub struct Refusal {
     /// HTTP status.
     pub status: u16,
-    /// What is wrong and what to do instead, as the client shows it.
+    /// The fault and its remedy; clients display this text.
     pub reason: String,
 }
 
@@ -98,7 +98,7 @@
     Action::Answer { request, status: reply.status, retry_after_s, headers, body: reply.body }
 }
 
-/// The actions of a step that does nothing but answer a request.
+/// The actions of a step that only answers a request.
 pub fn respond(request: RequestId, reply: impl Into<Reply>) -> Vec<Action> {
     vec![send(request, reply.into())]
 }
--- a/crates/nomad/src/api/retry.rs
+++ b/crates/nomad/src/api/retry.rs
@@ -1,5 +1,5 @@
-//! Registrations and stops in progress: each is decided from the current records, committed on the condition that the
-//! records are unchanged, and retried from new records on a conflict.
+//! Registrations and stops in progress: each is decided from the current records, committed on the condition
+//! that the records are unchanged, and retried from new records on a conflict.
 
 use super::names::{NameHash, PREFIX};
 use super::reply::{Refusal, Reply, respond, send, status};
@@ -64,8 +64,8 @@
     /// Starts a change.
     pub(super) fn write(&mut self, view: &View<'_>, request: RequestId, change: Change) -> Vec<Action> {
         let write = Write { request, change, retries: 0, salt: 0, created_keys: BTreeSet::new() };
-        // A name that this node doesn't know needs no read first: the commit is conditional on the absence of the
-        // keys. If another node has just registered the name, the commit conflicts and a read follows.
+        // A name that this node doesn't know needs no read first: the commit is conditional on the absence of
+        // the keys. If another node has just registered the name, the commit conflicts and a read follows.
         let known = view.records.get(&write.change.hash().key()).is_some();
         let registers = matches!(write.change, Change::Register { plan: false, .. });
         if view.records.store_revision().is_none() || view.jobs.store_revision().is_none() {
@@ -74,8 +74,8 @@
                 Reply::error(status::UNAVAILABLE, "records are not read yet; come back"),
             );
         }
-        // A refusal is final only after the read: a node that has just started and doesn't know the machine types
-        // yet must not refuse the repeat of a registration that another node accepted.
+        // A refusal is final only after the read: a node that has just started and doesn't know the machine
+        // types yet must not refuse the repeat of a registration that another node accepted.
         if registers && !known {
             let decision = self.decision(view, &write);
             if decision.is_ok() {
@@ -188,7 +188,8 @@
             }
             Outcome::Conflict(failed) if write.retries < MAX_RETRIES => {
                 write.retries += 1;
-                // The id of a new native job exists: another node made the same change, or a user's own job has the id.
+                // The id of a new native job exists: another node made the same change, or a user's own job
+                // has the id.
                 if failed.iter().any(|key| !key.starts_with(PREFIX) && write.created_keys.contains(key)) {
                     write.salt += 1;
                 }
--- a/crates/nomad/src/api/rollouts.rs
+++ b/crates/nomad/src/api/rollouts.rs
@@ -1,8 +1,8 @@
-//! Decides the steps of a service's rollout from one version to the next. Pure functions: they compute the next step
-//! from the leader's observations. Each step is stored, so that a new leader continues from it.
+//! Decides the steps of a service's rollout from one version to the next. Pure functions: they compute the
+//! next step from the leader's observations. Each step is stored, so that a new leader continues from it.
 //!
-//! New replicas start beside the old ones, and an old part is cancelled only once as many new replicas are healthy.
-//! An old part is cancelled earlier only if the team's limit leaves no room for another new replica.
+//! New replicas start beside the old ones, and an old part is cancelled only once as many new replicas are
+//! healthy. An old part is cancelled earlier only if the team's limit leaves no room for another new replica.
 
 use super::guards::{Guard, holds};
 use super::names::{Head, Rollout};
@@ -72,10 +72,10 @@
         if group_healthy || healthy >= gone + old.part.tasks || !holds(Guard::HealthyFirst) {
             return Step::Cancel(old.part.id.clone());
         }
-        // Cancels an old part if new tasks wait and the limit has no room for them. Without this, a rollout with
-        // two of three new replicas running would wait for the third until its deadline. Tasks that have a machine
-        // but don't run yet count against the limit too: cancelling an old part before they run would remove a
-        // replica without need.
+        // Cancels an old part if new tasks wait and the limit has no room for them. Without this, a rollout
+        // with two of three new replicas running would wait for the third until its deadline. Tasks that have
+        // a machine but don't run yet count against the limit too: cancelling an old part before they run
+        // would remove a replica without need.
         let has_waiting = group.parts.iter().any(|p| status(&p.id).waiting > 0);
         let has_starting =
             group.parts.iter().any(|p| status(&p.id).running + status(&p.id).waiting < p.tasks);
@@ -116,7 +116,8 @@
     remaining.is_some_and(|remaining| each.fits_in(&remaining))
 }
 
-/// Since when each part has run all its tasks, as this leader observed it. A new leader starts with no observations.
+/// Since when each part has run all its tasks, as this leader observed it. A new leader starts with no
+/// observations.
 #[derive(Debug, Default)]
 pub struct Health {
     full_since: BTreeMap<JobId, MonotonicTime>,
--- a/crates/nomad/src/api/routes.rs
+++ b/crates/nomad/src/api/routes.rs
@@ -46,8 +46,8 @@
 /// Finds a request's operation.
 ///
 /// # Errors
-/// The path is malformed or unknown, does not allow the method, or belongs to a part of Nomad's API that pearford
-/// does not support.
+/// The path is malformed or unknown, does not allow the method, or belongs to a part of Nomad's API that
+/// pearford does not support.
 pub fn route(verb: Verb, path: &str, query: &Query) -> Result<Route, Refusal> {
     let segments: Option<Vec<String>> = path.trim_matches('/').split('/').map(percent_decoded).collect();
     let segments = segments.ok_or_else(|| Refusal::new(status::BAD_REQUEST, "the path is not UTF-8"))?;
@@ -69,8 +69,8 @@
     }
 }
 
-/// Finds the operation of a path under `/v1/job`. A job's name may contain slashes: only the last segment can be an
-/// operation or a part of the job.
+/// Finds the operation of a path under `/v1/job`. A job's name may contain slashes: only the last segment can
+/// be an operation or a part of the job.
 fn job_route(verb: Verb, segments: &[&str], query: &Query) -> Result<Route, Refusal> {
     match segments {
         [name @ .., "plan"] if is_write(verb) && !name.is_empty() => {
@@ -140,7 +140,8 @@
     Some(endpoint)
 }
 
-/// The refusal of a path that pearford does not support; it names the unsupported feature if the path is Nomad's.
+/// The refusal of a path that pearford does not support; it names the unsupported feature if the path is
+/// Nomad's.
 fn not_supported(segments: &[&str]) -> Refusal {
     let unsupported = match segments {
         ["node", ..] => "draining or purging of machines here; they come and go with the work",
--- a/crates/nomad/src/api/tests/golden.rs
+++ b/crates/nomad/src/api/tests/golden.rs
@@ -1,6 +1,6 @@
-//! The shape of every answer to clients of Nomad's API: which members there are, and of which type.
+//! Golden tests of the shape of every answer of Nomad's API: the members and their types.
 //!
-//! What the members say depends on the seeded run, so it is not recorded.
+//! The members' values depend on the seeded simulation and are not recorded.
 
 use super::{api, call, job};
 use pearford_scheduler::extension::{Call, Verb};
@@ -8,10 +8,10 @@
 use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
-/// Names by which the caller's own words appear in answers as members: not part of the shape.
+/// Members named after the caller's groups and tasks, which are not part of the shape.
 const OWN_NAMES: [&str; 2] = ["g", "t"];
 
-/// Members and types; of a list, those of its first element.
+/// The members and types of a value; for a list, those of its first element.
 fn shape(value: &Value) -> String {
     match value {
         Value::Null => "null".into(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// The body of the answer to `call`, which must have this status.
+/// The body of the answer to `call`, which must have the given status.
 fn answer(w: &mut Simulation, call: Call, status: u16) -> String {
     w.answers.clear();
     let what = call.path.clone();
@@ -45,7 +45,7 @@
     serde_json::from_str(&body).expect("JSON")
 }
 
-/// A world in which a service of two replicas runs.
+/// A simulation in which a service of two replicas runs.
 fn with_a_service() -> Simulation {
     let mut w = Simulation::new(5).with_extension(api);
     w.run_until(6_000);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn golden_shapes_of_answers_to_questions() {
+fn golden_shapes_of_answers_to_reads() {
     let mut w = with_a_service();
     let mut group = golden_group!("answer_shapes.txt");
     let id_of = |list: &Value| list[0]["ID"].as_str().expect("an id").to_string();
--- a/crates/nomad/src/api/tests/histories.rs
+++ b/crates/nomad/src/api/tests/histories.rs
@@ -1,9 +1,10 @@
-//! Registrations, repeats, changed versions, stops and purges over cuts, crashes, hangs and take-overs.
-//! The rules of the core hold throughout; besides: one set of native jobs for each version, one final
-//! answer, no index and no version ever back, and in the end what was asked for last.
+//! Histories of registrations, repeats, new versions, stops and purges during network partitions, crashes,
+//! hangs and failovers. The scheduler's invariants must hold throughout. In addition, each version has one
+//! set of native jobs and one final status, indexes and versions never decrease, and the final state matches
+//! each user's last request.
 
 use super::{api, call, job};
-use crate::api::guards::{Guard, without};
+use crate::api::guards::{Guard, with_disabled};
 use crate::api::names::{Head, NAMES, NameHash};
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::jobs::Record;
@@ -17,74 +18,76 @@
 const TEAMS: [&str; 2] = ["red", "blue"];
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Wish {
-    /// The n-th file.
+enum Operation {
+    /// Registers the n-th version of the job file.
     Register(u32),
     Stop,
     Purge,
 }
 
-/// A user with one name: sends what it wishes, again and again until it is answered.
+/// A user of one name: sends each operation until it is answered.
 struct User {
     name: String,
     team: &'static str,
     service: bool,
     count: u32,
-    wishes: Vec<(u64, Wish)>,
+    operations: Vec<(u64, Operation)>,
     at: usize,
     next: u64,
-    /// Tag of the request whose answer it waits for.
-    asked: u64,
-    /// Files registered with success, in order; repeats of the newest don't count.
+    /// Tag of the request that awaits an answer.
+    request_tag: u64,
+    /// Successfully registered files in order, without repeats of the newest.
     files: Vec<u32>,
     stopped: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
-struct Seen {
+struct Observed {
     index: u64,
     version: u64,
 }
 
-struct Play {
+struct History {
     w: Simulation,
     rng: StdRng,
     users: Vec<User>,
     tag: u64,
-    /// What had been told of each name when a question was asked: no answer may be older.
-    floors: BTreeMap<u64, (usize, Seen, bool)>,
-    answered: Vec<Seen>,
-    /// The newest index that a list was told, and those asked for with what had been told by then.
+    /// Reads in progress, with what earlier answers had shown of the name; the answer must not be older.
+    floors: BTreeMap<u64, (usize, Observed, bool)>,
+    answered: Vec<Observed>,
+    /// The newest index of a list's answer.
     listed: u64,
+    /// List reads in progress, with the newest index at the time of the request; the answer must not be
+    /// older.
     lists: BTreeMap<u64, u64>,
-    /// Versions that were told to be over, and how many tasks were complete.
-    over: BTreeMap<(usize, u64), u64>,
-    broken: Vec<String>,
+    /// Versions that an answer showed as ended, with 1 if they were done and 0 if not.
+    ended: BTreeMap<(usize, u64), u64>,
+    violations: Vec<String>,
 }
 
 fn users(rng: &mut StdRng) -> Vec<User> {
     let mut out = Vec::new();
     for n in 0..6 {
         let service = n % 2 == 1;
-        let mut wishes = Vec::new();
+        let mut operations = Vec::new();
         let mut at = rng.random_range(500..10_000);
         let mut file = 0;
         for _ in 0..rng.random_range(2..6) {
-            let wish = match rng.random_range(0..10) {
-                0 => Wish::Stop,
-                1 => Wish::Purge,
-                2..6 => Wish::Register(file),
+            let operation = match rng.random_range(0..10) {
+                0 => Operation::Stop,
+                1 => Operation::Purge,
+                2..6 => Operation::Register(file),
                 _ => {
                     file += 1;
-                    Wish::Register(file)
+                    Operation::Register(file)
                 }
             };
-            // Nothing can be stopped before it is there.
-            let wish = if wishes.is_empty() { Wish::Register(0) } else { wish };
-            wishes.push((at, wish));
+            // The first operation is a registration, as a job must exist before it can be stopped.
+            let operation = if operations.is_empty() { Operation::Register(0) } else { operation };
+            operations.push((at, operation));
             at += rng.random_range(200..25_000);
         }
-        // Names of any script; teams may hold 12 GPUs.
+        // Names in several scripts. Each team's limit is 12 GPUs.
         let name = format!("{}-{n}", ["forecast", "señal", "地震"][n % 3]);
         let count = rng.random_range(1..4);
         out.push(User {
@@ -92,10 +95,10 @@
             team: TEAMS[n % 2],
             service,
             count,
-            wishes,
+            operations,
             at: 0,
             next: 0,
-            asked: 0,
+            request_tag: 0,
             files: Vec::new(),
             stopped: false,
         });
@@ -103,14 +106,14 @@
     out
 }
 
-impl Play {
+impl History {
     fn new(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Self {
         let mut w = Simulation::new(seed).with_extension(api);
         faults(&mut w);
         let mut rng = StdRng::seed_from_u64(seed);
         let users = users(&mut rng);
-        let answered = vec![Seen::default(); users.len()];
-        Play {
+        let answered = vec![Observed::default(); users.len()];
+        History {
             w,
             rng,
             users,
@@ -119,8 +122,8 @@
             answered,
             listed: 0,
             lists: BTreeMap::new(),
-            over: BTreeMap::new(),
-            broken: Vec::new(),
+            ended: BTreeMap::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -129,35 +132,35 @@
         for now in (from..=end).step_by(50) {
             self.w.run_until(now);
             for answer in std::mem::take(&mut self.w.answers) {
-                self.answered(now, answer);
+                self.handle_answer(now, answer);
             }
             for u in 0..self.users.len() {
-                self.turn(now, u);
+                self.send_operation(now, u);
             }
             if now % 1_000 == 0 {
-                self.question();
+                self.send_reads();
             }
-            if !self.w.rules.broken.is_empty() || !self.broken.is_empty() {
+            if !self.w.rules.broken.is_empty() || !self.violations.is_empty() {
                 return;
             }
         }
     }
 
-    fn turn(&mut self, now: u64, u: usize) {
+    fn send_operation(&mut self, now: u64, u: usize) {
         let user = &mut self.users[u];
-        let Some((at, wish)) = user.wishes.get(user.at).copied() else { return };
+        let Some((at, operation)) = user.operations.get(user.at).copied() else { return };
         if now < at || now < user.next {
             return;
         }
         self.tag += 1;
-        user.asked = self.tag;
+        user.request_tag = self.tag;
         user.next = now + 6_000;
         let query = format!("namespace={}", user.team);
-        // By the bytes of its UTF-8, as clients escape it.
+        // Percent-encodes the bytes of the UTF-8 text, as clients do.
         let escaped: String = user.name.bytes().map(|b| format!("%{b:02X}")).collect();
         let path = format!("/v1/job/{escaped}");
-        let request = match wish {
-            Wish::Register(file) => {
+        let request = match operation {
+            Operation::Register(file) => {
                 let kind = if user.service { "service" } else { "batch" };
                 let mut job = job(&user.name, user.team, kind, user.count, file);
                 job["Update"] =
@@ -167,20 +170,20 @@
                 }
                 call(Verb::Post, "/v1/jobs", &query, &json!({"Job": job}))
             }
-            Wish::Stop => call(Verb::Delete, &path, &query, &Value::Null),
-            Wish::Purge => call(Verb::Delete, &path, &format!("{query}&purge=true"), &Value::Null),
+            Operation::Stop => call(Verb::Delete, &path, &query, &Value::Null),
+            Operation::Purge => call(Verb::Delete, &path, &format!("{query}&purge=true"), &Value::Null),
         };
         let node = self.rng.random_range(0..NODES);
         let twice = self.rng.random_bool(0.2);
         self.w.call(node, self.tag, request.clone());
         if twice {
-            // The same at another node at once.
+            // Sends the same request to another node at the same time.
             self.w.call((node + 1) % NODES, 0, request);
         }
     }
 
-    /// Reads a name at some node, and a list at another.
-    fn question(&mut self) {
+    /// Reads a list at a random node and a name at a random node.
+    fn send_reads(&mut self) {
         self.tag += 1;
         self.lists.insert(self.tag, self.listed);
         let node = self.rng.random_range(0..NODES);
@@ -194,14 +197,14 @@
         self.w.call(node, self.tag, call(Verb::Get, &format!("/v1/job/{escaped}"), &query, &Value::Null));
     }
 
-    fn answered(&mut self, now: u64, answer: Answered) {
+    fn handle_answer(&mut self, now: u64, answer: Answered) {
         let body: Value = serde_json::from_str(&answer.body).unwrap_or(Value::Null);
         let index =
             answer.headers.iter().find(|(k, _)| *k == "x-nomad-index").and_then(|(_, v)| v.parse().ok());
         if let Some(floor) = self.lists.remove(&answer.tag) {
             let index: u64 = index.unwrap_or(u64::MAX);
             if answer.status == 200 && index < floor {
-                self.broken.push(format!("at {now}: the list's index is {index} after {floor}"));
+                self.violations.push(format!("at {now}: the list's index fell to {index} from {floor}"));
             }
             if answer.status == 200 {
                 self.listed = self.listed.max(index);
@@ -213,59 +216,62 @@
                 return;
             }
             let index = index.unwrap_or(0);
-            let seen = Seen { index, version: body["Version"].as_u64().unwrap_or(0) };
-            if seen.index < floor.index || seen.version < floor.version {
-                self.broken
-                    .push(format!("at {now}: {} went back: {seen:?} after {floor:?}", self.users[u].name));
+            let observed = Observed { index, version: body["Version"].as_u64().unwrap_or(0) };
+            if observed.index < floor.index || observed.version < floor.version {
+                self.violations.push(format!(
+                    "at {now}: {} decreased: {observed:?} after {floor:?}",
+                    self.users[u].name
+                ));
             }
-            self.answered[u] = Seen {
+            self.answered[u] = Observed {
                 index: self.answered[u].index.max(index),
-                version: self.answered[u].version.max(seen.version),
+                version: self.answered[u].version.max(observed.version),
             };
             let dead = body["Status"] == "dead";
             let done =
                 body["StatusDescription"] == "done" || body["StatusDescription"] == "done, then stopped";
-            let key = (u, seen.version);
-            let was = self.over.get(&key).copied();
+            let key = (u, observed.version);
+            let was = self.ended.get(&key).copied();
             if was.is_some() && !dead {
-                self.broken.push(format!(
-                    "at {now}: {} v{} was over, is {}",
-                    self.users[u].name, seen.version, body["Status"]
+                self.violations.push(format!(
+                    "at {now}: {} v{} had ended, its status is {}",
+                    self.users[u].name, observed.version, body["Status"]
                 ));
             }
             if was == Some(1) && !done {
-                self.broken.push(format!(
-                    "at {now}: {} v{} was done, is {}",
-                    self.users[u].name, seen.version, body["StatusDescription"]
+                self.violations.push(format!(
+                    "at {now}: {} v{} was done, its description is {}",
+                    self.users[u].name, observed.version, body["StatusDescription"]
                 ));
             }
             if dead {
-                self.over.insert(key, u64::from(done));
+                self.ended.insert(key, u64::from(done));
             }
             return;
         }
-        let Some(u) = self.users.iter().position(|u| u.asked == answer.tag && answer.tag != 0) else {
+        let Some(u) = self.users.iter().position(|u| u.request_tag == answer.tag && answer.tag != 0) else {
             return;
         };
         let user = &mut self.users[u];
-        let Some((_, wish)) = user.wishes.get(user.at).copied() else { return };
-        match (answer.status, wish) {
+        let Some((_, operation)) = user.operations.get(user.at).copied() else { return };
+        match (answer.status, operation) {
             (200, _) => {
-                match wish {
-                    Wish::Register(file) => {
+                match operation {
+                    Operation::Register(file) => {
                         if user.files.last() != Some(&file) {
                             user.files.push(file);
                             user.stopped = false;
                         }
                     }
-                    Wish::Stop | Wish::Purge => user.stopped = true,
+                    Operation::Stop | Operation::Purge => user.stopped = true,
                 }
                 user.at += 1;
-                user.asked = 0;
+                user.request_tag = 0;
             }
             (429 | 503, _) => user.next = now + 1_000,
             (status, _) => {
-                self.broken.push(format!("at {now}: {} {wish:?} got {status}: {}", user.name, answer.body));
+                self.violations
+                    .push(format!("at {now}: {} {operation:?} got {status}: {}", user.name, answer.body));
             }
         }
     }
@@ -279,25 +285,25 @@
         serde_json::from_str(self.w.state.key(&format!("j/{id}"))?).ok()
     }
 
-    /// At the end of the day: everything is as it was asked for last.
+    /// Checks that the final state matches each user's last request.
     fn check_end(&mut self) {
         let mut named: BTreeSet<String> = BTreeSet::new();
         for u in 0..self.users.len() {
             let Some(head) = self.head(u) else {
-                self.broken.push(format!("{}: no record", self.users[u].name));
+                self.violations.push(format!("{}: no record", self.users[u].name));
                 continue;
             };
             let user = &self.users[u];
             let mut faults = Vec::new();
             let mut wrong = |what: String| faults.push(format!("{}: {what}; {head:?}", user.name));
-            if user.at < user.wishes.len() {
-                wrong(format!("wish {} was never answered", user.at));
+            if user.at < user.operations.len() {
+                wrong(format!("operation {} was not answered", user.at));
             }
             if head.version + 1 != user.files.len() as u64 {
                 wrong(format!("{} files, version {}", user.files.len(), head.version));
             }
             if head.stopped != user.stopped || head.roll.is_some() || !head.ending.is_empty() {
-                wrong("is not at rest as asked".into());
+                wrong("the final state differs from the last request".into());
             }
             for part in head.parts() {
                 named.insert(part.id.to_string());
@@ -313,12 +319,12 @@
                     Some(Record::Open(_)) if user.service && !user.stopped && up as u32 == part.tasks => {}
                     Some(Record::Cancelled) if user.stopped => {}
                     Some(Record::Done) if !user.service => {}
-                    other => wrong(format!("{} of {} up, its record {other:?}", up, part.tasks)),
+                    other => wrong(format!("{} of {} tasks are up, the record is {other:?}", up, part.tasks)),
                 }
             }
-            self.broken.extend(faults);
+            self.violations.extend(faults);
         }
-        // Native jobs of earlier versions are over; there are no more than versions have parts.
+        // Native jobs of earlier versions have ended, and each version has made exactly one native job.
         let mut jobs = 0;
         let mut open = Vec::new();
         for (key, value) in self.w.state.under("j/") {
@@ -329,50 +335,51 @@
             }
         }
         if !open.is_empty() {
-            self.broken.push(format!("native jobs that nothing names any more are open: {open:?}"));
+            self.violations.push(format!("native jobs without a name are open: {open:?}"));
         }
         let versions: usize = self.users.iter().map(|u| u.files.len()).sum();
         if jobs != versions {
-            self.broken
-                .push(format!("{versions} versions, but {jobs} native jobs: some work ran twice or never"));
+            self.violations.push(format!(
+                "{versions} versions but {jobs} native jobs: a version was registered twice or not at all"
+            ));
         }
     }
 }
 
-fn day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Play {
-    let mut play = Play::new(seed, faults);
-    play.run(DAY_ENDS);
-    play.check_end();
-    play
+fn day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> History {
+    let mut history = History::new(seed, faults);
+    history.run(DAY_ENDS);
+    history.check_end();
+    history
 }
 
-fn holds(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Play {
-    let play = day(seed, faults);
-    assert!(play.w.rules.broken.is_empty(), "seed {seed}: {:?}", play.w.rules.broken);
-    assert!(play.broken.is_empty(), "seed {seed}: {}", play.broken.join("\n"));
-    assert!(play.w.state.under(NAMES).count() == play.users.len());
-    play
+fn checked_day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> History {
+    let history = day(seed, faults);
+    assert!(history.w.rules.broken.is_empty(), "seed {seed}: {:?}", history.w.rules.broken);
+    assert!(history.violations.is_empty(), "seed {seed}: {}", history.violations.join("\n"));
+    assert!(history.w.state.under(NAMES).count() == history.users.len());
+    history
 }
 
 #[test]
-fn quiet_days_end_as_asked() {
-    let over: usize = (0..8).map(|seed| holds(seed, |_| {}).over.len()).sum();
-    assert!(over > 20, "only {over} versions were told to be over");
+fn final_state_matches_last_requests_without_faults() {
+    let ended: usize = (0..8).map(|seed| checked_day(seed, |_| {}).ended.len()).sum();
+    assert!(ended > 20, "only {ended} versions ended");
 }
 
 #[test]
-fn troubled_days_end_as_asked() {
+fn final_state_matches_last_requests_with_faults() {
     let more = std::env::var("PEARFORD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(24);
     for seed in 100..100 + more {
-        let _ = holds(seed, troubles);
+        let _ = checked_day(seed, troubles);
     }
 }
 
-/// A take-over at any step of a roll goes on with it.
+/// A new leader must continue a rollout from any step.
 #[test]
-fn rolls_survive_a_crash_of_all_nodes_again_and_again() {
+fn rollouts_continue_after_repeated_crashes_of_all_nodes() {
     for seed in 500..508 {
-        let _ = holds(seed, |w| {
+        let _ = checked_day(seed, |w| {
             for n in 0..8u64 {
                 (0..NODES)
                     .for_each(|i| w.at(8_000 + 9_000 * n + 40 * i as u64, Event::Fault(Fault::Crash(i))));
@@ -381,16 +388,16 @@
     }
 }
 
-/// Proves that the checks above can fail.
+/// Checks that the checks above detect a violation of each guarantee.
 #[test]
-fn a_guard_taken_out_shows() {
+fn disabled_guarantees_are_detected() {
     for guard in [Guard::Repeat, Guard::FreshRead, Guard::Cancellation] {
-        let noticed = without(guard, || {
+        let detected = with_disabled(guard, || {
             (100..140).any(|seed| {
-                let play = day(seed, troubles);
-                !play.w.rules.broken.is_empty() || !play.broken.is_empty()
+                let history = day(seed, troubles);
+                !history.w.rules.broken.is_empty() || !history.violations.is_empty()
             })
         });
-        assert!(noticed, "{guard:?}");
+        assert!(detected, "{guard:?}");
     }
 }
--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever a client sends is answered, and breaks nothing.
+//! Malformed and excessive requests: each is answered with a valid status, and no invariant breaks.
 
 use super::{api, call, job};
 use arbtest::arbtest;
@@ -6,8 +6,8 @@
 use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
-/// A world with a leader, a job, and no more that happens by itself.
-fn world() -> Simulation {
+/// A simulation with a leader and one registered job, without further events.
+fn simulation_with_job() -> Simulation {
     let mut w = Simulation::new(77).with_extension(api);
     w.run_until(6_000);
     w.call(
@@ -20,7 +20,7 @@
     w
 }
 
-/// Sends a call and gives its status.
+/// Sends a call and returns the answer's status; 0 without an answer.
 fn answered(w: &mut Simulation, call: Call) -> u16 {
     w.answers.clear();
     w.call(0, 2, call);
@@ -33,7 +33,7 @@
     w.answers.first().map_or(0, |a| a.status)
 }
 
-/// Where everything in a value is.
+/// Appends the JSON pointers of a value and of everything in it.
 fn pointers(value: &Value, at: &str, out: &mut Vec<String>) {
     out.push(at.into());
     match value {
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn every_body_gets_an_answer() {
+fn malformed_bodies_get_a_client_error() {
     let good = job("b", "red", "service", 2, 0);
-    let mut w = world();
+    let mut w = simulation_with_job();
     arbtest(|u| {
-        // A good registration with something in it replaced, left out or doubled.
+        // A valid registration with some of its values replaced or duplicated.
         let mut body = json!({"Job": good});
         for _ in 0..u.int_in_range(1..=4)? {
             let mut places = Vec::new();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn every_path_gets_an_answer() {
+fn every_path_and_query_gets_an_answer() {
     const WORDS: &[&str] = &[
         "v1",
         "jobs",
@@ -135,7 +135,7 @@
         "filter=x",
         "index=x",
     ];
-    let mut w = world();
+    let mut w = simulation_with_job();
     arbtest(|u| {
         let mut path = String::new();
         for _ in 0..u.int_in_range(0..=5)? {
@@ -149,7 +149,7 @@
         }
         let verb = *u.choose(&[Verb::Get, Verb::Post, Verb::Put, Verb::Delete, Verb::Other])?;
         let body: Vec<u8> = u.arbitrary()?;
-        // A query that waits for a change is bounded by the settings; here nothing is to wait.
+        // Removes an index that would make the query wait longer than `answered` does.
         let query = if query.contains("index=1844") {
             query.replace("index=18446744073709551615", "")
         } else {
@@ -163,10 +163,11 @@
     .budget_ms(1_500);
 }
 
-/// Queries that wait are bounded in number and time, and a change wakes them.
+/// Blocking queries must be bounded in number and time, and be answered after a change. Otherwise they could
+/// exhaust a node's memory or hold clients forever.
 #[test]
-fn blocking_queries_are_bounded_and_woken() {
-    let mut w = world();
+fn blocking_queries_are_bounded_and_answered_after_a_change() {
+    let mut w = simulation_with_job();
     let ask = |query: &str| call(Verb::Get, "/v1/job/a", query, &Value::Null);
     assert_eq!(answered(&mut w, ask("namespace=red")), 200);
     let index = w.answers[0]
@@ -174,7 +175,7 @@
         .iter()
         .find(|(k, _)| *k == "x-nomad-index")
         .map(|(_, v)| v.clone())
-        .expect("told");
+        .expect("the answer has an index");
     w.answers.clear();
     for tag in 0..700 {
         w.call(0, 1_000 + tag, ask(&format!("namespace=red&stale&index={index}&wait=20s")));
@@ -182,23 +183,24 @@
     let until = w.now + 1_000;
     w.run_until(until);
     let refused = w.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
-    assert_eq!((w.answers.len(), refused), (100, 100), "600 may wait");
+    assert_eq!((w.answers.len(), refused), (100, 100), "at most 600 queries may wait");
     w.answers.clear();
-    // A stop wakes all of them, a few at a time.
+    // A stop answers all of them, a bounded number in each step.
     w.call(1, 5, call(Verb::Delete, "/v1/job/a", "namespace=red", &Value::Null));
     let until = w.now + 6_000;
     w.run_until(until);
     let woken = w.answers.iter().filter(|a| a.tag >= 1_000 && a.body.contains("\"Stop\":true")).count();
     assert_eq!(woken, 600);
     w.answers.clear();
-    // One that nothing wakes ends by itself.
+    // A query without a change is answered at its deadline.
     assert_eq!(answered(&mut w, ask("namespace=red&index=999999&wait=2s")), 200);
 }
 
-/// A file that a client has parsed is evaluated by the node itself: within a budget of its own.
+/// The node evaluates job files that clients send for parsing. A budget limits this, so that a file can't
+/// block the node.
 #[test]
-fn a_file_that_takes_long_to_evaluate_is_refused() {
-    let mut w = world();
+fn refuses_a_file_that_exceeds_the_evaluation_budget() {
+    let mut w = simulation_with_job();
     let mut parse = |hcl: &str| {
         let body = json!({"JobHCL": hcl});
         let status = answered(&mut w, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &body));
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Machines as the API lists them: what assignment records hold durably, at any node.
+//! Machines in the API: every node lists them from their stored assignment records.
 
 use super::{api, call, job};
 use crate::api::endpoints::Endpoint;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_node_lists_the_machines_that_hold_tasks_and_what_they_hold() {
+fn every_node_lists_machines_with_their_tasks() {
     let mut w = Simulation::new(5).with_extension(api);
     w.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
@@ -36,7 +36,7 @@
         let mut seen: Vec<String> = Vec::new();
         for n in &nodes {
             let id = n["ID"].as_str().expect("an id");
-            let machine = w.workers.iter().find(|m| m.id.as_str() == id).expect("a machine that there is");
+            let machine = w.workers.iter().find(|m| m.id.as_str() == id).expect("the listed machine exists");
             assert_eq!(
                 (&n["Datacenter"], &n["NodeClass"]),
                 (&json!(machine.zone), &json!(machine.type_name))
@@ -57,9 +57,10 @@
     }
 }
 
-/// Each read may bring half a megabyte of records to a small node.
+/// Each read can load half a megabyte of records, so the rate of reads must be limited to protect a node's
+/// memory.
 #[test]
-fn machines_are_read_a_few_times_a_second_at_most() {
+fn rate_of_machine_reads_is_limited() {
     let mut w = Simulation::new(5).with_extension(api);
     w.run_until(6_000);
     for tag in 0..50 {
@@ -72,14 +73,15 @@
 }
 
 #[test]
-fn what_machines_hold_is_shown_only_to_who_may_see_all_teams() {
+fn machine_tasks_are_shown_only_with_access_to_all_teams() {
     let record: MachineRecord = serde_json::from_str(
         r#"{"f":"g8","z":"z0","s":true,"a":"10.0.0.9:9000","t":[[{"job":"req-1","index":0},7,"red",{"cpus":1,"gpus":1,"memory_gb":1}]]}"#,
     )
-    .expect("a record");
-    let page = Page::of(&Query::default()).expect("valid");
+    .expect("the record can be decoded");
+    let page = Page::of(&Query::default()).expect("the page is valid");
     for all in [false, true] {
-        let query = MachineQuery::of(&Endpoint::Machine("m-1".into()), &page, all).expect("about machines");
+        let query = MachineQuery::of(&Endpoint::Machine("m-1".into()), &page, all)
+            .expect("the endpoint is about machines");
         let machine = RecordedMachine { id: "m-1".into(), record: record.clone() };
         let found = MachinePage { machines: vec![machine], more: false };
         let body: Value = serde_json::from_str(&reply(&query, Ok(found)).body).expect("JSON");
--- a/crates/nomad/src/api/tests/mod.rs
+++ b/crates/nomad/src/api/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The API in the core's seeded simulation.
+//! Tests of the API in the scheduler's seeded simulation.
 
 mod golden;
 mod histories;
@@ -21,7 +21,7 @@
     Call { verb, path: path.into(), query: query.into(), token: None, body }
 }
 
-/// A job of one group; `run` makes it another version of the same work.
+/// A job of one group. A different `run` makes a different version of the job.
 pub(super) fn job(name: &str, namespace: &str, kind: &str, count: u32, run: u32) -> Value {
     json!({"ID": name, "Name": name, "Namespace": namespace, "Type": kind, "Priority": 50, "Datacenters": ["*"],
         "Meta": {"pearford_class": format!("c-{kind}"), "pearford_image_gb": "1", "pearford_expected_s": "5",
--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -1,5 +1,5 @@
-//! The same seeds with jobs submitted natively and through the API: the same tasks start on the same
-//! machines at the same times.
+//! Compares native submission with submission through the API: with the same seed, the same tasks must start
+//! on the same machines at the same times.
 
 use super::{api, call};
 use crate::api::names::{NameHash, part_id};
@@ -14,14 +14,14 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
 
-/// One job, in both forms.
-struct Both {
+/// One job in its native form and in Nomad's.
+struct JobPair {
     at: u64,
     native: Value,
     nomad: Value,
 }
 
-fn jobs(seed: u64) -> Vec<Both> {
+fn jobs(seed: u64) -> Vec<JobPair> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut out = Vec::new();
     for n in 0..14 {
@@ -33,7 +33,8 @@
         let spread = n % 5 == 2 && !together;
         let expected = f64::from(rng.random_range(2..15));
         let service = shape == "daemon";
-        // A service of which two versions don't fit its team's limit is made of parts: not here.
+        // At most two tasks, so that two versions fit the team's limit and the service isn't split into
+        // parts.
         let tasks = if service { tasks.min(2) } else { tasks };
         let id = part_id(&NameHash::of(team, &name), 0, "g", 0, 0);
         let native = json!({"id": id, "job_class": format!("c-{shape}"), "owner": team, "shape": shape,
@@ -42,7 +43,7 @@
             "flavors": null, "region": null, "together": together, "spread": spread, "preemptible": spot,
             "expected_s": if service { 0.0 } else { expected }, "snapshot_every_s": if service { 0.0 } else { 2.0 },
             "snapshot_s": 1.0, "due_s": null});
-        // GPUs come in one block or in two.
+        // Two GPUs are requested in one device block or in two.
         let devices: Vec<Value> = match gpus {
             2 if n % 2 == 0 => {
                 vec![json!({"Name": "gpu", "Count": 1}), json!({"Name": "nvidia/gpu", "Count": 1})]
@@ -62,15 +63,16 @@
             "TaskGroups": [{"Name": "g", "Count": tasks, "Tasks": [{"Name": "t", "Driver": "docker",
                 "Config": {"image": format!("img-{}", n % 3)},
                 "Resources": {"Cores": 2, "MemoryMB": 4096, "Devices": devices}}]}]});
-        let (_, spec) = users::submission(native.to_string().as_bytes()).expect("valid");
-        let job = source::job(&nomad.to_string(), &[], &Context::default()).expect("valid");
+        let (_, spec) = users::submission(native.to_string().as_bytes()).expect("the job is valid");
+        let job = source::job(&nomad.to_string(), &[], &Context::default()).expect("the job is valid");
         assert_eq!(job.groups[0].spec, spec, "{name}");
-        out.push(Both { at: rng.random_range(500..50_000), native, nomad });
+        out.push(JobPair { at: rng.random_range(500..50_000), native, nomad });
     }
     out
 }
 
-/// Plays a day; every submission is repeated at other nodes until it is accepted.
+/// Runs a day and returns the starts of tasks. Each submission is retried at other nodes until it is
+/// accepted.
 fn starts(seed: u64, through_api: bool, troubled: bool, change: fn(&mut Value)) -> Vec<Start> {
     let mut w = Simulation::new(seed).with_extension(api);
     if troubled {
@@ -79,12 +81,12 @@
     let mut jobs = jobs(seed);
     jobs.iter_mut().for_each(|j| change(&mut j.nomad));
     let mut next: Vec<Option<u64>> = jobs.iter().map(|j| Some(j.at)).collect();
-    let mut tries = vec![0usize; jobs.len()];
+    let mut attempts = vec![0usize; jobs.len()];
     for now in (0..DAY_ENDS).step_by(50) {
         w.run_until(now);
         for answer in std::mem::take(&mut w.answers) {
             let n = answer.tag as usize % jobs.len();
-            let last = answer.tag as usize / jobs.len() == tries[n];
+            let last = answer.tag as usize / jobs.len() == attempts[n];
             match answer.status {
                 200 | 201 if last => next[n] = None,
                 _ if last => next[n] = Some(now + 1_000),
@@ -95,10 +97,10 @@
             if next[n].is_none_or(|at| at > now) {
                 continue;
             }
-            tries[n] += 1;
+            attempts[n] += 1;
             next[n] = Some(now + 5_000);
-            let tag = (tries[n] * jobs.len() + n) as u64;
-            let node = (n + tries[n]) % NODES;
+            let tag = (attempts[n] * jobs.len() + n) as u64;
+            let node = (n + attempts[n]) % NODES;
             if through_api {
                 w.call(node, tag, call(Verb::Post, "/v1/jobs", "", &json!({"Job": jobs[n].nomad})));
             } else {
@@ -107,7 +109,7 @@
         }
     }
     assert!(w.rules.broken.is_empty(), "seed {seed}: {:?}", w.rules.broken);
-    assert!(next.iter().all(Option::is_none), "seed {seed}: not all were accepted");
+    assert!(next.iter().all(Option::is_none), "seed {seed}: some jobs were not accepted");
     std::mem::take(&mut w.rules.starts)
 }
 
@@ -118,7 +120,7 @@
     let first = native.iter().zip(&nomad).position(|(a, b)| a != b);
     assert!(
         native == nomad,
-        "seed {seed}: {} starts natively, {} through the API; first apart: {:?}",
+        "seed {seed}: {} starts natively, {} through the API; first difference: {:?}",
         native.len(),
         nomad.len(),
         first.map(|i| (&native[i], &nomad[i]))
@@ -126,28 +128,28 @@
 }
 
 #[test]
-fn quiet_days_go_the_same_way_through_either_api() {
+fn both_apis_start_the_same_tasks_without_faults() {
     for seed in 0..6 {
         compare(seed, false);
     }
 }
 
 #[test]
-fn troubled_days_go_the_same_way_through_either_api() {
+fn both_apis_start_the_same_tasks_with_faults() {
     let more = std::env::var("PEARFORD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
     for seed in 100..100 + more {
         compare(seed, true);
     }
 }
 
-/// What once happened: half of a GPU request was lost on the way.
+/// The comparison must detect a translation that drops one of a job's two device blocks.
 #[test]
-fn a_lost_gpu_shows() {
-    fn lose(job: &mut Value) {
+fn lost_device_block_is_detected() {
+    fn drop_second_block(job: &mut Value) {
         let devices = &mut job["TaskGroups"][0]["Tasks"][0]["Resources"]["Devices"];
         if devices.as_array().is_some_and(|d| d.len() == 2) {
             devices.as_array_mut().expect("a list").truncate(1);
         }
     }
-    assert_ne!(starts(1, false, false, |_| {}), starts(1, true, false, lose));
+    assert_ne!(starts(1, false, false, |_| {}), starts(1, true, false, drop_second_block));
 }
--- a/crates/nomad/src/api/tests/rollouts.rs
+++ b/crates/nomad/src/api/tests/rollouts.rs
@@ -1,17 +1,18 @@
-//! Rolls of services: no replica is missing where room was there, and no limit is passed.
+//! Rollouts of services: no replica is missing if the team's limit leaves room for both versions, and the
+//! limit is never exceeded.
 
 use super::{api, call, job};
-use crate::api::guards::{Guard, without};
+use crate::api::guards::{Guard, with_disabled};
 use crate::api::names::{Ended, Head, NameHash};
 use pearford_scheduler::extension::Verb;
 use pearford_scheduler::simulation::{Event, Fault, Simulation};
 use serde_json::{Value, json};
 
-/// A service under way from file 0 to file 1.
+/// A service and its rollout from file 0 to file 1.
 struct Rollout {
     w: Simulation,
     name: &'static str,
-    /// Fewest and most replicas that were up at once since the roll began.
+    /// Fewest and most replicas that were up at the same time since the rollout began.
     fewest: usize,
     most: usize,
 }
@@ -38,16 +39,16 @@
     }
 
     fn begin(seed: u64, count: u32, edit: impl Fn(&mut Value)) -> Self {
-        let mut roll =
+        let mut rollout =
             Rollout { w: Simulation::new(seed).with_extension(api), name: "quotes", fewest: 0, most: 0 };
-        roll.w.run_until(6_000);
-        let job = roll.file(count, 0, &edit);
-        assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-        let until = roll.w.now + 35_000;
-        roll.w.run_until(until);
-        assert_eq!(roll.up(), count as usize, "seed {seed}: file 0 is not up");
-        roll.fewest = roll.up();
-        roll
+        rollout.w.run_until(6_000);
+        let job = rollout.file(count, 0, &edit);
+        assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
+        let until = rollout.w.now + 35_000;
+        rollout.w.run_until(until);
+        assert_eq!(rollout.up(), count as usize, "seed {seed}: not all replicas of file 0 are up");
+        rollout.fewest = rollout.up();
+        rollout
     }
 
     fn up(&self) -> usize {
@@ -55,7 +56,7 @@
         tasks.filter(|t| t.present()).count()
     }
 
-    fn play(&mut self, ms: u64) {
+    fn run_for(&mut self, ms: u64) {
         let end = self.w.now + ms;
         while self.w.now < end {
             let next = self.w.now + 20;
@@ -68,137 +69,140 @@
 
     fn head(&self) -> Head {
         let key = NameHash::of("red", self.name).key();
-        serde_json::from_str(self.w.state.key(&key).expect("registered")).expect("readable")
+        serde_json::from_str(self.w.state.key(&key).expect("the name has a record"))
+            .expect("the record can be decoded")
     }
 }
 
 #[test]
-fn where_both_versions_fit_no_replica_is_ever_missing() {
-    let mut shown = 0;
+fn rollout_keeps_all_replicas_if_both_versions_fit() {
+    let mut completed = 0;
     for seed in 0..8 {
-        let mut roll = Rollout::begin(seed, 4, |_| {});
-        let job = roll.file(4, 1, &|_| {});
-        assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-        roll.play(60_000);
-        let head = roll.head();
-        // One machine in thirty never comes up; waited for, it holds a roll up beyond its deadline.
-        if head.ended == Some(Ended::Failed) && roll.w.workers.iter().any(|w| !w.up) {
+        let mut rollout = Rollout::begin(seed, 4, |_| {});
+        let job = rollout.file(4, 1, &|_| {});
+        assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
+        rollout.run_for(60_000);
+        let head = rollout.head();
+        // One machine in thirty never becomes ready. A rollout that waits for one exceeds its deadline.
+        if head.ended == Some(Ended::Failed) && rollout.w.workers.iter().any(|w| !w.up) {
             continue;
         }
-        shown += 1;
+        completed += 1;
         assert_eq!((head.version, head.roll, head.ended), (1, None, Some(Ended::Successful)), "seed {seed}");
-        assert_eq!((roll.fewest, roll.up()), (4, 4), "seed {seed}");
+        assert_eq!((rollout.fewest, rollout.up()), (4, 4), "seed {seed}");
     }
-    assert!(shown >= 7, "{shown} seeds show it");
+    assert!(completed >= 7, "only {completed} rollouts completed");
 }
 
-/// The team may hold 12: with 10 replicas two parts of 1 fit beside; with 12 one has to go first.
+/// The team's limit is 12 replicas. Ten replicas leave room for two new ones; with twelve, old replicas must
+/// be cancelled before new ones can start.
 #[test]
-fn where_the_limit_is_in_the_way_it_goes_in_steps() {
+fn rollout_proceeds_in_steps_within_the_team_limit() {
     for (seed, count, missing) in [(10, 10, 0), (11, 12, 2), (12, 7, 0)] {
-        let mut roll = Rollout::begin(seed, count, |_| {});
-        let parts = roll.head().groups[0].parts.len();
+        let mut rollout = Rollout::begin(seed, count, |_| {});
+        let parts = rollout.head().groups[0].parts.len();
         assert!(parts > 1, "seed {seed}: {parts} parts");
-        let job = roll.file(count, 1, &|_| {});
-        assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-        roll.play(290_000);
-        let head = roll.head();
+        let job = rollout.file(count, 1, &|_| {});
+        assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
+        rollout.run_for(290_000);
+        let head = rollout.head();
         assert_eq!((head.version, head.ended), (1, Some(Ended::Successful)), "seed {seed}: {:?}", head.roll);
-        assert_eq!(roll.up(), count as usize, "seed {seed}");
-        assert!(roll.fewest + missing >= count as usize, "seed {seed}: {} of {count} up", roll.fewest);
-        assert!(roll.most <= 12, "seed {seed}: {} up", roll.most);
+        assert_eq!(rollout.up(), count as usize, "seed {seed}");
+        assert!(rollout.fewest + missing >= count as usize, "seed {seed}: {} of {count} up", rollout.fewest);
+        assert!(rollout.most <= 12, "seed {seed}: {} up", rollout.most);
     }
 }
 
-/// New replicas that need machines of their own, while the cloud gives none.
-fn stuck(seed: u64, auto_revert: bool) -> Rollout {
-    let mut roll = Rollout::begin(seed, 3, |_| {});
+/// A rollout whose new replicas need new machines during a cloud outage.
+fn rollout_without_machines(seed: u64, auto_revert: bool) -> Rollout {
+    let mut rollout = Rollout::begin(seed, 3, |_| {});
     let big = |job: &mut Value| {
         job["Update"]["AutoRevert"] = auto_revert.into();
         job["TaskGroups"][0]["Tasks"][0]["Resources"]["Cores"] = 8.into();
     };
-    roll.w.at(roll.w.now, Event::Fault(Fault::CloudOutage(true)));
-    let job = roll.file(3, 1, &big);
-    assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-    roll
+    rollout.w.at(rollout.w.now, Event::Fault(Fault::CloudOutage(true)));
+    let job = rollout.file(3, 1, &big);
+    assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
+    rollout
 }
 
 #[test]
-fn a_failed_roll_goes_back_or_is_kept_as_the_job_says() {
+fn failed_rollout_is_reverted_only_with_auto_revert() {
     for seed in 20..24 {
-        let mut back = stuck(seed, true);
-        let before = back.head().roll.expect("on its way").olds;
-        back.play(90_000);
-        let head = back.head();
+        let mut reverted = rollout_without_machines(seed, true);
+        let before = reverted.head().roll.expect("the rollout is in progress").olds;
+        reverted.run_for(90_000);
+        let head = reverted.head();
         assert_eq!((head.version, head.ended, &head.roll), (2, Some(Ended::Reverted), &None), "seed {seed}");
         let parts: Vec<_> = head.parts().cloned().collect();
         assert_eq!(
             parts,
             before.into_iter().map(|o| o.part).collect::<Vec<_>>(),
-            "seed {seed}: the same go on"
+            "seed {seed}: the old parts must be kept"
         );
-        assert_eq!((back.fewest, back.up()), (3, 3), "seed {seed}");
+        assert_eq!((reverted.fewest, reverted.up()), (3, 3), "seed {seed}");
 
-        let mut kept = stuck(seed, false);
-        kept.play(70_000);
+        let mut kept = rollout_without_machines(seed, false);
+        kept.run_for(70_000);
         let head = kept.head();
         assert!(head.version == 1 && head.roll.is_some_and(|r| r.kept && !r.olds.is_empty()), "seed {seed}");
         assert_eq!(kept.fewest, 3, "seed {seed}");
-        // A stop in the midst wins, also over a roll that is kept.
+        // A stop also ends a failed rollout that was left as it is.
         assert_eq!(kept.send(Verb::Delete, "/v1/job/quotes", &Value::Null), 200);
-        kept.play(30_000);
+        kept.run_for(30_000);
         assert_eq!(kept.up(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_stop_in_the_midst_of_a_roll_wins() {
-    // Seeds on which every machine of file 0 comes up: waited for, one that never does takes longer than `begin` looks.
+fn stop_during_a_rollout_cancels_all_replicas() {
+    // Seeds with which every machine of file 0 becomes ready: a replacement takes longer than `begin` waits.
     for seed in 42..48 {
-        let mut roll = Rollout::begin(seed, 10, |_| {});
-        let job = roll.file(10, 1, &|_| {});
-        assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-        roll.play(5_000 + 4_000 * (seed - 42));
-        roll.w.at(roll.w.now, Event::Fault(Fault::Crash(seed as usize % 3)));
-        assert_eq!(roll.send(Verb::Delete, "/v1/job/quotes", &Value::Null), 200);
-        roll.play(45_000);
-        let head = roll.head();
+        let mut rollout = Rollout::begin(seed, 10, |_| {});
+        let job = rollout.file(10, 1, &|_| {});
+        assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
+        rollout.run_for(5_000 + 4_000 * (seed - 42));
+        rollout.w.at(rollout.w.now, Event::Fault(Fault::Crash(seed as usize % 3)));
+        assert_eq!(rollout.send(Verb::Delete, "/v1/job/quotes", &Value::Null), 200);
+        rollout.run_for(45_000);
+        let head = rollout.head();
         assert!(head.stopped && head.roll.is_none() && head.ending.is_empty(), "seed {seed}: {head:?}");
-        assert_eq!(roll.up(), 0, "seed {seed}");
+        assert_eq!(rollout.up(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn an_old_part_that_goes_too_early_shows() {
-    without(Guard::HealthyFirst, || {
-        let mut roll = Rollout::begin(0, 4, |_| {});
-        let job = roll.file(4, 1, &|_| {});
-        assert_eq!(roll.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-        roll.play(60_000);
-        assert!(roll.fewest < 4, "{} up", roll.fewest);
+fn early_cancellation_of_an_old_part_is_detected() {
+    with_disabled(Guard::HealthyFirst, || {
+        let mut rollout = Rollout::begin(0, 4, |_| {});
+        let job = rollout.file(4, 1, &|_| {});
+        assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
+        rollout.run_for(60_000);
+        assert!(rollout.fewest < 4, "{} up", rollout.fewest);
     });
 }
 
-/// Two clients that have read the same index: one wins, the other is told.
+/// If two clients enforce the same index, one registration must succeed and the other be refused: otherwise
+/// the later one would overwrite the earlier one unseen.
 #[test]
-fn of_two_registrations_that_enforce_an_index_one_wins() {
+fn only_one_of_two_registrations_with_the_same_enforced_index_succeeds() {
     for seed in 40..52 {
-        let mut roll = Rollout::begin(seed, 2, |_| {});
+        let mut rollout = Rollout::begin(seed, 2, |_| {});
         let index = {
             let key = NameHash::of("red", "quotes").version_key(0);
-            let revision = roll.w.state.revision(&key).expect("registered");
+            let revision = rollout.w.state.revision(&key).expect("the version has a record");
             revision.0
         };
         for (node, run) in [(0, 1), (1, 2)] {
             let body =
-                json!({"Job": roll.file(2, run, &|_| {}), "EnforceIndex": true, "JobModifyIndex": index});
-            roll.w.call(node, 10 + u64::from(run), call(Verb::Post, "/v1/jobs", "namespace=red", &body));
+                json!({"Job": rollout.file(2, run, &|_| {}), "EnforceIndex": true, "JobModifyIndex": index});
+            rollout.w.call(node, 10 + u64::from(run), call(Verb::Post, "/v1/jobs", "namespace=red", &body));
         }
-        let until = roll.w.now + 3_000;
-        roll.w.run_until(until);
-        let mut answered: Vec<u16> = roll.w.answers.iter().map(|a| a.status).collect();
+        let until = rollout.w.now + 3_000;
+        rollout.w.run_until(until);
+        let mut answered: Vec<u16> = rollout.w.answers.iter().map(|a| a.status).collect();
         answered.sort_unstable();
-        assert_eq!(answered, [200, 409], "seed {seed}: {:?}", roll.w.answers);
-        assert_eq!(roll.head().version, 1, "seed {seed}");
+        assert_eq!(answered, [200, 409], "seed {seed}: {:?}", rollout.w.answers);
+        assert_eq!(rollout.head().version, 1, "seed {seed}");
     }
 }
--- a/crates/nomad/src/api/tokens.rs
+++ b/crates/nomad/src/api/tokens.rs
@@ -1,45 +1,48 @@
-//! Who may do what: tokens, stored as hashes.
+//! Access tokens, stored as hashes, and the permissions of their holders.
 
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// A token that the operators have given out.
+/// A token that the operators have issued.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
-    /// For logs and errors.
+    /// Name of the token in logs and errors.
     pub name: String,
     /// SHA-256 of the token, as 64 hexadecimal digits (`printf %s TOKEN | sha256sum`).
     pub sha256: String,
-    /// Namespaces that it is good for; `*` is all.
+    /// Namespaces that it gives access to; `*` is all.
     pub namespaces: Vec<String>,
-    /// Whether it may register, stop and plan, not only read.
+    /// Whether it may register, stop and plan jobs; otherwise it may only read.
     #[serde(default)]
     pub write: bool,
 }
 
-/// The tokens that are known, by their hashes.
+/// The configured tokens with their hashes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tokens {
     known: Vec<([u8; 32], Token)>,
 }
 
-/// What a caller may do.
+/// The origin of a request, which determines its permissions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Caller<'a> {
-    /// No tokens are configured: everybody on this machine may do everything.
+    /// No tokens are configured: any local client has all permissions.
     Anybody,
     /// The holder of a token.
     Holder(&'a Token),
 }
 
 impl Tokens {
-    /// Takes them as they are configured; errors name token and remedy.
+    /// Reads the configured tokens.
+    ///
+    /// # Errors
+    /// One line for each fault, with the token's name and the remedy.
     pub fn new(tokens: &[Token]) -> Result<Self, Vec<String>> {
         let (mut known, mut faults) = (Vec::new(), Vec::new());
         for token in tokens {
-            match parse(&token.sha256) {
+            match parse_sha256(&token.sha256) {
                 Some(hash) => known.push((hash, token.clone())),
                 None => faults.push(format!(
                     "tokens.{}.sha256: must be 64 hexadecimal digits; make them with `printf %s TOKEN | sha256sum`",
@@ -58,7 +61,8 @@
         self.known.is_empty()
     }
 
-    /// Whose token it is. Takes the same time whichever it is, and whether it is any.
+    /// The caller with this token; none if the token is unknown. All hashes are compared, each in constant
+    /// time, so that the response time does not reveal which token matched.
     pub fn caller(&self, token: Option<&str>) -> Option<Caller<'_>> {
         if self.known.is_empty() {
             return Some(Caller::Anybody);
@@ -74,7 +78,7 @@
     }
 }
 
-fn parse(hex: &str) -> Option<[u8; 32]> {
+fn parse_sha256(hex: &str) -> Option<[u8; 32]> {
     let mut out = [0; 32];
     if hex.len() != 64 || !hex.is_ascii() {
         return None;
--- a/crates/nomad/src/api/tokens/tests.rs
+++ b/crates/nomad/src/api/tokens/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_token_is_good_for_its_namespaces_and_verbs_only() {
+fn token_permits_only_its_namespaces_and_operations() {
     let known = Tokens::new(&[token("ci", "s3cret", &["red"], true), token("eyes", "look", &["*"], false)]);
     let known = known.expect("valid");
     let ci = known.caller(Some("s3cret")).expect("known");
--- a/crates/nomad/src/api/versions.rs
+++ b/crates/nomad/src/api/versions.rs
@@ -1,5 +1,5 @@
-//! Builds the transaction of a registration or a stop: the name's record, the version's record and the native jobs'
-//! records in one transaction, conditional on the revision of the name's record.
+//! Builds the transaction of a registration or a stop: the name's record, the version's record and the native
+//! jobs' records in one transaction, conditional on the revision of the name's record.
 //!
 //! `retry` calls this module for clients' writes, `maintenance` for the leader's background work.
 
@@ -74,8 +74,9 @@
     records: Vec<NewRecord>,
 }
 
-/// Registers a job. `enforced_index` is the modify index that the client requires, if any; 0 requires that the job is
-/// not registered. `salt` is increased by the caller if the id of a new native job is already in use.
+/// Registers a job. `enforced_index` is the modify index that the client requires, if any; 0 requires that
+/// the job is not registered. `salt` is increased by the caller if the id of a new native job is already in
+/// use.
 ///
 /// # Errors
 /// The job is refused; the refusal holds the answer to the client.
@@ -93,7 +94,8 @@
         return Err(Refusal::new(status::INTERNAL_ERROR, reason));
     }
     let digest = job.digest();
-    // Must precede the check of the index: a client that retries has changed the index with its first attempt.
+    // Must precede the check of the index: a client that retries has changed the index with its first
+    // attempt.
     if holds(Guard::Repeat) && known.as_ref().is_some_and(|known| known.head.digest == digest) {
         return Ok(Decision::Same);
     }
@@ -232,8 +234,8 @@
     Ok(())
 }
 
-/// Hands over the native jobs of earlier versions: those that a rollout replaces go into `head.roll`, the others are
-/// returned to be cancelled.
+/// Hands over the native jobs of earlier versions: those that a rollout replaces go into `head.roll`, the
+/// others are returned to be cancelled.
 fn take_over_parts(view: &View<'_>, old: &Head, head: &mut Head) -> Vec<JobId> {
     head.ending = old.ending.iter().filter(|id| is_open(view, id)).cloned().collect();
     let mut olds: Vec<Old> = old.roll.iter().flat_map(|rollout| rollout.olds.clone()).collect();
@@ -293,7 +295,8 @@
     Ok(Decision::Write(writes))
 }
 
-/// Cancels native jobs that did not fit into the transaction of a stop or a new version; none if no jobs are left.
+/// Cancels native jobs that did not fit into the transaction of a stop or a new version; none if no jobs are
+/// left.
 pub fn cancel_ending(view: &View<'_>, hash: &NameHash) -> Option<Writes> {
     let RecordedName { revision, mut head } = recorded_name(view, hash)?;
     if head.ending.is_empty() {
@@ -338,9 +341,9 @@
     writes
 }
 
-/// Reverts a failed rollout to the version `before`: its remaining parts are kept, missing tasks get a new part, and
-/// a rollout replaces the failed version's parts. None if a record is missing or can't be decoded, or if the changes
-/// don't fit into one transaction.
+/// Reverts a failed rollout to the version `before`: its remaining parts are kept, missing tasks get a new
+/// part, and a rollout replaces the failed version's parts. None if a record is missing or can't be decoded,
+/// or if the changes don't fit into one transaction.
 pub fn revert(view: &View<'_>, revision: Revision, failed: &Head, before: &Job, salt: u64) -> Option<Writes> {
     let roll = failed.roll.as_ref()?;
     let hash = failed.hash();
--- a/crates/nomad/src/api/writes.rs
+++ b/crates/nomad/src/api/writes.rs
@@ -22,8 +22,8 @@
         self.changes.push(Change::Put { key, value, lease: None });
     }
 
-    /// Cancels a native job that is not finished. The transaction fails if the job finishes before the commit, so
-    /// that neither result overwrites the other.
+    /// Cancels a native job that is not finished. The transaction fails if the job finishes before the
+    /// commit, so that neither result overwrites the other.
     pub fn cancel(&mut self, view: &View<'_>, id: &JobId) {
         if holds(Guard::Cancellation)
             && let Some(known) = view.jobs.get(id).filter(|known| known.record.is_open())
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Cancels at most `at_most` native jobs. Returns the others, which go into `ending` of the name's record.
+    /// Cancels at most `at_most` native jobs. Returns the others, which go into `ending` of the name's
+    /// record.
     pub fn cancel_some(&mut self, view: &View<'_>, mut open: Vec<JobId>, at_most: usize) -> Vec<JobId> {
         let rest = open.split_off(at_most.min(open.len()));
         open.iter().for_each(|id| self.cancel(view, id));
