--- a/crates/nomad/src/api/blocking_queries.rs
+++ b/crates/nomad/src/api/blocking_queries.rs
@@ -16,7 +16,7 @@
 struct BlockingQuery {
     request: RequestId,
     read: ReadRequest,
-    /// The job whose changes it waits for; none if any job's change may matter.
+    /// The job whose changes it waits for; none if it waits for changes of any job.
     name: Option<NameHash>,
     /// When it is answered even without a change.
     deadline: MonotonicTime,
--- a/crates/nomad/src/api/tests/golden.rs
+++ b/crates/nomad/src/api/tests/golden.rs
@@ -29,41 +29,41 @@
 }
 
 /// The body of the answer to `call`, which must have the given status.
-fn answer(w: &mut Simulation, call: Call, status: u16) -> String {
-    w.answers.clear();
+fn answer(simulation: &mut Simulation, call: Call, status: u16) -> String {
+    simulation.answers.clear();
     let what = call.path.clone();
-    w.call(0, 9, call);
-    let until = w.now + 2_000;
-    w.run_until(until);
-    let answer = w.answers.first().expect("an answer");
+    simulation.call(0, 9, call);
+    let until = simulation.now + 2_000;
+    simulation.run_until(until);
+    let answer = simulation.answers.first().expect("an answer");
     assert_eq!(answer.status, status, "{what}: {}", answer.body);
     answer.body.clone()
 }
 
-fn read(w: &mut Simulation, path: &str) -> Value {
-    let body = answer(w, call(Verb::Get, path, "namespace=red", &Value::Null), 200);
+fn read(simulation: &mut Simulation, path: &str) -> Value {
+    let body = answer(simulation, call(Verb::Get, path, "namespace=red", &Value::Null), 200);
     serde_json::from_str(&body).expect("JSON")
 }
 
 /// A simulation in which a service of two replicas runs.
 fn with_a_service() -> Simulation {
-    let mut w = Simulation::new(5).with_extension(api);
-    w.run_until(6_000);
+    let mut simulation = Simulation::new(5).with_extension(api);
+    simulation.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
-    answer(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &service), 200);
-    w.run_until(60_000);
-    w
+    answer(&mut simulation, call(Verb::Post, "/v1/jobs", "namespace=red", &service), 200);
+    simulation.run_until(60_000);
+    simulation
 }
 
 #[test]
 fn golden_shapes_of_answers_to_reads() {
-    let mut w = with_a_service();
+    let mut simulation = with_a_service();
     let mut group = golden_group!("answer_shapes.txt");
     let id_of = |list: &Value| list[0]["ID"].as_str().expect("an id").to_string();
-    let allocation = id_of(&read(&mut w, "/v1/allocations"));
-    let evaluation = id_of(&read(&mut w, "/v1/evaluations"));
-    let deployment = id_of(&read(&mut w, "/v1/deployments"));
-    let node = id_of(&read(&mut w, "/v1/nodes"));
+    let allocation = id_of(&read(&mut simulation, "/v1/allocations"));
+    let evaluation = id_of(&read(&mut simulation, "/v1/evaluations"));
+    let deployment = id_of(&read(&mut simulation, "/v1/deployments"));
+    let node = id_of(&read(&mut simulation, "/v1/nodes"));
     let paths = [
         ("jobs", "/v1/jobs".to_string()),
         ("job", "/v1/job/a".into()),
@@ -90,14 +90,14 @@
         ("node", format!("/v1/node/{node}")),
     ];
     for (name, path) in paths {
-        group.writes(name, shape(&read(&mut w, &path)));
+        group.writes(name, shape(&read(&mut simulation, &path)));
     }
     group.finish();
 }
 
 #[test]
 fn golden_shapes_of_answers_to_writes() {
-    let mut w = with_a_service();
+    let mut simulation = with_a_service();
     let mut group = golden_group!("write_answer_shapes.txt");
     let next = json!({"Job": job("a", "red", "service", 2, 1)});
     let hcl = json!({"JobHCL": "job \"a\" {}"});
@@ -108,9 +108,9 @@
         ("stop", Verb::Delete, "/v1/job/a", &Value::Null, 200),
     ];
     for (name, verb, path, body, status) in writes {
-        let body = answer(&mut w, call(verb, path, "namespace=red", body), status);
+        let body = answer(&mut simulation, call(verb, path, "namespace=red", body), status);
         group.writes(name, shape(&serde_json::from_str(&body).expect("JSON")));
     }
-    answer(&mut w, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &hcl), 400);
+    answer(&mut simulation, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &hcl), 400);
     group.finish();
 }
--- a/crates/nomad/src/api/tests/histories.rs
+++ b/crates/nomad/src/api/tests/histories.rs
@@ -48,7 +48,7 @@
 }
 
 struct History {
-    w: Simulation,
+    simulation: Simulation,
     rng: StdRng,
     users: Vec<User>,
     tag: u64,
@@ -108,13 +108,13 @@
 
 impl History {
     fn new(seed: u64, faults: impl FnOnce(&mut Simulation)) -> Self {
-        let mut w = Simulation::new(seed).with_extension(api);
-        faults(&mut w);
+        let mut simulation = Simulation::new(seed).with_extension(api);
+        faults(&mut simulation);
         let mut rng = StdRng::seed_from_u64(seed);
         let users = users(&mut rng);
         let answered = vec![Observed::default(); users.len()];
         History {
-            w,
+            simulation,
             rng,
             users,
             tag: 0,
@@ -128,10 +128,10 @@
     }
 
     fn run(&mut self, end: u64) {
-        let from = self.w.now;
+        let from = self.simulation.now;
         for now in (from..=end).step_by(50) {
-            self.w.run_until(now);
-            for answer in std::mem::take(&mut self.w.answers) {
+            self.simulation.run_until(now);
+            for answer in std::mem::take(&mut self.simulation.answers) {
                 self.handle_answer(now, answer);
             }
             for u in 0..self.users.len() {
@@ -140,7 +140,7 @@
             if now % 1_000 == 0 {
                 self.send_reads();
             }
-            if !self.w.rules.broken.is_empty() || !self.violations.is_empty() {
+            if !self.simulation.rules.broken.is_empty() || !self.violations.is_empty() {
                 return;
             }
         }
@@ -175,10 +175,10 @@
         };
         let node = self.rng.random_range(0..NODES);
         let twice = self.rng.random_bool(0.2);
-        self.w.call(node, self.tag, request.clone());
+        self.simulation.call(node, self.tag, request.clone());
         if twice {
             // Sends the same request to another node at the same time.
-            self.w.call((node + 1) % NODES, 0, request);
+            self.simulation.call((node + 1) % NODES, 0, request);
         }
     }
 
@@ -187,14 +187,18 @@
         self.tag += 1;
         self.lists.insert(self.tag, self.listed);
         let node = self.rng.random_range(0..NODES);
-        self.w.call(node, self.tag, call(Verb::Get, "/v1/jobs", "namespace=*", &Value::Null));
+        self.simulation.call(node, self.tag, call(Verb::Get, "/v1/jobs", "namespace=*", &Value::Null));
         let u = self.rng.random_range(0..self.users.len());
         let node = self.rng.random_range(0..NODES);
         let escaped: String = self.users[u].name.bytes().map(|b| format!("%{b:02X}")).collect();
         let query = format!("namespace={}", self.users[u].team);
         self.tag += 1;
         self.floors.insert(self.tag, (u, self.answered[u], true));
-        self.w.call(node, self.tag, call(Verb::Get, &format!("/v1/job/{escaped}"), &query, &Value::Null));
+        self.simulation.call(
+            node,
+            self.tag,
+            call(Verb::Get, &format!("/v1/job/{escaped}"), &query, &Value::Null),
+        );
     }
 
     fn handle_answer(&mut self, now: u64, answer: Answered) {
@@ -278,11 +282,11 @@
 
     fn head(&self, u: usize) -> Option<Head> {
         let key = NameHash::of(self.users[u].team, &self.users[u].name).key();
-        serde_json::from_str(self.w.state.key(&key)?).ok()
+        serde_json::from_str(self.simulation.state.key(&key)?).ok()
     }
 
     fn record(&self, id: &str) -> Option<Record> {
-        serde_json::from_str(self.w.state.key(&format!("j/{id}"))?).ok()
+        serde_json::from_str(self.simulation.state.key(&format!("j/{id}"))?).ok()
     }
 
     /// Checks that the final state matches each user's last request.
@@ -309,7 +313,7 @@
                 named.insert(part.id.to_string());
                 let record = self.record(part.id.as_str());
                 let up = self
-                    .w
+                    .simulation
                     .workers
                     .iter()
                     .flat_map(|m| &m.tasks)
@@ -327,7 +331,7 @@
         // Native jobs of earlier versions have ended, and each version has made exactly one native job.
         let mut jobs = 0;
         let mut open = Vec::new();
-        for (key, value) in self.w.state.under("j/") {
+        for (key, value) in self.simulation.state.under("j/") {
             jobs += 1;
             let id = &key["j/".len()..];
             if matches!(serde_json::from_str(value), Ok(Record::Open(_))) && !named.contains(id) {
@@ -355,9 +359,9 @@
 
 fn checked_day(seed: u64, faults: impl FnOnce(&mut Simulation)) -> History {
     let history = day(seed, faults);
-    assert!(history.w.rules.broken.is_empty(), "seed {seed}: {:?}", history.w.rules.broken);
+    assert!(history.simulation.rules.broken.is_empty(), "seed {seed}: {:?}", history.simulation.rules.broken);
     assert!(history.violations.is_empty(), "seed {seed}: {}", history.violations.join("\n"));
-    assert!(history.w.state.under(NAMES).count() == history.users.len());
+    assert!(history.simulation.state.under(NAMES).count() == history.users.len());
     history
 }
 
@@ -379,10 +383,11 @@
 #[test]
 fn rollouts_continue_after_repeated_crashes_of_all_nodes() {
     for seed in 500..508 {
-        let _ = checked_day(seed, |w| {
+        let _ = checked_day(seed, |simulation| {
             for n in 0..8u64 {
-                (0..NODES)
-                    .for_each(|i| w.at(8_000 + 9_000 * n + 40 * i as u64, Event::Fault(Fault::Crash(i))));
+                (0..NODES).for_each(|i| {
+                    simulation.at(8_000 + 9_000 * n + 40 * i as u64, Event::Fault(Fault::Crash(i)));
+                });
             }
         });
     }
@@ -395,7 +400,7 @@
         let detected = with_disabled(guard, || {
             (100..140).any(|seed| {
                 let history = day(seed, troubles);
-                !history.w.rules.broken.is_empty() || !history.violations.is_empty()
+                !history.simulation.rules.broken.is_empty() || !history.violations.is_empty()
             })
         });
         assert!(detected, "{guard:?}");
--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Malformed and excessive requests: each is answered with a valid status, and no invariant breaks.
+//! Malformed and excessive requests: each is answered with an expected status, and no invariant breaks.
 
 use super::{api, call, job};
 use arbtest::arbtest;
@@ -8,29 +8,29 @@
 
 /// A simulation with a leader and one registered job, without further events.
 fn simulation_with_job() -> Simulation {
-    let mut w = Simulation::new(77).with_extension(api);
-    w.run_until(6_000);
-    w.call(
+    let mut simulation = Simulation::new(77).with_extension(api);
+    simulation.run_until(6_000);
+    simulation.call(
         0,
         1,
         call(Verb::Post, "/v1/jobs", "namespace=red", &json!({"Job": job("a", "red", "batch", 2, 0)})),
     );
-    w.run_until(20_000);
-    assert_eq!(w.answers.pop().map(|a| a.status), Some(200));
-    w
+    simulation.run_until(20_000);
+    assert_eq!(simulation.answers.pop().map(|a| a.status), Some(200));
+    simulation
 }
 
 /// Sends a call and returns the answer's status; 0 without an answer.
-fn answered(w: &mut Simulation, call: Call) -> u16 {
-    w.answers.clear();
-    w.call(0, 2, call);
-    let until = w.now + 4_000;
-    while w.answers.is_empty() && w.now < until {
-        let next = w.now + 20;
-        w.run_until(next);
+fn answered(simulation: &mut Simulation, call: Call) -> u16 {
+    simulation.answers.clear();
+    simulation.call(0, 2, call);
+    let until = simulation.now + 4_000;
+    while simulation.answers.is_empty() && simulation.now < until {
+        let next = simulation.now + 20;
+        simulation.run_until(next);
     }
-    assert!(w.rules.broken.is_empty(), "{:?}", w.rules.broken);
-    w.answers.first().map_or(0, |a| a.status)
+    assert!(simulation.rules.broken.is_empty(), "{:?}", simulation.rules.broken);
+    simulation.answers.first().map_or(0, |a| a.status)
 }
 
 /// Appends the JSON pointers of a value and of everything in it.
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn malformed_bodies_get_a_client_error() {
+fn altered_registrations_get_an_expected_status() {
     let good = job("b", "red", "service", 2, 0);
-    let mut w = simulation_with_job();
+    let mut simulation = simulation_with_job();
     arbtest(|u| {
         // A valid registration with some of its values replaced or duplicated.
         let mut body = json!({"Job": good});
@@ -70,7 +70,7 @@
                 _ => json!(true),
             };
         }
-        let status = answered(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &body));
+        let status = answered(&mut simulation, call(Verb::Post, "/v1/jobs", "namespace=red", &body));
         assert!(matches!(status, 200 | 400 | 409 | 413 | 422 | 429), "{status}: {body}");
         Ok(())
     })
@@ -135,7 +135,7 @@
         "filter=x",
         "index=x",
     ];
-    let mut w = simulation_with_job();
+    let mut simulation = simulation_with_job();
     arbtest(|u| {
         let mut path = String::new();
         for _ in 0..u.int_in_range(0..=5)? {
@@ -155,8 +155,10 @@
         } else {
             query
         };
-        let status =
-            answered(&mut w, Call { verb, path: path.clone(), query: query.clone(), token: None, body });
+        let status = answered(
+            &mut simulation,
+            Call { verb, path: path.clone(), query: query.clone(), token: None, body },
+        );
         assert!((200..=599).contains(&status) && status != 500, "{verb:?} {path}?{query}: {status}");
         Ok(())
     })
@@ -167,44 +169,45 @@
 /// exhaust a node's memory or hold clients forever.
 #[test]
 fn blocking_queries_are_bounded_and_answered_after_a_change() {
-    let mut w = simulation_with_job();
+    let mut simulation = simulation_with_job();
     let ask = |query: &str| call(Verb::Get, "/v1/job/a", query, &Value::Null);
-    assert_eq!(answered(&mut w, ask("namespace=red")), 200);
-    let index = w.answers[0]
+    assert_eq!(answered(&mut simulation, ask("namespace=red")), 200);
+    let index = simulation.answers[0]
         .headers
         .iter()
         .find(|(k, _)| *k == "x-nomad-index")
         .map(|(_, v)| v.clone())
         .expect("the answer has an index");
-    w.answers.clear();
+    simulation.answers.clear();
     for tag in 0..700 {
-        w.call(0, 1_000 + tag, ask(&format!("namespace=red&stale&index={index}&wait=20s")));
+        simulation.call(0, 1_000 + tag, ask(&format!("namespace=red&stale&index={index}&wait=20s")));
     }
-    let until = w.now + 1_000;
-    w.run_until(until);
-    let refused = w.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
-    assert_eq!((w.answers.len(), refused), (100, 100), "at most 600 queries may wait");
-    w.answers.clear();
+    let until = simulation.now + 1_000;
+    simulation.run_until(until);
+    let refused = simulation.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
+    assert_eq!((simulation.answers.len(), refused), (100, 100), "at most 600 queries may wait");
+    simulation.answers.clear();
     // A stop answers all of them, a bounded number in each step.
-    w.call(1, 5, call(Verb::Delete, "/v1/job/a", "namespace=red", &Value::Null));
-    let until = w.now + 6_000;
-    w.run_until(until);
-    let woken = w.answers.iter().filter(|a| a.tag >= 1_000 && a.body.contains("\"Stop\":true")).count();
+    simulation.call(1, 5, call(Verb::Delete, "/v1/job/a", "namespace=red", &Value::Null));
+    let until = simulation.now + 6_000;
+    simulation.run_until(until);
+    let woken =
+        simulation.answers.iter().filter(|a| a.tag >= 1_000 && a.body.contains("\"Stop\":true")).count();
     assert_eq!(woken, 600);
-    w.answers.clear();
+    simulation.answers.clear();
     // A query without a change is answered at its deadline.
-    assert_eq!(answered(&mut w, ask("namespace=red&index=999999&wait=2s")), 200);
+    assert_eq!(answered(&mut simulation, ask("namespace=red&index=999999&wait=2s")), 200);
 }
 
 /// The node evaluates job files that clients send for parsing. A budget limits this, so that a file can't
 /// block the node.
 #[test]
 fn refuses_a_file_that_exceeds_the_evaluation_budget() {
-    let mut w = simulation_with_job();
+    let mut simulation = simulation_with_job();
     let mut parse = |hcl: &str| {
         let body = json!({"JobHCL": hcl});
-        let status = answered(&mut w, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &body));
-        (status, w.answers.first().map(|a| a.body.clone()).unwrap_or_default())
+        let status = answered(&mut simulation, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &body));
+        (status, simulation.answers.first().map(|a| a.body.clone()).unwrap_or_default())
     };
     let good = include_str!("../../../../../examples/quote-api.nomad.hcl");
     let (status, body) = parse(good);
--- a/crates/nomad/src/api/tests/machines.rs
+++ b/crates/nomad/src/api/tests/machines.rs
@@ -9,39 +9,45 @@
 use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
-fn ask(w: &mut Simulation, node: usize, path: &str, query: &str) -> (u16, Value, Option<u32>) {
-    w.answers.clear();
-    w.call(node, 9, call(Verb::Get, path, query, &Value::Null));
-    let until = w.now + 900;
-    w.run_until(until);
-    let answer = w.answers.first().expect("an answer");
+fn ask(simulation: &mut Simulation, node: usize, path: &str, query: &str) -> (u16, Value, Option<u32>) {
+    simulation.answers.clear();
+    simulation.call(node, 9, call(Verb::Get, path, query, &Value::Null));
+    let until = simulation.now + 900;
+    simulation.run_until(until);
+    let answer = simulation.answers.first().expect("an answer");
     (answer.status, serde_json::from_str(&answer.body).unwrap_or_default(), answer.retry_after_s)
 }
 
 #[test]
 fn every_node_lists_machines_with_their_tasks() {
-    let mut w = Simulation::new(5).with_extension(api);
-    w.run_until(6_000);
+    let mut simulation = Simulation::new(5).with_extension(api);
+    simulation.run_until(6_000);
     let service = json!({"Job": job("a", "red", "service", 2, 0)});
-    w.call(0, 1, call(Verb::Post, "/v1/jobs", "namespace=red", &service));
-    w.run_until(30_000);
-    let mut held: Vec<String> =
-        w.workers.iter().flat_map(|m| &m.tasks).filter(|t| t.present()).map(|t| t.name.clone()).collect();
+    simulation.call(0, 1, call(Verb::Post, "/v1/jobs", "namespace=red", &service));
+    simulation.run_until(30_000);
+    let mut held: Vec<String> = simulation
+        .workers
+        .iter()
+        .flat_map(|m| &m.tasks)
+        .filter(|t| t.present())
+        .map(|t| t.name.clone())
+        .collect();
     held.sort();
     assert_eq!(held.len(), 2, "both replicas run");
     for node in 0..3 {
-        let (status, nodes, _) = ask(&mut w, node, "/v1/nodes", "");
+        let (status, nodes, _) = ask(&mut simulation, node, "/v1/nodes", "");
         let nodes = nodes.as_array().expect("a list").clone();
         assert_eq!(status, 200);
         let mut seen: Vec<String> = Vec::new();
         for n in &nodes {
             let id = n["ID"].as_str().expect("an id");
-            let machine = w.workers.iter().find(|m| m.id.as_str() == id).expect("the listed machine exists");
+            let machine =
+                simulation.workers.iter().find(|m| m.id.as_str() == id).expect("the listed machine exists");
             assert_eq!(
                 (&n["Datacenter"], &n["NodeClass"]),
                 (&json!(machine.zone), &json!(machine.type_name))
             );
-            let (status, one, _) = ask(&mut w, node, &format!("/v1/node/{id}"), "");
+            let (status, one, _) = ask(&mut simulation, node, &format!("/v1/node/{id}"), "");
             assert_eq!(status, 200);
             seen.extend(
                 one["Tasks"].as_array().expect("tasks").iter().filter_map(Value::as_str).map(String::from),
@@ -49,11 +55,11 @@
         }
         seen.sort();
         assert_eq!(seen, held);
-        let (_, page, _) = ask(&mut w, node, "/v1/nodes", "per_page=1");
+        let (_, page, _) = ask(&mut simulation, node, "/v1/nodes", "per_page=1");
         assert_eq!(page.as_array().map(Vec::len), Some(1.min(nodes.len())));
     }
     for unknown in ["m-999999", "..", "a%20b", "a%3Fb", "%2F", "-"] {
-        assert_eq!(ask(&mut w, 0, &format!("/v1/node/{unknown}"), "").0, 404, "{unknown}");
+        assert_eq!(ask(&mut simulation, 0, &format!("/v1/node/{unknown}"), "").0, 404, "{unknown}");
     }
 }
 
@@ -61,14 +67,14 @@
 /// memory.
 #[test]
 fn rate_of_machine_reads_is_limited() {
-    let mut w = Simulation::new(5).with_extension(api);
-    w.run_until(6_000);
+    let mut simulation = Simulation::new(5).with_extension(api);
+    simulation.run_until(6_000);
     for tag in 0..50 {
-        w.call(0, tag, call(Verb::Get, "/v1/nodes", "", &Value::Null));
+        simulation.call(0, tag, call(Verb::Get, "/v1/nodes", "", &Value::Null));
     }
-    w.run_until(7_000);
-    let refused = w.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
-    assert_eq!(w.answers.len(), 50);
+    simulation.run_until(7_000);
+    let refused = simulation.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
+    assert_eq!(simulation.answers.len(), 50);
     assert!((46..50).contains(&refused), "{refused}");
 }
 
--- a/crates/nomad/src/api/tests/placements.rs
+++ b/crates/nomad/src/api/tests/placements.rs
@@ -74,17 +74,17 @@
 /// Runs a day and returns the starts of tasks. Each submission is retried at other nodes until it is
 /// accepted.
 fn starts(seed: u64, through_api: bool, troubled: bool, change: fn(&mut Value)) -> Vec<Start> {
-    let mut w = Simulation::new(seed).with_extension(api);
+    let mut simulation = Simulation::new(seed).with_extension(api);
     if troubled {
-        troubles(&mut w);
+        troubles(&mut simulation);
     }
     let mut jobs = jobs(seed);
     jobs.iter_mut().for_each(|j| change(&mut j.nomad));
     let mut next: Vec<Option<u64>> = jobs.iter().map(|j| Some(j.at)).collect();
     let mut attempts = vec![0usize; jobs.len()];
     for now in (0..DAY_ENDS).step_by(50) {
-        w.run_until(now);
-        for answer in std::mem::take(&mut w.answers) {
+        simulation.run_until(now);
+        for answer in std::mem::take(&mut simulation.answers) {
             let n = answer.tag as usize % jobs.len();
             let last = answer.tag as usize / jobs.len() == attempts[n];
             match answer.status {
@@ -102,15 +102,15 @@
             let tag = (attempts[n] * jobs.len() + n) as u64;
             let node = (n + attempts[n]) % NODES;
             if through_api {
-                w.call(node, tag, call(Verb::Post, "/v1/jobs", "", &json!({"Job": jobs[n].nomad})));
+                simulation.call(node, tag, call(Verb::Post, "/v1/jobs", "", &json!({"Job": jobs[n].nomad})));
             } else {
-                w.ask(node, tag, Method::Post, "/submissions", &jobs[n].native.to_string());
+                simulation.ask(node, tag, Method::Post, "/submissions", &jobs[n].native.to_string());
             }
         }
     }
-    assert!(w.rules.broken.is_empty(), "seed {seed}: {:?}", w.rules.broken);
+    assert!(simulation.rules.broken.is_empty(), "seed {seed}: {:?}", simulation.rules.broken);
     assert!(next.iter().all(Option::is_none), "seed {seed}: some jobs were not accepted");
-    std::mem::take(&mut w.rules.starts)
+    std::mem::take(&mut simulation.rules.starts)
 }
 
 fn compare(seed: u64, troubled: bool) {
--- a/crates/nomad/src/api/tests/rollouts.rs
+++ b/crates/nomad/src/api/tests/rollouts.rs
@@ -10,7 +10,7 @@
 
 /// A service and its rollout from file 0 to file 1.
 struct Rollout {
-    w: Simulation,
+    simulation: Simulation,
     name: &'static str,
     /// Fewest and most replicas that were up at the same time since the rollout began.
     fewest: usize,
@@ -27,10 +27,10 @@
 
     fn send(&mut self, verb: Verb, path: &str, body: &Value) -> u16 {
         for node in 0..6 {
-            self.w.call(node % 3, 1, call(verb, path, "namespace=red", body));
-            let until = self.w.now + 1_500;
-            self.w.run_until(until);
-            match self.w.answers.pop() {
+            self.simulation.call(node % 3, 1, call(verb, path, "namespace=red", body));
+            let until = self.simulation.now + 1_500;
+            self.simulation.run_until(until);
+            match self.simulation.answers.pop() {
                 Some(answer) if answer.status != 503 => return answer.status,
                 _ => {}
             }
@@ -39,37 +39,41 @@
     }
 
     fn begin(seed: u64, count: u32, edit: impl Fn(&mut Value)) -> Self {
-        let mut rollout =
-            Rollout { w: Simulation::new(seed).with_extension(api), name: "quotes", fewest: 0, most: 0 };
-        rollout.w.run_until(6_000);
+        let mut rollout = Rollout {
+            simulation: Simulation::new(seed).with_extension(api),
+            name: "quotes",
+            fewest: 0,
+            most: 0,
+        };
+        rollout.simulation.run_until(6_000);
         let job = rollout.file(count, 0, &edit);
         assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
-        let until = rollout.w.now + 35_000;
-        rollout.w.run_until(until);
+        let until = rollout.simulation.now + 35_000;
+        rollout.simulation.run_until(until);
         assert_eq!(rollout.up(), count as usize, "seed {seed}: not all replicas of file 0 are up");
         rollout.fewest = rollout.up();
         rollout
     }
 
     fn up(&self) -> usize {
-        let tasks = self.w.workers.iter().filter(|m| m.up).flat_map(|m| &m.tasks);
+        let tasks = self.simulation.workers.iter().filter(|m| m.up).flat_map(|m| &m.tasks);
         tasks.filter(|t| t.present()).count()
     }
 
     fn run_for(&mut self, ms: u64) {
-        let end = self.w.now + ms;
-        while self.w.now < end {
-            let next = self.w.now + 20;
-            self.w.run_until(next);
+        let end = self.simulation.now + ms;
+        while self.simulation.now < end {
+            let next = self.simulation.now + 20;
+            self.simulation.run_until(next);
             self.fewest = self.fewest.min(self.up());
             self.most = self.most.max(self.up());
         }
-        assert!(self.w.rules.broken.is_empty(), "{:?}", self.w.rules.broken);
+        assert!(self.simulation.rules.broken.is_empty(), "{:?}", self.simulation.rules.broken);
     }
 
     fn head(&self) -> Head {
         let key = NameHash::of("red", self.name).key();
-        serde_json::from_str(self.w.state.key(&key).expect("the name has a record"))
+        serde_json::from_str(self.simulation.state.key(&key).expect("the name has a record"))
             .expect("the record can be decoded")
     }
 }
@@ -84,7 +88,7 @@
         rollout.run_for(60_000);
         let head = rollout.head();
         // One machine in thirty never becomes ready. A rollout that waits for one exceeds its deadline.
-        if head.ended == Some(Ended::Failed) && rollout.w.workers.iter().any(|w| !w.up) {
+        if head.ended == Some(Ended::Failed) && rollout.simulation.workers.iter().any(|worker| !worker.up) {
             continue;
         }
         completed += 1;
@@ -120,7 +124,7 @@
         job["Update"]["AutoRevert"] = auto_revert.into();
         job["TaskGroups"][0]["Tasks"][0]["Resources"]["Cores"] = 8.into();
     };
-    rollout.w.at(rollout.w.now, Event::Fault(Fault::CloudOutage(true)));
+    rollout.simulation.at(rollout.simulation.now, Event::Fault(Fault::CloudOutage(true)));
     let job = rollout.file(3, 1, &big);
     assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
     rollout
@@ -162,7 +166,7 @@
         let job = rollout.file(10, 1, &|_| {});
         assert_eq!(rollout.send(Verb::Post, "/v1/jobs", &json!({"Job": job})), 200);
         rollout.run_for(5_000 + 4_000 * (seed - 42));
-        rollout.w.at(rollout.w.now, Event::Fault(Fault::Crash(seed as usize % 3)));
+        rollout.simulation.at(rollout.simulation.now, Event::Fault(Fault::Crash(seed as usize % 3)));
         assert_eq!(rollout.send(Verb::Delete, "/v1/job/quotes", &Value::Null), 200);
         rollout.run_for(45_000);
         let head = rollout.head();
@@ -190,19 +194,23 @@
         let mut rollout = Rollout::begin(seed, 2, |_| {});
         let index = {
             let key = NameHash::of("red", "quotes").version_key(0);
-            let revision = rollout.w.state.revision(&key).expect("the version has a record");
+            let revision = rollout.simulation.state.revision(&key).expect("the version has a record");
             revision.0
         };
         for (node, run) in [(0, 1), (1, 2)] {
             let body =
                 json!({"Job": rollout.file(2, run, &|_| {}), "EnforceIndex": true, "JobModifyIndex": index});
-            rollout.w.call(node, 10 + u64::from(run), call(Verb::Post, "/v1/jobs", "namespace=red", &body));
+            rollout.simulation.call(
+                node,
+                10 + u64::from(run),
+                call(Verb::Post, "/v1/jobs", "namespace=red", &body),
+            );
         }
-        let until = rollout.w.now + 3_000;
-        rollout.w.run_until(until);
-        let mut answered: Vec<u16> = rollout.w.answers.iter().map(|a| a.status).collect();
+        let until = rollout.simulation.now + 3_000;
+        rollout.simulation.run_until(until);
+        let mut answered: Vec<u16> = rollout.simulation.answers.iter().map(|a| a.status).collect();
         answered.sort_unstable();
-        assert_eq!(answered, [200, 409], "seed {seed}: {:?}", rollout.w.answers);
+        assert_eq!(answered, [200, 409], "seed {seed}: {:?}", rollout.simulation.answers);
         assert_eq!(rollout.head().version, 1, "seed {seed}");
     }
 }
