--- a/crates/scheduler/src/settings/operator.rs
+++ b/crates/scheduler/src/settings/operator.rs
@@ -52,7 +52,7 @@
     pub refusal_pause_s: f64,
     /// Maximum number of machines rented in one request (the cloud's limit is 50).
     pub rent_at_most: u32,
-    /// Maximum number of tasks offered in one scheduling round.
+    /// Maximum number of tasks in one scheduling round.
     pub round_tasks: usize,
     /// Maximum number of users' requests that wait for the key-value store at a time.
     pub max_waiting_requests: usize,
