--- a/crates/nomad/src/api/tests/hostile.rs
+++ b/crates/nomad/src/api/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever a client sends is answered, and breaks nothing.
+//! Malformed and excessive requests: each is answered with an expected status, and no invariant breaks.
 
 use super::{api, call, job};
 use arbtest::arbtest;
@@ -6,34 +6,34 @@
 use pearford_scheduler::simulation::Simulation;
 use serde_json::{Value, json};
 
-/// A world with a leader, a job, and no more that happens by itself.
-fn world() -> Simulation {
-    let mut w = Simulation::new(77).with_extension(api);
-    w.run_until(6_000);
-    w.call(
+/// A simulation with a leader and one registered job, without further events.
+fn simulation_with_job() -> Simulation {
+    let mut simulation = Simulation::new(77).with_extension(api);
+    simulation.run_until(6_000);
+    simulation.call(
         0,
         1,
         call(Verb::Post, "/v1/jobs", "namespace=red", &json!({"Job": job("a", "red", "batch", 2, 0)})),
     );
-    w.run_until(20_000);
-    assert_eq!(w.answers.pop().map(|a| a.status), Some(200));
-    w
+    simulation.run_until(20_000);
+    assert_eq!(simulation.answers.pop().map(|a| a.status), Some(200));
+    simulation
 }
 
-/// Sends a call and gives its status.
-fn answered(w: &mut Simulation, call: Call) -> u16 {
-    w.answers.clear();
-    w.call(0, 2, call);
-    let until = w.now + 4_000;
-    while w.answers.is_empty() && w.now < until {
-        let next = w.now + 20;
-        w.run_until(next);
+/// Sends a call and returns the answer's status; 0 without an answer.
+fn answered(simulation: &mut Simulation, call: Call) -> u16 {
+    simulation.answers.clear();
+    simulation.call(0, 2, call);
+    let until = simulation.now + 4_000;
+    while simulation.answers.is_empty() && simulation.now < until {
+        let next = simulation.now + 20;
+        simulation.run_until(next);
     }
-    assert!(w.rules.broken.is_empty(), "{:?}", w.rules.broken);
-    w.answers.first().map_or(0, |a| a.status)
+    assert!(simulation.rules.broken.is_empty(), "{:?}", simulation.rules.broken);
+    simulation.answers.first().map_or(0, |a| a.status)
 }
 
-/// Where everything in a value is.
+/// Appends the JSON pointers of a value and of everything in it.
 fn pointers(value: &Value, at: &str, out: &mut Vec<String>) {
     out.push(at.into());
     match value {
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn every_body_gets_an_answer() {
+fn altered_registrations_get_an_expected_status() {
     let good = job("b", "red", "service", 2, 0);
-    let mut w = world();
+    let mut simulation = simulation_with_job();
     arbtest(|u| {
-        // A good registration with something in it replaced, left out or doubled.
+        // A valid registration with some of its values replaced or duplicated.
         let mut body = json!({"Job": good});
         for _ in 0..u.int_in_range(1..=4)? {
             let mut places = Vec::new();
@@ -70,7 +70,7 @@
                 _ => json!(true),
             };
         }
-        let status = answered(&mut w, call(Verb::Post, "/v1/jobs", "namespace=red", &body));
+        let status = answered(&mut simulation, call(Verb::Post, "/v1/jobs", "namespace=red", &body));
         assert!(matches!(status, 200 | 400 | 409 | 413 | 422 | 429), "{status}: {body}");
         Ok(())
     })
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn every_path_gets_an_answer() {
+fn every_path_and_query_gets_an_answer() {
     const WORDS: &[&str] = &[
         "v1",
         "jobs",
@@ -135,7 +135,7 @@
         "filter=x",
         "index=x",
     ];
-    let mut w = world();
+    let mut simulation = simulation_with_job();
     arbtest(|u| {
         let mut path = String::new();
         for _ in 0..u.int_in_range(0..=5)? {
@@ -149,60 +149,65 @@
         }
         let verb = *u.choose(&[Verb::Get, Verb::Post, Verb::Put, Verb::Delete, Verb::Other])?;
         let body: Vec<u8> = u.arbitrary()?;
-        // A query that waits for a change is bounded by the settings; here nothing is to wait.
+        // Removes an index that would make the query wait longer than `answered` does.
         let query = if query.contains("index=1844") {
             query.replace("index=18446744073709551615", "")
         } else {
             query
         };
-        let status =
-            answered(&mut w, Call { verb, path: path.clone(), query: query.clone(), token: None, body });
+        let status = answered(
+            &mut simulation,
+            Call { verb, path: path.clone(), query: query.clone(), token: None, body },
+        );
         assert!((200..=599).contains(&status) && status != 500, "{verb:?} {path}?{query}: {status}");
         Ok(())
     })
     .budget_ms(1_500);
 }
 
-/// Queries that wait are bounded in number and time, and a change wakes them.
+/// Blocking queries must be bounded in number and time, and be answered after a change. Otherwise they could
+/// exhaust a node's memory or hold clients forever.
 #[test]
-fn blocking_queries_are_bounded_and_woken() {
-    let mut w = world();
+fn blocking_queries_are_bounded_and_answered_after_a_change() {
+    let mut simulation = simulation_with_job();
     let ask = |query: &str| call(Verb::Get, "/v1/job/a", query, &Value::Null);
-    assert_eq!(answered(&mut w, ask("namespace=red")), 200);
-    let index = w.answers[0]
+    assert_eq!(answered(&mut simulation, ask("namespace=red")), 200);
+    let index = simulation.answers[0]
         .headers
         .iter()
         .find(|(k, _)| *k == "x-nomad-index")
         .map(|(_, v)| v.clone())
-        .expect("told");
-    w.answers.clear();
+        .expect("the answer has an index");
+    simulation.answers.clear();
     for tag in 0..700 {
-        w.call(0, 1_000 + tag, ask(&format!("namespace=red&stale&index={index}&wait=20s")));
+        simulation.call(0, 1_000 + tag, ask(&format!("namespace=red&stale&index={index}&wait=20s")));
     }
-    let until = w.now + 1_000;
-    w.run_until(until);
-    let refused = w.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
-    assert_eq!((w.answers.len(), refused), (100, 100), "600 may wait");
-    w.answers.clear();
-    // A stop wakes all of them, a few at a time.
-    w.call(1, 5, call(Verb::Delete, "/v1/job/a", "namespace=red", &Value::Null));
-    let until = w.now + 6_000;
-    w.run_until(until);
-    let woken = w.answers.iter().filter(|a| a.tag >= 1_000 && a.body.contains("\"Stop\":true")).count();
+    let until = simulation.now + 1_000;
+    simulation.run_until(until);
+    let refused = simulation.answers.iter().filter(|a| a.status == 429 && a.retry_after_s.is_some()).count();
+    assert_eq!((simulation.answers.len(), refused), (100, 100), "at most 600 queries may wait");
+    simulation.answers.clear();
+    // A stop answers all of them, a bounded number in each step.
+    simulation.call(1, 5, call(Verb::Delete, "/v1/job/a", "namespace=red", &Value::Null));
+    let until = simulation.now + 6_000;
+    simulation.run_until(until);
+    let woken =
+        simulation.answers.iter().filter(|a| a.tag >= 1_000 && a.body.contains("\"Stop\":true")).count();
     assert_eq!(woken, 600);
-    w.answers.clear();
-    // One that nothing wakes ends by itself.
-    assert_eq!(answered(&mut w, ask("namespace=red&index=999999&wait=2s")), 200);
+    simulation.answers.clear();
+    // A query without a change is answered at its deadline.
+    assert_eq!(answered(&mut simulation, ask("namespace=red&index=999999&wait=2s")), 200);
 }
 
-/// A file that a client has parsed is evaluated by the node itself: within a budget of its own.
+/// The node evaluates job files that clients send for parsing. A budget limits this, so that a file can't
+/// block the node.
 #[test]
-fn a_file_that_takes_long_to_evaluate_is_refused() {
-    let mut w = world();
+fn refuses_a_file_that_exceeds_the_evaluation_budget() {
+    let mut simulation = simulation_with_job();
     let mut parse = |hcl: &str| {
         let body = json!({"JobHCL": hcl});
-        let status = answered(&mut w, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &body));
-        (status, w.answers.first().map(|a| a.body.clone()).unwrap_or_default())
+        let status = answered(&mut simulation, call(Verb::Post, "/v1/jobs/parse", "namespace=red", &body));
+        (status, simulation.answers.first().map(|a| a.body.clone()).unwrap_or_default())
     };
     let good = include_str!("../../../../../examples/quote-api.nomad.hcl");
     let (status, body) = parse(good);
